--- a/cmd/apply.go
+++ b/cmd/apply.go
@@ -14,9 +14,9 @@
 	"github.com/google/subcommands"
 	"github.com/oklog/ulid/v2"
 
-	"cairndock/internal/config"
-	"cairndock/internal/entry"
-	"cairndock/internal/operator"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry"
+	"cairndock/internal/selector/operator"
 )
 
 type applyCmd struct {
--- a/cmd/check.go
+++ b/cmd/check.go
@@ -9,8 +9,8 @@
 
 	"github.com/google/subcommands"
 
-	"cairndock/internal/config"
-	"cairndock/internal/server"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/server"
 	"cairndock/internal/settings"
 )
 
--- a/cmd/drain.go
+++ b/cmd/drain.go
@@ -15,9 +15,9 @@
 	"github.com/rotisserie/eris"
 	"k8s.io/apimachinery/pkg/labels"
 
-	"cairndock/internal/config"
-	"cairndock/internal/entry"
-	"cairndock/internal/operator"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry"
+	"cairndock/internal/selector/operator"
 )
 
 type drainCmd struct {
--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -10,7 +10,7 @@
 
 	"github.com/google/subcommands"
 
-	"cairndock/internal/entry"
+	"cairndock/internal/selector/entry"
 )
 
 type explainCmd struct {
--- a/cmd/gateway.go
+++ b/cmd/gateway.go
@@ -17,16 +17,16 @@
 	"github.com/oklog/ulid/v2"
 	"go.opentelemetry.io/otel/trace"
 
-	"cairndock/internal/balance"
-	"cairndock/internal/event"
-	"cairndock/internal/exchange"
-	"cairndock/internal/fleet"
-	"cairndock/internal/gateway"
-	"cairndock/internal/health"
-	"cairndock/internal/retry"
+	"cairndock/internal/gateway/balance"
+	"cairndock/internal/gateway/eventlog"
+	"cairndock/internal/gateway/exchange"
+	"cairndock/internal/gateway/fleet"
+	"cairndock/internal/gateway/outlier"
+	"cairndock/internal/gateway/proxy"
+	"cairndock/internal/gateway/retry"
+	"cairndock/internal/gateway/watch"
 	"cairndock/internal/settings"
 	"cairndock/internal/telemetry"
-	"cairndock/internal/watch"
 	"cairndock/platform"
 )
 
@@ -96,25 +96,25 @@
 // gatewayNode is one gateway host put together.
 type gatewayNode struct {
 	settings  settings.Gateway
-	log       *event.Log
+	log       *eventlog.Log
 	metrics   *telemetry.Metrics
 	tracer    trace.Tracer
-	knowledge *gateway.Knowledge
-	judge     *health.Judge
+	knowledge *proxy.Knowledge
+	judge     *outlier.Judge
 	timing    watch.Timing
 	tables    [tableCount]fleet.Table
 	watchers  [tableCount]*watch.Watcher
 	fleet     *fleet.Fleet
-	gateway   *gateway.Gateway
-	server    *gateway.Server
+	gateway   *proxy.Gateway
+	server    *proxy.Server
 }
 
 func newGatewayNode(set settings.Gateway, out io.Writer, tracer trace.Tracer) *gatewayNode {
 	n := &gatewayNode{settings: set, metrics: telemetry.NewMetrics(), tracer: tracer}
 	n.timing = watch.TimingFor(set.Limits.Staleness())
-	n.log = event.New(out, set.Host.Name, n.metrics)
-	n.judge = health.New(n)
-	n.knowledge = gateway.NewKnowledge(platform.Decoder{Zones: set.Zones}, n.log, n.metrics)
+	n.log = eventlog.New(out, set.Host.Name, n.metrics)
+	n.judge = outlier.New(n)
+	n.knowledge = proxy.NewKnowledge(platform.Decoder{Zones: set.Zones}, n.log, n.metrics)
 	store := platform.NewStore(set.Store.Address, dialer(storeDialTimeout).DialContext)
 	n.tables[intentTable] = fleet.Table{Replica: watch.NewReplica(), Store: platform.Intents(store)}
 	n.tables[upstreamTable] = fleet.Table{Replica: watch.NewReplica(), Store: platform.Upstreams(store)}
@@ -127,10 +127,10 @@
 		Seeds: set.PeerSeeds(), Transport: fleet.TCP{Dialer: dialer(storeDialTimeout)},
 		Tables: n.tables[:], MaxAge: n.timing.MaxAge,
 	})
-	n.watch(intentTable, gateway.Intents{Knowledge: n.knowledge})
-	n.watch(upstreamTable, gateway.Upstreams{Knowledge: n.knowledge})
+	n.watch(intentTable, proxy.Intents{Knowledge: n.knowledge})
+	n.watch(upstreamTable, proxy.Upstreams{Knowledge: n.knowledge})
 	n.gateway = n.newGateway()
-	n.server = gateway.NewServer(n.gateway)
+	n.server = proxy.NewServer(n.gateway)
 	n.registerGauges()
 	return n
 }
@@ -157,12 +157,12 @@
 	return exchange.Dialer{Timeout: timeout, Unacknowledged: unacknowledged}
 }
 
-func (n *gatewayNode) newGateway() *gateway.Gateway {
+func (n *gatewayNode) newGateway() *proxy.Gateway {
 	l := n.settings.Limits
 	place := balance.Place{Zone: n.settings.Host.Zone, Region: n.settings.Host.Region, Regions: n.settings.Regions()}
 	shares := coldShares{fleet: n.fleet, overshoot: l.WarmUpOvershoot, slack: l.WarmUpSlack}
 	pool := exchange.NewPool(dialer(upstreamDialTimeout).DialContext)
-	return gateway.New(gateway.Options{
+	return proxy.New(proxy.Options{
 		Knowledge: n.knowledge,
 		Balancer:  balance.New(place, balance.DefaultWeights, shares, n.judge),
 		Judge:     n.judge,
@@ -170,7 +170,7 @@
 		Client:    exchange.NewClient(pool, platform.Protocol{}),
 		Codec:     platform.Codec{},
 		Hosts:     n.fleet,
-		Ages:      gateway.Ages{Intents: n.tables[intentTable].Replica.Age, Upstreams: n.tables[upstreamTable].Replica.Age},
+		Ages:      proxy.Ages{Intents: n.tables[intentTable].Replica.Age, Upstreams: n.tables[upstreamTable].Replica.Age},
 		Log:       n.log,
 		Metrics:   n.metrics,
 		Tracer:    n.tracer,
@@ -193,7 +193,7 @@
 func (n *gatewayNode) Suspected() { n.fleet.Hurry() }
 
 // Ejected logs that an upstream is avoided.
-func (n *gatewayNode) Ejected(f health.Finding) { n.log.Ejected(f) }
+func (n *gatewayNode) Ejected(f outlier.Finding) { n.log.Ejected(f) }
 
 // status is what heartbeats tell of this host.
 func (n *gatewayNode) status() fleet.Status {
--- a/cmd/load.go
+++ b/cmd/load.go
@@ -12,7 +12,7 @@
 
 	"github.com/google/subcommands"
 
-	"cairndock/internal/load"
+	"cairndock/internal/selector/load"
 )
 
 type loadCmd struct {
--- a/cmd/quickstart.go
+++ b/cmd/quickstart.go
@@ -11,7 +11,7 @@
 	"github.com/google/subcommands"
 	"github.com/rs/zerolog"
 
-	"cairndock/internal/quickstart"
+	"cairndock/internal/selector/quickstart"
 	"cairndock/internal/telemetry"
 )
 
--- a/cmd/serve.go
+++ b/cmd/serve.go
@@ -12,8 +12,8 @@
 	"github.com/google/subcommands"
 	"github.com/rs/zerolog"
 
-	"cairndock/internal/entry"
-	"cairndock/internal/server"
+	"cairndock/internal/selector/entry"
+	"cairndock/internal/selector/server"
 	"cairndock/internal/settings"
 	"cairndock/internal/telemetry"
 )
--- a/cmd/standin.go
+++ b/cmd/standin.go
@@ -14,10 +14,10 @@
 	"github.com/rotisserie/eris"
 	"github.com/rs/zerolog"
 
-	"cairndock/internal/config"
 	"cairndock/internal/peer"
-	"cairndock/internal/platform"
-	"cairndock/internal/standin"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/standin"
+	"cairndock/internal/selector/store"
 	"cairndock/internal/telemetry"
 )
 
@@ -44,7 +44,7 @@
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
 	log := telemetry.NewLogger(os.Stdout, "info")
-	m := platform.NewMemory()
+	m := store.NewMemory()
 	if err := c.fill(ctx, m); err != nil {
 		return fail(err)
 	}
@@ -72,7 +72,7 @@
 }
 
 // fill writes the configuration, a snapshot of it and the rosters.
-func (c *standinCmd) fill(ctx context.Context, m *platform.Memory) error {
+func (c *standinCmd) fill(ctx context.Context, m *store.Memory) error {
 	log := config.NewLog(m, m)
 	s := config.NewState()
 	for id, doc := range []config.Document{c.size.Objects(), c.size.BlocksDocument()} {
@@ -92,8 +92,8 @@
 		if err != nil {
 			return err
 		}
-		key := platform.Key{Partition: "roster", Sort: standin.ZoneName(z)}
-		if err := m.Transact(ctx, []platform.Write{{Key: key, Body: body}}); err != nil {
+		key := store.Key{Partition: "roster", Sort: standin.ZoneName(z)}
+		if err := m.Transact(ctx, []store.Write{{Key: key, Body: body}}); err != nil {
 			return err
 		}
 	}
--- a/cmd/status.go
+++ b/cmd/status.go
@@ -9,7 +9,7 @@
 
 	"github.com/google/subcommands"
 
-	"cairndock/internal/entry"
+	"cairndock/internal/selector/entry"
 )
 
 type statusCmd struct{ client }
--- a/cmd/trace.go
+++ b/cmd/trace.go
@@ -8,7 +8,7 @@
 
 	"github.com/google/subcommands"
 
-	"cairndock/internal/trail"
+	"cairndock/internal/gateway/reqtrace"
 )
 
 type traceCmd struct{}
@@ -23,7 +23,7 @@
 	if f.NArg() != 1 {
 		return usage("trace: give one request id")
 	}
-	t, err := trail.Follow(os.Stdin, f.Arg(0))
+	t, err := reqtrace.Follow(os.Stdin, f.Arg(0))
 	if err != nil {
 		return fail(err)
 	}
--- a/internal/balance/anywhere.go
+++ b/internal/gateway/balance/anywhere.go
@@ -1,6 +1,6 @@
 package balance
 
-import "cairndock/internal/instance"
+import "cairndock/internal/gateway/upstream"
 
 const (
 	// choices is how many upstreams a request that gains nothing from its
@@ -71,7 +71,7 @@
 // anywhereCost orders upstreams for a request that gains nothing from its
 // homes: those of the own zone, of the rest of the key's side, and of the
 // other side, each by chance.
-func (b *Balancer) anywhereCost(m *instance.Member, hash uint64, near bool) float64 {
+func (b *Balancer) anywhereCost(m *upstream.Member, hash uint64, near bool) float64 {
 	half := b.weights.Affinity / 2
 	cost := unit(mix(hash)) * half
 	if m.Region == b.place.Region && m.Zone != b.place.Zone {
--- a/internal/balance/balance.go
+++ b/internal/gateway/balance/balance.go
@@ -13,7 +13,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cairndock/internal/instance"
+	"cairndock/internal/gateway/upstream"
 )
 
 // Weights weigh what speaks for and against an upstream as the home of a
@@ -94,7 +94,7 @@
 	// for it.
 	Anywhere bool
 	// Candidates are the upstreams of the service.
-	Candidates []*instance.Member
+	Candidates []*upstream.Member
 	// Allows says in which regions the request may be served; nil is all.
 	Allows func(region string) bool
 	// Bulk says that the answer is large, and Mixed that the service also
@@ -113,7 +113,7 @@
 
 // Choice is the upstream chosen, with what decided it.
 type Choice struct {
-	Instance *instance.Member
+	Instance *upstream.Member
 	// Load is its load as the host saw it, and LoadAge the age of what it
 	// told of itself; negative when it told nothing.
 	Load    float64
@@ -141,7 +141,7 @@
 
 // option is one candidate with its cost.
 type option struct {
-	member *instance.Member
+	member *upstream.Member
 	state  *state
 	cost   float64
 	load   float64
--- a/internal/balance/balance_test.go
+++ b/internal/gateway/balance/balance_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/balance"
-	"cairndock/internal/instance"
+	"cairndock/internal/gateway/balance"
+	"cairndock/internal/gateway/upstream"
 )
 
 // fixedShare is a host's part of a cold upstream's rate.
@@ -21,12 +21,12 @@
 
 func (nobody) Ejected(string, time.Time) bool { return false }
 
-func member(id, zone, region string) *instance.Member {
-	return &instance.Member{Instance: instance.Instance{ID: id, Service: "s", Zone: zone, Region: region, Capacity: 4}}
+func member(id, zone, region string) *upstream.Member {
+	return &upstream.Member{Instance: upstream.Instance{ID: id, Service: "s", Zone: zone, Region: region, Capacity: 4}}
 }
 
-func fleet(n int) []*instance.Member {
-	var out []*instance.Member
+func fleet(n int) []*upstream.Member {
+	var out []*upstream.Member
 	for i := range n {
 		region := []string{"west", "east"}[i%2]
 		out = append(out, member("i-"+strconv.Itoa(i), region+"-1", region))
@@ -83,7 +83,7 @@
 // A region keeps the part of its keys that it has capacity for.
 func TestARegionWithFewUpstreamsLeavesKeysToOthers(t *testing.T) {
 	b, now := newBalancer(1), time.Now()
-	var all []*instance.Member
+	var all []*upstream.Member
 	for i := range 24 {
 		region := "east"
 		if i < 3 {
@@ -150,7 +150,7 @@
 	cold.ColdUntil = now.Add(10 * time.Second)
 	sent := []time.Time{}
 	for at := now; at.Before(cold.ColdUntil); at = at.Add(20 * time.Millisecond) {
-		c, reason := b.Choose(balance.Query{Key: "k", Candidates: []*instance.Member{cold}, Now: at})
+		c, reason := b.Choose(balance.Query{Key: "k", Candidates: []*upstream.Member{cold}, Now: at})
 		if reason == balance.Chosen {
 			b.Done(c.Instance.ID, balance.Answered, at)
 			sent = append(sent, at)
@@ -165,7 +165,7 @@
 	}
 	require.Greater(t, len(sent), 20)
 	// Warm, it takes what it has room for.
-	_, reason := b.Choose(balance.Query{Key: "k", Candidates: []*instance.Member{cold}, Now: cold.ColdUntil})
+	_, reason := b.Choose(balance.Query{Key: "k", Candidates: []*upstream.Member{cold}, Now: cold.ColdUntil})
 	require.Equal(t, balance.Chosen, reason)
 }
 
@@ -190,7 +190,7 @@
 	// Alone, it is tried all the same: a wrong belief empties no service.
 	for _, m := range all {
 		if m.ID == home {
-			q.Candidates = []*instance.Member{m}
+			q.Candidates = []*upstream.Member{m}
 		}
 	}
 	require.Equal(t, home, choose(t, b, q).Instance.ID)
@@ -209,7 +209,7 @@
 // itself and leaves the small ones to others.
 func TestLargeAnswersStayNearFirst(t *testing.T) {
 	b, now := newBalancer(1), time.Now()
-	var all []*instance.Member
+	var all []*upstream.Member
 	for i := range 12 {
 		region := "east"
 		if i < 3 {
@@ -312,8 +312,8 @@
 }
 
 // twoZones is a region with two zones, and another region.
-func twoZones() []*instance.Member {
-	var all []*instance.Member
+func twoZones() []*upstream.Member {
+	var all []*upstream.Member
 	for i := range 4 {
 		n := strconv.Itoa(i)
 		all = append(all, member("own-"+n, "west-1", "west"), member("near-"+n, "west-2", "west"),
--- a/internal/balance/homes.go
+++ b/internal/gateway/balance/homes.go
@@ -1,6 +1,6 @@
 package balance
 
-import "cairndock/internal/instance"
+import "cairndock/internal/gateway/upstream"
 
 // pickHome gives the first home that is not busy, else the one with the least
 // load that is not full.
@@ -66,7 +66,7 @@
 const nearSalt = 0x9e3779b97f4a7c15
 
 // homeCost is what speaks against an upstream as the home of a key.
-func (b *Balancer) homeCost(m *instance.Member, hash uint64, near bool) float64 {
+func (b *Balancer) homeCost(m *upstream.Member, hash uint64, near bool) float64 {
 	cost := unit(mix(hash)) * b.weights.Affinity
 	if (m.Region == b.place.Region) != near {
 		cost += b.weights.Away
--- a/internal/event/event.go
+++ b/internal/gateway/eventlog/event.go
@@ -1,7 +1,7 @@
 // Package event writes the structured log: one line for each decision that
 // touches a request or changes what the process believes. Writing is bounded
 // and never blocks.
-package event
+package eventlog
 
 import (
 	"io"
--- a/internal/event/event_test.go
+++ b/internal/gateway/eventlog/event_test.go
@@ -1,4 +1,4 @@
-package event_test
+package eventlog_test
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/event"
+	"cairndock/internal/gateway/eventlog"
 	"cairndock/internal/telemetry"
 )
 
@@ -51,7 +51,7 @@
 func sampledID(t *testing.T) string {
 	t.Helper()
 	for i := range 10_000 {
-		if id := strconv.Itoa(i); event.Sampled(id) {
+		if id := strconv.Itoa(i); eventlog.Sampled(id) {
 			return id
 		}
 	}
@@ -61,9 +61,9 @@
 
 func TestAFailedRequestIsToldWithWhatDecidedIt(t *testing.T) {
 	var b buffer
-	l := event.New(&b, "host-1", telemetry.NewMetrics())
-	l.Attempt(event.Attempt{Request: "r1", Route: "route", Service: "s", Upstream: "i-1", Number: 1, Config: 7, Load: 0.5, LoadAge: 20 * time.Millisecond, Outcome: "upstream-failed", Failed: true, Took: time.Second, Detail: "reset"})
-	l.Final(event.Final{Request: "r1", Config: 7, Status: 502, Verdict: "may-have-run", Reason: "upstream-failed", Failed: true})
+	l := eventlog.New(&b, "host-1", telemetry.NewMetrics())
+	l.Attempt(eventlog.Attempt{Request: "r1", Route: "route", Service: "s", Upstream: "i-1", Number: 1, Config: 7, Load: 0.5, LoadAge: 20 * time.Millisecond, Outcome: "upstream-failed", Failed: true, Took: time.Second, Detail: "reset"})
+	l.Final(eventlog.Final{Request: "r1", Config: 7, Status: 502, Verdict: "may-have-run", Reason: "upstream-failed", Failed: true})
 	l.Close()
 	lines := b.lines(t)
 	require.Len(t, lines, 2)
@@ -76,11 +76,11 @@
 
 func TestOnlySampledSuccessesAreTold(t *testing.T) {
 	var b buffer
-	l := event.New(&b, "h", telemetry.NewMetrics())
+	l := eventlog.New(&b, "h", telemetry.NewMetrics())
 	id := sampledID(t)
-	l.Final(event.Final{Request: id})
-	l.Final(event.Final{Request: id + "-unlikely-1"})
-	l.Final(event.Final{Request: id + "-unlikely-2"})
+	l.Final(eventlog.Final{Request: id})
+	l.Final(eventlog.Final{Request: id + "-unlikely-1"})
+	l.Final(eventlog.Final{Request: id + "-unlikely-2"})
 	l.Close()
 	require.Equal(t, id, b.lines(t)[0]["request"])
 	require.LessOrEqual(t, len(b.lines(t)), 2)
@@ -89,10 +89,10 @@
 func TestAReaderThatStopsReadingDelaysNothing(t *testing.T) {
 	s := stuck{release: make(chan struct{})}
 	m := telemetry.NewMetrics()
-	l := event.New(s, "h", m)
+	l := eventlog.New(s, "h", m)
 	began := time.Now()
 	for i := range 20_000 {
-		l.Final(event.Final{Request: strconv.Itoa(i), Failed: true})
+		l.Final(eventlog.Final{Request: strconv.Itoa(i), Failed: true})
 		l.Config(int64(i), 1)
 	}
 	l.Close()
@@ -105,9 +105,9 @@
 
 func TestAFloodOfFailuresLeavesRoomForBeliefs(t *testing.T) {
 	var b buffer
-	l := event.New(&b, "h", telemetry.NewMetrics())
+	l := eventlog.New(&b, "h", telemetry.NewMetrics())
 	for i := range 5_000 {
-		l.Final(event.Final{Request: strconv.Itoa(i), Failed: true})
+		l.Final(eventlog.Final{Request: strconv.Itoa(i), Failed: true})
 	}
 	l.Lost("source", "store", nil)
 	l.Close()
--- a/internal/event/kinds.go
+++ b/internal/gateway/eventlog/kinds.go
@@ -1,10 +1,10 @@
-package event
+package eventlog
 
 import (
 	"time"
 
-	"cairndock/internal/health"
-	"cairndock/internal/instance"
+	"cairndock/internal/gateway/outlier"
+	"cairndock/internal/gateway/upstream"
 )
 
 // ms gives a duration in milliseconds, as all durations are written.
@@ -96,7 +96,7 @@
 
 // Ejected writes that an upstream is avoided for a time, and what speaks
 // against it.
-func (l *Log) Ejected(f health.Finding) {
+func (l *Log) Ejected(f outlier.Finding) {
 	l.metrics.Count("cairndock_ejections_total")
 	if e := l.belief("ejected"); e != nil {
 		e.Str("upstream", f.Upstream).Int("bad", f.Bad).Int("good", f.Good).Int("hosts", f.Hosts).
@@ -105,7 +105,7 @@
 }
 
 // Upstream writes what became of an upstream.
-func (l *Log) Upstream(id string, in instance.Instance, state string, version int64) {
+func (l *Log) Upstream(id string, in upstream.Instance, state string, version int64) {
 	if e := l.belief("upstream"); e != nil {
 		e.Str("upstream", id).Str("service", in.Service).Str("zone", in.Zone).Str("state", state).
 			Int64("version", version).Float64("cold_ms", ms(in.ColdLeft)).Msg("upstream: changed")
--- a/internal/exchange/exchange_test.go
+++ b/internal/gateway/exchange/exchange_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/exchange"
+	"cairndock/internal/gateway/exchange"
 	"cairndock/internal/verdict"
 )
 
--- a/internal/fleet/beat.go
+++ b/internal/gateway/fleet/beat.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"cairndock/internal/health"
+	"cairndock/internal/gateway/outlier"
 	"cairndock/internal/peer"
 )
 
@@ -39,7 +39,7 @@
 
 // Judge takes what the hosts of the own region saw of upstreams.
 type Judge interface {
-	Take(host string, suspects []health.Suspect, now time.Time)
+	Take(host string, suspects []outlier.Suspect, now time.Time)
 }
 
 // beat is a heartbeat and its answer.
--- a/internal/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -7,7 +7,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cairndock/internal/health"
+	"cairndock/internal/gateway/outlier"
 )
 
 // Host is one gateway host, as it tells of itself.
@@ -33,7 +33,7 @@
 	Changes []int64 `msgpack:"c,omitempty"`
 	Fresh   bool    `msgpack:"f,omitempty"`
 	// Suspects are the upstreams that seem to be unwell.
-	Suspects []health.Suspect `msgpack:"u,omitempty"`
+	Suspects []outlier.Suspect `msgpack:"u,omitempty"`
 }
 
 // takesCallers reports whether callers should come.
--- a/internal/fleet/fleet_test.go
+++ b/internal/gateway/fleet/fleet_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"cairndock/internal/gateway/watch"
 	"cairndock/internal/peer"
-	"cairndock/internal/watch"
 )
 
 func host(name, zone, region string) Host {
--- a/internal/fleet/relay.go
+++ b/internal/gateway/fleet/relay.go
@@ -10,8 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/rotisserie/eris"
 
+	"cairndock/internal/gateway/watch"
 	"cairndock/internal/peer"
-	"cairndock/internal/watch"
 )
 
 // relayRequest asks another host for a table as it knows it.
--- a/internal/health/judge.go
+++ b/internal/gateway/outlier/judge.go
@@ -3,7 +3,7 @@
 // are not asked, as they may be good while requests fail. A host of a large
 // fleet sends too little to one upstream to judge it alone, so the hosts of a
 // region tell each other what they saw.
-package health
+package outlier
 
 import (
 	"sync"
--- a/internal/health/judge_test.go
+++ b/internal/gateway/outlier/judge_test.go
@@ -1,4 +1,4 @@
-package health_test
+package outlier_test
 
 import (
 	"testing"
@@ -6,21 +6,21 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/health"
+	"cairndock/internal/gateway/outlier"
 )
 
 // findings records what a judge finds.
 type findings struct {
-	ejected   []health.Finding
+	ejected   []outlier.Finding
 	suspected int
 }
 
-func (f *findings) Suspected()               { f.suspected++ }
-func (f *findings) Ejected(x health.Finding) { f.ejected = append(f.ejected, x) }
+func (f *findings) Suspected()                { f.suspected++ }
+func (f *findings) Ejected(x outlier.Finding) { f.ejected = append(f.ejected, x) }
 
-func newJudge() (*health.Judge, *findings) {
+func newJudge() (*outlier.Judge, *findings) {
 	f := &findings{}
-	return health.New(f), f
+	return outlier.New(f), f
 }
 
 func TestAnUpstreamIsAvoidedForWhatRequestsShow(t *testing.T) {
@@ -56,20 +56,20 @@
 	now := time.Now()
 	j, findings := newJudge()
 	j.Bad("i", now)
-	j.Take("a", []health.Suspect{{Upstream: "i", Bad: 1}}, now)
+	j.Take("a", []outlier.Suspect{{Upstream: "i", Bad: 1}}, now)
 	require.False(t, j.Ejected("i", now))
-	j.Take("a", []health.Suspect{{Upstream: "i", Bad: 1}}, now)
+	j.Take("a", []outlier.Suspect{{Upstream: "i", Bad: 1}}, now)
 	require.False(t, j.Ejected("i", now), "the same word again is no news")
-	j.Take("b", []health.Suspect{{Upstream: "i", Bad: 1}}, now)
+	j.Take("b", []outlier.Suspect{{Upstream: "i", Bad: 1}}, now)
 	require.True(t, j.Ejected("i", now))
-	require.Equal(t, []health.Finding{{Upstream: "i", Bad: 3, Hosts: 3, For: 2 * time.Second}}, findings.ejected)
+	require.Equal(t, []outlier.Finding{{Upstream: "i", Bad: 3, Hosts: 3, For: 2 * time.Second}}, findings.ejected)
 }
 
 func TestWhatOthersFoundGoodSpeaksForAnUpstream(t *testing.T) {
 	now := time.Now()
 	j, _ := newJudge()
-	j.Take("a", []health.Suspect{{Upstream: "i", Good: 5}}, now)
-	j.Take("b", []health.Suspect{{Upstream: "i", Bad: 3}}, now)
+	j.Take("a", []outlier.Suspect{{Upstream: "i", Good: 5}}, now)
+	j.Take("b", []outlier.Suspect{{Upstream: "i", Bad: 3}}, now)
 	require.False(t, j.Ejected("i", now))
 }
 
@@ -79,8 +79,8 @@
 	j.Good("s", "sound", time.Millisecond, now)
 	j.Good("s", "doubted", time.Millisecond, now)
 	j.Bad("bad", now)
-	j.Take("a", []health.Suspect{{Upstream: "doubted", Bad: 1}}, now)
-	require.ElementsMatch(t, []health.Suspect{{Upstream: "bad", Bad: 1}, {Upstream: "doubted", Good: 1}}, j.Suspects(now))
+	j.Take("a", []outlier.Suspect{{Upstream: "doubted", Bad: 1}}, now)
+	require.ElementsMatch(t, []outlier.Suspect{{Upstream: "bad", Bad: 1}, {Upstream: "doubted", Good: 1}}, j.Suspects(now))
 	require.Empty(t, j.Suspects(now.Add(5*time.Second)), "evidence grows old")
 }
 
@@ -93,7 +93,7 @@
 		}
 	}
 	fail(now)
-	j.Take("a", []health.Suspect{{Upstream: "i", Bad: 9}}, now.Add(time.Second)) // seen before the ejection
+	j.Take("a", []outlier.Suspect{{Upstream: "i", Bad: 9}}, now.Add(time.Second)) // seen before the ejection
 	end := now.Add(2 * time.Second)
 	require.False(t, j.Ejected("i", end))
 	j.Bad("i", end)
--- a/internal/health/usual.go
+++ b/internal/gateway/outlier/usual.go
@@ -1,4 +1,4 @@
-package health
+package outlier
 
 import (
 	"slices"
--- a/internal/gateway/answer.go
+++ b/internal/gateway/proxy/answer.go
@@ -1,4 +1,4 @@
-package gateway
+package proxy
 
 import (
 	"io"
@@ -6,7 +6,7 @@
 	"strconv"
 	"sync"
 
-	"cairndock/internal/exchange"
+	"cairndock/internal/gateway/exchange"
 )
 
 const (
--- a/internal/gateway/callerconn.go
+++ b/internal/gateway/proxy/callerconn.go
@@ -1,4 +1,4 @@
-package gateway
+package proxy
 
 import (
 	"net"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"cairndock/internal/route"
+	"cairndock/internal/gateway/route"
 )
 
 // Bounds of a caller's connection until a configuration tells others.
--- a/internal/gateway/callerconn_test.go
+++ b/internal/gateway/proxy/callerconn_test.go
@@ -1,4 +1,4 @@
-package gateway_test
+package proxy_test
 
 import (
 	"bufio"
@@ -11,8 +11,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/gateway"
-	"cairndock/internal/route"
+	"cairndock/internal/gateway/proxy"
+	"cairndock/internal/gateway/route"
 )
 
 // limited puts limits of callers' connections in force.
@@ -26,7 +26,7 @@
 // connect opens a caller's connection to a server of the gateway.
 func (w *world) connect() net.Conn {
 	w.t.Helper()
-	s := gateway.NewServer(w.gateway)
+	s := proxy.NewServer(w.gateway)
 	w.t.Cleanup(s.Close)
 	require.NoError(w.t, s.Callers("127.0.0.1:0"))
 	c, err := net.Dial("tcp", s.CallerAddress())
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/proxy/dispatch.go
@@ -1,4 +1,4 @@
-package gateway
+package proxy
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 	"net/http"
 	"time"
 
-	"cairndock/internal/balance"
-	"cairndock/internal/event"
-	"cairndock/internal/exchange"
-	"cairndock/internal/route"
+	"cairndock/internal/gateway/balance"
+	"cairndock/internal/gateway/eventlog"
+	"cairndock/internal/gateway/exchange"
+	"cairndock/internal/gateway/route"
 	"cairndock/internal/verdict"
 )
 
@@ -312,7 +312,7 @@
 }
 
 func (d *dispatch) logAttempt(c balance.Choice, began time.Time, status int, e *verdict.Error) {
-	ev := event.Attempt{
+	ev := eventlog.Attempt{
 		Request: d.call.ID, Route: d.route.Name, Service: d.service, Upstream: c.Instance.ID, Zone: c.Instance.Zone,
 		Key: d.call.Key, Number: len(d.tried), Config: d.table.Version, Load: c.Load, LoadAge: c.LoadAge, Rank: c.Rank, Cold: c.Cold,
 		Outcome: "answered", Status: status, Took: time.Since(began),
@@ -325,7 +325,7 @@
 }
 
 func (d *dispatch) logFinal(status int, e *verdict.Error) {
-	ev := event.Final{
+	ev := eventlog.Final{
 		Request: d.call.ID, Service: d.service, Attempts: len(d.tried), Status: status, Verdict: verdict.Ran.String(),
 		ConfigAge: d.gateway.Ages.Intents(), UpstreamsAge: d.gateway.Ages.Upstreams(), Took: time.Since(d.began),
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/proxy/gateway.go
@@ -1,7 +1,7 @@
 // Package gateway serves callers by routes: it takes a request, decides which
 // upstream it goes to, and passes on that upstream's answer or its own final
 // word, with proof of whether the request may have run.
-package gateway
+package proxy
 
 import (
 	"context"
@@ -16,12 +16,12 @@
 
 	"go.opentelemetry.io/otel/trace"
 
-	"cairndock/internal/balance"
 	"cairndock/internal/call"
-	"cairndock/internal/event"
-	"cairndock/internal/exchange"
-	"cairndock/internal/health"
-	"cairndock/internal/retry"
+	"cairndock/internal/gateway/balance"
+	"cairndock/internal/gateway/eventlog"
+	"cairndock/internal/gateway/exchange"
+	"cairndock/internal/gateway/outlier"
+	"cairndock/internal/gateway/retry"
 	"cairndock/internal/telemetry"
 	"cairndock/internal/verdict"
 )
@@ -60,13 +60,13 @@
 type Options struct {
 	Knowledge *Knowledge
 	Balancer  *balance.Balancer
-	Judge     *health.Judge
+	Judge     *outlier.Judge
 	Budget    *retry.Budget
 	Client    *exchange.Client
 	Codec     Codec
 	Hosts     Hosts
 	Ages      Ages
-	Log       *event.Log
+	Log       *eventlog.Log
 	Metrics   *telemetry.Metrics
 	// Tracer makes a span for each request and each attempt.
 	Tracer trace.Tracer
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/proxy/gateway_test.go
@@ -1,4 +1,4 @@
-package gateway_test
+package proxy_test
 
 import (
 	"bufio"
@@ -22,17 +22,17 @@
 	"go.opentelemetry.io/otel/trace"
 	"go.opentelemetry.io/otel/trace/noop"
 
-	"cairndock/internal/balance"
-	"cairndock/internal/event"
-	"cairndock/internal/exchange"
-	"cairndock/internal/gateway"
-	"cairndock/internal/health"
-	"cairndock/internal/instance"
-	"cairndock/internal/retry"
-	"cairndock/internal/route"
+	"cairndock/internal/gateway/balance"
+	"cairndock/internal/gateway/eventlog"
+	"cairndock/internal/gateway/exchange"
+	"cairndock/internal/gateway/outlier"
+	"cairndock/internal/gateway/proxy"
+	"cairndock/internal/gateway/retry"
+	"cairndock/internal/gateway/route"
+	"cairndock/internal/gateway/upstream"
+	"cairndock/internal/gateway/watch"
 	"cairndock/internal/telemetry"
 	"cairndock/internal/verdict"
-	"cairndock/internal/watch"
 )
 
 // The headers of the tests' own protocol.
@@ -47,12 +47,12 @@
 
 type codec struct{}
 
-func (codec) Read(h http.Header) gateway.Call {
+func (codec) Read(h http.Header) proxy.Call {
 	ms, _ := strconv.Atoi(h.Get(headerWait))
-	return gateway.Call{ID: h.Get(headerID), Key: h.Get(headerKey), Patience: time.Duration(ms) * time.Millisecond}
+	return proxy.Call{ID: h.Get(headerID), Key: h.Get(headerKey), Patience: time.Duration(ms) * time.Millisecond}
 }
 
-func (codec) Refuse(w http.ResponseWriter, _ gateway.Call, e *verdict.Error) {
+func (codec) Refuse(w http.ResponseWriter, _ proxy.Call, e *verdict.Error) {
 	w.Header().Set("Verdict", e.Verdict.String())
 	w.Header().Set("Reason", string(e.Reason))
 	w.Header().Set("Retry", e.RetryAfter.String())
@@ -84,29 +84,29 @@
 	Limits route.Limits
 }
 
-func (decoder) Intent(_ string, value []byte) (gateway.Intent, error) {
+func (decoder) Intent(_ string, value []byte) (proxy.Intent, error) {
 	var r intentRow
 	if err := json.Unmarshal(value, &r); err != nil {
-		return gateway.Intent{}, eris.Wrap(err, "parse")
+		return proxy.Intent{}, eris.Wrap(err, "parse")
 	}
 	if r.Evacuate != "" {
-		return gateway.Intent{Evacuate: r.Evacuate}, nil
+		return proxy.Intent{Evacuate: r.Evacuate}, nil
 	}
 	services := []route.Service{{Name: "s", WarmUp: time.Second, WarmUpRate: 5}}
 	r.Limits.BodyBytes, r.Limits.HeaderBytes = 1000, 2000
-	return gateway.Intent{Table: route.NewTable(r.Version, r.Routes, services, r.Limits)}, nil
+	return proxy.Intent{Table: route.NewTable(r.Version, r.Routes, services, r.Limits)}, nil
 }
 
-func (decoder) Instance(_ string, value []byte) (instance.Instance, error) {
-	var in instance.Instance
+func (decoder) Instance(_ string, value []byte) (upstream.Instance, error) {
+	var in upstream.Instance
 	return in, eris.Wrap(json.Unmarshal(value, &in), "parse")
 }
 
 // world is a gateway with its upstreams.
 type world struct {
 	t         *testing.T
-	gateway   *gateway.Gateway
-	knowledge *gateway.Knowledge
+	gateway   *proxy.Gateway
+	knowledge *proxy.Knowledge
 	server    *httptest.Server
 	log       *lines
 	version   int64
@@ -132,7 +132,7 @@
 }
 
 // reporter is a judge's, without other hosts.
-type reporter struct{ *event.Log }
+type reporter struct{ *eventlog.Log }
 
 func (reporter) Suspected() {}
 
@@ -147,18 +147,18 @@
 	t.Helper()
 	w := &world{t: t, log: &lines{}}
 	m := telemetry.NewMetrics()
-	log := event.New(w.log, "h", m)
+	log := eventlog.New(w.log, "h", m)
 	t.Cleanup(log.Close)
-	w.knowledge = gateway.NewKnowledge(decoder{}, log, m)
+	w.knowledge = proxy.NewKnowledge(decoder{}, log, m)
 	dial := exchange.Dialer{Timeout: 200 * time.Millisecond, Unacknowledged: time.Second}
 	age := func() time.Duration { return 0 }
-	judge := health.New(reporter{log})
-	w.gateway = gateway.New(gateway.Options{
+	judge := outlier.New(reporter{log})
+	w.gateway = proxy.New(proxy.Options{
 		Knowledge: w.knowledge, Judge: judge,
 		Balancer: balance.New(balance.Place{Zone: "z", Region: "r", Regions: 1}, balance.DefaultWeights, one{}, judge),
 		Budget:   retry.NewBudget(retry.Limits{Ratio: 1, Window: time.Second, Slack: 100}),
 		Client:   exchange.NewClient(exchange.NewPool(dial.DialContext), protocol{}),
-		Codec:    codec{}, Hosts: one{}, Ages: gateway.Ages{Intents: age, Upstreams: age}, Log: log, Metrics: m,
+		Codec:    codec{}, Hosts: one{}, Ages: proxy.Ages{Intents: age, Upstreams: age}, Log: log, Metrics: m,
 		Tracer: telemetry.Tracer(traces),
 	})
 	w.server = httptest.NewServer(w.gateway)
@@ -170,7 +170,7 @@
 	w.version++
 	value, err := json.Marshal(r)
 	require.NoError(w.t, err)
-	gateway.Intents{Knowledge: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: key, Value: value, Version: w.version}}})
+	proxy.Intents{Knowledge: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: key, Value: value, Version: w.version}}})
 }
 
 func (w *world) routes(rs ...route.Route) {
@@ -209,10 +209,10 @@
 	}()
 	w.upstreams++
 	id := fmt.Sprint("i-", w.upstreams)
-	value, err := json.Marshal(instance.Instance{ID: id, Service: "s", Address: l.Addr().String(), Zone: "z", Region: "r", Capacity: 2})
+	value, err := json.Marshal(upstream.Instance{ID: id, Service: "s", Address: l.Addr().String(), Zone: "z", Region: "r", Capacity: 2})
 	require.NoError(w.t, err)
 	w.version++
-	gateway.Upstreams{Knowledge: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: id, Value: value, Version: w.version}}, Whole: true})
+	proxy.Upstreams{Knowledge: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: id, Value: value, Version: w.version}}, Whole: true})
 	return &count
 }
 
@@ -440,7 +440,7 @@
 	resp, _ := w.get()
 	require.Equal(t, 503, resp.StatusCode)
 	require.Zero(t, n.Load())
-	gateway.Intents{Knowledge: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: "evacuate", Version: 99, Gone: true}}})
+	proxy.Intents{Knowledge: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: "evacuate", Version: 99, Gone: true}}})
 	resp, _ = w.get()
 	require.Equal(t, 200, resp.StatusCode)
 }
@@ -452,7 +452,7 @@
 	w.intent("config", intentRow{Version: 4})
 	resp, _ := w.get()
 	require.Equal(t, 200, resp.StatusCode)
-	gateway.Intents{Knowledge: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: "config", Value: []byte("{"), Version: 50}}})
+	proxy.Intents{Knowledge: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: "config", Value: []byte("{"), Version: 50}}})
 	resp, _ = w.get()
 	require.Equal(t, 200, resp.StatusCode)
 	require.Eventually(t, func() bool { return strings.Contains(w.log.String(), "bad-row") }, time.Second, time.Millisecond)
@@ -467,7 +467,7 @@
 		time.Sleep(300 * time.Millisecond)
 		sound(c, r)
 	})
-	s := gateway.NewServer(w.gateway)
+	s := proxy.NewServer(w.gateway)
 	require.NoError(t, s.Callers("127.0.0.1:0"))
 	address := s.CallerAddress()
 	w.server.URL = "http://" + address
@@ -509,7 +509,7 @@
 		time.Sleep(3 * time.Second)
 		sound(c, r)
 	})
-	s := gateway.NewServer(w.gateway)
+	s := proxy.NewServer(w.gateway)
 	t.Cleanup(s.Close)
 	require.NoError(t, s.Callers("127.0.0.1:0"))
 	w.server.URL = "http://" + s.CallerAddress()
--- a/internal/gateway/knowledge.go
+++ b/internal/gateway/proxy/knowledge.go
@@ -1,4 +1,4 @@
-package gateway
+package proxy
 
 import (
 	"maps"
@@ -7,11 +7,11 @@
 	"sync/atomic"
 	"time"
 
-	"cairndock/internal/event"
-	"cairndock/internal/instance"
-	"cairndock/internal/route"
+	"cairndock/internal/gateway/eventlog"
+	"cairndock/internal/gateway/route"
+	"cairndock/internal/gateway/upstream"
+	"cairndock/internal/gateway/watch"
 	"cairndock/internal/telemetry"
-	"cairndock/internal/watch"
 )
 
 // Intent is one thing that operators want: a configuration, or a zone that
@@ -24,30 +24,30 @@
 // Decoder reads rows in the product's words.
 type Decoder interface {
 	Intent(key string, value []byte) (Intent, error)
-	Instance(key string, value []byte) (instance.Instance, error)
+	Instance(key string, value []byte) (upstream.Instance, error)
 }
 
 // Knowledge is what the host knows of operators' intent and of the upstreams
 // that run. Readers take what is current without a lock.
 type Knowledge struct {
 	decoder Decoder
-	log     *event.Log
+	log     *eventlog.Log
 	metrics *telemetry.Metrics
 
 	table atomic.Pointer[route.Table]
-	set   atomic.Pointer[instance.Set]
+	set   atomic.Pointer[upstream.Set]
 	// seeded says that all upstreams were read once.
 	seeded atomic.Bool
 
 	mu        sync.Mutex
-	registry  *instance.Registry
+	registry  *upstream.Registry
 	evacuated map[string]string // row's key to zone
 }
 
 // NewKnowledge makes the knowledge of a host that has just started.
-func NewKnowledge(d Decoder, log *event.Log, m *telemetry.Metrics) *Knowledge {
+func NewKnowledge(d Decoder, log *eventlog.Log, m *telemetry.Metrics) *Knowledge {
 	k := &Knowledge{decoder: d, log: log, metrics: m, evacuated: map[string]string{}}
-	k.registry = instance.NewRegistry(k.warmUp)
+	k.registry = upstream.NewRegistry(k.warmUp)
 	k.set.Store(k.registry.Set())
 	return k
 }
@@ -73,7 +73,7 @@
 }
 
 // Set is the upstreams known.
-func (k *Knowledge) Set() *instance.Set { return k.set.Load() }
+func (k *Knowledge) Set() *upstream.Set { return k.set.Load() }
 
 // Ready reports whether the host knows enough to serve.
 func (k *Knowledge) Ready() bool {
@@ -180,7 +180,7 @@
 		lapsed = k.upstream(r, now, update.Returned) || lapsed
 	}
 	if lapsed {
-		time.AfterFunc(update.Returned.Add(instance.LapseGrace).Sub(now), k.expire)
+		time.AfterFunc(update.Returned.Add(upstream.LapseGrace).Sub(now), k.expire)
 	}
 	first := update.Whole && !k.seeded.Load()
 	if first {
@@ -211,7 +211,7 @@
 		if lapsed {
 			state = "entry lapsed"
 		}
-		k.log.Upstream(r.Key, instance.Instance{}, state, r.Version)
+		k.log.Upstream(r.Key, upstream.Instance{}, state, r.Version)
 		return lapsed
 	}
 	value, err := r.Bytes()
--- a/internal/gateway/observation.go
+++ b/internal/gateway/proxy/observation.go
@@ -1,4 +1,4 @@
-package gateway
+package proxy
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
-	"cairndock/internal/balance"
-	"cairndock/internal/exchange"
-	"cairndock/internal/route"
+	"cairndock/internal/gateway/balance"
+	"cairndock/internal/gateway/exchange"
+	"cairndock/internal/gateway/route"
 	"cairndock/internal/verdict"
 )
 
--- a/internal/gateway/observation_test.go
+++ b/internal/gateway/proxy/observation_test.go
@@ -1,4 +1,4 @@
-package gateway_test
+package proxy_test
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/route"
+	"cairndock/internal/gateway/route"
 )
 
 // ask sends a request with an id and a key, and gives the answer's status.
--- a/internal/gateway/span.go
+++ b/internal/gateway/proxy/span.go
@@ -1,4 +1,4 @@
-package gateway
+package proxy
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"go.opentelemetry.io/otel/propagation"
 	"go.opentelemetry.io/otel/trace"
 
-	"cairndock/internal/balance"
+	"cairndock/internal/gateway/balance"
 	"cairndock/internal/verdict"
 )
 
--- a/internal/gateway/span_test.go
+++ b/internal/gateway/proxy/span_test.go
@@ -1,4 +1,4 @@
-package gateway_test
+package proxy_test
 
 import (
 	"net"
@@ -9,7 +9,7 @@
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 	"go.opentelemetry.io/otel/sdk/trace/tracetest"
 
-	"cairndock/internal/route"
+	"cairndock/internal/gateway/route"
 	"cairndock/internal/telemetry"
 )
 
--- a/internal/trail/cause.go
+++ b/internal/gateway/reqtrace/cause.go
@@ -1,4 +1,4 @@
-package trail
+package reqtrace
 
 import "fmt"
 
--- a/internal/trail/trail.go
+++ b/internal/gateway/reqtrace/trail.go
@@ -1,6 +1,6 @@
 // Package trail reads structured logs and follows one request through them,
 // over all hosts, to the cause of its failure.
-package trail
+package reqtrace
 
 import (
 	"bufio"
--- a/internal/trail/trail_test.go
+++ b/internal/gateway/reqtrace/trail_test.go
@@ -1,4 +1,4 @@
-package trail_test
+package reqtrace_test
 
 import (
 	"os"
@@ -9,7 +9,7 @@
 	"github.com/sebdah/goldie/v2"
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/trail"
+	"cairndock/internal/gateway/reqtrace"
 )
 
 // Each log in testdata is of one request with an id like its name.
@@ -24,7 +24,7 @@
 			f, err := os.Open(path)
 			require.NoError(t, err)
 			defer func() { _ = f.Close() }()
-			tr, err := trail.Follow(f, name)
+			tr, err := reqtrace.Follow(f, name)
 			require.NoError(t, err)
 			g.Assert(t, name, []byte(tr.String()))
 		})
@@ -32,12 +32,12 @@
 }
 
 func TestARequestThatNoLogKnows(t *testing.T) {
-	_, err := trail.Follow(strings.NewReader("not json\n{\"request\":\"other\"}\n"), "r")
+	_, err := reqtrace.Follow(strings.NewReader("not json\n{\"request\":\"other\"}\n"), "r")
 	require.ErrorContains(t, err, "no line of request")
 }
 
 func TestAMissingFinalLineIsSaid(t *testing.T) {
-	tr, err := trail.Follow(strings.NewReader(`{"event":"attempt","request":"r","attempt":1}`), "r")
+	tr, err := reqtrace.Follow(strings.NewReader(`{"event":"attempt","request":"r","attempt":1}`), "r")
 	require.NoError(t, err)
 	require.Contains(t, tr.Cause(), "missing")
 }
--- a/internal/retry/budget_test.go
+++ b/internal/gateway/retry/budget_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/retry"
+	"cairndock/internal/gateway/retry"
 )
 
 var limits = retry.Limits{Ratio: 0.2, Window: 10 * time.Second, Slack: 58}
--- a/internal/route/route_test.go
+++ b/internal/gateway/route/route_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/route"
+	"cairndock/internal/gateway/route"
 )
 
 func table(routes ...route.Route) *route.Table {
--- a/internal/report/report_test.go
+++ b/internal/gateway/soak/report/report_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/report"
+	"cairndock/internal/gateway/soak/report"
 )
 
 func TestAPageShowsWhatHappened(t *testing.T) {
--- a/internal/soak/soak_test.go
+++ b/internal/gateway/soak/soak_test.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"cairndock/cmd"
-	"cairndock/internal/report"
+	"cairndock/internal/gateway/soak/report"
 	"cairndock/platform/platformtest"
 )
 
--- a/internal/instance/instance.go
+++ b/internal/gateway/upstream/instance.go
@@ -1,5 +1,5 @@
 // Package instance holds what is known of the upstreams that are running.
-package instance
+package upstream
 
 import (
 	"cmp"
--- a/internal/instance/instance_test.go
+++ b/internal/gateway/upstream/instance_test.go
@@ -1,4 +1,4 @@
-package instance_test
+package upstream_test
 
 import (
 	"testing"
@@ -6,20 +6,20 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/instance"
+	"cairndock/internal/gateway/upstream"
 )
 
 const warmUp = 3 * time.Second
 
-func registry() *instance.Registry {
-	return instance.NewRegistry(func(string) time.Duration { return warmUp })
+func registry() *upstream.Registry {
+	return upstream.NewRegistry(func(string) time.Duration { return warmUp })
 }
 
-func ready(id, zone string) instance.Instance {
-	return instance.Instance{ID: id, Service: "s", Zone: zone, Capacity: 2}
+func ready(id, zone string) upstream.Instance {
+	return upstream.Instance{ID: id, Service: "s", Zone: zone, Capacity: 2}
 }
 
-func ids(s *instance.Set) []string {
+func ids(s *upstream.Set) []string {
 	var out []string
 	for _, m := range s.Service("s") {
 		out = append(out, m.ID)
@@ -27,7 +27,7 @@
 	return out
 }
 
-func coldFor(t *testing.T, r *instance.Registry, id string, now time.Time) time.Duration {
+func coldFor(t *testing.T, r *upstream.Registry, id string, now time.Time) time.Duration {
 	t.Helper()
 	m, ok := r.Set().Get(id)
 	require.True(t, ok)
@@ -109,7 +109,7 @@
 	}{
 		{"the source was never away", false, -1, false},
 		{"just after its return", false, 100 * time.Millisecond, true},
-		{"long after its return", false, instance.LapseGrace, false},
+		{"long after its return", false, upstream.LapseGrace, false},
 		{"had said that it leaves", true, 100 * time.Millisecond, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -138,8 +138,8 @@
 	require.True(t, r.Remove("back", now, now))
 	require.True(t, r.Remove("gone", now, now))
 	r.Put(ready("back", "z"), now.Add(time.Second))
-	require.Empty(t, r.Expire(now.Add(instance.LapseGrace-time.Millisecond)))
-	require.Equal(t, []instance.Instance{ready("gone", "z")}, r.Expire(now.Add(instance.LapseGrace)))
+	require.Empty(t, r.Expire(now.Add(upstream.LapseGrace-time.Millisecond)))
+	require.Equal(t, []upstream.Instance{ready("gone", "z")}, r.Expire(now.Add(upstream.LapseGrace)))
 	require.Equal(t, []string{"back"}, ids(r.Set()))
 	require.Zero(t, coldFor(t, r, "back", now), "it has not started anew")
 }
--- a/internal/caller/caller_test.go
+++ b/internal/selector/caller/caller_test.go
@@ -19,10 +19,10 @@
 	"go.opentelemetry.io/otel/trace/noop"
 
 	"cairndock/internal/call"
-	"cairndock/internal/config"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/ticket"
 	"cairndock/internal/settings"
 	"cairndock/internal/telemetry"
-	"cairndock/internal/ticket"
 	"cairndock/internal/verdict"
 )
 
--- a/internal/config/config_test.go
+++ b/internal/selector/config/config_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/platform"
+	"cairndock/internal/selector/store"
 )
 
 const good = `
@@ -210,7 +210,7 @@
 		for _, large := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s/large=%v", tc.name, large), func(t *testing.T) {
 				ctx := context.Background()
-				m := platform.NewMemory()
+				m := store.NewMemory()
 				log := NewLog(m, m)
 				m.SetFault(tc.fault)
 				c := changeOf(t, large)
--- a/internal/config/log.go
+++ b/internal/selector/config/log.go
@@ -10,7 +10,7 @@
 	"github.com/cenkalti/backoff/v5"
 	"github.com/rotisserie/eris"
 
-	"cairndock/internal/platform"
+	"cairndock/internal/selector/store"
 	"cairndock/internal/tomlfile"
 )
 
@@ -32,9 +32,9 @@
 
 // Table is the part of the platform's table that the log uses.
 type Table interface {
-	Get(ctx context.Context, key platform.Key) (platform.Row, error)
-	Transact(ctx context.Context, writes []platform.Write) error
-	List(ctx context.Context, partition, after string, limit int) ([]platform.Row, error)
+	Get(ctx context.Context, key store.Key) (store.Row, error)
+	Transact(ctx context.Context, writes []store.Write) error
+	List(ctx context.Context, partition, after string, limit int) ([]store.Row, error)
 }
 
 // Objects is the part of the platform's object store that the log uses.
@@ -66,8 +66,8 @@
 
 // Head reads the newest revision; 0 when nothing was ever accepted.
 func (l *Log) Head(ctx context.Context) (uint64, error) {
-	row, err := l.table.Get(ctx, platform.Key{Partition: partitionHead, Sort: sortHead})
-	if errors.Is(err, platform.ErrNotFound) {
+	row, err := l.table.Get(ctx, store.Key{Partition: partitionHead, Sort: sortHead})
+	if errors.Is(err, store.ErrNotFound) {
 		return 0, nil
 	}
 	if err != nil {
@@ -96,7 +96,7 @@
 	return changes, nil
 }
 
-func (l *Log) decodeRow(ctx context.Context, row platform.Row) (Change, error) {
+func (l *Log) decodeRow(ctx context.Context, row store.Row) (Change, error) {
 	r, err := decode[logRow](row.Body)
 	if err != nil || r.Object == "" {
 		return r.Change, err
@@ -129,8 +129,8 @@
 
 // ByID gives the revision that a change id was accepted at.
 func (l *Log) ByID(ctx context.Context, id string) (uint64, bool, error) {
-	row, err := l.table.Get(ctx, platform.Key{Partition: partitionChange, Sort: id})
-	if errors.Is(err, platform.ErrNotFound) {
+	row, err := l.table.Get(ctx, store.Key{Partition: partitionChange, Sort: id})
+	if errors.Is(err, store.ErrNotFound) {
 		return 0, false, nil
 	}
 	if err != nil {
@@ -182,7 +182,7 @@
 	pause.MaxInterval = time.Second
 	for {
 		v, err := f()
-		if !errors.Is(err, platform.ErrThrottled) {
+		if !errors.Is(err, store.ErrThrottled) {
 			return v, err
 		}
 		timer := time.NewTimer(pause.NextBackOff())
@@ -221,7 +221,7 @@
 		return 0, false, err
 	}
 	// A throttled transaction, like a failed condition, wrote nothing.
-	if used || errors.Is(cause, platform.ErrConflict) || errors.Is(cause, platform.ErrThrottled) {
+	if used || errors.Is(cause, store.ErrConflict) || errors.Is(cause, store.ErrThrottled) {
 		return rev, used, nil
 	}
 	return 0, false, cause
@@ -274,11 +274,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return next, l.table.Transact(ctx, []platform.Write{
+	return next, l.table.Transact(ctx, []store.Write{
 		// The head's version is its revision: both rise by one each time.
-		{Key: platform.Key{Partition: partitionHead, Sort: sortHead}, IfVersion: int64(s.Revision()), Body: headBody},
-		{Key: platform.Key{Partition: partitionLog, Sort: logSort(c.Revision)}, Body: logBody},
-		{Key: platform.Key{Partition: partitionChange, Sort: c.ID}, Body: headBody},
+		{Key: store.Key{Partition: partitionHead, Sort: sortHead}, IfVersion: int64(s.Revision()), Body: headBody},
+		{Key: store.Key{Partition: partitionLog, Sort: logSort(c.Revision)}, Body: logBody},
+		{Key: store.Key{Partition: partitionChange, Sort: c.ID}, Body: headBody},
 	})
 }
 
@@ -291,9 +291,9 @@
 	if err := l.objects.PutObject(ctx, snapshotName(s.Revision()), body.Bytes()); err != nil {
 		return eris.Wrap(err, "store snapshot")
 	}
-	key := platform.Key{Partition: partitionHead, Sort: sortSnapshot}
+	key := store.Key{Partition: partitionHead, Sort: sortSnapshot}
 	row, err := l.table.Get(ctx, key)
-	if err != nil && !errors.Is(err, platform.ErrNotFound) {
+	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return eris.Wrap(err, "read snapshot row")
 	}
 	if h, err := decode[head](row.Body); err == nil && h.Revision >= s.Revision() {
@@ -303,7 +303,7 @@
 	if err != nil {
 		return err
 	}
-	err = l.table.Transact(ctx, []platform.Write{{Key: key, IfVersion: row.Version, Body: pointer}})
+	err = l.table.Transact(ctx, []store.Write{{Key: key, IfVersion: row.Version, Body: pointer}})
 	return eris.Wrap(err, "point at snapshot")
 }
 
@@ -319,8 +319,8 @@
 }
 
 func (l *Log) loadSnapshot(ctx context.Context) (*State, error) {
-	row, err := l.table.Get(ctx, platform.Key{Partition: partitionHead, Sort: sortSnapshot})
-	if errors.Is(err, platform.ErrNotFound) {
+	row, err := l.table.Get(ctx, store.Key{Partition: partitionHead, Sort: sortSnapshot})
+	if errors.Is(err, store.ErrNotFound) {
 		return NewState(), nil
 	}
 	if err != nil {
@@ -331,7 +331,7 @@
 		return nil, err
 	}
 	body, err := l.objects.GetObject(ctx, snapshotName(h.Revision))
-	if errors.Is(err, platform.ErrNotFound) {
+	if errors.Is(err, store.ErrNotFound) {
 		return NewState(), nil // the log holds every change
 	}
 	if err != nil {
--- a/internal/entry/bench_test.go
+++ b/internal/selector/entry/bench_test.go
@@ -13,14 +13,14 @@
 	"github.com/stretchr/testify/require"
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 
-	"cairndock/internal/config"
-	"cairndock/internal/member"
 	"cairndock/internal/peer"
-	"cairndock/internal/platform"
-	"cairndock/internal/roster"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/roster"
+	"cairndock/internal/selector/standin"
+	"cairndock/internal/selector/store"
+	"cairndock/internal/selector/ticket"
 	"cairndock/internal/settings"
-	"cairndock/internal/standin"
-	"cairndock/internal/ticket"
 )
 
 // bigState is a configuration of the planned size, but for what is given.
@@ -39,7 +39,7 @@
 
 // bigHost is a host with a configuration of a given size in force.
 func bigHost(tb testing.TB, s *config.State) *Host {
-	memory := platform.NewMemory()
+	memory := store.NewMemory()
 	set := settings.Settings{
 		Host:    settings.Host{Name: "zone-00-00", Zone: "zone-00", Region: "region-00"},
 		Callers: settings.Callers{TTL: settings.Seconds(5 * time.Second)},
--- a/internal/entry/capacity.go
+++ b/internal/selector/entry/capacity.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"cairndock/internal/config"
-	"cairndock/internal/platform"
-	"cairndock/internal/slot"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/slot"
+	"cairndock/internal/selector/store"
 )
 
 // reconfigure works out anew what the host may use, after a change of the
@@ -47,7 +47,7 @@
 	if u.State == config.StateLeaving {
 		return true
 	}
-	if state := h.platHost[u.Name]; state == platform.Leaving || state == platform.Gone {
+	if state := h.platHost[u.Name]; state == store.Leaving || state == store.Gone {
 		return true
 	}
 	_, departed := h.departed[instanceKey{u.Name, h.instances[u.Name]}]
--- a/internal/entry/configloop.go
+++ b/internal/selector/entry/configloop.go
@@ -6,8 +6,8 @@
 
 	"github.com/rotisserie/eris"
 
-	"cairndock/internal/config"
 	"cairndock/internal/pause"
+	"cairndock/internal/selector/config"
 )
 
 const (
--- a/internal/entry/dispatch.go
+++ b/internal/selector/entry/dispatch.go
@@ -11,9 +11,9 @@
 	"go.opentelemetry.io/otel/trace"
 
 	"cairndock/internal/call"
-	"cairndock/internal/config"
-	"cairndock/internal/slot"
-	"cairndock/internal/steer"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/slot"
+	"cairndock/internal/selector/steer"
 	"cairndock/internal/verdict"
 )
 
--- a/internal/entry/drain.go
+++ b/internal/selector/entry/drain.go
@@ -4,10 +4,10 @@
 	"context"
 	"time"
 
-	"cairndock/internal/member"
 	"cairndock/internal/peer"
-	"cairndock/internal/roster"
-	"cairndock/internal/slot"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/roster"
+	"cairndock/internal/selector/slot"
 )
 
 // Drained says how far upstreams are from having no work.
--- a/internal/entry/entries.go
+++ b/internal/selector/entry/entries.go
@@ -13,8 +13,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cairndock/internal/member"
-	"cairndock/internal/roster"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/roster"
 	"cairndock/internal/verdict"
 )
 
--- a/internal/entry/entrytest/cluster.go
+++ b/internal/selector/entry/entrytest/cluster.go
@@ -15,11 +15,11 @@
 	"github.com/stretchr/testify/require"
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 
-	"cairndock/internal/config"
-	"cairndock/internal/entry"
-	"cairndock/internal/platform"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry"
+	"cairndock/internal/selector/standin"
+	"cairndock/internal/selector/store"
 	"cairndock/internal/settings"
-	"cairndock/internal/standin"
 )
 
 // zones are the zones of the test cluster and how many hosts each has.
@@ -52,7 +52,7 @@
 type Cluster struct {
 	T         *testing.T
 	Net       *Network
-	Memory    *platform.Memory
+	Memory    *store.Memory
 	Upstreams map[string]*standin.Upstream
 
 	mu    sync.Mutex
@@ -62,7 +62,7 @@
 // Run runs a test on a cluster whose time is fake.
 func Run(t *testing.T, extra string, f func(c *Cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &Cluster{T: t, Memory: platform.NewMemory(), hosts: map[string]*entry.Host{}, Upstreams: map[string]*standin.Upstream{}}
+		c := &Cluster{T: t, Memory: store.NewMemory(), hosts: map[string]*entry.Host{}, Upstreams: map[string]*standin.Upstream{}}
 		c.Net = newNetwork(testDelay)
 		defer c.closeAll()
 		doc := c.startUpstreams() + extra
@@ -109,7 +109,7 @@
 	require.NoError(c.T, err)
 	go func() { _ = u.Serve(l) }()
 	c.Upstreams[name] = u
-	c.Memory.SetHost(name, platform.Live)
+	c.Memory.SetHost(name, store.Live)
 	return u
 }
 
@@ -126,7 +126,7 @@
 // tableOf is the platform as one host reaches it: a cut link to the name
 // "platform" makes its calls hang until they time out.
 type tableOf struct {
-	*platform.Memory
+	*store.Memory
 	net  *Network
 	name string
 }
@@ -142,28 +142,28 @@
 	return nil
 }
 
-func (p tableOf) Get(ctx context.Context, key platform.Key) (platform.Row, error) {
+func (p tableOf) Get(ctx context.Context, key store.Key) (store.Row, error) {
 	if err := p.reach(ctx); err != nil {
-		return platform.Row{}, err
+		return store.Row{}, err
 	}
 	return p.Memory.Get(ctx, key)
 }
 
-func (p tableOf) Transact(ctx context.Context, writes []platform.Write) error {
+func (p tableOf) Transact(ctx context.Context, writes []store.Write) error {
 	if err := p.reach(ctx); err != nil {
 		return err
 	}
 	return p.Memory.Transact(ctx, writes)
 }
 
-func (p tableOf) List(ctx context.Context, partition, after string, limit int) ([]platform.Row, error) {
+func (p tableOf) List(ctx context.Context, partition, after string, limit int) ([]store.Row, error) {
 	if err := p.reach(ctx); err != nil {
 		return nil, err
 	}
 	return p.Memory.List(ctx, partition, after, limit)
 }
 
-func (p tableOf) Hosts(ctx context.Context) ([]platform.HostState, error) {
+func (p tableOf) Hosts(ctx context.Context) ([]store.HostState, error) {
 	if err := p.reach(ctx); err != nil {
 		return nil, err
 	}
@@ -189,7 +189,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.hosts[name] = h
-	c.Memory.SetHost(name, platform.Live)
+	c.Memory.SetHost(name, store.Live)
 	return h
 }
 
@@ -200,7 +200,7 @@
 	h.Close()
 	time.AfterFunc(3*time.Second, func() {
 		if c.Host(name) == nil {
-			c.Memory.SetHost(name, platform.Gone)
+			c.Memory.SetHost(name, store.Gone)
 		}
 	})
 }
--- a/internal/entry/entrytest/faults.go
+++ b/internal/selector/entry/entrytest/faults.go
@@ -9,9 +9,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/config"
-	"cairndock/internal/platform"
-	"cairndock/internal/standin"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/standin"
+	"cairndock/internal/selector/store"
 )
 
 // Freeze cuts a host off from everything and, when it wakes, makes its own
@@ -83,7 +83,7 @@
 
 // GoneAfter has the platform's list call a host gone after a time.
 func (c *Cluster) GoneAfter(name string, d time.Duration) {
-	time.AfterFunc(d, func() { c.Memory.SetHost(name, platform.Gone) })
+	time.AfterFunc(d, func() { c.Memory.SetHost(name, store.Gone) })
 }
 
 // FaultAll gives every upstream the same faults.
--- a/internal/entry/entrytest/leaving_test.go
+++ b/internal/selector/entry/entrytest/leaving_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/config"
-	"cairndock/internal/entry"
-	"cairndock/internal/platform"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry"
+	"cairndock/internal/selector/store"
 )
 
 // leave marks an upstream as leaving in the configuration.
@@ -41,8 +41,8 @@
 		{"by the configuration", func(c *Cluster) { c.leave(name) }},
 		{"by its own word", func(c *Cluster) { c.Upstreams[name].Drain() }},
 		{"by the platform's list, which then goes back", func(c *Cluster) {
-			c.Memory.SetHost(name, platform.Leaving)
-			time.AfterFunc(3*time.Second, func() { c.Memory.SetHost(name, platform.Live) })
+			c.Memory.SetHost(name, store.Leaving)
+			time.AfterFunc(3*time.Second, func() { c.Memory.SetHost(name, store.Live) })
 		}},
 		{"by its own word while the platform is down", func(c *Cluster) {
 			go c.StoreDown(8 * time.Second)
--- a/internal/entry/entrytest/load.go
+++ b/internal/selector/entry/entrytest/load.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"cairndock/internal/call"
-	"cairndock/internal/entry"
+	"cairndock/internal/selector/entry"
 	"cairndock/internal/verdict"
 )
 
--- a/internal/entry/entrytest/slots_test.go
+++ b/internal/selector/entry/entrytest/slots_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/platform"
+	"cairndock/internal/selector/store"
 )
 
 // TestSlotsAreConserved offers more than the capacity while hosts, the
@@ -35,7 +35,7 @@
 		{"host paused for 30 s and taken for gone", func(c *Cluster) {
 			c.GoneAfter("costa-a-1", 4*time.Second)
 			c.Freeze("costa-a-1", 30*time.Second)
-			c.Memory.SetHost("costa-a-1", platform.Live)
+			c.Memory.SetHost("costa-a-1", store.Live)
 		}, 35 * time.Second},
 		{"roster write whose answer is lost", func(c *Cluster) {
 			c.LoseAnswers(5 * time.Second)
--- a/internal/entry/export_test.go
+++ b/internal/selector/entry/export_test.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"cairndock/internal/call"
-	"cairndock/internal/link"
-	"cairndock/internal/member"
-	"cairndock/internal/steer"
+	"cairndock/internal/selector/link"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/steer"
 )
 
 // What tests of a whole cluster look at inside a host.
--- a/internal/entry/forward.go
+++ b/internal/selector/entry/forward.go
@@ -14,9 +14,9 @@
 	"go.opentelemetry.io/otel/trace"
 
 	"cairndock/internal/call"
-	"cairndock/internal/link"
-	"cairndock/internal/member"
 	"cairndock/internal/peer"
+	"cairndock/internal/selector/link"
+	"cairndock/internal/selector/member"
 	"cairndock/internal/verdict"
 )
 
--- a/internal/entry/heartbeat.go
+++ b/internal/selector/entry/heartbeat.go
@@ -4,10 +4,10 @@
 	"context"
 	"time"
 
-	"cairndock/internal/member"
 	"cairndock/internal/peer"
-	"cairndock/internal/slot"
-	"cairndock/internal/steer"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/slot"
+	"cairndock/internal/selector/steer"
 )
 
 const (
--- a/internal/entry/hedge.go
+++ b/internal/selector/entry/hedge.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"cairndock/internal/call"
-	"cairndock/internal/config"
-	"cairndock/internal/steer"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/steer"
 	"cairndock/internal/verdict"
 )
 
--- a/internal/entry/host.go
+++ b/internal/selector/entry/host.go
@@ -14,23 +14,23 @@
 	"go.opentelemetry.io/otel/trace"
 	"golang.org/x/time/rate"
 
-	"cairndock/internal/config"
-	"cairndock/internal/member"
 	"cairndock/internal/peer"
-	"cairndock/internal/platform"
-	"cairndock/internal/roster"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/roster"
+	"cairndock/internal/selector/shift"
+	"cairndock/internal/selector/slot"
+	"cairndock/internal/selector/steer"
+	"cairndock/internal/selector/store"
+	"cairndock/internal/selector/ticket"
+	"cairndock/internal/selector/upstream"
 	"cairndock/internal/settings"
-	"cairndock/internal/shift"
-	"cairndock/internal/slot"
-	"cairndock/internal/steer"
 	"cairndock/internal/telemetry"
-	"cairndock/internal/ticket"
-	"cairndock/internal/upstream"
 )
 
 // HostLister gives the platform's list of live and leaving hosts.
 type HostLister interface {
-	Hosts(ctx context.Context) ([]platform.HostState, error)
+	Hosts(ctx context.Context) ([]store.HostState, error)
 }
 
 // Options is what a host is made of.
@@ -98,7 +98,7 @@
 	settleStep int
 	// configured is the roster epoch that the gates were configured by.
 	configured uint64
-	platHost   map[string]platform.State
+	platHost   map[string]store.State
 	goneAt     map[string]time.Time
 
 	services sync.Map // name to *service
@@ -172,7 +172,7 @@
 		instances:   map[string]string{},
 		departed:    map[instanceKey]struct{}{},
 		probing:     map[string]struct{}{},
-		platHost:    map[string]platform.State{},
+		platHost:    map[string]store.State{},
 		goneAt:      map[string]time.Time{},
 		adopted:     map[string]*ticket.Store{},
 		adoptedAt:   map[string]time.Time{},
--- a/internal/entry/host_test.go
+++ b/internal/selector/entry/host_test.go
@@ -8,10 +8,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/entry"
-	"cairndock/internal/entry/entrytest"
-	"cairndock/internal/member"
-	"cairndock/internal/steer"
+	"cairndock/internal/selector/entry"
+	"cairndock/internal/selector/entry/entrytest"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/steer"
 )
 
 // TestIsolatedHostStopsInTime: a host that nobody answers stops sending to
--- a/internal/entry/limits_test.go
+++ b/internal/selector/entry/limits_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/config"
+	"cairndock/internal/selector/config"
 )
 
 // TestInFlightLimit samples all upstreams together while more is offered
--- a/internal/entry/links.go
+++ b/internal/selector/entry/links.go
@@ -5,10 +5,10 @@
 	"maps"
 	"time"
 
-	"cairndock/internal/config"
-	"cairndock/internal/link"
-	"cairndock/internal/member"
 	"cairndock/internal/peer"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/link"
+	"cairndock/internal/selector/member"
 )
 
 // pace waits until n bytes may go to a zone, when it is in another region
--- a/internal/entry/links_test.go
+++ b/internal/selector/entry/links_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"cairndock/internal/call"
-	"cairndock/internal/entry/entrytest"
+	"cairndock/internal/selector/entry/entrytest"
 	"cairndock/internal/verdict"
 )
 
--- a/internal/entry/main_test.go
+++ b/internal/selector/entry/main_test.go
@@ -5,7 +5,7 @@
 	"runtime"
 	"testing"
 
-	"cairndock/internal/entry/entrytest"
+	"cairndock/internal/selector/entry/entrytest"
 )
 
 // TestMain keeps the tests on one processor. Time in a synctest bubble is
--- a/internal/entry/policy_test.go
+++ b/internal/selector/entry/policy_test.go
@@ -9,10 +9,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/config"
-	"cairndock/internal/entry"
-	"cairndock/internal/entry/entrytest"
-	"cairndock/internal/standin"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry"
+	"cairndock/internal/selector/entry/entrytest"
+	"cairndock/internal/selector/standin"
 )
 
 const capped = `
--- a/internal/entry/progress.go
+++ b/internal/selector/entry/progress.go
@@ -8,11 +8,11 @@
 
 	"github.com/rotisserie/eris"
 
-	"cairndock/internal/config"
-	"cairndock/internal/member"
 	"cairndock/internal/pause"
 	"cairndock/internal/peer"
-	"cairndock/internal/roster"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/roster"
 )
 
 const (
--- a/internal/entry/ready.go
+++ b/internal/selector/entry/ready.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"cairndock/internal/member"
+	"cairndock/internal/selector/member"
 )
 
 // noteFresh takes over a peer's proof that its revision is the newest. Its
--- a/internal/entry/rosterdead.go
+++ b/internal/selector/entry/rosterdead.go
@@ -6,15 +6,15 @@
 
 	"github.com/rotisserie/eris"
 
-	"cairndock/internal/member"
-	"cairndock/internal/platform"
-	"cairndock/internal/roster"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/roster"
+	"cairndock/internal/selector/store"
 )
 
 // lookAtHosts reads the platform's host list and takes members out of the
 // roster that it says are gone and that are silent as well.
 func (h *Host) lookAtHosts(ctx context.Context) error {
-	var hosts []platform.HostState
+	var hosts []store.HostState
 	err := h.call(ctx, func(ctx context.Context) (err error) {
 		hosts, err = h.opts.Hosts.Hosts(ctx)
 		return err
@@ -23,7 +23,7 @@
 		return eris.Wrap(err, "read host list")
 	}
 	h.noteHosts(hosts)
-	listed := map[string]platform.State{}
+	listed := map[string]store.State{}
 	for _, s := range hosts {
 		listed[s.Name] = s.State
 	}
@@ -40,7 +40,7 @@
 }
 
 // withoutDead gives the roster that follows when a member is gone.
-func (h *Host) withoutDead(r roster.Roster, m roster.Member, listed map[string]platform.State) (roster.Roster, bool) {
+func (h *Host) withoutDead(r roster.Roster, m roster.Member, listed map[string]store.State) (roster.Roster, bool) {
 	if m.Host == h.self.Host {
 		return r, false
 	}
@@ -63,13 +63,13 @@
 
 // isGone puts silence and the host list together. The list may name the dead
 // or drop them; one that it does not name yet was just started. h.mu is held.
-func (h *Host) isGone(host string, listed map[string]platform.State) bool {
+func (h *Host) isGone(host string, listed map[string]store.State) bool {
 	silence := member.LostAfter
 	state, named := listed[host]
 	if _, before := h.platHost[host]; !named && !before {
 		silence = unlistedAfter
 	}
-	if named && state != platform.Gone {
+	if named && state != store.Gone {
 		return false
 	}
 	p, known := h.peers.Get(host)
--- a/internal/entry/rosterjoin.go
+++ b/internal/selector/entry/rosterjoin.go
@@ -7,8 +7,8 @@
 	"github.com/rotisserie/eris"
 
 	"cairndock/internal/peer"
-	"cairndock/internal/platform"
-	"cairndock/internal/roster"
+	"cairndock/internal/selector/roster"
+	"cairndock/internal/selector/store"
 )
 
 // memberOf reports whether this host holds slots by a roster; h.mu is held.
@@ -74,7 +74,7 @@
 		return err
 	}
 	err = h.call(ctx, func(ctx context.Context) error {
-		return h.opts.Table.Transact(ctx, []platform.Write{{Key: rosterKey(r.Zone), IfVersion: version, Body: body}})
+		return h.opts.Table.Transact(ctx, []store.Write{{Key: rosterKey(r.Zone), IfVersion: version, Body: body}})
 	})
 	if err != nil {
 		return eris.Wrap(err, "write roster")
--- a/internal/entry/rosterloop.go
+++ b/internal/selector/entry/rosterloop.go
@@ -8,11 +8,11 @@
 	"github.com/cenkalti/backoff/v5"
 	"github.com/rotisserie/eris"
 
-	"cairndock/internal/member"
 	"cairndock/internal/pause"
 	"cairndock/internal/peer"
-	"cairndock/internal/platform"
-	"cairndock/internal/roster"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/roster"
+	"cairndock/internal/selector/store"
 )
 
 const (
@@ -58,7 +58,7 @@
 	}
 	h.metrics.Count("cairndock_platform_calls_total")
 	err := f(ctx)
-	if err != nil && !errors.Is(err, platform.ErrNotFound) && !errors.Is(err, platform.ErrConflict) {
+	if err != nil && !errors.Is(err, store.ErrNotFound) && !errors.Is(err, store.ErrConflict) {
 		h.metrics.Count("cairndock_platform_failures_total")
 		return err
 	}
@@ -136,7 +136,7 @@
 	}
 	looked.zones = time.Now()
 	looked.every = max(discoverInterval, min(2*looked.every, maxDiscover))
-	var rows []platform.Row
+	var rows []store.Row
 	err := h.call(ctx, func(ctx context.Context) (err error) {
 		rows, err = h.opts.Table.List(ctx, partitionRoster, "", maxRosterRows)
 		return err
@@ -210,18 +210,18 @@
 	return hosts
 }
 
-func rosterKey(zone string) platform.Key {
-	return platform.Key{Partition: partitionRoster, Sort: zone}
+func rosterKey(zone string) store.Key {
+	return store.Key{Partition: partitionRoster, Sort: zone}
 }
 
 // readRoster reads the zone's roster and takes it in.
 func (h *Host) readRoster(ctx context.Context) (roster.Roster, int64, error) {
-	var row platform.Row
+	var row store.Row
 	err := h.call(ctx, func(ctx context.Context) (err error) {
 		row, err = h.opts.Table.Get(ctx, rosterKey(h.self.Zone))
 		return err
 	})
-	if errors.Is(err, platform.ErrNotFound) {
+	if errors.Is(err, store.ErrNotFound) {
 		return roster.Roster{Zone: h.self.Zone}, 0, nil
 	}
 	if err != nil {
--- a/internal/entry/serve.go
+++ b/internal/selector/entry/serve.go
@@ -3,9 +3,9 @@
 import (
 	"context"
 
-	"cairndock/internal/member"
 	"cairndock/internal/peer"
-	"cairndock/internal/ticket"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/ticket"
 )
 
 // ServePeer answers one stream of another entry host.
--- a/internal/entry/signs.go
+++ b/internal/selector/entry/signs.go
@@ -4,12 +4,12 @@
 	"context"
 	"time"
 
-	"cairndock/internal/config"
-	"cairndock/internal/member"
-	"cairndock/internal/platform"
-	"cairndock/internal/roster"
-	"cairndock/internal/slot"
-	"cairndock/internal/upstream"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/roster"
+	"cairndock/internal/selector/slot"
+	"cairndock/internal/selector/store"
+	"cairndock/internal/selector/upstream"
 )
 
 const (
@@ -153,14 +153,14 @@
 
 // noteHosts takes in the platform's host list. An upstream's sign of leaving
 // is never taken back by a list that lags: only a new instance ends it.
-func (h *Host) noteHosts(hosts []platform.HostState) {
+func (h *Host) noteHosts(hosts []store.HostState) {
 	h.mu.Lock()
 	changed := false
 	for _, s := range hosts {
 		old := h.platHost[s.Name]
 		h.platHost[s.Name] = s.State
 		changed = changed || old != s.State
-		if s.State != platform.Live {
+		if s.State != store.Live {
 			if _, local := h.View().LocalUpstream(s.Name); local {
 				h.noteSign(member.Sign{Upstream: s.Name, Instance: h.instances[s.Name], Leaving: true})
 			}
--- a/internal/entry/spread.go
+++ b/internal/selector/entry/spread.go
@@ -7,11 +7,11 @@
 	"strconv"
 	"time"
 
-	"cairndock/internal/config"
-	"cairndock/internal/link"
-	"cairndock/internal/member"
 	"cairndock/internal/peer"
-	"cairndock/internal/roster"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/link"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/roster"
 )
 
 const (
--- a/internal/entry/spread_test.go
+++ b/internal/selector/entry/spread_test.go
@@ -10,11 +10,11 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/config"
-	"cairndock/internal/entry"
-	"cairndock/internal/entry/entrytest"
-	"cairndock/internal/member"
-	"cairndock/internal/platform"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry"
+	"cairndock/internal/selector/entry/entrytest"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/store"
 )
 
 // change makes a change of one rule's share.
@@ -94,7 +94,7 @@
 			var n atomic.Int64
 			c.Memory.SetFault(func(op string, after bool) error {
 				if n.Add(1)%2 == 0 && !after && op != "transact" {
-					return platform.ErrThrottled
+					return store.ErrThrottled
 				}
 				return nil
 			})
--- a/internal/entry/status.go
+++ b/internal/selector/entry/status.go
@@ -6,11 +6,11 @@
 
 	"github.com/rotisserie/eris"
 
-	"cairndock/internal/config"
-	"cairndock/internal/member"
-	"cairndock/internal/roster"
-	"cairndock/internal/shift"
-	"cairndock/internal/steer"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/roster"
+	"cairndock/internal/selector/shift"
+	"cairndock/internal/selector/steer"
 )
 
 // Status is one host's view of the system, for operators.
--- a/internal/entry/stop.go
+++ b/internal/selector/entry/stop.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"cairndock/internal/pause"
-	"cairndock/internal/roster"
+	"cairndock/internal/selector/roster"
 )
 
 // StopReport says how a planned stop went.
--- a/internal/entry/tickets.go
+++ b/internal/selector/entry/tickets.go
@@ -11,9 +11,9 @@
 	"github.com/oklog/ulid/v2"
 
 	"cairndock/internal/call"
-	"cairndock/internal/member"
 	"cairndock/internal/peer"
-	"cairndock/internal/ticket"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/ticket"
 	"cairndock/internal/verdict"
 )
 
--- a/internal/entry/tickets_test.go
+++ b/internal/selector/entry/tickets_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 
 	"cairndock/internal/call"
-	"cairndock/internal/entry"
-	"cairndock/internal/entry/entrytest"
-	"cairndock/internal/standin"
+	"cairndock/internal/selector/entry"
+	"cairndock/internal/selector/entry/entrytest"
+	"cairndock/internal/selector/standin"
 	"cairndock/internal/verdict"
 )
 
--- a/internal/member/pace.go
+++ b/internal/selector/member/pace.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"cairndock/internal/roster"
+	"cairndock/internal/selector/roster"
 )
 
 // Spent notes the size of an exchange in bytes.
--- a/internal/operator/operator.go
+++ b/internal/selector/operator/operator.go
@@ -19,8 +19,8 @@
 	"github.com/pelletier/go-toml/v2"
 	"github.com/rs/zerolog"
 
-	"cairndock/internal/config"
-	"cairndock/internal/entry"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry"
 	"cairndock/internal/settings"
 	"cairndock/internal/telemetry"
 	"cairndock/internal/tlsfiles"
--- a/internal/operator/operator_test.go
+++ b/internal/selector/operator/operator_test.go
@@ -14,8 +14,8 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/config"
-	"cairndock/internal/entry"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry"
 	"cairndock/internal/settings"
 	"cairndock/internal/telemetry"
 )
--- a/internal/quickstart/once.go
+++ b/internal/selector/quickstart/once.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"cairndock/internal/load"
+	"cairndock/internal/selector/load"
 )
 
 // What one round of requests sends: a few hundred within a second or so.
--- a/internal/quickstart/quickstart.go
+++ b/internal/selector/quickstart/quickstart.go
@@ -15,12 +15,12 @@
 	"github.com/rs/zerolog"
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 
-	"cairndock/internal/config"
-	"cairndock/internal/entry"
-	"cairndock/internal/platform"
-	"cairndock/internal/server"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry"
+	"cairndock/internal/selector/server"
+	"cairndock/internal/selector/standin"
+	"cairndock/internal/selector/store"
 	"cairndock/internal/settings"
-	"cairndock/internal/standin"
 	"cairndock/internal/telemetry"
 )
 
@@ -57,7 +57,7 @@
 // System is a running quick start.
 type System struct {
 	// Memory is the platform's state, Token what operators' writes bear.
-	Memory    *platform.Memory
+	Memory    *store.Memory
 	Token     string
 	Servers   []*server.Server
 	Upstreams []*standin.Upstream
@@ -82,7 +82,7 @@
 		o.Traces = tp
 	}
 	o.Latency = settings.Default(o.Latency, PlanningLatency)
-	s := &System{Memory: platform.NewMemory(), Token: rand.Text(), options: o}
+	s := &System{Memory: store.NewMemory(), Token: rand.Text(), options: o}
 	s.ctx, s.cancel = context.WithCancel(ctx)
 	for _, step := range []func() error{s.startPlatform, s.startUpstreams, s.writeConfig, s.startHosts, s.waitReady} {
 		if err := step(); err != nil {
@@ -158,7 +158,7 @@
 	s.Upstreams = append(s.Upstreams, u)
 	s.UpstreamAddrs = append(s.UpstreamAddrs, l.Addr().String())
 	s.closers = append(s.closers, func() { _ = u.Close() })
-	s.Memory.SetHost(u.Name, platform.Live)
+	s.Memory.SetHost(u.Name, store.Live)
 	return nil
 }
 
@@ -202,7 +202,7 @@
 	if err != nil {
 		return err
 	}
-	log := config.NewLog(platform.NewTable(s.Platform), platform.NewObjects(s.Platform))
+	log := config.NewLog(store.NewTable(s.Platform), store.NewObjects(s.Platform))
 	_, _, err = log.Append(s.ctx, config.NewState(), change)
 	return err
 }
@@ -247,7 +247,7 @@
 		return err
 	}
 	s.Servers = append(s.Servers, srv)
-	s.Memory.SetHost(name, platform.Live)
+	s.Memory.SetHost(name, store.Live)
 	return nil
 }
 
--- a/internal/quickstart/session_test.go
+++ b/internal/selector/quickstart/session_test.go
@@ -21,9 +21,9 @@
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 	"go.opentelemetry.io/otel/sdk/trace/tracetest"
 
-	"cairndock/internal/entry"
-	"cairndock/internal/server"
-	"cairndock/internal/standin"
+	"cairndock/internal/selector/entry"
+	"cairndock/internal/selector/server"
+	"cairndock/internal/selector/standin"
 	"cairndock/internal/telemetry"
 )
 
--- a/internal/roster/roster.go
+++ b/internal/selector/roster/roster.go
@@ -10,7 +10,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"cairndock/internal/slot"
+	"cairndock/internal/selector/slot"
 )
 
 // State is a member's standing in its zone.
--- a/internal/roster/roster_test.go
+++ b/internal/selector/roster/roster_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"cairndock/internal/slot"
+	"cairndock/internal/selector/slot"
 )
 
 const longest = 20 * time.Second
--- a/internal/server/server.go
+++ b/internal/selector/server/server.go
@@ -11,10 +11,10 @@
 	"github.com/rs/zerolog"
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 
-	"cairndock/internal/caller"
-	"cairndock/internal/entry"
-	"cairndock/internal/operator"
-	"cairndock/internal/platform"
+	"cairndock/internal/selector/caller"
+	"cairndock/internal/selector/entry"
+	"cairndock/internal/selector/operator"
+	"cairndock/internal/selector/store"
 	"cairndock/internal/settings"
 	"cairndock/internal/telemetry"
 	"cairndock/internal/tlsfiles"
@@ -29,7 +29,7 @@
 	entry.Check(*s, &f)
 	caller.Check(s.Callers, &f)
 	operator.Check(s.Operators, &f)
-	platform.Check(s.Platform, &f)
+	store.Check(s.Platform, &f)
 	telemetry.Check(s.Telemetry, &f)
 	tlsfiles.Check("peers.tls", s.Peers.TLS, &f)
 	return errors.Join(f...)
@@ -56,8 +56,8 @@
 func Remote(s settings.Settings, log zerolog.Logger, tp *sdktrace.TracerProvider) (entry.Options, error) {
 	o := entry.Options{
 		Settings: s, Log: log, Traces: tp, Transport: entry.TCP{},
-		Table: platform.NewTable(s.Platform), Objects: platform.NewObjects(s.Platform),
-		Hosts: platform.NewHostList(s.Platform), Seed: uint64(time.Now().UnixNano()),
+		Table: store.NewTable(s.Platform), Objects: store.NewObjects(s.Platform),
+		Hosts: store.NewHostList(s.Platform), Seed: uint64(time.Now().UnixNano()),
 	}
 	if s.Peers.TLS.Enabled() {
 		files, err := tlsfiles.Open(s.Peers.TLS)
--- a/internal/standin/full.go
+++ b/internal/selector/standin/full.go
@@ -5,8 +5,8 @@
 	"net/netip"
 	"time"
 
-	"cairndock/internal/config"
-	"cairndock/internal/roster"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/roster"
 )
 
 // Size is the size of a generated system.
--- a/internal/standin/platform.go
+++ b/internal/selector/standin/platform.go
@@ -10,14 +10,14 @@
 	"strconv"
 	"strings"
 
-	"cairndock/internal/platform"
+	"cairndock/internal/selector/store"
 )
 
 // Platform serves a platform in memory by the published protocols that the
 // real adapters speak: the table in the DynamoDB JSON protocol, objects in
 // the S3 protocol and the host list as JSON. It knows only the calls that
 // the adapters make.
-type Platform struct{ Memory *platform.Memory }
+type Platform struct{ Memory *store.Memory }
 
 const (
 	targetPrefix = "DynamoDB_20120810."
@@ -79,11 +79,11 @@
 	e := tableError{Type: "com.amazonaws.dynamodb.v20120810#InternalServerError", Message: err.Error()}
 	status := http.StatusInternalServerError
 	switch {
-	case errors.Is(err, platform.ErrConflict):
+	case errors.Is(err, store.ErrConflict):
 		e.Type = "com.amazonaws.dynamodb.v20120810#TransactionCanceledException"
 		e.Reasons = []reason{{"ConditionalCheckFailed"}}
 		status = http.StatusBadRequest
-	case errors.Is(err, platform.ErrThrottled):
+	case errors.Is(err, store.ErrThrottled):
 		e.Type = "com.amazonaws.dynamodb.v20120810#ProvisionedThroughputExceededException"
 		status = http.StatusBadRequest
 	}
@@ -97,7 +97,7 @@
 		return nil, err
 	}
 	row, err := p.Memory.Get(r.Context(), keyOf(in.Key))
-	if errors.Is(err, platform.ErrNotFound) {
+	if errors.Is(err, store.ErrNotFound) {
 		return struct{}{}, nil
 	}
 	if err != nil {
@@ -140,14 +140,14 @@
 	if err := json.Unmarshal(body, &in); err != nil {
 		return nil, err
 	}
-	var writes []platform.Write
+	var writes []store.Write
 	for _, t := range in.TransactItems {
 		raw, err := base64.StdEncoding.DecodeString(text(t.Put.Item[attrBody].B))
 		if err != nil {
 			return nil, err
 		}
 		version, _ := strconv.ParseInt(text(t.Put.ExpressionAttributeValues[":v"].N), 10, 64)
-		writes = append(writes, platform.Write{Key: keyOf(t.Put.Item), IfVersion: version, Body: raw})
+		writes = append(writes, store.Write{Key: keyOf(t.Put.Item), IfVersion: version, Body: raw})
 	}
 	return struct{}{}, p.Memory.Transact(r.Context(), writes)
 }
@@ -159,11 +159,11 @@
 	return *s
 }
 
-func keyOf(i item) platform.Key {
-	return platform.Key{Partition: text(i[attrKey].S), Sort: text(i[attrSort].S)}
+func keyOf(i item) store.Key {
+	return store.Key{Partition: text(i[attrKey].S), Sort: text(i[attrSort].S)}
 }
 
-func itemOf(row platform.Row) item {
+func itemOf(row store.Row) item {
 	version := strconv.FormatInt(row.Version, 10)
 	body := base64.StdEncoding.EncodeToString(row.Body)
 	return item{
@@ -217,9 +217,9 @@
 func writeObjectError(w http.ResponseWriter, err error) {
 	status, code := http.StatusInternalServerError, "InternalError"
 	switch {
-	case errors.Is(err, platform.ErrNotFound):
+	case errors.Is(err, store.ErrNotFound):
 		status, code = http.StatusNotFound, "NoSuchKey"
-	case errors.Is(err, platform.ErrThrottled):
+	case errors.Is(err, store.ErrThrottled):
 		status, code = http.StatusServiceUnavailable, "SlowDown"
 	}
 	w.Header().Set("Content-Type", "application/xml")
--- a/internal/steer/steer.go
+++ b/internal/selector/steer/steer.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"cairndock/internal/config"
-	"cairndock/internal/shift"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/shift"
 )
 
 const (
--- a/internal/steer/steer_test.go
+++ b/internal/selector/steer/steer_test.go
@@ -7,9 +7,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/config"
-	"cairndock/internal/shift"
-	"cairndock/internal/slot"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/shift"
+	"cairndock/internal/selector/slot"
 )
 
 // newDecider makes a decider with one rule over some zones, the first local.
--- a/internal/platform/contract_test.go
+++ b/internal/selector/store/contract_test.go
@@ -1,4 +1,4 @@
-package platform_test
+package store_test
 
 import (
 	"context"
@@ -8,16 +8,16 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/platform"
+	"cairndock/internal/selector/standin"
+	"cairndock/internal/selector/store"
 	"cairndock/internal/settings"
-	"cairndock/internal/standin"
 )
 
 // table, objects and hosts are what the contracts are about.
 type table interface {
-	Get(ctx context.Context, key platform.Key) (platform.Row, error)
-	Transact(ctx context.Context, writes []platform.Write) error
-	List(ctx context.Context, partition, after string, limit int) ([]platform.Row, error)
+	Get(ctx context.Context, key store.Key) (store.Row, error)
+	Transact(ctx context.Context, writes []store.Write) error
+	List(ctx context.Context, partition, after string, limit int) ([]store.Row, error)
 }
 
 type objects interface {
@@ -26,18 +26,18 @@
 }
 
 type hosts interface {
-	Hosts(ctx context.Context) ([]platform.HostState, error)
+	Hosts(ctx context.Context) ([]store.HostState, error)
 }
 
 // both runs a contract against the fake and, through its published
 // protocols, the real adapters.
-func both(t *testing.T, contract func(t *testing.T, m *platform.Memory, tb table, ob objects, hs hosts)) {
+func both(t *testing.T, contract func(t *testing.T, m *store.Memory, tb table, ob objects, hs hosts)) {
 	t.Run("fake", func(t *testing.T) {
-		m := platform.NewMemory()
+		m := store.NewMemory()
 		contract(t, m, m, m, m)
 	})
 	t.Run("adapter", func(t *testing.T) {
-		m := platform.NewMemory()
+		m := store.NewMemory()
 		p := standin.Platform{Memory: m}
 		tables, objs, list := httptest.NewServer(p.TableHandler()), httptest.NewServer(p.ObjectHandler()), httptest.NewServer(p.HostsHandler())
 		t.Cleanup(tables.Close)
@@ -47,40 +47,40 @@
 			TableEndpoint: tables.URL, Table: "t", ObjectEndpoint: objs.URL, Bucket: "b", HostsURL: list.URL,
 			Region: "local", AccessKey: "a", SecretKey: "s",
 		}
-		contract(t, m, platform.NewTable(s), platform.NewObjects(s), platform.NewHostList(s))
+		contract(t, m, store.NewTable(s), store.NewObjects(s), store.NewHostList(s))
 	})
 }
 
-func key(partition, sort string) platform.Key {
-	return platform.Key{Partition: partition, Sort: sort}
+func key(partition, sort string) store.Key {
+	return store.Key{Partition: partition, Sort: sort}
 }
 
 func TestTableContract(t *testing.T) {
-	both(t, func(t *testing.T, m *platform.Memory, tb table, _ objects, _ hosts) {
+	both(t, func(t *testing.T, m *store.Memory, tb table, _ objects, _ hosts) {
 		ctx := context.Background()
 		_, err := tb.Get(ctx, key("p", "a"))
-		require.ErrorIs(t, err, platform.ErrNotFound)
+		require.ErrorIs(t, err, store.ErrNotFound)
 
-		require.NoError(t, tb.Transact(ctx, []platform.Write{{Key: key("p", "a"), Body: []byte("1")}, {Key: key("p", "b"), Body: []byte{0, 255}}}))
+		require.NoError(t, tb.Transact(ctx, []store.Write{{Key: key("p", "a"), Body: []byte("1")}, {Key: key("p", "b"), Body: []byte{0, 255}}}))
 		row, err := tb.Get(ctx, key("p", "b"))
 		require.NoError(t, err)
-		require.Equal(t, platform.Row{Key: key("p", "b"), Version: 1, Body: []byte{0, 255}}, row)
+		require.Equal(t, store.Row{Key: key("p", "b"), Version: 1, Body: []byte{0, 255}}, row)
 
 		// One condition that fails keeps all rows as they are.
 		for _, version := range []int64{0, 2} {
-			err = tb.Transact(ctx, []platform.Write{{Key: key("p", "new"), Body: []byte("x")}, {Key: key("p", "a"), IfVersion: version, Body: []byte("x")}})
-			require.ErrorIs(t, err, platform.ErrConflict)
+			err = tb.Transact(ctx, []store.Write{{Key: key("p", "new"), Body: []byte("x")}, {Key: key("p", "a"), IfVersion: version, Body: []byte("x")}})
+			require.ErrorIs(t, err, store.ErrConflict)
 		}
 		_, err = tb.Get(ctx, key("p", "new"))
-		require.ErrorIs(t, err, platform.ErrNotFound)
+		require.ErrorIs(t, err, store.ErrNotFound)
 
-		require.NoError(t, tb.Transact(ctx, []platform.Write{{Key: key("p", "a"), IfVersion: 1, Body: []byte("2")}}))
+		require.NoError(t, tb.Transact(ctx, []store.Write{{Key: key("p", "a"), IfVersion: 1, Body: []byte("2")}}))
 		row, err = tb.Get(ctx, key("p", "a"))
 		require.NoError(t, err)
 		require.EqualValues(t, 2, row.Version)
 
 		for i := range 5 {
-			require.NoError(t, tb.Transact(ctx, []platform.Write{{Key: key("log", fmt.Sprintf("%03d", i)), Body: []byte("x")}}))
+			require.NoError(t, tb.Transact(ctx, []store.Write{{Key: key("log", fmt.Sprintf("%03d", i)), Body: []byte("x")}}))
 		}
 		rows, err := tb.List(ctx, "log", "001", 2)
 		require.NoError(t, err)
@@ -88,41 +88,41 @@
 		require.Equal(t, "002", rows[0].Key.Sort)
 		require.Equal(t, "003", rows[1].Key.Sort)
 
-		m.SetFault(func(string, bool) error { return platform.ErrThrottled })
+		m.SetFault(func(string, bool) error { return store.ErrThrottled })
 		_, err = tb.Get(ctx, key("p", "a"))
-		require.ErrorIs(t, err, platform.ErrThrottled)
-		require.ErrorIs(t, tb.Transact(ctx, []platform.Write{{Key: key("p", "c")}}), platform.ErrThrottled)
+		require.ErrorIs(t, err, store.ErrThrottled)
+		require.ErrorIs(t, tb.Transact(ctx, []store.Write{{Key: key("p", "c")}}), store.ErrThrottled)
 		m.SetFault(nil)
 		_, err = tb.Get(ctx, key("p", "c"))
-		require.ErrorIs(t, err, platform.ErrNotFound, "a throttled write wrote nothing")
+		require.ErrorIs(t, err, store.ErrNotFound, "a throttled write wrote nothing")
 	})
 }
 
 func TestObjectContract(t *testing.T) {
-	both(t, func(t *testing.T, m *platform.Memory, _ table, ob objects, _ hosts) {
+	both(t, func(t *testing.T, m *store.Memory, _ table, ob objects, _ hosts) {
 		ctx := context.Background()
 		_, err := ob.GetObject(ctx, "a/b")
-		require.ErrorIs(t, err, platform.ErrNotFound)
+		require.ErrorIs(t, err, store.ErrNotFound)
 		for _, body := range [][]byte{{}, {0, 1, 255}, make([]byte, 1<<20)} {
 			require.NoError(t, ob.PutObject(ctx, "a/b", body))
 			got, err := ob.GetObject(ctx, "a/b")
 			require.NoError(t, err)
 			require.Equal(t, len(body), len(got))
 		}
-		m.SetFault(func(string, bool) error { return platform.ErrThrottled })
+		m.SetFault(func(string, bool) error { return store.ErrThrottled })
 		_, err = ob.GetObject(ctx, "a/b")
-		require.ErrorIs(t, err, platform.ErrThrottled)
+		require.ErrorIs(t, err, store.ErrThrottled)
 	})
 }
 
 func TestHostListContract(t *testing.T) {
-	both(t, func(t *testing.T, m *platform.Memory, _ table, _ objects, hs hosts) {
-		m.SetHost("b", platform.Leaving)
-		m.SetHost("a", platform.Live)
+	both(t, func(t *testing.T, m *store.Memory, _ table, _ objects, hs hosts) {
+		m.SetHost("b", store.Leaving)
+		m.SetHost("a", store.Live)
 		got, err := hs.Hosts(context.Background())
 		require.NoError(t, err)
-		require.Equal(t, []platform.HostState{{Name: "a", State: platform.Live}, {Name: "b", State: platform.Leaving}}, got)
-		m.SetFault(func(string, bool) error { return platform.ErrThrottled })
+		require.Equal(t, []store.HostState{{Name: "a", State: store.Live}, {Name: "b", State: store.Leaving}}, got)
+		m.SetFault(func(string, bool) error { return store.ErrThrottled })
 		_, err = hs.Hosts(context.Background())
 		require.Error(t, err)
 	})
--- a/internal/platform/memory.go
+++ b/internal/selector/store/memory.go
@@ -1,4 +1,4 @@
-package platform
+package store
 
 import (
 	"context"
--- a/internal/platform/platform.go
+++ b/internal/selector/store/platform.go
@@ -1,6 +1,6 @@
 // Package platform holds the words shared by all adapters to the users'
 // platform: its table service, its object store and its list of hosts.
-package platform
+package store
 
 import (
 	"github.com/rotisserie/eris"
--- a/internal/upstream/client.go
+++ b/internal/selector/upstream/client.go
@@ -21,7 +21,7 @@
 	"go.opentelemetry.io/otel/propagation"
 
 	"cairndock/internal/call"
-	"cairndock/internal/slot"
+	"cairndock/internal/selector/slot"
 	"cairndock/internal/verdict"
 )
 
--- a/internal/upstream/client_test.go
+++ b/internal/selector/upstream/client_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"cairndock/internal/call"
-	"cairndock/internal/slot"
+	"cairndock/internal/selector/slot"
 	"cairndock/internal/verdict"
 )
 
