--- a/cmd/gateway.go
+++ b/cmd/gateway.go
@@ -99,13 +99,13 @@
 	log       *eventlog.Log
 	metrics   *telemetry.Metrics
 	tracer    trace.Tracer
-	knowledge *proxy.Knowledge
-	judge     *outlier.Judge
+	knowledge *proxy.RoutingState
+	judge     *outlier.Detector
 	timing    watch.Timing
 	tables    [tableCount]fleet.Table
 	watchers  [tableCount]*watch.Watcher
 	fleet     *fleet.Fleet
-	gateway   *proxy.Gateway
+	gateway   *proxy.Proxy
 	server    *proxy.Server
 }
 
@@ -114,21 +114,21 @@
 	n.timing = watch.TimingFor(set.Limits.Staleness())
 	n.log = eventlog.New(out, set.Host.Name, n.metrics)
 	n.judge = outlier.New(n)
-	n.knowledge = proxy.NewKnowledge(platform.Decoder{Zones: set.Zones}, n.log, n.metrics)
+	n.knowledge = proxy.NewRoutingState(platform.Decoder{Zones: set.Zones}, n.log, n.metrics)
 	store := platform.NewStore(set.Store.Address, dialer(storeDialTimeout).DialContext)
-	n.tables[intentTable] = fleet.Table{Replica: watch.NewReplica(), Store: platform.Intents(store)}
-	n.tables[upstreamTable] = fleet.Table{Replica: watch.NewReplica(), Store: platform.Upstreams(store)}
+	n.tables[intentTable] = fleet.Table{Replica: watch.NewReplica(), Store: platform.OperatorTable(store)}
+	n.tables[upstreamTable] = fleet.Table{Replica: watch.NewReplica(), Store: platform.UpstreamTable(store)}
 	n.fleet = fleet.New(fleet.Options{
 		Self: fleet.Host{
 			Name: set.Host.Name, Zone: set.Host.Zone, Region: set.Host.Region,
-			PeerAddress: set.Listen.Peers, CallerAddress: set.Listen.Callers, Incarnation: ulid.Make().String(),
+			PeerAddress: set.Listen.Peers, ClientAddress: set.Listen.Callers, Incarnation: ulid.Make().String(),
 		},
-		Registry: platform.Registry{Store: store}, Report: n.log, Judge: n.judge, Status: n.status,
+		Registry: platform.Registry{Store: store}, Report: n.log, Observations: n.judge, Status: n.status,
 		Seeds: set.PeerSeeds(), Transport: fleet.TCP{Dialer: dialer(storeDialTimeout)},
 		Tables: n.tables[:], MaxAge: n.timing.MaxAge,
 	})
-	n.watch(intentTable, proxy.Intents{Knowledge: n.knowledge})
-	n.watch(upstreamTable, proxy.Upstreams{Knowledge: n.knowledge})
+	n.watch(intentTable, proxy.OperatorSink{State: n.knowledge})
+	n.watch(upstreamTable, proxy.UpstreamSink{State: n.knowledge})
 	n.gateway = n.newGateway()
 	n.server = proxy.NewServer(n.gateway)
 	n.registerGauges()
@@ -148,8 +148,8 @@
 
 // watch makes the watcher of a table.
 func (n *gatewayNode) watch(table int, sink watch.Sink) {
-	route := func() []watch.Named { return n.fleet.Sources(table) }
-	newest := func() (int64, time.Duration) { return n.fleet.Newest(table) }
+	route := func() []watch.NamedSource { return n.fleet.Sources(table) }
+	newest := func() (int64, time.Duration) { return n.fleet.NewestKnown(table) }
 	n.watchers[table] = watch.New(n.tables[table].Replica, route, newest, sink, n.timing)
 }
 
@@ -157,23 +157,23 @@
 	return exchange.Dialer{Timeout: timeout, Unacknowledged: unacknowledged}
 }
 
-func (n *gatewayNode) newGateway() *proxy.Gateway {
+func (n *gatewayNode) newGateway() *proxy.Proxy {
 	l := n.settings.Limits
-	place := balance.Place{Zone: n.settings.Host.Zone, Region: n.settings.Host.Region, Regions: n.settings.Regions()}
+	place := balance.Location{Zone: n.settings.Host.Zone, Region: n.settings.Host.Region, Regions: n.settings.Regions()}
 	shares := coldShares{fleet: n.fleet, overshoot: l.WarmUpOvershoot, slack: l.WarmUpSlack}
 	pool := exchange.NewPool(dialer(upstreamDialTimeout).DialContext)
 	return proxy.New(proxy.Options{
-		Knowledge: n.knowledge,
-		Balancer:  balance.New(place, balance.DefaultWeights, shares, n.judge),
-		Judge:     n.judge,
-		Budget:    retry.NewBudget(retry.Limits{Ratio: l.RetryRatio, Window: time.Duration(l.RetryWindow), Slack: l.RetrySlack}),
-		Client:    exchange.NewClient(pool, platform.Protocol{}),
-		Codec:     platform.Codec{},
-		Hosts:     n.fleet,
-		Ages:      proxy.Ages{Intents: n.tables[intentTable].Replica.Age, Upstreams: n.tables[upstreamTable].Replica.Age},
-		Log:       n.log,
-		Metrics:   n.metrics,
-		Tracer:    n.tracer,
+		State:    n.knowledge,
+		Balancer: balance.New(place, balance.DefaultWeights, shares, n.judge),
+		Detector: n.judge,
+		Budget:   retry.NewBudget(retry.Limits{Ratio: l.RetryRatio, Window: time.Duration(l.RetryWindow), Slack: l.RetrySlack}),
+		Client:   exchange.NewClient(pool, platform.Protocol{}),
+		Codec:    platform.Codec{},
+		Hosts:    n.fleet,
+		Ages:     proxy.Ages{Config: n.tables[intentTable].Replica.Age, Upstreams: n.tables[upstreamTable].Replica.Age},
+		Log:      n.log,
+		Metrics:  n.metrics,
+		Tracer:   n.tracer,
 	})
 }
 
@@ -185,20 +185,20 @@
 }
 
 // ColdRate gives this host's part.
-func (s coldShares) ColdRate(upstream, region string, rate float64) int {
-	return s.fleet.ColdRate(upstream, region, rate*s.overshoot+s.slack)
+func (s coldShares) WarmUpQuota(upstream, region string, rate float64) int {
+	return s.fleet.WarmUpQuota(upstream, region, rate*s.overshoot+s.slack)
 }
 
 // Suspected tells the region's hosts soon what was seen of an upstream.
-func (n *gatewayNode) Suspected() { n.fleet.Hurry() }
+func (n *gatewayNode) FailureSeen() { n.fleet.SendSoon() }
 
 // Ejected logs that an upstream is avoided.
-func (n *gatewayNode) Ejected(f outlier.Finding) { n.log.Ejected(f) }
+func (n *gatewayNode) Ejected(f outlier.Ejection) { n.log.Ejected(f) }
 
 // status is what heartbeats tell of this host.
 func (n *gatewayNode) status() fleet.Status {
 	s := fleet.Status{Ready: n.knowledge.Ready(), Leaving: !n.gateway.Ready() && n.knowledge.Ready()}
-	s.Suspects = n.judge.Suspects(time.Now())
+	s.Observations = n.judge.Observations(time.Now())
 	s.Fresh = true
 	for _, t := range n.tables {
 		s.Changes = append(s.Changes, t.Replica.LastChange())
@@ -213,25 +213,25 @@
 	if t := n.knowledge.Table(); t != nil {
 		allowed = t.HostRegions(name)
 	}
-	return n.fleet.Entries(zone, region, allowed)
+	return n.fleet.ClientAddresses(zone, region, allowed)
 }
 
 func (n *gatewayNode) listen() error {
 	l := n.settings.Listen
-	if err := n.server.Callers(l.Callers); err != nil {
+	if err := n.server.ListenClients(l.Callers); err != nil {
 		return err
 	}
-	if err := n.server.Also(l.Readiness, platform.Readiness(n.gateway.Ready)); err != nil {
+	if err := n.server.Listen(l.Readiness, platform.Readiness(n.gateway.Ready)); err != nil {
 		return err
 	}
 	ttl := time.Duration(n.settings.Limits.DirectoryTTL)
-	if err := n.server.Also(l.Directory, platform.Directory(ttl, n.entries)); err != nil {
+	if err := n.server.Listen(l.Directory, platform.Directory(ttl, n.entries)); err != nil {
 		return err
 	}
 	if l.Metrics == "" {
 		return nil
 	}
-	return n.server.Also(l.Metrics, n.figures())
+	return n.server.Listen(l.Metrics, n.figures())
 }
 
 // figures serves the metrics, and profiles for those who look for what holds
@@ -285,7 +285,7 @@
 
 func (n *gatewayNode) stop(ctx context.Context) subcommands.ExitStatus {
 	n.log.Process("stop", "asked to")
-	n.gateway.Leave()
+	n.gateway.Drain()
 	go n.fleet.Withdraw(ctx)
 	cut := n.server.Stop(ctx, time.Duration(n.settings.Stop.Grace))
 	n.server.Close()
--- a/internal/gateway/balance/balance.go
+++ b/internal/gateway/balance/balance.go
@@ -21,38 +21,38 @@
 // upstreams is Affinity.
 type Weights struct {
 	// Affinity spreads a key's preferences from 0 to itself.
-	Affinity float64
+	AffinitySpread float64
 	// Away is what it costs to leave the side, the own region or the others,
 	// that a key belongs to.
-	Away float64
+	CrossRegionCost float64
 	// Homes is how many upstreams a key may go to. A request elsewhere
 	// works so much longer that it takes more than it relieves.
-	Homes int
+	PreferenceListSize int
 	// Busy is the load, in capacities, from which a request goes to the
 	// key's next home, and Full the one from which a home takes nothing.
 	// Each rank of priority is refused Yield earlier than the one before, so
 	// that the more urgent find room.
-	Busy  float64
-	Full  float64
-	Yield float64
+	SpillAbove  float64
+	RejectAbove float64
+	RejectStep  float64
 	// Spill is the load from which a home other than the first takes no
 	// request because the first is busy.
-	Spill float64
+	SpillBelow float64
 }
 
 // lowestRank is the priority from which on all are refused alike.
 const lowestRank = 3
 
 // full gives the load from which a home takes no request of a priority.
-func (w Weights) full(priority int) float64 {
-	return w.Full - w.Yield*float64(max(0, min(priority, lowestRank)))
+func (w Weights) rejectAbove(priority int) float64 {
+	return w.RejectAbove - w.RejectStep*float64(max(0, min(priority, lowestRank)))
 }
 
 // DefaultWeights were measured, see docs/design/platform.md.
-var DefaultWeights = Weights{Affinity: 10, Away: 3, Homes: 2, Busy: 1.3, Full: 1.85, Yield: 0.25, Spill: 0.9}
+var DefaultWeights = Weights{AffinitySpread: 10, CrossRegionCost: 3, PreferenceListSize: 2, SpillAbove: 1.3, RejectAbove: 1.85, RejectStep: 0.25, SpillBelow: 0.9}
 
 // Place says where a host is.
-type Place struct {
+type Location struct {
 	Zone   string
 	Region string
 	// Regions is how many regions there are.
@@ -60,14 +60,14 @@
 }
 
 // Shares gives the host's part of what all hosts may send together.
-type Shares interface {
+type WarmUpQuotas interface {
 	// ColdRate is how many requests a second this host may send to a cold
 	// upstream of a region, of a rate that holds for all hosts together.
-	ColdRate(upstream, region string, total float64) int
+	WarmUpQuota(upstream, region string, total float64) int
 }
 
 // Judge says which upstreams requests show to be unwell.
-type Judge interface {
+type OutlierDetector interface {
 	Ejected(upstream string, now time.Time) bool
 }
 
@@ -79,11 +79,11 @@
 	// Chosen is no reason: there is a choice.
 	Chosen Reason = iota
 	// Nobody says that no upstream may serve the request.
-	Nobody
+	NoCandidates
 	// Full says that all are at their limit.
-	Full
+	Overloaded
 	// Cold says that what is not full is cold, and has had its share.
-	Cold
+	WarmUpLimited
 )
 
 // Query is what a choice is made for.
@@ -92,9 +92,9 @@
 	Key string
 	// Anywhere says that an upstream that served the key before is no better
 	// for it.
-	Anywhere bool
+	NoAffinity bool
 	// Candidates are the upstreams of the service.
-	Candidates []*upstream.Member
+	Candidates []*upstream.Upstream
 	// Allows says in which regions the request may be served; nil is all.
 	Allows func(region string) bool
 	// Bulk says that the answer is large, and Mixed that the service also
@@ -107,13 +107,13 @@
 	Tried []string
 	// ColdRate is how many requests a second a cold upstream bears from
 	// all hosts together.
-	ColdRate float64
-	Now      time.Time
+	WarmUpRate float64
+	Now        time.Time
 }
 
 // Choice is the upstream chosen, with what decided it.
 type Choice struct {
-	Instance *upstream.Member
+	Upstream *upstream.Upstream
 	// Load is its load as the host saw it, and LoadAge the age of what it
 	// told of itself; negative when it told nothing.
 	Load    float64
@@ -125,26 +125,26 @@
 
 // Balancer keeps what one host knows of each upstream's load.
 type Balancer struct {
-	place   Place
-	weights Weights
-	shares  Shares
-	judge   Judge
+	location Location
+	weights  Weights
+	quotas   WarmUpQuotas
+	detector OutlierDetector
 
 	mu     sync.Mutex
 	states map[string]*state
 }
 
 // New makes a balancer for a host at a place.
-func New(place Place, weights Weights, shares Shares, judge Judge) *Balancer {
-	return &Balancer{place: place, weights: weights, shares: shares, judge: judge, states: map[string]*state{}}
+func New(place Location, weights Weights, shares WarmUpQuotas, judge OutlierDetector) *Balancer {
+	return &Balancer{location: place, weights: weights, quotas: shares, detector: judge, states: map[string]*state{}}
 }
 
 // option is one candidate with its cost.
-type option struct {
-	member *upstream.Member
-	state  *state
-	cost   float64
-	load   float64
+type candidate struct {
+	upstream *upstream.Upstream
+	state    *state
+	cost     float64
+	load     float64
 	// ejected says that the upstream seems to be unwell.
 	ejected bool
 }
@@ -155,62 +155,62 @@
 func (b *Balancer) Choose(q Query) (Choice, Reason) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	options := b.options(q)
+	options := b.candidates(q)
 	if len(options) == 0 {
-		return Choice{}, Nobody
+		return Choice{}, NoCandidates
 	}
-	slices.SortFunc(options, func(x, y option) int { return cmp.Compare(x.cost, y.cost) })
-	rank, reason := b.rank(options, q)
+	slices.SortFunc(options, func(x, y candidate) int { return cmp.Compare(x.cost, y.cost) })
+	rank, reason := b.pick(options, q)
 	o := options[rank]
 	if reason == Chosen {
-		o.state.sent(q.Now, o.member.ColdUntil)
+		o.state.sent(q.Now, o.upstream.ColdUntil)
 	}
-	c := Choice{Instance: o.member, Load: o.load, LoadAge: -1, Rank: rank, Cold: q.Now.Before(o.member.ColdUntil)}
-	if !o.state.toldAt.IsZero() {
-		c.LoadAge = q.Now.Sub(o.state.toldAt)
+	c := Choice{Upstream: o.upstream, Load: o.load, LoadAge: -1, Rank: rank, Cold: q.Now.Before(o.upstream.ColdUntil)}
+	if !o.state.reportedAt.IsZero() {
+		c.LoadAge = q.Now.Sub(o.state.reportedAt)
 	}
 	return c, reason
 }
 
 // rank gives the place of the option that the request goes to.
-func (b *Balancer) rank(options []option, q Query) (int, Reason) {
-	if q.Anywhere {
-		return b.pickAnywhere(options, q)
+func (b *Balancer) pick(options []candidate, q Query) (int, Reason) {
+	if q.NoAffinity {
+		return b.pickLeastLoaded(options, q)
 	}
-	return b.pickHome(options[:min(len(options), b.weights.Homes)], q)
+	return b.pickPreferred(options[:min(len(options), b.weights.PreferenceListSize)], q)
 }
 
 // mayTake reports whether the host may send to an upstream now: to a cold
 // one only its share.
-func (b *Balancer) mayTake(o option, q Query) bool {
-	if !q.Now.Before(o.member.ColdUntil) {
+func (b *Balancer) withinWarmUpQuota(o candidate, q Query) bool {
+	if !q.Now.Before(o.upstream.ColdUntil) {
 		return true
 	}
-	return o.state.coldSent(q.Now) < b.shares.ColdRate(o.member.ID, o.member.Region, q.ColdRate)
+	return o.state.warmUpSent(q.Now) < b.quotas.WarmUpQuota(o.upstream.ID, o.upstream.Region, q.WarmUpRate)
 }
 
-func (b *Balancer) options(q Query) []option {
+func (b *Balancer) candidates(q Query) []candidate {
 	key := xxhash.Sum64String(q.Key)
-	near := b.isNear(key, q)
-	cost := b.homeCost
-	if q.Anywhere {
-		cost = b.anywhereCost
+	near := b.prefersOwnRegion(key, q)
+	cost := b.affinityCost
+	if q.NoAffinity {
+		cost = b.distanceCost
 	}
-	options := make([]option, 0, len(q.Candidates))
+	options := make([]candidate, 0, len(q.Candidates))
 	ejected := 0
 	for _, m := range q.Candidates {
 		if slices.Contains(q.Tried, m.ID) || !q.allows(m.Region) {
 			continue
 		}
 		s := b.state(m.ID)
-		o := option{member: m, state: s, load: s.load(q.Now, m.Capacity), cost: cost(m, key^s.seed, near)}
-		if q.Now.Before(s.ejectedUntil) || b.judge.Ejected(m.ID, q.Now) {
+		o := candidate{upstream: m, state: s, load: s.load(q.Now, m.Capacity), cost: cost(m, key^s.seed, near)}
+		if b.detector.Ejected(m.ID, q.Now) {
 			o.ejected = true
 			ejected++
 		}
 		options = append(options, o)
 	}
-	b.avoid(options, ejected)
+	b.deprioritizeEjected(options, ejected)
 	return options
 }
 
@@ -236,41 +236,23 @@
 
 func unit(x uint64) float64 { return float64(x) / math.MaxUint64 }
 
-// Outcome says how a request ended at an upstream.
-type Outcome uint8
-
-// The outcomes.
-const (
-	// Answered is a whole answer.
-	Answered Outcome = iota
-	// Shed is the upstream's refusal.
-	Shed
-	// Failed is a broken, wrong or missing answer.
-	Failed
-	// Unreachable is a connection that was not made.
-	Unreachable
-	// Abandoned is a request that the host itself gave up.
-	Abandoned
-)
-
 // Done ends a request that Choose counted.
-func (b *Balancer) Done(id string, outcome Outcome, now time.Time) {
+func (b *Balancer) Done(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.state(id)
 	s.outstanding = max(0, s.outstanding-1)
-	s.note(outcome, now)
 }
 
 // Told takes over what an upstream told of its load.
-func (b *Balancer) Told(id string, running, waiting int, now time.Time) {
+func (b *Balancer) ObserveLoad(id string, running, waiting int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.state(id).told(running+waiting, now)
+	b.state(id).observeLoad(running+waiting, now)
 }
 
 // Keep forgets the upstreams that keep does not name.
-func (b *Balancer) Keep(keep func(id string) bool) {
+func (b *Balancer) Retain(keep func(id string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, s := range b.states {
--- a/internal/gateway/balance/balance_test.go
+++ b/internal/gateway/balance/balance_test.go
@@ -8,25 +8,26 @@
 	"github.com/stretchr/testify/require"
 
 	"cairndock/internal/gateway/balance"
+	"cairndock/internal/gateway/outlier"
 	"cairndock/internal/gateway/upstream"
 )
 
 // fixedShare is a host's part of a cold upstream's rate.
 type fixedShare int
 
-func (f fixedShare) ColdRate(string, string, float64) int { return int(f) }
+func (f fixedShare) WarmUpQuota(string, string, float64) int { return int(f) }
 
 // nobody is a judge that suspects no upstream.
 type nobody struct{}
 
 func (nobody) Ejected(string, time.Time) bool { return false }
 
-func member(id, zone, region string) *upstream.Member {
-	return &upstream.Member{Instance: upstream.Instance{ID: id, Service: "s", Zone: zone, Region: region, Capacity: 4}}
+func member(id, zone, region string) *upstream.Upstream {
+	return &upstream.Upstream{Registration: upstream.Registration{ID: id, Service: "s", Zone: zone, Region: region, Capacity: 4}}
 }
 
-func fleet(n int) []*upstream.Member {
-	var out []*upstream.Member
+func fleet(n int) []*upstream.Upstream {
+	var out []*upstream.Upstream
 	for i := range n {
 		region := []string{"west", "east"}[i%2]
 		out = append(out, member("i-"+strconv.Itoa(i), region+"-1", region))
@@ -35,7 +36,7 @@
 }
 
 func newBalancer(share int) *balance.Balancer {
-	return balance.New(balance.Place{Zone: "west-1", Region: "west", Regions: 2}, balance.DefaultWeights, fixedShare(share), nobody{})
+	return balance.New(balance.Location{Zone: "west-1", Region: "west", Regions: 2}, balance.DefaultWeights, fixedShare(share), nobody{})
 }
 
 func choose(t *testing.T, b *balance.Balancer, q balance.Query) balance.Choice {
@@ -49,13 +50,13 @@
 	b, now, all := newBalancer(1), time.Now(), fleet(12)
 	for key := range 50 {
 		q := balance.Query{Key: strconv.Itoa(key), Candidates: all, Now: now}
-		home := choose(t, b, q).Instance.ID
-		b.Done(home, balance.Answered, now)
+		home := choose(t, b, q).Upstream.ID
+		b.Done(home)
 		for range 5 {
 			c := choose(t, b, q)
-			require.Equal(t, home, c.Instance.ID)
+			require.Equal(t, home, c.Upstream.ID)
 			require.Zero(t, c.Rank)
-			b.Done(home, balance.Answered, now)
+			b.Done(home)
 		}
 	}
 }
@@ -68,11 +69,11 @@
 	others := 0
 	for key := range keys {
 		q := balance.Query{Key: strconv.Itoa(key), Candidates: all, Now: now}
-		before := choose(t, b, q).Instance.ID
-		b.Done(before, balance.Answered, now)
+		before := choose(t, b, q).Upstream.ID
+		b.Done(before)
 		q.Candidates = all[1:]
-		after := choose(t, b, q).Instance.ID
-		b.Done(after, balance.Answered, now)
+		after := choose(t, b, q).Upstream.ID
+		b.Done(after)
 		if before != all[0].ID && before != after {
 			others++
 		}
@@ -83,7 +84,7 @@
 // A region keeps the part of its keys that it has capacity for.
 func TestARegionWithFewUpstreamsLeavesKeysToOthers(t *testing.T) {
 	b, now := newBalancer(1), time.Now()
-	var all []*upstream.Member
+	var all []*upstream.Upstream
 	for i := range 24 {
 		region := "east"
 		if i < 3 {
@@ -95,8 +96,8 @@
 	const keys = 1000
 	for key := range keys {
 		c := choose(t, b, balance.Query{Key: strconv.Itoa(key), Candidates: all, Now: now})
-		b.Done(c.Instance.ID, balance.Answered, now)
-		if c.Instance.Region == "west" {
+		b.Done(c.Upstream.ID)
+		if c.Upstream.Region == "west" {
 			near++
 		}
 	}
@@ -112,18 +113,18 @@
 	for {
 		c, reason := b.Choose(q)
 		if reason != balance.Chosen {
-			require.Equal(t, balance.Full, reason)
+			require.Equal(t, balance.Overloaded, reason)
 			break
 		}
-		used[c.Instance.ID]++
-		require.Less(t, used[c.Instance.ID], 100)
+		used[c.Upstream.ID]++
+		require.Less(t, used[c.Upstream.ID], 100)
 	}
-	require.Len(t, used, balance.DefaultWeights.Homes)
+	require.Len(t, used, balance.DefaultWeights.PreferenceListSize)
 	// Another key's home has room.
 	for key := range 20 {
 		q.Key = "other" + strconv.Itoa(key)
 		if c, reason := b.Choose(q); reason == balance.Chosen {
-			b.Done(c.Instance.ID, balance.Answered, now)
+			b.Done(c.Upstream.ID)
 			return
 		}
 	}
@@ -133,15 +134,15 @@
 func TestWhatOthersHaveThereCounts(t *testing.T) {
 	b, now, all := newBalancer(1), time.Now(), fleet(12)
 	q := balance.Query{Key: "k", Candidates: all, Now: now}
-	home := choose(t, b, q).Instance.ID
-	b.Done(home, balance.Answered, now)
-	b.Told(home, 4, 4, now)
+	home := choose(t, b, q).Upstream.ID
+	b.Done(home)
+	b.ObserveLoad(home, 4, 4, now)
 	second := choose(t, b, q)
-	require.NotEqual(t, home, second.Instance.ID)
+	require.NotEqual(t, home, second.Upstream.ID)
 	require.Equal(t, 1, second.Rank)
 	// What it told grows old and counts for nothing.
 	q.Now = now.Add(2 * time.Second)
-	require.Equal(t, home, choose(t, b, q).Instance.ID)
+	require.Equal(t, home, choose(t, b, q).Upstream.ID)
 }
 
 func TestAColdUpstreamGetsTheHostsShareInAnySecond(t *testing.T) {
@@ -150,13 +151,13 @@
 	cold.ColdUntil = now.Add(10 * time.Second)
 	sent := []time.Time{}
 	for at := now; at.Before(cold.ColdUntil); at = at.Add(20 * time.Millisecond) {
-		c, reason := b.Choose(balance.Query{Key: "k", Candidates: []*upstream.Member{cold}, Now: at})
+		c, reason := b.Choose(balance.Query{Key: "k", Candidates: []*upstream.Upstream{cold}, Now: at})
 		if reason == balance.Chosen {
-			b.Done(c.Instance.ID, balance.Answered, at)
+			b.Done(c.Upstream.ID)
 			sent = append(sent, at)
 			continue
 		}
-		require.Equal(t, balance.Cold, reason)
+		require.Equal(t, balance.WarmUpLimited, reason)
 	}
 	for i := range sent {
 		if i >= 3 {
@@ -165,7 +166,7 @@
 	}
 	require.Greater(t, len(sent), 20)
 	// Warm, it takes what it has room for.
-	_, reason := b.Choose(balance.Query{Key: "k", Candidates: []*upstream.Member{cold}, Now: cold.ColdUntil})
+	_, reason := b.Choose(balance.Query{Key: "k", Candidates: []*upstream.Upstream{cold}, Now: cold.ColdUntil})
 	require.Equal(t, balance.Chosen, reason)
 }
 
@@ -174,42 +175,51 @@
 	for key := range 100 {
 		q := balance.Query{Key: strconv.Itoa(key), Candidates: all, Now: now, Allows: func(r string) bool { return r == "east" }}
 		c := choose(t, b, q)
-		require.Equal(t, "east", c.Instance.Region)
-		b.Done(c.Instance.ID, balance.Answered, now)
+		require.Equal(t, "east", c.Upstream.Region)
+		b.Done(c.Upstream.ID)
 	}
 	_, reason := b.Choose(balance.Query{Key: "k", Candidates: all, Now: now, Allows: func(string) bool { return false }})
-	require.Equal(t, balance.Nobody, reason)
+	require.Equal(t, balance.NoCandidates, reason)
 }
 
+// noReporter is told of ejections and does nothing.
+type noReporter struct{}
+
+func (noReporter) FailureSeen()             {}
+func (noReporter) Ejected(outlier.Ejection) {}
+
 func TestAFailingUpstreamIsTheLastChoiceForAWhile(t *testing.T) {
-	b, now, all := newBalancer(1), time.Now(), fleet(4)
+	now, all := time.Now(), fleet(4)
+	detector := outlier.New(noReporter{})
+	b := balance.New(balance.Location{Zone: "west-1", Region: "west", Regions: 2}, balance.DefaultWeights, fixedShare(1), detector)
 	q := balance.Query{Key: "k", Candidates: all, Now: now}
-	home := choose(t, b, q).Instance.ID
-	b.Done(home, balance.Unreachable, now)
-	require.NotEqual(t, home, choose(t, b, q).Instance.ID)
+	home := choose(t, b, q).Upstream.ID
+	b.Done(home)
+	detector.RecordOutcome(home, outlier.Unreachable, now)
+	require.NotEqual(t, home, choose(t, b, q).Upstream.ID)
 	// Alone, it is tried all the same: a wrong belief empties no service.
 	for _, m := range all {
 		if m.ID == home {
-			q.Candidates = []*upstream.Member{m}
+			q.Candidates = []*upstream.Upstream{m}
 		}
 	}
-	require.Equal(t, home, choose(t, b, q).Instance.ID)
+	require.Equal(t, home, choose(t, b, q).Upstream.ID)
 	q.Candidates, q.Now = all, now.Add(time.Second)
-	require.Equal(t, home, choose(t, b, q).Instance.ID)
+	require.Equal(t, home, choose(t, b, q).Upstream.ID)
 }
 
 func TestAnUpstreamIsNotTriedTwice(t *testing.T) {
 	b, now, all := newBalancer(1), time.Now(), fleet(2)
 	q := balance.Query{Key: "k", Candidates: all, Now: now, Tried: []string{all[0].ID, all[1].ID}}
 	_, reason := b.Choose(q)
-	require.Equal(t, balance.Nobody, reason)
+	require.Equal(t, balance.NoCandidates, reason)
 }
 
 // A region with half the capacity that its keys need serves the large answers
 // itself and leaves the small ones to others.
 func TestLargeAnswersStayNearFirst(t *testing.T) {
 	b, now := newBalancer(1), time.Now()
-	var all []*upstream.Member
+	var all []*upstream.Upstream
 	for i := range 12 {
 		region := "east"
 		if i < 3 {
@@ -222,8 +232,8 @@
 	for key := range keys {
 		for _, bulk := range []bool{true, false} {
 			c := choose(t, b, balance.Query{Key: strconv.Itoa(key), Candidates: all, Now: now, Bulk: bulk, Mixed: true})
-			b.Done(c.Instance.ID, balance.Answered, now)
-			if c.Instance.Region == "west" {
+			b.Done(c.Upstream.ID)
+			if c.Upstream.Region == "west" {
 				near[bulk]++
 			}
 		}
@@ -241,7 +251,7 @@
 		q := balance.Query{Key: "k", Candidates: all, Now: now, Priority: priority}
 		for {
 			if _, reason := b.Choose(q); reason != balance.Chosen {
-				require.Equal(t, balance.Full, reason)
+				require.Equal(t, balance.Overloaded, reason)
 				break
 			}
 			taken[priority]++
@@ -269,13 +279,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			b, now, all := newBalancer(1), time.Now(), fleet(2)
 			q := balance.Query{Key: "k", Candidates: all, Now: now}
-			first := choose(t, b, q).Instance.ID
+			first := choose(t, b, q).Upstream.ID
 			second := all[0].ID
 			if second == first {
 				second = all[1].ID
 			}
-			b.Told(first, 6, 0, now) // 6 of 4
-			b.Told(second, c.second, 0, now)
+			b.ObserveLoad(first, 6, 0, now) // 6 of 4
+			b.ObserveLoad(second, c.second, 0, now)
 			require.Equal(t, c.rank, choose(t, b, q).Rank)
 		})
 	}
@@ -298,22 +308,22 @@
 		t.Run(c.name, func(t *testing.T) {
 			now, all := time.Now(), fleet(4)
 			q := balance.Query{Key: "k", Candidates: all, Now: now}
-			home := choose(t, newBalancer(1), q).Instance.ID
-			place := balance.Place{Zone: "west-1", Region: "west", Regions: 2}
+			home := choose(t, newBalancer(1), q).Upstream.ID
+			place := balance.Location{Zone: "west-1", Region: "west", Regions: 2}
 			b := balance.New(place, balance.DefaultWeights, fixedShare(1), ejecting(home))
 			for _, m := range all {
 				if m.ID != home {
-					b.Told(m.ID, c.load, 0, now)
+					b.ObserveLoad(m.ID, c.load, 0, now)
 				}
 			}
-			require.Equal(t, c.avoided, choose(t, b, q).Instance.ID != home)
+			require.Equal(t, c.avoided, choose(t, b, q).Upstream.ID != home)
 		})
 	}
 }
 
 // twoZones is a region with two zones, and another region.
-func twoZones() []*upstream.Member {
-	var all []*upstream.Member
+func twoZones() []*upstream.Upstream {
+	var all []*upstream.Upstream
 	for i := range 4 {
 		n := strconv.Itoa(i)
 		all = append(all, member("own-"+n, "west-1", "west"), member("near-"+n, "west-2", "west"),
@@ -329,14 +339,14 @@
 	placed := 0
 	for request := 0; ; request++ {
 		require.Less(t, request, 1000)
-		_, reason := b.Choose(balance.Query{Key: strconv.Itoa(request), Anywhere: true, Candidates: all, Now: now})
+		_, reason := b.Choose(balance.Query{Key: strconv.Itoa(request), NoAffinity: true, Candidates: all, Now: now})
 		if reason != balance.Chosen {
-			require.Equal(t, balance.Full, reason)
+			require.Equal(t, balance.Overloaded, reason)
 			break
 		}
 		placed++
 	}
-	room := float64(len(all)*all[0].Capacity) * balance.DefaultWeights.Full
+	room := float64(len(all)*all[0].Capacity) * balance.DefaultWeights.RejectAbove
 	require.GreaterOrEqual(t, float64(placed), room)
 }
 
@@ -346,9 +356,9 @@
 	used := map[string]int{}
 	const requests = 8 // half of the zone's capacity
 	for request := range requests {
-		c := choose(t, b, balance.Query{Key: strconv.Itoa(request), Anywhere: true, Candidates: all[:8], Now: now})
-		used[c.Instance.ID]++
-		require.Equal(t, "west-1", c.Instance.Zone)
+		c := choose(t, b, balance.Query{Key: strconv.Itoa(request), NoAffinity: true, Candidates: all[:8], Now: now})
+		used[c.Upstream.ID]++
+		require.Equal(t, "west-1", c.Upstream.Zone)
 	}
 	for id, n := range used {
 		require.LessOrEqual(t, n, all[0].Capacity, id)
--- a/internal/gateway/balance/ejected.go
+++ b/internal/gateway/balance/ejected.go
@@ -4,13 +4,13 @@
 // that a wrong belief does not empty a service. When most are ejected, the
 // fault is not theirs; and when the others are busy they could not take their
 // load, of which each request would take longer there at first.
-func (b *Balancer) avoid(options []option, ejected int) {
-	if ejected == 0 || float64(ejected) > maxEjected*float64(len(options)) || soundLoad(options) > maxSoundLoad {
+func (b *Balancer) deprioritizeEjected(options []candidate, ejected int) {
+	if ejected == 0 || float64(ejected) > maxEjected*float64(len(options)) || healthyLoad(options) > maxHealthyLoad {
 		return
 	}
 	for i := range options {
 		if options[i].ejected {
-			options[i].cost += ejectedCost * b.weights.Affinity
+			options[i].cost += ejectedCost * b.weights.AffinitySpread
 		}
 	}
 }
@@ -18,12 +18,12 @@
 // maxEjected is the part of a request's upstreams above which ejections do
 // not count, and maxSoundLoad the mean load of the others.
 const (
-	maxEjected   = 0.5
-	maxSoundLoad = 0.6
+	maxEjected     = 0.5
+	maxHealthyLoad = 0.6
 )
 
 // soundLoad is the mean load of the upstreams that are not ejected.
-func soundLoad(options []option) float64 {
+func healthyLoad(options []candidate) float64 {
 	sum, n := 0.0, 0
 	for _, o := range options {
 		if !o.ejected {
--- a/internal/gateway/balance/anywhere.go
+++ b/internal/gateway/balance/leastloaded.go
@@ -6,7 +6,7 @@
 	// choices is how many upstreams a request that gains nothing from its
 	// homes compares: enough to find one that is free, and few enough that
 	// hosts that know the same loads do not all pick the same.
-	choices = 3
+	sampleSize = 3
 )
 
 // tier is a part of the sorted options, which take a request below a load.
@@ -19,18 +19,18 @@
 // zone, then of the key's side. When those are busy it looks at the whole
 // side and then at the other; only when all are at their limit is the request
 // refused.
-func (b *Balancer) pickAnywhere(options []option, q Query) (int, Reason) {
-	zone := below(options, b.weights.Affinity/2)
-	side := below(options, b.weights.Affinity)
-	w, full := b.weights, b.weights.full(q.Priority)
+func (b *Balancer) pickLeastLoaded(options []candidate, q Query) (int, Reason) {
+	zone := below(options, b.weights.AffinitySpread/2)
+	side := below(options, b.weights.AffinitySpread)
+	w, full := b.weights, b.weights.rejectAbove(q.Priority)
 	tiers := [...]tier{
-		{0, min(choices, zone), w.Spill},
-		{zone, min(zone+choices, side), w.Spill},
-		{0, side, min(full, w.Busy)},
-		{side, len(options), min(full, w.Spill)},
+		{0, min(sampleSize, zone), w.SpillBelow},
+		{zone, min(zone+sampleSize, side), w.SpillBelow},
+		{0, side, min(full, w.SpillAbove)},
+		{side, len(options), min(full, w.SpillBelow)},
 		{0, len(options), full},
 	}
-	reason := Full
+	reason := Overloaded
 	for _, t := range tiers {
 		var best int
 		best, reason = b.leastLoaded(options[t.from:t.to], q, t.limit)
@@ -42,7 +42,7 @@
 }
 
 // below is how many of the sorted options cost less than a bound.
-func below(options []option, bound float64) int {
+func below(options []candidate, bound float64) int {
 	for i, o := range options {
 		if o.cost >= bound {
 			return i
@@ -53,14 +53,14 @@
 
 // leastLoaded gives the option with the least load below a limit that may
 // take the request, or -1 and what is wrong with the others.
-func (b *Balancer) leastLoaded(options []option, q Query, limit float64) (int, Reason) {
-	best, reason := -1, Full
+func (b *Balancer) leastLoaded(options []candidate, q Query, limit float64) (int, Reason) {
+	best, reason := -1, Overloaded
 	for i, o := range options {
 		if o.load >= limit || best >= 0 && o.load >= options[best].load {
 			continue
 		}
-		if !b.mayTake(o, q) {
-			reason = Cold
+		if !b.withinWarmUpQuota(o, q) {
+			reason = WarmUpLimited
 			continue
 		}
 		best = i
@@ -71,14 +71,14 @@
 // anywhereCost orders upstreams for a request that gains nothing from its
 // homes: those of the own zone, of the rest of the key's side, and of the
 // other side, each by chance.
-func (b *Balancer) anywhereCost(m *upstream.Member, hash uint64, near bool) float64 {
-	half := b.weights.Affinity / 2
+func (b *Balancer) distanceCost(m *upstream.Upstream, hash uint64, near bool) float64 {
+	half := b.weights.AffinitySpread / 2
 	cost := unit(mix(hash)) * half
-	if m.Region == b.place.Region && m.Zone != b.place.Zone {
+	if m.Region == b.location.Region && m.Zone != b.location.Zone {
 		cost += half
 	}
-	if (m.Region == b.place.Region) != near {
-		cost += b.weights.Affinity
+	if (m.Region == b.location.Region) != near {
+		cost += b.weights.AffinitySpread
 	}
 	return cost
 }
--- a/internal/gateway/eventlog/kinds.go
+++ b/internal/gateway/eventlog/lines.go
@@ -82,31 +82,31 @@
 
 // Config writes that a configuration is in force.
 func (l *Log) Config(version int64, routes int) {
-	if e := l.belief("config"); e != nil {
+	if e := l.stateChange("config"); e != nil {
 		e.Int64("version", version).Int("routes", routes).Msg("config: in force")
 	}
 }
 
 // BadRow writes that a row of a table can't be read.
 func (l *Log) BadRow(table, key string, version int64, fault error) {
-	if e := l.belief("bad-row"); e != nil {
+	if e := l.stateChange("bad-row"); e != nil {
 		e.Str("table", table).Str("key", key).Int64("version", version).Err(fault).Msg("watch: row can't be read, the last good one stays")
 	}
 }
 
 // Ejected writes that an upstream is avoided for a time, and what speaks
 // against it.
-func (l *Log) Ejected(f outlier.Finding) {
+func (l *Log) Ejected(f outlier.Ejection) {
 	l.metrics.Count("cairndock_ejections_total")
-	if e := l.belief("ejected"); e != nil {
-		e.Str("upstream", f.Upstream).Int("bad", f.Bad).Int("good", f.Good).Int("hosts", f.Hosts).
+	if e := l.stateChange("ejected"); e != nil {
+		e.Str("upstream", f.Upstream).Int("bad", f.Failures).Int("good", f.Successes).Int("hosts", f.Hosts).
 			Float64("for_ms", ms(f.For)).Msg("upstream: avoided for a time")
 	}
 }
 
 // Upstream writes what became of an upstream.
-func (l *Log) Upstream(id string, in upstream.Instance, state string, version int64) {
-	if e := l.belief("upstream"); e != nil {
+func (l *Log) Upstream(id string, in upstream.Registration, state string, version int64) {
+	if e := l.stateChange("upstream"); e != nil {
 		e.Str("upstream", id).Str("service", in.Service).Str("zone", in.Zone).Str("state", state).
 			Int64("version", version).Float64("cold_ms", ms(in.ColdLeft)).Msg("upstream: changed")
 	}
@@ -114,7 +114,7 @@
 
 // Evacuated writes which zones are to receive nothing.
 func (l *Log) Evacuated(zones []string, version int64) {
-	if e := l.belief("evacuated"); e != nil {
+	if e := l.stateChange("evacuated"); e != nil {
 		e.Strs("zones", zones).Int64("version", version).Msg("evacuation: changed")
 	}
 }
@@ -122,21 +122,21 @@
 // Lost writes that a dependency stopped answering, and Regained that it
 // answers again.
 func (l *Log) Lost(kind, name string, err error) {
-	if e := l.belief("lost"); e != nil {
+	if e := l.stateChange("lost"); e != nil {
 		e.Str("dependency", kind).Str("name", name).Err(err).Msg("dependency: lost")
 	}
 }
 
 // Regained writes that a dependency answers again.
 func (l *Log) Regained(kind, name string, after time.Duration) {
-	if e := l.belief("regained"); e != nil {
+	if e := l.stateChange("regained"); e != nil {
 		e.Str("dependency", kind).Str("name", name).Float64("after_ms", ms(after)).Msg("dependency: regained")
 	}
 }
 
 // Process writes that the process starts, stops or reloads.
 func (l *Log) Process(what, detail string) {
-	if e := l.belief(what); e != nil {
+	if e := l.stateChange(what); e != nil {
 		e.Str("detail", detail).Msg("process: " + what)
 	}
 }
--- a/internal/gateway/eventlog/event.go
+++ b/internal/gateway/eventlog/log.go
@@ -23,9 +23,9 @@
 	sampleOne = 100
 	// beliefsPerSecond and failuresPerSecond bound the lines of each sort,
 	// and sampledPerSecond those of requests that went well.
-	beliefsPerSecond  = 100
-	failuresPerSecond = 50
-	sampledPerSecond  = 10
+	stateChangesPerSecond = 100
+	failuresPerSecond     = 50
+	sampledPerSecond      = 10
 	// reportEvery is how often lines that were left out are reported.
 	reportEvery = 5 * time.Second
 )
@@ -39,19 +39,19 @@
 	stopped chan struct{}
 	metrics *telemetry.Metrics
 
-	beliefs  *rate.Limiter
-	failures *rate.Limiter
-	sampled  *rate.Limiter
-	leftOut  atomic.Int64
+	stateChanges *rate.Limiter
+	failures     *rate.Limiter
+	sampled      *rate.Limiter
+	dropped      atomic.Int64
 }
 
 // New makes a log that writes JSON lines to w until Close.
 func New(w io.Writer, host string, m *telemetry.Metrics) *Log {
 	l := &Log{
 		queue: make(chan []byte, queued), done: make(chan struct{}), stopped: make(chan struct{}), metrics: m,
-		beliefs:  rate.NewLimiter(beliefsPerSecond, 2*beliefsPerSecond),
-		failures: rate.NewLimiter(failuresPerSecond, 2*failuresPerSecond),
-		sampled:  rate.NewLimiter(sampledPerSecond, 2*sampledPerSecond),
+		stateChanges: rate.NewLimiter(stateChangesPerSecond, 2*stateChangesPerSecond),
+		failures:     rate.NewLimiter(failuresPerSecond, 2*failuresPerSecond),
+		sampled:      rate.NewLimiter(sampledPerSecond, 2*sampledPerSecond),
 	}
 	l.out = zerolog.New(enqueuer{l}).With().Str("host", host).Logger().Hook(stamp{})
 	go l.write(w)
@@ -79,13 +79,13 @@
 	select {
 	case e.log.queue <- kept:
 	default:
-		e.log.leave()
+		e.log.drop()
 	}
 	return len(line), nil
 }
 
-func (l *Log) leave() {
-	l.leftOut.Add(1)
+func (l *Log) drop() {
+	l.dropped.Add(1)
 	l.metrics.Count("cairndock_log_lines_left_out_total")
 }
 
@@ -98,7 +98,7 @@
 		case line := <-l.queue:
 			_, _ = w.Write(line)
 		case <-report.C:
-			if n := l.leftOut.Swap(0); n > 0 {
+			if n := l.dropped.Swap(0); n > 0 {
 				l.out.Warn().Str("event", "log-lines-left-out").Int64("lines", n).Msg("log: lines were left out")
 			}
 		case <-l.done:
@@ -135,9 +135,9 @@
 func Sampled(requestID string) bool { return xxhash.Sum64String(requestID)%sampleOne == 0 }
 
 // belief gives a line on what the process believes; nil when it is left out.
-func (l *Log) belief(name string) *zerolog.Event {
-	if !l.beliefs.Allow() {
-		l.leave()
+func (l *Log) stateChange(name string) *zerolog.Event {
+	if !l.stateChanges.Allow() {
+		l.drop()
 		return nil
 	}
 	return l.out.Info().Str("event", name)
@@ -152,7 +152,7 @@
 		return nil
 	}
 	if !limiter.Allow() {
-		l.leave()
+		l.drop()
 		return nil
 	}
 	return l.out.Info().Str("event", name).Str("request", id)
--- a/internal/gateway/exchange/conn.go
+++ b/internal/gateway/exchange/conn.go
@@ -61,7 +61,7 @@
 	net.Conn
 	reader *bufio.Reader
 	// usable is until when it may rest; zero is forever.
-	usable time.Time
+	idleUntil time.Time
 }
 
 func newConn(c net.Conn) *conn {
@@ -69,13 +69,13 @@
 }
 
 // errUnasked says that bytes came on a connection where nothing was asked.
-var errUnasked = eris.New("unasked bytes on an idle connection")
+var errUnexpectedBytes = eris.New("unasked bytes on an idle connection")
 
 // idleError tells what is wrong with a connection that rests: bytes that
 // nobody asked for, or the other side's close. It does not block.
 func (c *conn) idleError() error {
 	if c.reader.Buffered() > 0 {
-		return errUnasked
+		return errUnexpectedBytes
 	}
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -107,6 +107,6 @@
 	case n == 0:
 		return io.EOF
 	default:
-		return errUnasked
+		return errUnexpectedBytes
 	}
 }
--- a/internal/gateway/exchange/exchange.go
+++ b/internal/gateway/exchange/exchange.go
@@ -37,12 +37,12 @@
 
 // Target is the upstream of one attempt.
 type Target struct {
-	Instance string
-	Address  string
+	UpstreamID string
+	Address    string
 }
 
 // Load is what an upstream tells of its load.
-type Load struct {
+type LoadReport struct {
 	Known   bool
 	Running int
 	Waiting int
@@ -50,31 +50,31 @@
 }
 
 // Sign is what an answer's header tells, in the product's words.
-type Sign struct {
+type ResponseInfo struct {
 	// Foreign says that the answer belongs to another request.
-	Foreign bool
+	WrongRequest bool
 	// NotRun is the upstream's own proof that it did not run the request.
-	NotRun bool
+	NotExecuted bool
 	// Misdirected says that another instance has the address now.
 	Misdirected bool
 	// Genuine says that the answer carries the upstream's proof of origin.
-	Genuine bool
-	Load    Load
+	Signed bool
+	Load   LoadReport
 }
 
 // Protocol knows the headers of requests and answers.
 type Protocol interface {
 	// Address sets what one attempt adds to the request's header.
-	Address(h http.Header, instance string, left time.Duration)
+	SetHeaders(h http.Header, instance string, left time.Duration)
 	// Read tells what an answer's header says to the request with an id.
-	Read(requestID string, status int, h http.Header) Sign
+	ParseResponse(requestID string, status int, h http.Header) ResponseInfo
 }
 
 // Answer is an upstream's answer. Body must be closed.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
-	Sign   Sign
+	Info   ResponseInfo
 	// Length is the body's length in bytes, or -1 when it is not told.
 	Length int64
 	Body   io.ReadCloser
@@ -97,13 +97,13 @@
 func (c *Client) Pool() *Pool { return c.pool }
 
 // maxForeign bounds the answers to other requests that are skipped.
-const maxForeign = 4
+const maxWrongResponses = 4
 
 // Send sends a request and waits for the header of its answer until the
 // context ends. Its error is a *verdict.Error.
-func (c *Client) Send(ctx context.Context, t Target, r *Request) (*Answer, error) {
+func (c *Client) Send(ctx context.Context, t Target, r *Request) (*Response, error) {
 	began := time.Now()
-	nc, err := c.pool.get(ctx, t.Instance, t.Address)
+	nc, err := c.pool.get(ctx, t.UpstreamID, t.Address)
 	if err != nil {
 		return nil, notSent(ctx, t, err)
 	}
@@ -112,17 +112,17 @@
 		left = time.Until(deadline)
 	}
 	if left <= 0 {
-		c.pool.put(t.Instance, nc, 0)
-		return nil, verdict.New(verdict.NotRun, verdict.DeadlineLapsed, "no time left to send").WithUpstream(t.Instance)
+		c.pool.put(t.UpstreamID, nc, 0)
+		return nil, verdict.New(verdict.NotRun, verdict.DeadlineLapsed, "no time left to send").WithUpstream(t.UpstreamID)
 	}
-	x := &transfer{client: c, conn: nc, target: t, request: r}
+	x := &roundTrip{client: c, conn: nc, target: t, request: r}
 	// A context that ends wakes whoever reads or writes the connection.
 	x.stop = context.AfterFunc(ctx, func() { _ = nc.SetDeadline(past) })
 	head := x.encode(left)
 	if n, err := nc.Write(head); err != nil {
 		return nil, x.failed(ctx, err, n > 0)
 	}
-	answer, err := x.answer(ctx)
+	answer, err := x.readOwnResponse(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -135,16 +135,16 @@
 
 func notSent(ctx context.Context, t Target, err error) error {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return verdict.New(verdict.NotRun, verdict.CallerLeft, "caller left before the request was sent").WithUpstream(t.Instance)
+		return verdict.New(verdict.NotRun, verdict.CallerLeft, "caller left before the request was sent").WithUpstream(t.UpstreamID)
 	}
 	if ctx.Err() != nil {
-		return verdict.New(verdict.NotRun, verdict.DeadlineLapsed, "no connection in time: %v", err).WithUpstream(t.Instance)
+		return verdict.New(verdict.NotRun, verdict.DeadlineLapsed, "no connection in time: %v", err).WithUpstream(t.UpstreamID)
 	}
-	return verdict.New(verdict.NotRun, verdict.Unreachable, "no connection: %v", err).WithUpstream(t.Instance)
+	return verdict.New(verdict.NotRun, verdict.Unreachable, "no connection: %v", err).WithUpstream(t.UpstreamID)
 }
 
 // transfer is one request on one connection.
-type transfer struct {
+type roundTrip struct {
 	client  *Client
 	conn    *conn
 	target  Target
@@ -152,10 +152,10 @@
 	stop    func() bool
 }
 
-func (x *transfer) encode(left time.Duration) []byte {
+func (x *roundTrip) encode(left time.Duration) []byte {
 	r := x.request
 	h := r.Header.Clone()
-	x.client.protocol.Address(h, x.target.Instance, left)
+	x.client.protocol.SetHeaders(h, x.target.UpstreamID, left)
 	var b bytes.Buffer
 	b.Grow(512 + len(r.Body))
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
@@ -173,14 +173,14 @@
 }
 
 // answer reads answers until one belongs to the request.
-func (x *transfer) answer(ctx context.Context) (*Answer, error) {
-	for range maxForeign {
-		resp, err := x.read()
+func (x *roundTrip) readOwnResponse(ctx context.Context) (*Response, error) {
+	for range maxWrongResponses {
+		resp, err := x.readResponse()
 		if err != nil {
 			return nil, x.failed(ctx, err, true)
 		}
-		sign := x.client.protocol.Read(x.request.ID, resp.StatusCode, resp.Header)
-		if !sign.Foreign {
+		sign := x.client.protocol.ParseResponse(x.request.ID, resp.StatusCode, resp.Header)
+		if !sign.WrongRequest {
 			return x.deliver(resp, sign), nil
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.Close {
@@ -191,7 +191,7 @@
 }
 
 // read reads one answer's header; interim answers are passed over.
-func (x *transfer) read() (*http.Response, error) {
+func (x *roundTrip) readResponse() (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(x.conn.reader, &http.Request{Method: x.request.Method})
 		if err != nil {
@@ -205,7 +205,7 @@
 
 // failed closes the connection and gives the verdict on a request without an
 // answer. sent says whether any byte may have reached the upstream.
-func (x *transfer) failed(ctx context.Context, err error, sent bool) error {
+func (x *roundTrip) failed(ctx context.Context, err error, sent bool) error {
 	x.stop()
 	_ = x.conn.Close()
 	v := verdict.MayHaveRun
@@ -219,20 +219,20 @@
 	case ctx.Err() != nil, errors.Is(err, os.ErrDeadlineExceeded):
 		reason = verdict.DeadlineLapsed
 	}
-	return verdict.New(v, reason, "no answer: %v", err).WithUpstream(x.target.Instance)
+	return verdict.New(v, reason, "no answer: %v", err).WithUpstream(x.target.UpstreamID)
 }
 
-func (x *transfer) deliver(resp *http.Response, sign Sign) *Answer {
-	b := &body{transfer: x, inner: resp.Body, reusable: !resp.Close, rest: restOf(resp.Header)}
-	return &Answer{Status: resp.StatusCode, Header: resp.Header, Sign: sign, Length: resp.ContentLength, Body: b}
+func (x *roundTrip) deliver(resp *http.Response, sign ResponseInfo) *Response {
+	b := &body{roundTrip: x, inner: resp.Body, reusable: !resp.Close, idleTimeout: keepAliveTimeout(resp.Header)}
+	return &Response{Status: resp.StatusCode, Header: resp.Header, Info: sign, Length: resp.ContentLength, Body: b}
 }
 
 // restMargin is how much earlier than the upstream the pool closes a
 // connection that rests.
-const restMargin = 500 * time.Millisecond
+const idleMargin = 500 * time.Millisecond
 
 // restOf gives how long a connection may rest, by the Keep-Alive header.
-func restOf(h http.Header) time.Duration {
+func keepAliveTimeout(h http.Header) time.Duration {
 	for field := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -242,19 +242,19 @@
 		if err != nil {
 			return 0
 		}
-		return max(time.Duration(seconds)*time.Second-restMargin, time.Millisecond)
+		return max(time.Duration(seconds)*time.Second-idleMargin, time.Millisecond)
 	}
 	return 0
 }
 
 // body is an answer's body that gives its connection back at the end.
 type body struct {
-	transfer *transfer
-	inner    io.ReadCloser
-	reusable bool
-	rest     time.Duration
-	whole    bool
-	closed   bool
+	roundTrip   *roundTrip
+	inner       io.ReadCloser
+	reusable    bool
+	idleTimeout time.Duration
+	whole       bool
+	closed      bool
 }
 
 // Read gives io.EOF only when the whole body was read.
@@ -273,11 +273,11 @@
 		return nil
 	}
 	b.closed = true
-	x := b.transfer
+	x := b.roundTrip
 	woken := !x.stop()
 	if !b.whole || !b.reusable || woken || x.conn.reader.Buffered() > 0 {
 		return x.conn.Close()
 	}
-	x.client.pool.put(x.target.Instance, x.conn, b.rest)
+	x.client.pool.put(x.target.UpstreamID, x.conn, b.idleTimeout)
 	return nil
 }
--- a/internal/gateway/exchange/exchange_test.go
+++ b/internal/gateway/exchange/exchange_test.go
@@ -21,13 +21,13 @@
 // protocol is a small one for tests.
 type protocol struct{}
 
-func (protocol) Address(h http.Header, instance string, left time.Duration) {
+func (protocol) SetHeaders(h http.Header, instance string, left time.Duration) {
 	h.Set("To", instance)
 	h.Set("Left", left.Round(time.Second).String())
 }
 
-func (protocol) Read(id string, _ int, h http.Header) exchange.Sign {
-	return exchange.Sign{Foreign: h.Get("Id") != id, NotRun: h.Get("Not-Run") != "", Genuine: true}
+func (protocol) ParseResponse(id string, _ int, h http.Header) exchange.ResponseInfo {
+	return exchange.ResponseInfo{WrongRequest: h.Get("Id") != id, NotExecuted: h.Get("Not-Run") != "", Signed: true}
 }
 
 // upstream is a scripted upstream: each request is answered by its script,
@@ -92,7 +92,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	a, err := c.Send(ctx, exchange.Target{Instance: "i", Address: u.address}, &exchange.Request{
+	a, err := c.Send(ctx, exchange.Target{UpstreamID: "i", Address: u.address}, &exchange.Request{
 		ID: id, Method: http.MethodGet, Target: "/x?q=1", Host: "a.example", Header: http.Header{"Id": {id}},
 	})
 	if err != nil {
@@ -262,7 +262,7 @@
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(50*time.Millisecond, cancel)
-	_, err := client().Send(ctx, exchange.Target{Instance: "i", Address: u.address}, &exchange.Request{ID: "r", Method: "GET", Target: "/", Host: "a", Header: http.Header{}})
+	_, err := client().Send(ctx, exchange.Target{UpstreamID: "i", Address: u.address}, &exchange.Request{ID: "r", Method: "GET", Target: "/", Host: "a", Header: http.Header{}})
 	require.Equal(t, verdict.CallerLeft, verdict.From(err).Reason)
 	select {
 	case <-closed:
@@ -280,6 +280,6 @@
 	_, _, err := send(t, c, u, "r")
 	require.NoError(t, err)
 	require.Equal(t, 1, c.Pool().Idle())
-	c.Pool().Forget(func(string) bool { return false })
+	c.Pool().Retain(func(string) bool { return false })
 	require.Zero(t, c.Pool().Idle())
 }
--- a/internal/gateway/exchange/pool.go
+++ b/internal/gateway/exchange/pool.go
@@ -11,7 +11,7 @@
 const maxIdle = 8
 
 // maxRest is how long a connection may rest when the upstream tells nothing.
-const maxRest = 8 * time.Second
+const maxIdleTime = 8 * time.Second
 
 // Dial connects to an address.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
@@ -58,7 +58,7 @@
 		c := list[len(list)-1]
 		list = list[:len(list)-1]
 		p.idle[instance] = list
-		if now.Before(c.usable) {
+		if now.Before(c.idleUntil) {
 			return c
 		}
 		_ = c.Close()
@@ -68,10 +68,10 @@
 }
 
 func (p *Pool) put(instance string, c *conn, rest time.Duration) {
-	if rest <= 0 || rest > maxRest {
-		rest = maxRest
+	if rest <= 0 || rest > maxIdleTime {
+		rest = maxIdleTime
 	}
-	c.usable = time.Now().Add(rest)
+	c.idleUntil = time.Now().Add(rest)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.idle[instance]) >= maxIdle {
@@ -83,14 +83,14 @@
 
 // Forget closes the connections that rest for instances that keep does not
 // name, and those that rested too long.
-func (p *Pool) Forget(keep func(instance string) bool) {
+func (p *Pool) Retain(keep func(instance string) bool) {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for instance, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if keep(instance) && now.Before(c.usable) {
+			if keep(instance) && now.Before(c.idleUntil) {
 				kept = append(kept, c)
 				continue
 			}
--- a/internal/gateway/fleet/bench_test.go
+++ b/internal/gateway/fleet/bench_test.go
@@ -14,12 +14,12 @@
 		zone := i % zones
 		return Host{
 			Name: fmt.Sprintf("host-%d", i), Zone: fmt.Sprintf("zone-%d", zone), Region: fmt.Sprintf("region-%d", zone%regions),
-			CallerAddress: fmt.Sprintf("10.%d.%d.%d:80", zone, i/250, i%250),
+			ClientAddress: fmt.Sprintf("10.%d.%d.%d:80", zone, i/250, i%250),
 		}
 	}
 	m := NewMembers(host(0))
 	for i := 1; i < hosts; i++ {
-		m.Heard(host(i), Status{Ready: true, Fresh: true}, now)
+		m.RecordHeartbeat(host(i), Status{Ready: true, Fresh: true}, now)
 	}
 	return m
 }
@@ -28,7 +28,7 @@
 	now := time.Now()
 	m := planned(now)
 	for b.Loop() {
-		m.Contacts(now)
+		m.HeartbeatPeers(now)
 	}
 }
 
@@ -36,6 +36,6 @@
 	now := time.Now()
 	m := planned(now)
 	for b.Loop() {
-		m.Entries("zone-3", "region-3", Status{Ready: true}, nil, now)
+		m.ClientAddresses("zone-3", "region-3", Status{Ready: true}, nil, now)
 	}
 }
--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -17,7 +17,7 @@
 	Region string `msgpack:"r" json:"region"`
 	// PeerAddress is where other hosts reach it, and CallerAddress callers.
 	PeerAddress   string `msgpack:"p" json:"peer_address"`
-	CallerAddress string `msgpack:"c" json:"caller_address"`
+	ClientAddress string `msgpack:"c" json:"caller_address"`
 	// Incarnation is one life of its process.
 	Incarnation string `msgpack:"i" json:"incarnation"`
 }
@@ -33,11 +33,11 @@
 	Changes []int64 `msgpack:"c,omitempty"`
 	Fresh   bool    `msgpack:"f,omitempty"`
 	// Suspects are the upstreams that seem to be unwell.
-	Suspects []outlier.Suspect `msgpack:"u,omitempty"`
+	Observations []outlier.Observation `msgpack:"u,omitempty"`
 }
 
 // takesCallers reports whether callers should come.
-func (s Status) takesCallers() bool { return s.Ready && !s.Leaving }
+func (s Status) acceptsClients() bool { return s.Ready && !s.Leaving }
 
 const (
 	// DeadAfter is the silence after which a host is taken for dead.
@@ -55,7 +55,7 @@
 	// KnownAt is when the host was last told of it.
 	KnownAt time.Time
 	// followed says that the host exchanges heartbeats with it.
-	followed bool
+	heartbeats bool
 }
 
 // Alive reports whether the peer was heard from lately.
@@ -70,7 +70,7 @@
 	// index is nil after a host has come or gone.
 	index *index
 	// followedFar names the hosts of other regions that are followed.
-	followedFar []string
+	remoteHeartbeats []string
 }
 
 // NewMembers makes the members of a host that knows only itself.
@@ -82,7 +82,7 @@
 func (m *Members) Self() Host { return m.self }
 
 // Known adds a host that was told of, without a sign of life.
-func (m *Members) Known(h Host, now time.Time) {
+func (m *Members) AddKnown(h Host, now time.Time) {
 	if h.Name == m.self.Name || h.Name == "" {
 		return
 	}
@@ -98,29 +98,29 @@
 // Heard takes over a host's own word. It reports whether the host is one that
 // this one exchanges heartbeats with, and was not alive before or is in
 // another life.
-func (m *Members) Heard(h Host, s Status, now time.Time) (back bool) {
+func (m *Members) RecordHeartbeat(h Host, s Status, now time.Time) (back bool) {
 	if h.Name == m.self.Name || h.Name == "" {
 		return false
 	}
-	p := Peer{Host: h, Status: s, HeardAt: now, KnownAt: now, followed: h.Region == m.self.Region}
+	p := Peer{Host: h, Status: s, HeardAt: now, KnownAt: now, heartbeats: h.Region == m.self.Region}
 	old := m.peers[h.Name]
 	if old != nil {
-		p.followed = p.followed || old.followed
+		p.heartbeats = p.heartbeats || old.heartbeats
 	}
 	if old == nil || old.Host.Zone != h.Zone || old.Host.Region != h.Region {
 		m.index = nil
 	}
 	m.peers[h.Name] = &p
-	return p.followed && (old == nil || !old.Alive(now) || old.Host.Incarnation != h.Incarnation)
+	return p.heartbeats && (old == nil || !old.Alive(now) || old.Host.Incarnation != h.Incarnation)
 }
 
 // Silent forgets the peers that were not heard of for long, and gives those
 // that this host exchanges heartbeats with and that have just been taken for
 // dead since a moment.
-func (m *Members) Silent(since, now time.Time) []Host {
+func (m *Members) TakeExpired(since, now time.Time) []Host {
 	var dead []Host
 	for name, p := range m.peers {
-		if p.followed && p.Alive(since) && !p.Alive(now) {
+		if p.heartbeats && p.Alive(since) && !p.Alive(now) {
 			dead = append(dead, p.Host)
 		}
 		if last := later(p.HeardAt, p.KnownAt); now.Sub(last) > forgetAfter {
@@ -150,7 +150,7 @@
 // Entries gives the addresses that callers of a zone and region should use:
 // those of ready hosts in the zone, else in the region, else in the regions
 // allowed, else anywhere. self tells of the host itself.
-func (m *Members) Entries(zone, region string, self Status, allowed []string, now time.Time) []string {
+func (m *Members) ClientAddresses(zone, region string, self Status, allowed []string, now time.Time) []string {
 	x := m.indexed()
 	if found := m.ready(x.byZone[zone], m.self.Zone == zone, self, now); len(found) > 0 {
 		return found
@@ -172,12 +172,12 @@
 // take callers, this one first if it is among them.
 func (m *Members) ready(names []string, withSelf bool, self Status, now time.Time) []string {
 	var addresses []string
-	if withSelf && self.takesCallers() {
-		addresses = append(addresses, m.self.CallerAddress)
+	if withSelf && self.acceptsClients() {
+		addresses = append(addresses, m.self.ClientAddress)
 	}
 	for _, name := range names {
-		if p := m.peers[name]; p.Alive(now) && p.Status.takesCallers() {
-			addresses = append(addresses, p.Host.CallerAddress)
+		if p := m.peers[name]; p.Alive(now) && p.Status.acceptsClients() {
+			addresses = append(addresses, p.Host.ClientAddress)
 		}
 	}
 	return addresses
@@ -207,27 +207,27 @@
 	// region share, and farPart the one that the others share, which they
 	// use only when no host of the region seems to live: hosts may differ
 	// in what they believe, and both parts together must hold.
-	nearPart = 0.6
-	farPart  = 0.3
+	ownRegionPart    = 0.6
+	otherRegionsPart = 0.3
 )
 
 // ColdPart gives the host's part of the requests a second that a cold
 // upstream of a region bears from all hosts together.
-func (m *Members) ColdPart(upstream, region string, total float64, now time.Time) int {
+func (m *Members) WarmUpQuota(upstream, region string, total float64, now time.Time) int {
 	near := m.self.Region == region
 	if near {
-		return m.part(upstream, int(nearPart*total), func(r string) bool { return r == region })
+		return m.hostShare(upstream, int(ownRegionPart*total), func(r string) bool { return r == region })
 	}
 	if _, _, alive := m.Count(region, now); alive > 0 {
 		return 0
 	}
-	return m.part(upstream, int(farPart*total), func(r string) bool { return r != region })
+	return m.hostShare(upstream, int(otherRegionsPart*total), func(r string) bool { return r != region })
 }
 
 // part splits a number evenly over the hosts of some regions, this one
 // included. When there are more hosts than the number, each upstream has its
 // own few hosts that get one each.
-func (m *Members) part(upstream string, number int, in func(region string) bool) int {
+func (m *Members) hostShare(upstream string, number int, in func(region string) bool) int {
 	hosts, before := 1, 0
 	own := pairRank(m.self.Name, upstream)
 	for _, p := range m.peers {
--- a/internal/gateway/fleet/fleet_test.go
+++ b/internal/gateway/fleet/fleet_test.go
@@ -16,7 +16,7 @@
 )
 
 func host(name, zone, region string) Host {
-	return Host{Name: name, Zone: zone, Region: region, CallerAddress: name + ":80", Incarnation: "1"}
+	return Host{Name: name, Zone: zone, Region: region, ClientAddress: name + ":80", Incarnation: "1"}
 }
 
 var readyStatus = Status{Ready: true}
@@ -36,7 +36,7 @@
 		}
 	}
 	for _, h := range all {
-		m.Heard(h, readyStatus, now)
+		m.RecordHeartbeat(h, readyStatus, now)
 	}
 	return m
 }
@@ -44,19 +44,19 @@
 func TestEntriesAreTheNearestLivingHosts(t *testing.T) {
 	now := time.Now()
 	m := nine("west0", now)
-	require.Equal(t, []string{"west0:80", "west1:80"}, m.Entries("west-0", "west", readyStatus, nil, now))
-	require.Equal(t, []string{"west2:80"}, m.Entries("west-1", "west", readyStatus, nil, now))
-	m.Heard(host("west2", "west-1", "west"), Status{Ready: true, Leaving: true}, now)
-	require.Equal(t, []string{"west0:80", "west1:80"}, m.Entries("west-1", "west", readyStatus, nil, now), "the region when the zone has none")
+	require.Equal(t, []string{"west0:80", "west1:80"}, m.ClientAddresses("west-0", "west", readyStatus, nil, now))
+	require.Equal(t, []string{"west2:80"}, m.ClientAddresses("west-1", "west", readyStatus, nil, now))
+	m.RecordHeartbeat(host("west2", "west-1", "west"), Status{Ready: true, Leaving: true}, now)
+	require.Equal(t, []string{"west0:80", "west1:80"}, m.ClientAddresses("west-1", "west", readyStatus, nil, now), "the region when the zone has none")
 	later := now.Add(DeadAfter)
-	require.Equal(t, []string{"west0:80"}, m.Entries("east-0", "east", readyStatus, nil, later), "the dead are not named")
-	require.Empty(t, m.Entries("east-0", "east", Status{}, nil, later))
+	require.Equal(t, []string{"west0:80"}, m.ClientAddresses("east-0", "east", readyStatus, nil, later), "the dead are not named")
+	require.Empty(t, m.ClientAddresses("east-0", "east", Status{}, nil, later))
 }
 
 func TestEntriesPreferTheRegionsAllowed(t *testing.T) {
 	now := time.Now()
 	m := nine("west0", now)
-	require.Equal(t, []string{"south0:80", "south1:80", "south2:80"}, m.Entries("north-0", "north", readyStatus, []string{"south"}, now))
+	require.Equal(t, []string{"south0:80", "south1:80", "south2:80"}, m.ClientAddresses("north-0", "north", readyStatus, []string{"south"}, now))
 }
 
 // Whatever the hosts believe of each other, together they send a cold
@@ -73,7 +73,7 @@
 			if beliefs>>(i%3)&1 == 1 { // this one hears nobody
 				at = now.Add(DeadAfter + time.Second)
 			}
-			sum += m.ColdPart("i-1", "west", total, at)
+			sum += m.WarmUpQuota("i-1", "west", total, at)
 		}
 		require.LessOrEqual(t, sum, total)
 		require.Positive(t, sum)
@@ -95,9 +95,9 @@
 		for _, self := range all {
 			m := NewMembers(self)
 			for _, h := range all {
-				m.Heard(h, readyStatus, now)
+				m.RecordHeartbeat(h, readyStatus, now)
 			}
-			n := m.ColdPart(fmt.Sprint("i-", upstream), "west", total, now)
+			n := m.WarmUpQuota(fmt.Sprint("i-", upstream), "west", total, now)
 			sum += n
 			if n > 0 {
 				served[self.Name] = true
@@ -129,9 +129,9 @@
 		}
 		m := nine(name, now)
 		later := now.Add(DeadAfter)
-		m.Heard(host("west0", "west-0", "west"), readyStatus, later)
-		m.Heard(host("west1", "west-0", "west"), readyStatus, later)
-		m.Heard(host("west2", "west-1", "west"), readyStatus, later)
+		m.RecordHeartbeat(host("west0", "west-0", "west"), readyStatus, later)
+		m.RecordHeartbeat(host("west1", "west-0", "west"), readyStatus, later)
+		m.RecordHeartbeat(host("west2", "west-1", "west"), readyStatus, later)
 		m.forget(gone)
 		h, _ := m.source(true, later)
 		require.NotEqual(t, gone, h.Name)
@@ -147,7 +147,7 @@
 	for i := range hosts {
 		m := NewMembers(host(fmt.Sprint("west", i), "west-0", "west"))
 		for j := range hosts {
-			m.Heard(host(fmt.Sprint("west", j), "west-0", "west"), readyStatus, now)
+			m.RecordHeartbeat(host(fmt.Sprint("west", j), "west-0", "west"), readyStatus, now)
 		}
 		h, self := m.source(true, now)
 		if self {
@@ -178,7 +178,7 @@
 			m := NewMembers(host(fmt.Sprint("west", i), "west-0", "west"))
 			for j := range 3 {
 				if i != j && beliefs>>(2*i+(j+3-i)%3-1)&1 == 1 {
-					m.Heard(host(fmt.Sprint("west", j), "west-0", "west"), readyStatus, now)
+					m.RecordHeartbeat(host(fmt.Sprint("west", j), "west-0", "west"), readyStatus, now)
 				}
 			}
 			if h, self := m.source(true, now); !self {
@@ -202,7 +202,7 @@
 	for _, name := range []string{"west0", "west1", "west2"} {
 		m := nine(name, now)
 		for _, p := range m.Peers() {
-			m.Heard(p.Host, Status{}, now)
+			m.RecordHeartbeat(p.Host, Status{}, now)
 		}
 		if _, self := m.source(false, now); self {
 			asking++
@@ -216,13 +216,13 @@
 func TestAHostThatIsSilentIsToldOnceAndForgottenLater(t *testing.T) {
 	now := time.Now()
 	m := nine("west0", now)
-	m.Contacts(now)
-	dead := m.Silent(now, now.Add(DeadAfter))
-	require.Len(t, dead, 2+2*farFanout, "those it exchanges heartbeats with")
-	require.Empty(t, m.Silent(now.Add(DeadAfter), now.Add(DeadAfter+time.Second)))
+	m.HeartbeatPeers(now)
+	dead := m.TakeExpired(now, now.Add(DeadAfter))
+	require.Len(t, dead, 2+2*remoteFanout, "those it exchanges heartbeats with")
+	require.Empty(t, m.TakeExpired(now.Add(DeadAfter), now.Add(DeadAfter+time.Second)))
 	all, _, _ := m.Count("west", now.Add(DeadAfter))
 	require.Equal(t, 9, all, "limits stay split over hosts that may only be silent")
-	m.Silent(now, now.Add(2*forgetAfter))
+	m.TakeExpired(now, now.Add(2*forgetAfter))
 	all, _, _ = m.Count("west", now)
 	require.Equal(t, 1, all)
 }
@@ -241,16 +241,16 @@
 	for _, self := range all {
 		m := NewMembers(self)
 		for _, h := range all {
-			m.Heard(h, readyStatus, now)
+			m.RecordHeartbeat(h, readyStatus, now)
 		}
-		contacts := m.Contacts(now)
-		require.Len(t, contacts, regionHosts-1+2*farFanout)
+		contacts := m.HeartbeatPeers(now)
+		require.Len(t, contacts, regionHosts-1+2*remoteFanout)
 		for _, p := range contacts {
 			followers[p.Host.Name]++
 		}
 	}
 	for _, h := range all {
-		require.LessOrEqual(t, followers[h.Name], regionHosts-1+6*farFanout, "choices are spread")
+		require.LessOrEqual(t, followers[h.Name], regionHosts-1+6*remoteFanout, "choices are spread")
 	}
 }
 
@@ -258,20 +258,20 @@
 	now := time.Now()
 	m := nine("west0", now)
 	var chosen []string
-	for _, p := range m.Contacts(now) {
+	for _, p := range m.HeartbeatPeers(now) {
 		if p.Host.Region == "east" {
 			chosen = append(chosen, p.Host.Name)
 		}
 	}
-	require.Len(t, chosen, farFanout)
+	require.Len(t, chosen, remoteFanout)
 	later := now.Add(DeadAfter)
 	for _, p := range m.Peers() {
 		if p.Host.Name != chosen[0] {
-			m.Heard(p.Host, readyStatus, later)
+			m.RecordHeartbeat(p.Host, readyStatus, later)
 		}
 	}
 	east := 0
-	for _, p := range m.Contacts(later) {
+	for _, p := range m.HeartbeatPeers(later) {
 		if p.Host.Region == "east" {
 			east++
 		}
@@ -284,8 +284,8 @@
 	now := time.Now()
 	m := nine("west0", now)
 	later := now.Add(forgetAfter + time.Second)
-	m.Known(host("east0", "east-0", "east"), later.Add(-askEvery))
-	m.Silent(later, later)
+	m.AddKnown(host("east0", "east-0", "east"), later.Add(-askEvery))
+	m.TakeExpired(later, later)
 	all, _, _ := m.Count("west", later)
 	require.Equal(t, 2, all)
 }
@@ -295,7 +295,7 @@
 	f := New(Options{Self: host("west0", "west-0", "west")})
 	require.Equal(t, askAll, f.ask("", now))
 	require.Equal(t, askNothing, f.ask("east", now), "one at a time")
-	now = now.Add(beatTimeout)
+	now = now.Add(heartbeatTimeout)
 	require.Equal(t, askAll, f.ask("east", now), "the first did not answer")
 	f.asked = true
 	require.Equal(t, askRegion, f.ask("east", now))
@@ -310,21 +310,21 @@
 	f := New(Options{Self: host("west0", "west-0", "west")})
 	other := host("west1", "west-0", "west")
 	now := time.Now()
-	f.members.Heard(other, readyStatus, now)
+	f.members.RecordHeartbeat(other, readyStatus, now)
 	f.next[other.Name] = now
 	f.postpone(other.Name)
-	require.Empty(t, f.due(now.Add(beatEvery/2)))
-	require.Len(t, f.due(now.Add(2*beatEvery)), 1)
-	require.Less(t, beatEvery+tick+beatTimeout, DeadAfter, "a host that only answers is not taken for dead")
+	require.Empty(t, f.due(now.Add(heartbeatEvery/2)))
+	require.Len(t, f.due(now.Add(2*heartbeatEvery)), 1)
+	require.Less(t, heartbeatEvery+tick+heartbeatTimeout, DeadAfter, "a host that only answers is not taken for dead")
 }
 
 func TestARestartIsANewLife(t *testing.T) {
 	now := time.Now()
 	m := nine("west0", now)
 	h := host("west1", "west-0", "west")
-	require.False(t, m.Heard(h, readyStatus, now))
+	require.False(t, m.RecordHeartbeat(h, readyStatus, now))
 	h.Incarnation = "2"
-	require.True(t, m.Heard(h, readyStatus, now))
+	require.True(t, m.RecordHeartbeat(h, readyStatus, now))
 }
 
 // registry is a list of hosts in memory.
@@ -402,7 +402,7 @@
 	a := startFleet(t, r, host("a", "z", "west"), nil)
 	b := startFleet(t, r, host("b", "z", "west"), nil)
 	for _, f := range []*Fleet{a, b} {
-		require.Eventually(t, func() bool { return len(f.Entries("z", "west", nil)) == 2 }, 3*time.Second, 20*time.Millisecond)
+		require.Eventually(t, func() bool { return len(f.ClientAddresses("z", "west", nil)) == 2 }, 3*time.Second, 20*time.Millisecond)
 	}
 }
 
@@ -412,7 +412,7 @@
 	b := startFleet(t, r, host("b", "z", "west"), []string{a.members.Self().PeerAddress})
 	c := startFleet(t, r, host("c", "z", "west"), []string{a.members.Self().PeerAddress})
 	for _, f := range []*Fleet{a, b, c} {
-		require.Eventually(t, func() bool { return len(f.Entries("z", "west", nil)) >= 2 }, 3*time.Second, 20*time.Millisecond)
+		require.Eventually(t, func() bool { return len(f.ClientAddresses("z", "west", nil)) >= 2 }, 3*time.Second, 20*time.Millisecond)
 	}
 }
 
@@ -424,7 +424,7 @@
 	b := startFleet(t, r, host("b", "z", "west"), nil, Table{Replica: watch.NewReplica(), Store: store})
 	from := relay{fleet: b, address: a.members.Self().PeerAddress}
 	_, err := from.List(t.Context())
-	require.ErrorIs(t, err, watch.ErrGap, "a host that knows nothing says so")
+	require.ErrorIs(t, err, watch.ErrHistoryGone, "a host that knows nothing says so")
 	require.Eventually(t, func() bool { return len(b.Sources(0)) >= 1 }, time.Second, 10*time.Millisecond)
 }
 
@@ -432,7 +432,7 @@
 	r := &registry{hosts: map[string]Host{}}
 	a := startFleet(t, r, host("a", "z", "west"), nil)
 	b := startFleet(t, r, host("b", "z", "west"), nil)
-	_, err := peer.Call[relayReply](t.Context(), b.mesh, a.members.Self().PeerAddress, peer.KindTicket, beat{})
+	_, err := peer.Call[relayReply](t.Context(), b.mesh, a.members.Self().PeerAddress, peer.KindTicket, heartbeat{})
 	require.Error(t, err)
 	_, err = peer.Call[relayReply](t.Context(), b.mesh, a.members.Self().PeerAddress, peer.KindChanges, relayRequest{Table: 7})
 	require.Error(t, err)
--- a/internal/gateway/fleet/beat.go
+++ b/internal/gateway/fleet/heartbeat.go
@@ -13,12 +13,12 @@
 const (
 	// beatEvery is the pace of heartbeats to a peer that answers, and
 	// retryEvery the one to a peer that does not.
-	beatEvery  = 800 * time.Millisecond
-	retryEvery = 2 * time.Second
+	heartbeatEvery = 800 * time.Millisecond
+	retryEvery     = 2 * time.Second
 	// tick is the pace of the loop that looks who is due.
 	tick = 200 * time.Millisecond
 	// beatTimeout bounds a heartbeat.
-	beatTimeout = 700 * time.Millisecond
+	heartbeatTimeout = 700 * time.Millisecond
 	// registryEvery is how often the registry is tried until it answers.
 	registryEvery = 500 * time.Millisecond
 )
@@ -38,37 +38,37 @@
 }
 
 // Judge takes what the hosts of the own region saw of upstreams.
-type Judge interface {
-	Take(host string, suspects []outlier.Suspect, now time.Time)
+type ObservationSink interface {
+	Merge(host string, suspects []outlier.Observation, now time.Time)
 }
 
 // beat is a heartbeat and its answer.
-type beat struct {
+type heartbeat struct {
 	Host   Host   `msgpack:"h"`
 	Status Status `msgpack:"s"`
 	// Ask says that the sender wants to know of other hosts. The answer
 	// then has Hosts.
-	Ask   asking `msgpack:"a,omitempty"`
-	Hosts []Host `msgpack:"l,omitempty"`
+	Ask   hostQuery `msgpack:"a,omitempty"`
+	Hosts []Host    `msgpack:"l,omitempty"`
 }
 
 // Fleet exchanges heartbeats with the other hosts.
 type Fleet struct {
-	registry Registry
-	report   Reporter
-	judge    Judge
-	status   func() Status
-	mesh     *peer.Mesh
-	seeds    []string
+	registry     Registry
+	report       Reporter
+	observations ObservationSink
+	status       func() Status
+	mesh         *peer.Mesh
+	seeds        []string
 
 	tables []Table
 	maxAge time.Duration
 
-	mu      sync.Mutex
-	newest  []noted
-	members *Members
-	next    map[string]time.Time
-	hurried time.Time
+	mu         sync.Mutex
+	newest     []versionSeen
+	members    *Members
+	next       map[string]time.Time
+	sentSoonAt time.Time
 	// asked says that some peer has told of the others, and askedAt when
 	// each other region was last asked for its hosts.
 	asked   bool
@@ -78,10 +78,10 @@
 
 // Options is what a fleet is made of.
 type Options struct {
-	Self     Host
-	Registry Registry
-	Report   Reporter
-	Judge    Judge
+	Self         Host
+	Registry     Registry
+	Report       Reporter
+	Observations ObservationSink
 	// Status tells the host's own state.
 	Status func() Status
 	// Seeds are peer addresses that may lead to other hosts.
@@ -96,9 +96,9 @@
 // New makes a fleet.
 func New(o Options) *Fleet {
 	f := &Fleet{
-		registry: o.Registry, report: o.Report, judge: o.Judge, status: o.Status, seeds: o.Seeds,
+		registry: o.Registry, report: o.Report, observations: o.Observations, status: o.Status, seeds: o.Seeds,
 		members: NewMembers(o.Self), next: map[string]time.Time{}, askedAt: map[string]time.Time{},
-		tables: o.Tables, maxAge: o.MaxAge, newest: make([]noted, len(o.Tables)),
+		tables: o.Tables, maxAge: o.MaxAge, newest: make([]versionSeen, len(o.Tables)),
 	}
 	hello := peer.Hello{Host: o.Self.Name, Zone: o.Self.Zone, Incarnation: o.Self.Incarnation}
 	f.mesh = peer.NewMesh(hello, o.Transport, f)
@@ -117,7 +117,7 @@
 	}()
 	go func() {
 		defer f.wait.Done()
-		f.beatLoop(ctx)
+		f.heartbeatLoop(ctx)
 	}()
 	return nil
 }
@@ -131,7 +131,7 @@
 // Withdraw strikes the host out of the registry and tells the others that it
 // leaves, as well as it can.
 func (f *Fleet) Withdraw(ctx context.Context) {
-	f.beatAll(ctx)
+	f.heartbeatAll(ctx)
 	_ = f.registry.Withdraw(ctx, f.members.Self())
 }
 
@@ -142,7 +142,7 @@
 		if err == nil {
 			var hosts []Host
 			if hosts, err = f.registry.Hosts(ctx); err == nil {
-				f.known(hosts)
+				f.addKnown(hosts)
 				return
 			}
 		}
@@ -153,16 +153,16 @@
 	}
 }
 
-func (f *Fleet) known(hosts []Host) {
+func (f *Fleet) addKnown(hosts []Host) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
 	for _, h := range hosts {
-		f.members.Known(h, now)
+		f.members.AddKnown(h, now)
 	}
 }
 
-func (f *Fleet) beatLoop(ctx context.Context) {
+func (f *Fleet) heartbeatLoop(ctx context.Context) {
 	f.askSeeds(ctx)
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
@@ -175,10 +175,10 @@
 		}
 		now := time.Now()
 		for _, p := range f.due(now) {
-			go f.beatOne(ctx, p.Host)
+			go f.exchangeHeartbeat(ctx, p.Host)
 		}
 		f.mu.Lock()
-		dead := f.members.Silent(last, now)
+		dead := f.members.TakeExpired(last, now)
 		f.mu.Unlock()
 		for _, h := range dead {
 			f.report.Lost("peer", h.Name, context.DeadlineExceeded)
@@ -191,7 +191,7 @@
 func (f *Fleet) askSeeds(ctx context.Context) {
 	for _, address := range f.seeds {
 		if address != f.members.Self().PeerAddress {
-			go f.beatOne(ctx, Host{PeerAddress: address})
+			go f.exchangeHeartbeat(ctx, Host{PeerAddress: address})
 		}
 	}
 }
@@ -201,12 +201,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var due []*Peer
-	for _, p := range f.members.Contacts(now) {
+	for _, p := range f.members.HeartbeatPeers(now) {
 		name := p.Host.Name
 		if now.Before(f.next[name]) {
 			continue
 		}
-		pause := beatEvery
+		pause := heartbeatEvery
 		if !p.Alive(now) {
 			pause = retryEvery
 		}
@@ -216,7 +216,7 @@
 	return due
 }
 
-func (f *Fleet) beatAll(ctx context.Context) {
+func (f *Fleet) heartbeatAll(ctx context.Context) {
 	f.mu.Lock()
 	peers := f.members.Peers()
 	f.mu.Unlock()
@@ -225,7 +225,7 @@
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			f.beatOne(ctx, p.Host)
+			f.exchangeHeartbeat(ctx, p.Host)
 		}()
 	}
 	wait.Wait()
@@ -233,21 +233,21 @@
 
 // beatOne exchanges a heartbeat with a host; of a seed only the address is
 // known.
-func (f *Fleet) beatOne(ctx context.Context, to Host) {
-	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
+func (f *Fleet) exchangeHeartbeat(ctx context.Context, to Host) {
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	f.mu.Lock()
 	ask := f.ask(to.Region, time.Now())
 	f.mu.Unlock()
-	message := beat{Host: f.members.Self(), Status: f.status(), Ask: ask}
-	reply, err := peer.Call[beat](ctx, f.mesh, to.PeerAddress, peer.KindHeartbeat, message)
+	message := heartbeat{Host: f.members.Self(), Status: f.status(), Ask: ask}
+	reply, err := peer.Call[heartbeat](ctx, f.mesh, to.PeerAddress, peer.KindHeartbeat, message)
 	if err != nil {
 		// What a cut holds up must not delay the heartbeats after it.
 		f.mesh.Drop(to.PeerAddress)
 		return
 	}
-	f.heard(reply)
-	f.known(reply.Hosts)
+	f.recordHeartbeat(reply)
+	f.addKnown(reply.Hosts)
 	if ask == askAll {
 		f.mu.Lock()
 		f.asked = true
@@ -255,20 +255,20 @@
 	}
 }
 
-func (f *Fleet) heard(b beat) {
+func (f *Fleet) recordHeartbeat(b heartbeat) {
 	now := time.Now()
 	f.mu.Lock()
-	back := f.members.Heard(b.Host, b.Status, now)
-	f.noteChanges(b.Status, now)
+	back := f.members.RecordHeartbeat(b.Host, b.Status, now)
+	f.recordVersions(b.Status, now)
 	if back {
-		f.next[b.Host.Name] = now.Add(beatEvery)
+		f.next[b.Host.Name] = now.Add(heartbeatEvery)
 	}
 	f.mu.Unlock()
 	if back {
 		f.report.Regained("peer", b.Host.Name, 0)
 	}
-	if f.judge != nil && b.Host.Region == f.members.Self().Region {
-		f.judge.Take(b.Host.Name, b.Status.Suspects, now)
+	if f.observations != nil && b.Host.Region == f.members.Self().Region {
+		f.observations.Merge(b.Host.Name, b.Status.Observations, now)
 	}
 }
 
@@ -276,7 +276,7 @@
 func (f *Fleet) ServePeer(ctx context.Context, _ peer.Hello, kind peer.Kind, payload []byte, w *peer.Responder) {
 	switch kind {
 	case peer.KindHeartbeat:
-		f.serveBeat(payload, w)
+		f.serveHeartbeat(payload, w)
 	case peer.KindChanges:
 		f.serveRelay(ctx, payload, w)
 	default:
@@ -284,15 +284,15 @@
 	}
 }
 
-func (f *Fleet) serveBeat(payload []byte, w *peer.Responder) {
-	b, err := peer.Decode[beat](payload)
+func (f *Fleet) serveHeartbeat(payload []byte, w *peer.Responder) {
+	b, err := peer.Decode[heartbeat](payload)
 	if err != nil {
 		_ = w.Fail()
 		return
 	}
-	f.heard(b)
+	f.recordHeartbeat(b)
 	f.postpone(b.Host.Name)
-	reply := beat{Host: f.members.Self(), Status: f.status()}
+	reply := heartbeat{Host: f.members.Self(), Status: f.status()}
 	if b.Ask != askNothing {
 		reply.Hosts = f.hosts(b.Ask)
 	}
@@ -304,10 +304,10 @@
 func (f *Fleet) postpone(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.next[name] = time.Now().Add(beatEvery)
+	f.next[name] = time.Now().Add(heartbeatEvery)
 }
 
-func (f *Fleet) hosts(ask asking) []Host {
+func (f *Fleet) hosts(ask hostQuery) []Host {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if ask == askRegion {
@@ -321,18 +321,18 @@
 }
 
 // Entries gives the addresses that callers should use.
-func (f *Fleet) Entries(zone, region string, allowed []string) []string {
+func (f *Fleet) ClientAddresses(zone, region string, allowed []string) []string {
 	status := f.status()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.members.Entries(zone, region, status, allowed, time.Now())
+	return f.members.ClientAddresses(zone, region, status, allowed, time.Now())
 }
 
 // ColdRate gives the host's part of a cold upstream's rate.
-func (f *Fleet) ColdRate(upstream, region string, total float64) int {
+func (f *Fleet) WarmUpQuota(upstream, region string, total float64) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.members.ColdPart(upstream, region, total, time.Now())
+	return f.members.WarmUpQuota(upstream, region, total, time.Now())
 }
 
 // Hosts is how many hosts are known, this one included.
--- a/internal/gateway/fleet/contacts.go
+++ b/internal/gateway/fleet/heartbeatpeers.go
@@ -5,25 +5,25 @@
 // farFanout is how many living hosts of each other region a host exchanges
 // heartbeats with, so that heartbeats between regions grow with hosts and not
 // with their square. About as many of each region choose this one.
-const farFanout = 2
+const remoteFanout = 2
 
 // Contacts gives the peers that the host exchanges heartbeats with: all of
 // its own region, and of each other region the first in an order of its own
 // until enough of them live. The dead before those are tried again, too.
-func (m *Members) Contacts(now time.Time) []*Peer {
+func (m *Members) HeartbeatPeers(now time.Time) []*Peer {
 	x := m.indexed()
 	contacts := m.peersOf(x.byRegion[m.self.Region])
-	for _, name := range m.followedFar {
+	for _, name := range m.remoteHeartbeats {
 		if p := m.peers[name]; p != nil {
-			p.followed = false
+			p.heartbeats = false
 		}
 	}
-	m.followedFar = m.followedFar[:0]
-	for _, names := range x.far {
+	m.remoteHeartbeats = m.remoteHeartbeats[:0]
+	for _, names := range x.remote {
 		contacts = append(contacts, m.nearest(names, now)...)
 	}
 	for _, p := range contacts {
-		p.followed = true
+		p.heartbeats = true
 	}
 	return contacts
 }
@@ -36,11 +36,11 @@
 	for _, name := range names {
 		p := m.peers[name]
 		peers = append(peers, p)
-		m.followedFar = append(m.followedFar, name)
+		m.remoteHeartbeats = append(m.remoteHeartbeats, name)
 		if p.Alive(now) {
 			alive++
 		}
-		if alive == farFanout {
+		if alive == remoteFanout {
 			break
 		}
 	}
@@ -63,10 +63,10 @@
 const askEvery = 15 * time.Second
 
 // asking is what a heartbeat wants to know of other hosts.
-type asking uint8
+type hostQuery uint8
 
 const (
-	askNothing asking = iota
+	askNothing hostQuery = iota
 	// askRegion asks for the hosts that live in the other's region.
 	askRegion
 	// askAll asks for all hosts that the other knows.
@@ -76,10 +76,10 @@
 // ask decides what a heartbeat to a peer asks for, and notes it; f.mu is held.
 // A host that has just started asks one after the other for all hosts, until
 // one has answered.
-func (f *Fleet) ask(region string, now time.Time) asking {
+func (f *Fleet) ask(region string, now time.Time) hostQuery {
 	every, what := askEvery, askRegion
 	if !f.asked {
-		region, every, what = "", beatTimeout, askAll
+		region, every, what = "", heartbeatTimeout, askAll
 	}
 	if f.asked && (region == "" || region == f.members.Self().Region) {
 		return askNothing
@@ -94,22 +94,22 @@
 const (
 	// hurryEvery bounds how often the hosts of the region are told news out
 	// of turn, for each hurryHosts of them.
-	hurryEvery = 250 * time.Millisecond
-	hurryHosts = 30
+	sendSoonEvery = 250 * time.Millisecond
+	sendSoonHosts = 30
 )
 
 // Hurry tells the hosts of the own region soon what the host's status says
 // now.
-func (f *Fleet) Hurry() {
+func (f *Fleet) SendSoon() {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	region := f.members.Region(now)
-	pause := hurryEvery * time.Duration(1+len(region)/hurryHosts)
-	if now.Sub(f.hurried) < pause {
+	pause := sendSoonEvery * time.Duration(1+len(region)/sendSoonHosts)
+	if now.Sub(f.sentSoonAt) < pause {
 		return
 	}
-	f.hurried = now
+	f.sentSoonAt = now
 	for _, h := range region {
 		f.next[h.Name] = now
 	}
--- a/internal/gateway/fleet/index.go
+++ b/internal/gateway/fleet/index.go
@@ -14,7 +14,7 @@
 	byZone   map[string][]string
 	byRegion map[string][]string
 	// far has the hosts of each other region in an order of this host's own.
-	far map[string][]string
+	remote map[string][]string
 }
 
 // indexed gives the index of the hosts known now.
@@ -26,7 +26,7 @@
 }
 
 func (m *Members) newIndex() *index {
-	x := &index{byZone: map[string][]string{}, byRegion: map[string][]string{}, far: map[string][]string{}}
+	x := &index{byZone: map[string][]string{}, byRegion: map[string][]string{}, remote: map[string][]string{}}
 	for name := range m.peers {
 		x.names = append(x.names, name)
 	}
@@ -38,7 +38,7 @@
 	}
 	for region, names := range x.byRegion {
 		if region != m.self.Region {
-			x.far[region] = m.ranked(names)
+			x.remote[region] = m.ranked(names)
 		}
 	}
 	return x
--- a/internal/gateway/fleet/relay.go
+++ b/internal/gateway/fleet/relay.go
@@ -57,7 +57,7 @@
 		return watch.Page{}, eris.Wrap(err, "ask relay")
 	}
 	if reply.Gap {
-		return watch.Page{}, watch.ErrGap
+		return watch.Page{}, watch.ErrHistoryGone
 	}
 	return reply.Page, nil
 }
@@ -76,7 +76,7 @@
 	} else {
 		page, err = replica.ChangesWithin(ctx, q.After, min(q.Wait, maxRelayWait), q.MaxAge)
 	}
-	if err != nil && !errors.Is(err, watch.ErrGap) {
+	if err != nil && !errors.Is(err, watch.ErrHistoryGone) {
 		_ = w.Fail()
 		return
 	}
@@ -100,28 +100,28 @@
 // asks the store, and the others ask that host or one that asks it, so that the
 // store's load grows with regions and not with hosts. Whoever finds its first source
 // failing asks the store, and then hosts of other regions.
-func (f *Fleet) Sources(table int) []watch.Named {
-	store := watch.Named{Name: storeName, Source: f.tables[table].Store}
+func (f *Fleet) Sources(table int) []watch.NamedSource {
+	store := watch.NamedSource{Name: storeName, Source: f.tables[table].Store}
 	selfReady := f.status().Ready
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
 	source, self := f.members.source(selfReady, now)
 	if self {
-		return append([]watch.Named{store}, f.relays(table, f.members.fresh(now), "")...)
+		return append([]watch.NamedSource{store}, f.relays(table, f.members.fresh(now), "")...)
 	}
 	store.Fallback = true
 	first := f.relay(table, source)
-	sources := []watch.Named{first, store}
+	sources := []watch.NamedSource{first, store}
 	return append(sources, f.relays(table, f.members.fresh(now), first.Name)...)
 }
 
-func (f *Fleet) relay(table int, h Host) watch.Named {
-	return watch.Named{Name: h.Name, Source: relay{fleet: f, address: h.PeerAddress, table: table}, Relay: true}
+func (f *Fleet) relay(table int, h Host) watch.NamedSource {
+	return watch.NamedSource{Name: h.Name, Source: relay{fleet: f, address: h.PeerAddress, table: table}, Relay: true}
 }
 
-func (f *Fleet) relays(table int, hosts []Host, but string) []watch.Named {
-	var relays []watch.Named
+func (f *Fleet) relays(table int, hosts []Host, but string) []watch.NamedSource {
+	var relays []watch.NamedSource
 	for _, h := range hosts {
 		if h.Name == but {
 			continue
@@ -135,7 +135,7 @@
 
 // Newest gives the version of the newest change of a table that another host
 // has told of, and for how long that has been known.
-func (f *Fleet) Newest(table int) (int64, time.Duration) {
+func (f *Fleet) NewestKnown(table int) (int64, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := f.newest[table]
@@ -146,16 +146,16 @@
 }
 
 // noted is a change that another host has told of.
-type noted struct {
+type versionSeen struct {
 	version int64
 	at      time.Time
 }
 
 // noteChanges takes down which changes another host knows; f.mu is held.
-func (f *Fleet) noteChanges(s Status, now time.Time) {
+func (f *Fleet) recordVersions(s Status, now time.Time) {
 	for table, version := range s.Changes {
 		if table < len(f.newest) && version > f.newest[table].version {
-			f.newest[table] = noted{version, now}
+			f.newest[table] = versionSeen{version, now}
 		}
 	}
 }
--- a/internal/gateway/outlier/judge.go
+++ b/internal/gateway/outlier/detector.go
@@ -15,8 +15,8 @@
 	window = 1600 * time.Millisecond
 	// minBad is how many bad ends in a window speak against an upstream,
 	// unless more than goodPerBad times as many went well.
-	minBad     = 3
-	goodPerBad = 1.5
+	minFailures     = 3
+	maxSuccessRatio = 1.5
 	// firstEjection is how long an upstream is avoided at first; it doubles
 	// each time that it is found bad again, up to maxEjection.
 	firstEjection = 2 * time.Second
@@ -25,21 +25,21 @@
 	// first again.
 	forgiveAfter = 5 * time.Second
 	// maxSuspects bounds the upstreams that a host tells the others of.
-	maxSuspects = 32
+	maxObservations = 32
 )
 
 // Suspect is what one host saw of an upstream in the last window.
-type Suspect struct {
-	Upstream string `msgpack:"u"`
-	Bad      int    `msgpack:"b"`
-	Good     int    `msgpack:"g,omitempty"`
+type Observation struct {
+	Upstream  string `msgpack:"u"`
+	Failures  int    `msgpack:"b"`
+	Successes int    `msgpack:"g,omitempty"`
 }
 
 // Finding is why an upstream is avoided.
-type Finding struct {
-	Upstream string
-	Bad      int
-	Good     int
+type Ejection struct {
+	Upstream  string
+	Failures  int
+	Successes int
 	// Hosts is how many hosts saw something bad.
 	Hosts int
 	For   time.Duration
@@ -49,96 +49,105 @@
 type Reporter interface {
 	// Suspected says that there is something bad that other hosts should
 	// learn of soon.
-	Suspected()
+	FailureSeen()
 	// Ejected says that an upstream is avoided from now on.
-	Ejected(Finding)
+	Ejected(Ejection)
 }
 
 // Judge keeps the evidence on all upstreams.
-type Judge struct {
+type Detector struct {
 	report Reporter
 
 	mu        sync.Mutex
-	services  map[string]*usual
+	baselines map[string]*latencyBaseline
 	upstreams map[string]*evidence
 }
 
 // evidence is what is known against and for one upstream.
 type evidence struct {
-	own    tally
-	others map[string]told
+	own         counter
+	peers       map[string]peerReport
+	consecutive consecutive
 
 	ejectedUntil time.Time
 	pause        time.Duration
 }
 
 // told is what another host saw, and when it said so.
-type told struct {
-	bad, good int
-	at        time.Time
+type peerReport struct {
+	failures, successes int
+	at                  time.Time
 }
 
 // New makes a judge.
-func New(report Reporter) *Judge {
-	return &Judge{report: report, services: map[string]*usual{}, upstreams: map[string]*evidence{}}
+func New(report Reporter) *Detector {
+	return &Detector{report: report, baselines: map[string]*latencyBaseline{}, upstreams: map[string]*evidence{}}
 }
 
 // Patience is how long an answer of a service may take before it speaks
 // against its upstream, for a load in the upstream's capacities; zero is not
 // known yet.
-func (j *Judge) Patience(service string, load float64) time.Duration {
+func (j *Detector) OverdueAfter(service string, load float64) time.Duration {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	u := j.services[service]
+	u := j.baselines[service]
 	if u == nil {
 		return 0
 	}
-	return u.patience(load)
+	return u.overdueAfter(load)
 }
 
 // Good notes an answer that came in time.
-func (j *Judge) Good(service, upstream string, took time.Duration, now time.Time) {
+func (j *Detector) RecordSuccess(service, upstream string, took time.Duration, now time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.usual(service).add(took)
+	j.baseline(service).add(took)
 	j.evidence(upstream).own.add(now, 0, 1)
 }
 
 // Slow notes how long an answer took that came too late to be good, so that
 // what is usual follows a service that has grown slow as a whole.
-func (j *Judge) Slow(service string, took time.Duration) {
+func (j *Detector) RecordLatency(service string, took time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.usual(service).add(took)
+	j.baseline(service).add(took)
 }
 
 // Bad notes a failure, or that an answer is overdue.
-func (j *Judge) Bad(upstream string, now time.Time) {
+func (j *Detector) RecordFailure(upstream string, now time.Time) {
 	j.mu.Lock()
 	e := j.evidence(upstream)
 	e.own.add(now, 1, 0)
-	finding, found := e.weigh(upstream, now)
+	finding, found := e.evaluate(upstream, now)
 	j.mu.Unlock()
-	j.report.Suspected()
+	j.report.FailureSeen()
 	if found {
 		j.report.Ejected(finding)
 	}
 }
 
-// Take takes over what another host saw.
-func (j *Judge) Take(host string, suspects []Suspect, now time.Time) {
-	var findings []Finding
+// RecordOutcome notes how a request ended that was sent to an upstream, for
+// this host's own count of failures in a row.
+func (j *Detector) RecordOutcome(upstream string, o Outcome, now time.Time) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	j.evidence(upstream).consecutive.record(o, now)
+}
+
+// Merge takes over what another host saw.
+func (j *Detector) Merge(host string, suspects []Observation, now time.Time) {
+	var findings []Ejection
 	j.mu.Lock()
 	for _, s := range suspects {
 		e := j.evidence(s.Upstream)
 		if now.Before(e.ejectedUntil) {
 			continue // what led to the ejection must not count again after it
 		}
-		if e.others == nil {
-			e.others = map[string]told{}
+		if e.peers == nil {
+			e.peers = map[string]peerReport{}
 		}
-		e.others[host] = told{bad: s.Bad, good: s.Good, at: now}
-		if f, found := e.weigh(s.Upstream, now); found {
+		e.peers[host] = peerReport{failures: s.Failures, successes: s.Successes, at: now}
+		if f, found := e.evaluate(s.Upstream, now); found {
 			findings = append(findings, f)
 		}
 	}
@@ -150,17 +159,17 @@
 
 // Suspects gives what the host tells the others: the upstreams at which it
 // saw something bad, and those that others suspect and it found good.
-func (j *Judge) Suspects(now time.Time) []Suspect {
+func (j *Detector) Observations(now time.Time) []Observation {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	var suspects []Suspect
+	var suspects []Observation
 	for id, e := range j.upstreams {
 		bad, good := e.own.count(now)
-		if bad == 0 && (good == 0 || !e.suspected(now)) {
+		if bad == 0 && (good == 0 || !e.failingAtPeer(now)) {
 			continue
 		}
-		suspects = append(suspects, Suspect{Upstream: id, Bad: bad, Good: good})
-		if len(suspects) == maxSuspects {
+		suspects = append(suspects, Observation{Upstream: id, Failures: bad, Successes: good})
+		if len(suspects) == maxObservations {
 			break
 		}
 	}
@@ -168,15 +177,15 @@
 }
 
 // Ejected reports whether an upstream is to be avoided.
-func (j *Judge) Ejected(upstream string, now time.Time) bool {
+func (j *Detector) Ejected(upstream string, now time.Time) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	e := j.upstreams[upstream]
-	return e != nil && now.Before(e.ejectedUntil)
+	return e != nil && (now.Before(e.ejectedUntil) || now.Before(e.consecutive.ejectedUntil))
 }
 
 // Keep forgets the upstreams that keep does not name.
-func (j *Judge) Keep(keep func(id string) bool) {
+func (j *Detector) Retain(keep func(id string) bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for id := range j.upstreams {
@@ -186,7 +195,7 @@
 	}
 }
 
-func (j *Judge) evidence(upstream string) *evidence {
+func (j *Detector) evidence(upstream string) *evidence {
 	e := j.upstreams[upstream]
 	if e == nil {
 		e = &evidence{}
@@ -195,19 +204,19 @@
 	return e
 }
 
-func (j *Judge) usual(service string) *usual {
-	u := j.services[service]
+func (j *Detector) baseline(service string) *latencyBaseline {
+	u := j.baselines[service]
 	if u == nil {
-		u = &usual{}
-		j.services[service] = u
+		u = &latencyBaseline{}
+		j.baselines[service] = u
 	}
 	return u
 }
 
 // suspected reports whether another host saw something bad lately.
-func (e *evidence) suspected(now time.Time) bool {
-	for _, t := range e.others {
-		if t.bad > 0 && now.Sub(t.at) < window {
+func (e *evidence) failingAtPeer(now time.Time) bool {
+	for _, t := range e.peers {
+		if t.failures > 0 && now.Sub(t.at) < window {
 			return true
 		}
 	}
@@ -216,28 +225,28 @@
 
 // weigh adds all evidence up, and ejects the upstream when it speaks against
 // it. What was seen before an ejection does not count again.
-func (e *evidence) weigh(upstream string, now time.Time) (Finding, bool) {
+func (e *evidence) evaluate(upstream string, now time.Time) (Ejection, bool) {
 	if now.Before(e.ejectedUntil) {
-		return Finding{}, false
+		return Ejection{}, false
 	}
-	f := Finding{Upstream: upstream}
-	f.Bad, f.Good = e.own.count(now)
-	if f.Bad > 0 {
+	f := Ejection{Upstream: upstream}
+	f.Failures, f.Successes = e.own.count(now)
+	if f.Failures > 0 {
 		f.Hosts = 1
 	}
-	for host, t := range e.others {
+	for host, t := range e.peers {
 		if now.Sub(t.at) >= window {
-			delete(e.others, host)
+			delete(e.peers, host)
 			continue
 		}
-		f.Bad += t.bad
-		f.Good += t.good
-		if t.bad > 0 {
+		f.Failures += t.failures
+		f.Successes += t.successes
+		if t.failures > 0 {
 			f.Hosts++
 		}
 	}
-	if f.Bad < minBad || float64(f.Good) > goodPerBad*float64(f.Bad) {
-		return Finding{}, false
+	if f.Failures < minFailures || float64(f.Successes) > maxSuccessRatio*float64(f.Failures) {
+		return Ejection{}, false
 	}
 	e.eject(now)
 	f.For = e.pause
@@ -251,39 +260,39 @@
 		e.pause = min(2*e.pause, maxEjection)
 	}
 	e.ejectedUntil = now.Add(e.pause)
-	e.own = tally{}
-	clear(e.others)
+	e.own = counter{}
+	clear(e.peers)
 }
 
 // tally counts ends in two halves of the window.
-type tally struct {
-	began             time.Time
-	bad, good         int
-	pastBad, pastGood int
+type counter struct {
+	began                       time.Time
+	failures, successes         int
+	pastFailures, pastSuccesses int
 }
 
 // half is the length of one of a tally's halves.
-const half = window / 2
+const halfWindow = window / 2
 
-func (t *tally) add(now time.Time, bad, good int) {
+func (t *counter) add(now time.Time, bad, good int) {
 	t.advance(now)
-	t.bad += bad
-	t.good += good
+	t.failures += bad
+	t.successes += good
 }
 
-func (t *tally) count(now time.Time) (bad, good int) {
+func (t *counter) count(now time.Time) (bad, good int) {
 	t.advance(now)
-	return t.bad + t.pastBad, t.good + t.pastGood
+	return t.failures + t.pastFailures, t.successes + t.pastSuccesses
 }
 
-func (t *tally) advance(now time.Time) {
+func (t *counter) advance(now time.Time) {
 	age := now.Sub(t.began)
-	if age < half {
+	if age < halfWindow {
 		return
 	}
-	t.pastBad, t.pastGood = t.bad, t.good
+	t.pastFailures, t.pastSuccesses = t.failures, t.successes
 	if age >= window {
-		t.pastBad, t.pastGood = 0, 0
+		t.pastFailures, t.pastSuccesses = 0, 0
 	}
-	t.bad, t.good, t.began = 0, 0, now
+	t.failures, t.successes, t.began = 0, 0, now
 }
--- a/internal/gateway/outlier/judge_test.go
+++ b/internal/gateway/outlier/detector_test.go
@@ -11,14 +11,14 @@
 
 // findings records what a judge finds.
 type findings struct {
-	ejected   []outlier.Finding
+	ejected   []outlier.Ejection
 	suspected int
 }
 
-func (f *findings) Suspected()                { f.suspected++ }
-func (f *findings) Ejected(x outlier.Finding) { f.ejected = append(f.ejected, x) }
+func (f *findings) FailureSeen()               { f.suspected++ }
+func (f *findings) Ejected(x outlier.Ejection) { f.ejected = append(f.ejected, x) }
 
-func newJudge() (*outlier.Judge, *findings) {
+func newJudge() (*outlier.Detector, *findings) {
 	f := &findings{}
 	return outlier.New(f), f
 }
@@ -40,10 +40,10 @@
 			j, findings := newJudge()
 			now := time.Now()
 			for range c.good {
-				j.Good("s", "i", time.Millisecond, now)
+				j.RecordSuccess("s", "i", time.Millisecond, now)
 			}
 			for range c.bad {
-				j.Bad("i", now)
+				j.RecordFailure("i", now)
 			}
 			require.Equal(t, c.ejected, j.Ejected("i", now))
 			require.Equal(t, c.ejected, len(findings.ejected) == 1)
@@ -55,33 +55,33 @@
 func TestHostsAddUpWhatTheySaw(t *testing.T) {
 	now := time.Now()
 	j, findings := newJudge()
-	j.Bad("i", now)
-	j.Take("a", []outlier.Suspect{{Upstream: "i", Bad: 1}}, now)
+	j.RecordFailure("i", now)
+	j.Merge("a", []outlier.Observation{{Upstream: "i", Failures: 1}}, now)
 	require.False(t, j.Ejected("i", now))
-	j.Take("a", []outlier.Suspect{{Upstream: "i", Bad: 1}}, now)
+	j.Merge("a", []outlier.Observation{{Upstream: "i", Failures: 1}}, now)
 	require.False(t, j.Ejected("i", now), "the same word again is no news")
-	j.Take("b", []outlier.Suspect{{Upstream: "i", Bad: 1}}, now)
+	j.Merge("b", []outlier.Observation{{Upstream: "i", Failures: 1}}, now)
 	require.True(t, j.Ejected("i", now))
-	require.Equal(t, []outlier.Finding{{Upstream: "i", Bad: 3, Hosts: 3, For: 2 * time.Second}}, findings.ejected)
+	require.Equal(t, []outlier.Ejection{{Upstream: "i", Failures: 3, Hosts: 3, For: 2 * time.Second}}, findings.ejected)
 }
 
 func TestWhatOthersFoundGoodSpeaksForAnUpstream(t *testing.T) {
 	now := time.Now()
 	j, _ := newJudge()
-	j.Take("a", []outlier.Suspect{{Upstream: "i", Good: 5}}, now)
-	j.Take("b", []outlier.Suspect{{Upstream: "i", Bad: 3}}, now)
+	j.Merge("a", []outlier.Observation{{Upstream: "i", Successes: 5}}, now)
+	j.Merge("b", []outlier.Observation{{Upstream: "i", Failures: 3}}, now)
 	require.False(t, j.Ejected("i", now))
 }
 
 func TestAHostTellsWhatItSawOfSuspects(t *testing.T) {
 	now := time.Now()
 	j, _ := newJudge()
-	j.Good("s", "sound", time.Millisecond, now)
-	j.Good("s", "doubted", time.Millisecond, now)
-	j.Bad("bad", now)
-	j.Take("a", []outlier.Suspect{{Upstream: "doubted", Bad: 1}}, now)
-	require.ElementsMatch(t, []outlier.Suspect{{Upstream: "bad", Bad: 1}, {Upstream: "doubted", Good: 1}}, j.Suspects(now))
-	require.Empty(t, j.Suspects(now.Add(5*time.Second)), "evidence grows old")
+	j.RecordSuccess("s", "sound", time.Millisecond, now)
+	j.RecordSuccess("s", "doubted", time.Millisecond, now)
+	j.RecordFailure("bad", now)
+	j.Merge("a", []outlier.Observation{{Upstream: "doubted", Failures: 1}}, now)
+	require.ElementsMatch(t, []outlier.Observation{{Upstream: "bad", Failures: 1}, {Upstream: "doubted", Successes: 1}}, j.Observations(now))
+	require.Empty(t, j.Observations(now.Add(5*time.Second)), "evidence grows old")
 }
 
 func TestAnEjectionEndsAndGrowsWhenTheUpstreamIsStillBad(t *testing.T) {
@@ -89,14 +89,14 @@
 	j, findings := newJudge()
 	fail := func(at time.Time) {
 		for range 3 {
-			j.Bad("i", at)
+			j.RecordFailure("i", at)
 		}
 	}
 	fail(now)
-	j.Take("a", []outlier.Suspect{{Upstream: "i", Bad: 9}}, now.Add(time.Second)) // seen before the ejection
+	j.Merge("a", []outlier.Observation{{Upstream: "i", Failures: 9}}, now.Add(time.Second)) // seen before the ejection
 	end := now.Add(2 * time.Second)
 	require.False(t, j.Ejected("i", end))
-	j.Bad("i", end)
+	j.RecordFailure("i", end)
 	require.False(t, j.Ejected("i", end), "it begins anew")
 	fail(end)
 	require.Equal(t, 4*time.Second, (findings.ejected)[1].For)
@@ -108,29 +108,29 @@
 func TestPatienceFollowsWhatIsUsualForTheService(t *testing.T) {
 	now := time.Now()
 	j, _ := newJudge()
-	require.Zero(t, j.Patience("s", 0))
+	require.Zero(t, j.OverdueAfter("s", 0))
 	for range 64 {
-		j.Good("s", "i", 100*time.Millisecond, now)
+		j.RecordSuccess("s", "i", 100*time.Millisecond, now)
 	}
-	require.Equal(t, 400*time.Millisecond, j.Patience("s", 0))
-	require.Equal(t, 800*time.Millisecond, j.Patience("s", 2), "a queue is no fault")
+	require.Equal(t, 400*time.Millisecond, j.OverdueAfter("s", 0))
+	require.Equal(t, 800*time.Millisecond, j.OverdueAfter("s", 2), "a queue is no fault")
 	for range 64 {
-		j.Slow("s", time.Second)
+		j.RecordLatency("s", time.Second)
 	}
-	require.Equal(t, 4*time.Second, j.Patience("s", 0), "all are slow")
+	require.Equal(t, 4*time.Second, j.OverdueAfter("s", 0), "all are slow")
 	for range 64 {
-		j.Good("s", "i", time.Millisecond, now)
+		j.RecordSuccess("s", "i", time.Millisecond, now)
 	}
-	require.Equal(t, 250*time.Millisecond, j.Patience("s", 0))
-	require.Zero(t, j.Patience("other", 0))
+	require.Equal(t, 250*time.Millisecond, j.OverdueAfter("s", 0))
+	require.Zero(t, j.OverdueAfter("other", 0))
 }
 
 func TestUpstreamsThatAreGoneAreForgotten(t *testing.T) {
 	now := time.Now()
 	j, _ := newJudge()
 	for range 3 {
-		j.Bad("i", now)
+		j.RecordFailure("i", now)
 	}
-	j.Keep(func(string) bool { return false })
+	j.Retain(func(string) bool { return false })
 	require.False(t, j.Ejected("i", now))
 }
--- a/internal/gateway/proxy/callerconn.go
+++ b/internal/gateway/proxy/clientconn.go
@@ -25,24 +25,24 @@
 	// serving has a request in hand.
 	serving
 	// resting waits for the next request.
-	resting
+	idle
 )
 
 // callerListener holds callers' connections to the limits in force. The
 // limits of http.Server are fixed when it starts; these change with the
 // configuration, also for connections that rest already.
-type callerListener struct {
+type clientListener struct {
 	net.Listener
 	limits func() route.Limits
 }
 
 // Accept takes a connection.
-func (l callerListener) Accept() (net.Conn, error) {
+func (l clientListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &callerConn{Conn: nc, limits: l.limits, since: time.Now()}
+	c := &clientConn{Conn: nc, limits: l.limits, since: time.Now()}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.timer = time.AfterFunc(c.bound(), c.expired)
@@ -50,7 +50,7 @@
 }
 
 // callerConn closes itself when its phase lasts longer than it may.
-type callerConn struct {
+type clientConn struct {
 	net.Conn
 	limits func() route.Limits
 
@@ -62,7 +62,7 @@
 
 // noteState follows the server's view of a connection.
 func noteState(nc net.Conn, state http.ConnState) {
-	c, ok := nc.(*callerConn)
+	c, ok := nc.(*clientConn)
 	if !ok {
 		return
 	}
@@ -70,7 +70,7 @@
 	case http.StateActive:
 		c.enter(serving)
 	case http.StateIdle:
-		c.enter(resting)
+		c.enter(idle)
 	case http.StateHijacked, http.StateClosed:
 		c.timer.Stop()
 	case http.StateNew:
@@ -80,30 +80,30 @@
 
 // Read reads what the caller sends. The first byte after a rest begins a
 // header.
-func (c *callerConn) Read(p []byte) (int, error) {
+func (c *clientConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.leaveRest()
+		c.leaveIdle()
 	}
 	return n, err
 }
 
-func (c *callerConn) leaveRest() {
+func (c *clientConn) leaveIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase == resting {
+	if c.phase == idle {
 		c.change(reading)
 	}
 }
 
-func (c *callerConn) enter(p phase) {
+func (c *clientConn) enter(p phase) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.change(p)
 }
 
 // change begins a phase; c.mu is held.
-func (c *callerConn) change(p phase) {
+func (c *clientConn) change(p phase) {
 	c.phase, c.since = p, time.Now()
 	if p == serving {
 		c.timer.Stop()
@@ -113,10 +113,10 @@
 }
 
 // bound is how long the connection's phase may last by the newest limits.
-func (c *callerConn) bound() time.Duration {
+func (c *clientConn) bound() time.Duration {
 	limits := c.limits()
 	bound, fallback := limits.HeaderTimeout, defaultHeaderTimeout
-	if c.phase == resting {
+	if c.phase == idle {
 		bound, fallback = limits.IdleTimeout, defaultIdleTimeout
 	}
 	if bound <= 0 {
@@ -127,7 +127,7 @@
 
 // expired closes the connection, unless the configuration has given it more
 // time meanwhile.
-func (c *callerConn) expired() {
+func (c *clientConn) expired() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase == serving {
--- a/internal/gateway/proxy/callerconn_test.go
+++ b/internal/gateway/proxy/clientconn_test.go
@@ -28,8 +28,8 @@
 	w.t.Helper()
 	s := proxy.NewServer(w.gateway)
 	w.t.Cleanup(s.Close)
-	require.NoError(w.t, s.Callers("127.0.0.1:0"))
-	c, err := net.Dial("tcp", s.CallerAddress())
+	require.NoError(w.t, s.ListenClients("127.0.0.1:0"))
+	c, err := net.Dial("tcp", s.ClientAddress())
 	require.NoError(w.t, err)
 	w.t.Cleanup(func() { _ = c.Close() })
 	return c
--- a/internal/gateway/proxy/dispatch.go
+++ b/internal/gateway/proxy/inflight.go
@@ -11,6 +11,7 @@
 	"cairndock/internal/gateway/balance"
 	"cairndock/internal/gateway/eventlog"
 	"cairndock/internal/gateway/exchange"
+	"cairndock/internal/gateway/outlier"
 	"cairndock/internal/gateway/route"
 	"cairndock/internal/verdict"
 )
@@ -32,30 +33,30 @@
 func comeBack() time.Duration { return busyPause + rand.N(busySpread) }
 
 // dispatch takes one request through its attempts.
-type dispatch struct {
-	gateway *Gateway
-	call    Call
+type inflight struct {
+	proxy   *Proxy
+	info    RequestInfo
 	began   time.Time
 	table   *route.Table
 	route   *route.Route
 	service string
 	request *exchange.Request
 	// caller ends when the caller leaves.
-	caller context.Context
+	client context.Context
 
 	tried []string
 	// resend says that an attempt was given up for another, which the
 	// budget has granted.
-	resend bool
+	retryGranted bool
 	// doubt is the failure after which the request may have run.
-	doubt *verdict.Error
+	maybeRan *verdict.Error
 }
 
 // deadline is when the request must have its final answer.
-func (d *dispatch) deadline() time.Time {
+func (d *inflight) deadline() time.Time {
 	hold := defaultTimeout
-	if d.call.Patience > 0 {
-		hold = d.call.Patience
+	if d.info.Timeout > 0 {
+		hold = d.info.Timeout
 	}
 	if d.route != nil && d.route.Timeout > 0 {
 		hold = min(hold, d.route.Timeout)
@@ -66,13 +67,13 @@
 // context ends at the request's deadline, when the host must end and, if the
 // request may be repeated, when its caller leaves. One that may not is left to
 // its end: to break it off would only make its outcome unknown.
-func (d *dispatch) context(caller context.Context) (context.Context, context.CancelFunc) {
-	d.caller = caller
+func (d *inflight) context(caller context.Context) (context.Context, context.CancelFunc) {
+	d.client = caller
 	if d.route.Repeat != route.Repeatable {
 		caller = context.WithoutCancel(caller)
 	}
 	ctx, cancel := context.WithDeadline(caller, d.deadline())
-	stop := context.AfterFunc(d.gateway.ending, cancel)
+	stop := context.AfterFunc(d.proxy.aborted, cancel)
 	return ctx, func() {
 		stop()
 		cancel()
@@ -80,44 +81,44 @@
 }
 
 // run sends the request until it has an answer or must be given up.
-func (d *dispatch) run(ctx context.Context) (*answer, error) {
-	d.gateway.Budget.Request(d.service, d.began)
+func (d *inflight) run(ctx context.Context) (*response, error) {
+	d.proxy.Budget.RecordRequest(d.service, d.began)
 	for {
 		choice, err := d.choose()
 		if err != nil {
-			return nil, d.final(err)
+			return nil, d.finalVerdict(err)
 		}
 		a, err := d.attempt(ctx, choice)
 		if err == nil {
 			return a, nil
 		}
-		if !d.again(ctx, err) {
-			return nil, d.final(err)
+		if !d.shouldRetry(ctx, err) {
+			return nil, d.finalVerdict(err)
 		}
 	}
 }
 
 // choose finds the next upstream.
-func (d *dispatch) choose() (balance.Choice, error) {
-	choice, reason := d.gateway.Balancer.Choose(balance.Query{
+func (d *inflight) choose() (balance.Choice, error) {
+	choice, reason := d.proxy.Balancer.Choose(balance.Query{
 		Key:        d.key(),
-		Anywhere:   d.call.Key == "" || !d.route.Sticky,
-		Candidates: d.gateway.Knowledge.Set().Service(d.service),
+		NoAffinity: d.info.Key == "" || !d.route.Sticky,
+		Candidates: d.proxy.State.Set().Service(d.service),
 		Allows:     d.allows(),
 		Priority:   d.route.Priority,
 		Bulk:       d.route.Bulk,
 		Mixed:      d.table.Mixed(d.service),
 		Tried:      d.tried,
-		ColdRate:   d.table.Service(d.service).WarmUpRate,
+		WarmUpRate: d.table.Service(d.service).WarmUpRate,
 		Now:        time.Now(),
 	})
 	switch reason {
 	case balance.Chosen:
 		return choice, nil
-	case balance.Full:
-		return choice, d.refused(verdict.Full, choice)
-	case balance.Cold:
-		return choice, d.refused(verdict.Warming, choice)
+	case balance.Overloaded:
+		return choice, d.rejected(verdict.Full, choice)
+	case balance.WarmUpLimited:
+		return choice, d.rejected(verdict.Warming, choice)
 	default:
 		return choice, verdict.New(verdict.NotRun, verdict.NoUpstream, "no upstream of %s may serve this", d.service).WithRetryAfter(comeBack())
 	}
@@ -126,20 +127,20 @@
 // key is what decides the request's homes. A request that is about nothing in
 // particular has homes of its own, so that such requests do not all meet at
 // the same upstreams.
-func (d *dispatch) key() string {
-	if d.call.Key != "" {
-		return d.call.Key
+func (d *inflight) key() string {
+	if d.info.Key != "" {
+		return d.info.Key
 	}
-	return d.call.ID
+	return d.info.ID
 }
 
 // refused tells what the first home of the request's key was like.
-func (d *dispatch) refused(reason verdict.Reason, c balance.Choice) error {
+func (d *inflight) rejected(reason verdict.Reason, c balance.Choice) error {
 	return verdict.New(verdict.NotRun, reason, "home %s has load %.2f, told %d ms ago, cold %t",
-		c.Instance.ID, c.Load, c.LoadAge.Milliseconds(), c.Cold).WithRetryAfter(comeBack())
+		c.Upstream.ID, c.Load, c.LoadAge.Milliseconds(), c.Cold).WithRetryAfter(comeBack())
 }
 
-func (d *dispatch) allows() func(string) bool {
+func (d *inflight) allows() func(string) bool {
 	if len(d.route.Regions) == 0 {
 		return nil
 	}
@@ -147,29 +148,29 @@
 }
 
 // again decides whether a failed request is sent once more.
-func (d *dispatch) again(ctx context.Context, err error) bool {
+func (d *inflight) shouldRetry(ctx context.Context, err error) bool {
 	e := verdict.From(err)
 	if e.Verdict != verdict.NotRun {
-		d.doubt = e
+		d.maybeRan = e
 	}
-	if ctx.Err() != nil || d.caller.Err() != nil || len(d.tried) >= max(1, d.route.Attempts) {
+	if ctx.Err() != nil || d.client.Err() != nil || len(d.tried) >= max(1, d.route.Attempts) {
 		return false
 	}
-	if d.doubt != nil && d.route.Repeat != route.Repeatable {
+	if d.maybeRan != nil && d.route.Repeat != route.Repeatable {
 		return false
 	}
-	if d.resend {
-		d.resend = false
+	if d.retryGranted {
+		d.retryGranted = false
 		return true
 	}
-	return d.gateway.Budget.Take(d.service, d.gateway.Hosts.Hosts(), time.Now())
+	return d.proxy.Budget.TryRetry(d.service, d.proxy.Hosts.Hosts(), time.Now())
 }
 
 // final is the verdict over all attempts: one doubt is enough.
-func (d *dispatch) final(err error) error {
+func (d *inflight) finalVerdict(err error) error {
 	e := verdict.From(err)
-	if d.doubt != nil {
-		e = d.doubt
+	if d.maybeRan != nil {
+		e = d.maybeRan
 	}
 	e = d.interrupted(e)
 	if e.Verdict != verdict.NotRun {
@@ -187,8 +188,8 @@
 
 // interrupted tells a request that the host gave up at its own end from one
 // whose caller left.
-func (d *dispatch) interrupted(e *verdict.Error) *verdict.Error {
-	if e.Reason != verdict.CallerLeft || d.caller.Err() != nil || d.gateway.ending.Err() == nil {
+func (d *inflight) interrupted(e *verdict.Error) *verdict.Error {
+	if e.Reason != verdict.CallerLeft || d.client.Err() != nil || d.proxy.aborted.Err() == nil {
 		return e
 	}
 	reason := verdict.Interrupted
@@ -199,7 +200,7 @@
 }
 
 // attempt sends the request to one upstream.
-func (d *dispatch) attempt(ctx context.Context, c balance.Choice) (*answer, error) {
+func (d *inflight) attempt(ctx context.Context, c balance.Choice) (*response, error) {
 	ctx, span := d.startAttempt(ctx, c)
 	a, err := d.send(ctx, c)
 	endSpan(span, err)
@@ -207,15 +208,15 @@
 }
 
 // send sends the request and reads the beginning of the answer.
-func (d *dispatch) send(ctx context.Context, c balance.Choice) (*answer, error) {
+func (d *inflight) send(ctx context.Context, c balance.Choice) (*response, error) {
 	began := time.Now()
-	in := c.Instance
+	in := c.Upstream
 	d.tried = append(d.tried, in.ID)
-	target := exchange.Target{Instance: in.ID, Address: in.Address}
+	target := exchange.Target{UpstreamID: in.ID, Address: in.Address}
 	// An answer that is passed on needs the context; the request's own ends it.
 	ctx, giveUp := context.WithCancel(ctx)
-	observed := d.observe(c, began, giveUp)
-	a, err := d.gateway.Client.Send(ctx, target, d.request)
+	observed := d.startOverdueTimer(c, began, giveUp)
+	a, err := d.proxy.Client.Send(ctx, target, d.request)
 	if err == nil {
 		a, err = d.accept(in.ID, a)
 	}
@@ -223,24 +224,24 @@
 		if err == nil { // it came in the same moment
 			_ = a.Body.Close()
 		}
-		d.resend, err = true, overdue(in.ID)
+		d.retryGranted, err = true, overdue(in.ID)
 	}
 	if err != nil {
 		giveUp()
 		e := verdict.From(err)
-		d.gateway.Balancer.Done(in.ID, outcomeOf(e), time.Now())
+		d.proxy.release(in.ID, outcomeOf(e))
 		d.logAttempt(c, began, 0, e)
 		return nil, err
 	}
-	primed, err := prime(a)
+	primed, err := bufferPrefix(a)
 	if err != nil {
-		d.gateway.Balancer.Done(in.ID, balance.Failed, time.Now())
+		d.proxy.release(in.ID, outlier.Failed)
 		e := verdict.New(verdict.MayHaveRun, verdict.AnswerTruncated, "the answer broke off: %v", err).WithUpstream(in.ID)
 		if ctx.Err() != nil {
 			e.Reason = verdict.DeadlineLapsed
 		}
-		if speaksAgainst(e.Reason) {
-			d.gateway.Judge.Bad(in.ID, time.Now())
+		if isUpstreamFault(e.Reason) {
+			d.proxy.Detector.RecordFailure(in.ID, time.Now())
 		}
 		d.logAttempt(c, began, a.Status, e)
 		return nil, e
@@ -250,41 +251,47 @@
 	return primed, nil
 }
 
-func (d *dispatch) ended(id string, err error) {
-	outcome := balance.Answered
+func (d *inflight) ended(id string, err error) {
+	outcome := outlier.Succeeded
 	if err != nil {
-		outcome = balance.Abandoned
+		outcome = outlier.Canceled
 	}
-	d.gateway.Balancer.Done(id, outcome, time.Now())
+	d.proxy.release(id, outcome)
 }
 
-func outcomeOf(e *verdict.Error) balance.Outcome {
+// release ends a request that the balancer counts at an upstream.
+func (g *Proxy) release(id string, o outlier.Outcome) {
+	g.Balancer.Done(id)
+	g.Detector.RecordOutcome(id, o, time.Now())
+}
+
+func outcomeOf(e *verdict.Error) outlier.Outcome {
 	switch e.Reason {
 	case verdict.UpstreamShed:
-		return balance.Shed
+		return outlier.Rejected
 	case verdict.Unreachable, verdict.Misdirected:
-		return balance.Unreachable
+		return outlier.Unreachable
 	case verdict.CallerLeft, verdict.DeadlineLapsed:
-		return balance.Abandoned
+		return outlier.Canceled
 	default:
-		return balance.Failed
+		return outlier.Failed
 	}
 }
 
 // accept decides whether an answer may be passed on.
-func (d *dispatch) accept(id string, a *exchange.Answer) (*exchange.Answer, error) {
-	if l := a.Sign.Load; l.Known {
-		d.gateway.Balancer.Told(id, l.Running, l.Waiting, time.Now())
+func (d *inflight) accept(id string, a *exchange.Response) (*exchange.Response, error) {
+	if l := a.Info.Load; l.Known {
+		d.proxy.Balancer.ObserveLoad(id, l.Running, l.Waiting, time.Now())
 	}
 	var e *verdict.Error
 	switch {
-	case a.Sign.Misdirected:
+	case a.Info.Misdirected:
 		e = verdict.New(verdict.NotRun, verdict.Misdirected, "another instance has the address")
-	case a.Sign.NotRun:
+	case a.Info.NotExecuted:
 		e = verdict.New(verdict.NotRun, verdict.UpstreamShed, "upstream refused with %d", a.Status)
-	case a.Status < http.StatusMultipleChoices && !a.Sign.Genuine:
+	case a.Status < http.StatusMultipleChoices && !a.Info.Signed:
 		e = verdict.New(verdict.MayHaveRun, verdict.UpstreamFailed, "a success without proof of origin")
-	case promises(a.Status):
+	case promisesNotRun(a.Status):
 		e = verdict.New(verdict.MayHaveRun, verdict.UpstreamFailed, "status %d without proof that it did not run", a.Status)
 	default:
 		return a, nil
@@ -302,7 +309,7 @@
 
 // promises reports whether a status promises callers that a request did not
 // run; only proof allows it.
-func promises(status int) bool {
+func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -311,23 +318,23 @@
 	}
 }
 
-func (d *dispatch) logAttempt(c balance.Choice, began time.Time, status int, e *verdict.Error) {
+func (d *inflight) logAttempt(c balance.Choice, began time.Time, status int, e *verdict.Error) {
 	ev := eventlog.Attempt{
-		Request: d.call.ID, Route: d.route.Name, Service: d.service, Upstream: c.Instance.ID, Zone: c.Instance.Zone,
-		Key: d.call.Key, Number: len(d.tried), Config: d.table.Version, Load: c.Load, LoadAge: c.LoadAge, Rank: c.Rank, Cold: c.Cold,
+		Request: d.info.ID, Route: d.route.Name, Service: d.service, Upstream: c.Upstream.ID, Zone: c.Upstream.Zone,
+		Key: d.info.Key, Number: len(d.tried), Config: d.table.Version, Load: c.Load, LoadAge: c.LoadAge, Rank: c.Rank, Cold: c.Cold,
 		Outcome: "answered", Status: status, Took: time.Since(began),
 	}
 	if e != nil {
 		ev.Outcome, ev.Failed, ev.Detail = string(e.Reason), true, e.Detail
-		d.gateway.Metrics.Count(`cairndock_attempt_failures_total{reason="` + string(e.Reason) + `"}`)
+		d.proxy.Metrics.Count(`cairndock_attempt_failures_total{reason="` + string(e.Reason) + `"}`)
 	}
-	d.gateway.Log.Attempt(ev)
+	d.proxy.Log.Attempt(ev)
 }
 
-func (d *dispatch) logFinal(status int, e *verdict.Error) {
+func (d *inflight) logFinal(status int, e *verdict.Error) {
 	ev := eventlog.Final{
-		Request: d.call.ID, Service: d.service, Attempts: len(d.tried), Status: status, Verdict: verdict.Ran.String(),
-		ConfigAge: d.gateway.Ages.Intents(), UpstreamsAge: d.gateway.Ages.Upstreams(), Took: time.Since(d.began),
+		Request: d.info.ID, Service: d.service, Attempts: len(d.tried), Status: status, Verdict: verdict.Ran.String(),
+		ConfigAge: d.proxy.Ages.Config(), UpstreamsAge: d.proxy.Ages.Upstreams(), Took: time.Since(d.began),
 	}
 	if d.table != nil {
 		ev.Config = d.table.Version
@@ -338,5 +345,5 @@
 	if e != nil {
 		ev.Verdict, ev.Reason, ev.Detail, ev.Failed = e.Verdict.String(), string(e.Reason), e.Detail, true
 	}
-	d.gateway.Log.Final(ev)
+	d.proxy.Log.Final(ev)
 }
--- a/internal/gateway/proxy/knowledge.go
+++ b/internal/gateway/proxy/knowledge.go
@@ -16,20 +16,20 @@
 
 // Intent is one thing that operators want: a configuration, or a zone that
 // is to receive nothing. Exactly one of the two is set.
-type Intent struct {
+type OperatorRow struct {
 	Table    *route.Table
 	Evacuate string
 }
 
 // Decoder reads rows in the product's words.
 type Decoder interface {
-	Intent(key string, value []byte) (Intent, error)
-	Instance(key string, value []byte) (upstream.Instance, error)
+	OperatorRow(key string, value []byte) (OperatorRow, error)
+	Upstream(key string, value []byte) (upstream.Registration, error)
 }
 
 // Knowledge is what the host knows of operators' intent and of the upstreams
 // that run. Readers take what is current without a lock.
-type Knowledge struct {
+type RoutingState struct {
 	decoder Decoder
 	log     *eventlog.Log
 	metrics *telemetry.Metrics
@@ -45,14 +45,14 @@
 }
 
 // NewKnowledge makes the knowledge of a host that has just started.
-func NewKnowledge(d Decoder, log *eventlog.Log, m *telemetry.Metrics) *Knowledge {
-	k := &Knowledge{decoder: d, log: log, metrics: m, evacuated: map[string]string{}}
+func NewRoutingState(d Decoder, log *eventlog.Log, m *telemetry.Metrics) *RoutingState {
+	k := &RoutingState{decoder: d, log: log, metrics: m, evacuated: map[string]string{}}
 	k.registry = upstream.NewRegistry(k.warmUp)
 	k.set.Store(k.registry.Set())
 	return k
 }
 
-func (k *Knowledge) warmUp(service string) time.Duration {
+func (k *RoutingState) warmUp(service string) time.Duration {
 	t := k.table.Load()
 	if t == nil {
 		return 0
@@ -61,10 +61,10 @@
 }
 
 // Table is the configuration in force, or nil.
-func (k *Knowledge) Table() *route.Table { return k.table.Load() }
+func (k *RoutingState) Table() *route.Table { return k.table.Load() }
 
 // Limits are what callers are held to now; zero values are no limits.
-func (k *Knowledge) Limits() route.Limits {
+func (k *RoutingState) Limits() route.Limits {
 	t := k.table.Load()
 	if t == nil {
 		return route.Limits{}
@@ -73,15 +73,15 @@
 }
 
 // Set is the upstreams known.
-func (k *Knowledge) Set() *upstream.Set { return k.set.Load() }
+func (k *RoutingState) Set() *upstream.Set { return k.set.Load() }
 
 // Ready reports whether the host knows enough to serve.
-func (k *Knowledge) Ready() bool {
+func (k *RoutingState) Ready() bool {
 	return k.table.Load() != nil && k.seeded.Load()
 }
 
 // adopt puts a configuration in force unless a newer one is.
-func (k *Knowledge) adopt(t *route.Table) {
+func (k *RoutingState) adopt(t *route.Table) {
 	if old := k.table.Load(); old != nil && t.Version <= old.Version {
 		return
 	}
@@ -90,23 +90,23 @@
 }
 
 // publish gives readers the upstreams as they are known now; k.mu is held.
-func (k *Knowledge) publish() { k.set.Store(k.registry.Set()) }
+func (k *RoutingState) publish() { k.set.Store(k.registry.Set()) }
 
 // Intents takes what operators want.
-type Intents struct {
-	Knowledge *Knowledge
+type OperatorSink struct {
+	State *RoutingState
 }
 
 // Apply takes changes of what operators want.
-func (i Intents) Apply(u watch.Update) {
-	k := i.Knowledge
+func (i OperatorSink) Apply(u watch.Update) {
+	k := i.State
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	evacuated := maps.Clone(k.evacuated)
 	version := int64(0)
 	for _, r := range u.Rows {
 		version = max(version, r.Version)
-		if r.Gone {
+		if r.Deleted {
 			delete(evacuated, r.Key)
 			continue
 		}
@@ -123,15 +123,15 @@
 	k.evacuate(evacuated, version)
 }
 
-func (k *Knowledge) readIntent(r watch.Row) (Intent, error) {
+func (k *RoutingState) readIntent(r watch.Row) (OperatorRow, error) {
 	value, err := r.Bytes()
 	if err != nil {
-		return Intent{}, err
+		return OperatorRow{}, err
 	}
-	return k.decoder.Intent(r.Key, value)
+	return k.decoder.OperatorRow(r.Key, value)
 }
 
-func (k *Knowledge) evacuate(by map[string]string, version int64) {
+func (k *RoutingState) evacuate(by map[string]string, version int64) {
 	if maps.Equal(by, k.evacuated) {
 		return
 	}
@@ -146,43 +146,43 @@
 }
 
 // fault notes a row that can't be read; the last good one stays.
-func (k *Knowledge) fault(table string, r watch.Row, err error) {
+func (k *RoutingState) fault(table string, r watch.Row, err error) {
 	k.metrics.Count(`cairndock_bad_rows_total{table="` + table + `"}`)
 	k.log.BadRow(table, r.Key, r.Version, err)
 }
 
 // Lost says that a source stopped answering.
-func (i Intents) Lost(source string, err error) { i.Knowledge.lost("intent", source, err) }
+func (i OperatorSink) Lost(source string, err error) { i.State.lost("intent", source, err) }
 
 // Regained says that a source answers again.
-func (i Intents) Regained(source string, after time.Duration) {
-	i.Knowledge.log.Regained("intent source", source, after)
+func (i OperatorSink) Regained(source string, after time.Duration) {
+	i.State.log.Regained("intent source", source, after)
 }
 
-func (k *Knowledge) lost(table, source string, err error) {
+func (k *RoutingState) lost(table, source string, err error) {
 	k.metrics.Count(`cairndock_source_lost_total{table="` + table + `"}`)
 	k.log.Lost(table+" source", source, err)
 }
 
 // Upstreams takes which upstreams run.
-type Upstreams struct {
-	Knowledge *Knowledge
+type UpstreamSink struct {
+	State *RoutingState
 }
 
 // Apply takes changes of which upstreams run.
-func (u Upstreams) Apply(update watch.Update) {
-	k := u.Knowledge
+func (u UpstreamSink) Apply(update watch.Update) {
+	k := u.State
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
 	lapsed := false
 	for _, r := range update.Rows {
-		lapsed = k.upstream(r, now, update.Returned) || lapsed
+		lapsed = k.upstream(r, now, update.StoreReturned) || lapsed
 	}
 	if lapsed {
-		time.AfterFunc(update.Returned.Add(upstream.LapseGrace).Sub(now), k.expire)
+		time.AfterFunc(update.StoreReturned.Add(upstream.LapseGrace).Sub(now), k.expire)
 	}
-	first := update.Whole && !k.seeded.Load()
+	first := update.Full && !k.seeded.Load()
 	if first {
 		k.registry.Seed()
 	}
@@ -193,7 +193,7 @@
 }
 
 // expire forgets the upstreams whose entries lapsed and did not come back.
-func (k *Knowledge) expire() {
+func (k *RoutingState) expire() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, in := range k.registry.Expire(time.Now()) {
@@ -204,14 +204,14 @@
 
 // upstream takes over one row; k.mu is held. It reports whether the upstream's
 // entry lapsed and it is kept for now.
-func (k *Knowledge) upstream(r watch.Row, now, returned time.Time) (lapsed bool) {
-	if r.Gone {
+func (k *RoutingState) upstream(r watch.Row, now, returned time.Time) (lapsed bool) {
+	if r.Deleted {
 		lapsed = k.registry.Remove(r.Key, now, returned)
 		state := "gone"
 		if lapsed {
 			state = "entry lapsed"
 		}
-		k.log.Upstream(r.Key, upstream.Instance{}, state, r.Version)
+		k.log.Upstream(r.Key, upstream.Registration{}, state, r.Version)
 		return lapsed
 	}
 	value, err := r.Bytes()
@@ -219,7 +219,7 @@
 		k.fault("upstream", r, err)
 		return false
 	}
-	in, err := k.decoder.Instance(r.Key, value)
+	in, err := k.decoder.Upstream(r.Key, value)
 	if err != nil {
 		k.fault("upstream", r, err)
 		return false
@@ -236,9 +236,9 @@
 }
 
 // Lost says that a source stopped answering.
-func (u Upstreams) Lost(source string, err error) { u.Knowledge.lost("upstream", source, err) }
+func (u UpstreamSink) Lost(source string, err error) { u.State.lost("upstream", source, err) }
 
 // Regained says that a source answers again.
-func (u Upstreams) Regained(source string, after time.Duration) {
-	u.Knowledge.log.Regained("upstream source", source, after)
+func (u UpstreamSink) Regained(source string, after time.Duration) {
+	u.State.log.Regained("upstream source", source, after)
 }
--- a/internal/gateway/proxy/gateway.go
+++ b/internal/gateway/proxy/proxy.go
@@ -27,21 +27,21 @@
 )
 
 // Call is what a request's header says in the product's words.
-type Call struct {
+type RequestInfo struct {
 	// ID is the caller's id of the request.
 	ID string
 	// Key is what the request is about, or empty.
 	Key string
 	// Patience is how long the caller waits; zero is not told.
-	Patience time.Duration
+	Timeout time.Duration
 }
 
 // Codec knows how callers and the gateway speak to each other.
 type Codec interface {
 	// Read takes what a request's header says.
-	Read(h http.Header) Call
+	ParseRequest(h http.Header) RequestInfo
 	// Refuse writes the gateway's own final word.
-	Refuse(w http.ResponseWriter, c Call, e *verdict.Error)
+	WriteError(w http.ResponseWriter, c RequestInfo, e *verdict.Error)
 }
 
 // Hosts tells of the other hosts.
@@ -52,67 +52,67 @@
 
 // Ages tell how long ago the sources of what the host knows last answered.
 type Ages struct {
-	Intents   func() time.Duration
+	Config    func() time.Duration
 	Upstreams func() time.Duration
 }
 
 // Options is what a gateway is made of.
 type Options struct {
-	Knowledge *Knowledge
-	Balancer  *balance.Balancer
-	Judge     *outlier.Judge
-	Budget    *retry.Budget
-	Client    *exchange.Client
-	Codec     Codec
-	Hosts     Hosts
-	Ages      Ages
-	Log       *eventlog.Log
-	Metrics   *telemetry.Metrics
+	State    *RoutingState
+	Balancer *balance.Balancer
+	Detector *outlier.Detector
+	Budget   *retry.Budget
+	Client   *exchange.Client
+	Codec    Codec
+	Hosts    Hosts
+	Ages     Ages
+	Log      *eventlog.Log
+	Metrics  *telemetry.Metrics
 	// Tracer makes a span for each request and each attempt.
 	Tracer trace.Tracer
 }
 
 // Gateway serves requests.
-type Gateway struct {
+type Proxy struct {
 	Options
 
 	inFlight atomic.Int64
-	stopping atomic.Bool
+	draining atomic.Bool
 	// ending is over when what is still being served must be given up.
-	ending context.Context
-	end    context.CancelFunc
+	aborted context.Context
+	abort   context.CancelFunc
 }
 
 // New makes a gateway.
-func New(o Options) *Gateway {
-	g := &Gateway{Options: o}
-	g.ending, g.end = context.WithCancel(context.Background())
+func New(o Options) *Proxy {
+	g := &Proxy{Options: o}
+	g.aborted, g.abort = context.WithCancel(context.Background())
 	return g
 }
 
 // Ready reports whether callers should come.
-func (g *Gateway) Ready() bool { return !g.stopping.Load() && g.Knowledge.Ready() }
+func (g *Proxy) Ready() bool { return !g.draining.Load() && g.State.Ready() }
 
 // Leave says that the host is about to stop: callers are asked to go
 // elsewhere with each answer.
-func (g *Gateway) Leave() { g.stopping.Store(true) }
+func (g *Proxy) Drain() { g.draining.Store(true) }
 
 // GiveUp gives up what is still being served: each caller gets a final answer
 // that says whether its request may have run.
-func (g *Gateway) GiveUp() { g.end() }
+func (g *Proxy) Abort() { g.abort() }
 
 // InFlight is how many requests are being served.
-func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
+func (g *Proxy) InFlight() int64 { return g.inFlight.Load() }
 
 // ServeHTTP serves one request.
-func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (g *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
-	if g.stopping.Load() {
+	if g.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	c := g.Codec.Read(r.Header)
+	c := g.Codec.ParseRequest(r.Header)
 	traced, span := g.startRequest(r, c)
 	var err error
 	defer func() { endSpan(span, err) }()
@@ -128,15 +128,15 @@
 		g.refuse(w, c, d, err)
 		return
 	}
-	g.pass(w, d, answer)
+	g.forward(w, d, answer)
 }
 
 // prepare finds the route and reads the request. Whatever is wrong with it,
 // it was not run.
-func (g *Gateway) prepare(w http.ResponseWriter, r *http.Request, c Call, began time.Time) (*dispatch, error) {
-	d := &dispatch{gateway: g, call: c, began: began}
-	table := g.Knowledge.Table()
-	if table == nil || !g.Knowledge.Ready() {
+func (g *Proxy) prepare(w http.ResponseWriter, r *http.Request, c RequestInfo, began time.Time) (*inflight, error) {
+	d := &inflight{proxy: g, info: c, began: began}
+	table := g.State.Table()
+	if table == nil || !g.State.Ready() {
 		return d, verdict.New(verdict.NotRun, verdict.NotReady, "no configuration is known yet").WithRetryAfter(notReadyPause)
 	}
 	d.table = table
@@ -207,16 +207,16 @@
 }
 
 // refuse gives the gateway's own final word.
-func (g *Gateway) refuse(w http.ResponseWriter, c Call, d *dispatch, err error) {
+func (g *Proxy) refuse(w http.ResponseWriter, c RequestInfo, d *inflight, err error) {
 	e := verdict.From(err)
 	g.Metrics.Count(`cairndock_refusals_total{reason="` + string(e.Reason) + `",verdict="` + e.Verdict.String() + `"}`)
-	g.Codec.Refuse(w, c, e)
+	g.Codec.WriteError(w, c, e)
 	d.logFinal(e.Reason.Status(), e)
 }
 
 // pass passes an upstream's answer on. One that breaks off breaks the
 // caller's connection, so that it can't look whole.
-func (g *Gateway) pass(w http.ResponseWriter, d *dispatch, a *answer) {
+func (g *Proxy) forward(w http.ResponseWriter, d *inflight, a *response) {
 	defer a.close()
 	h := w.Header()
 	closing := h.Get("Connection")
@@ -244,30 +244,30 @@
 }
 
 // forget drops what is kept of upstreams that are gone.
-func (g *Gateway) forget() {
-	set := g.Knowledge.Set()
+func (g *Proxy) retainKnown() {
+	set := g.State.Set()
 	known := func(id string) bool {
 		_, ok := set.Get(id)
 		return ok
 	}
-	g.Balancer.Keep(known)
-	g.Judge.Keep(known)
-	g.Client.Pool().Forget(known)
+	g.Balancer.Retain(known)
+	g.Detector.Retain(known)
+	g.Client.Pool().Retain(known)
 }
 
 // forgetEvery is the pace at which what is kept of gone upstreams is dropped.
-const forgetEvery = 2 * time.Second
+const retainEvery = 2 * time.Second
 
 // Run tidies up until the context ends.
-func (g *Gateway) Run(ctx context.Context) {
-	ticker := time.NewTicker(forgetEvery)
+func (g *Proxy) Run(ctx context.Context) {
+	ticker := time.NewTicker(retainEvery)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			g.forget()
+			g.retainKnown()
 		}
 	}
 }
--- a/internal/gateway/proxy/gateway_test.go
+++ b/internal/gateway/proxy/proxy_test.go
@@ -47,12 +47,12 @@
 
 type codec struct{}
 
-func (codec) Read(h http.Header) proxy.Call {
+func (codec) ParseRequest(h http.Header) proxy.RequestInfo {
 	ms, _ := strconv.Atoi(h.Get(headerWait))
-	return proxy.Call{ID: h.Get(headerID), Key: h.Get(headerKey), Patience: time.Duration(ms) * time.Millisecond}
+	return proxy.RequestInfo{ID: h.Get(headerID), Key: h.Get(headerKey), Timeout: time.Duration(ms) * time.Millisecond}
 }
 
-func (codec) Refuse(w http.ResponseWriter, _ proxy.Call, e *verdict.Error) {
+func (codec) WriteError(w http.ResponseWriter, _ proxy.RequestInfo, e *verdict.Error) {
 	w.Header().Set("Verdict", e.Verdict.String())
 	w.Header().Set("Reason", string(e.Reason))
 	w.Header().Set("Retry", e.RetryAfter.String())
@@ -61,15 +61,15 @@
 
 type protocol struct{}
 
-func (protocol) Address(h http.Header, id string, left time.Duration) {
+func (protocol) SetHeaders(h http.Header, id string, left time.Duration) {
 	h.Set(headerTo, id)
 	h.Set(headerWait, strconv.FormatInt(left.Milliseconds(), 10))
 }
 
-func (protocol) Read(id string, status int, h http.Header) exchange.Sign {
-	return exchange.Sign{
-		Foreign: h.Get(headerID) != id, NotRun: h.Get(headerNotRun) != "", Misdirected: status == 421,
-		Genuine: h.Get(headerGenuine) != "",
+func (protocol) ParseResponse(id string, status int, h http.Header) exchange.ResponseInfo {
+	return exchange.ResponseInfo{
+		WrongRequest: h.Get(headerID) != id, NotExecuted: h.Get(headerNotRun) != "", Misdirected: status == 421,
+		Signed: h.Get(headerGenuine) != "",
 	}
 }
 
@@ -84,29 +84,29 @@
 	Limits route.Limits
 }
 
-func (decoder) Intent(_ string, value []byte) (proxy.Intent, error) {
+func (decoder) OperatorRow(_ string, value []byte) (proxy.OperatorRow, error) {
 	var r intentRow
 	if err := json.Unmarshal(value, &r); err != nil {
-		return proxy.Intent{}, eris.Wrap(err, "parse")
+		return proxy.OperatorRow{}, eris.Wrap(err, "parse")
 	}
 	if r.Evacuate != "" {
-		return proxy.Intent{Evacuate: r.Evacuate}, nil
+		return proxy.OperatorRow{Evacuate: r.Evacuate}, nil
 	}
 	services := []route.Service{{Name: "s", WarmUp: time.Second, WarmUpRate: 5}}
 	r.Limits.BodyBytes, r.Limits.HeaderBytes = 1000, 2000
-	return proxy.Intent{Table: route.NewTable(r.Version, r.Routes, services, r.Limits)}, nil
+	return proxy.OperatorRow{Table: route.NewTable(r.Version, r.Routes, services, r.Limits)}, nil
 }
 
-func (decoder) Instance(_ string, value []byte) (upstream.Instance, error) {
-	var in upstream.Instance
+func (decoder) Upstream(_ string, value []byte) (upstream.Registration, error) {
+	var in upstream.Registration
 	return in, eris.Wrap(json.Unmarshal(value, &in), "parse")
 }
 
 // world is a gateway with its upstreams.
 type world struct {
 	t         *testing.T
-	gateway   *proxy.Gateway
-	knowledge *proxy.Knowledge
+	gateway   *proxy.Proxy
+	knowledge *proxy.RoutingState
 	server    *httptest.Server
 	log       *lines
 	version   int64
@@ -134,12 +134,12 @@
 // reporter is a judge's, without other hosts.
 type reporter struct{ *eventlog.Log }
 
-func (reporter) Suspected() {}
+func (reporter) FailureSeen() {}
 
 type one struct{}
 
-func (one) Hosts() int                           { return 1 }
-func (one) ColdRate(string, string, float64) int { return 100 }
+func (one) Hosts() int                              { return 1 }
+func (one) WarmUpQuota(string, string, float64) int { return 100 }
 
 func newWorld(t *testing.T) *world { return newTracedWorld(t, noop.NewTracerProvider()) }
 
@@ -149,16 +149,16 @@
 	m := telemetry.NewMetrics()
 	log := eventlog.New(w.log, "h", m)
 	t.Cleanup(log.Close)
-	w.knowledge = proxy.NewKnowledge(decoder{}, log, m)
+	w.knowledge = proxy.NewRoutingState(decoder{}, log, m)
 	dial := exchange.Dialer{Timeout: 200 * time.Millisecond, Unacknowledged: time.Second}
 	age := func() time.Duration { return 0 }
 	judge := outlier.New(reporter{log})
 	w.gateway = proxy.New(proxy.Options{
-		Knowledge: w.knowledge, Judge: judge,
-		Balancer: balance.New(balance.Place{Zone: "z", Region: "r", Regions: 1}, balance.DefaultWeights, one{}, judge),
+		State: w.knowledge, Detector: judge,
+		Balancer: balance.New(balance.Location{Zone: "z", Region: "r", Regions: 1}, balance.DefaultWeights, one{}, judge),
 		Budget:   retry.NewBudget(retry.Limits{Ratio: 1, Window: time.Second, Slack: 100}),
 		Client:   exchange.NewClient(exchange.NewPool(dial.DialContext), protocol{}),
-		Codec:    codec{}, Hosts: one{}, Ages: proxy.Ages{Intents: age, Upstreams: age}, Log: log, Metrics: m,
+		Codec:    codec{}, Hosts: one{}, Ages: proxy.Ages{Config: age, Upstreams: age}, Log: log, Metrics: m,
 		Tracer: telemetry.Tracer(traces),
 	})
 	w.server = httptest.NewServer(w.gateway)
@@ -170,7 +170,7 @@
 	w.version++
 	value, err := json.Marshal(r)
 	require.NoError(w.t, err)
-	proxy.Intents{Knowledge: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: key, Value: value, Version: w.version}}})
+	proxy.OperatorSink{State: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: key, Value: value, Version: w.version}}})
 }
 
 func (w *world) routes(rs ...route.Route) {
@@ -209,10 +209,10 @@
 	}()
 	w.upstreams++
 	id := fmt.Sprint("i-", w.upstreams)
-	value, err := json.Marshal(upstream.Instance{ID: id, Service: "s", Address: l.Addr().String(), Zone: "z", Region: "r", Capacity: 2})
+	value, err := json.Marshal(upstream.Registration{ID: id, Service: "s", Address: l.Addr().String(), Zone: "z", Region: "r", Capacity: 2})
 	require.NoError(w.t, err)
 	w.version++
-	proxy.Upstreams{Knowledge: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: id, Value: value, Version: w.version}}, Whole: true})
+	proxy.UpstreamSink{State: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: id, Value: value, Version: w.version}}, Full: true})
 	return &count
 }
 
@@ -440,7 +440,7 @@
 	resp, _ := w.get()
 	require.Equal(t, 503, resp.StatusCode)
 	require.Zero(t, n.Load())
-	proxy.Intents{Knowledge: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: "evacuate", Version: 99, Gone: true}}})
+	proxy.OperatorSink{State: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: "evacuate", Version: 99, Deleted: true}}})
 	resp, _ = w.get()
 	require.Equal(t, 200, resp.StatusCode)
 }
@@ -452,7 +452,7 @@
 	w.intent("config", intentRow{Version: 4})
 	resp, _ := w.get()
 	require.Equal(t, 200, resp.StatusCode)
-	proxy.Intents{Knowledge: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: "config", Value: []byte("{"), Version: 50}}})
+	proxy.OperatorSink{State: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: "config", Value: []byte("{"), Version: 50}}})
 	resp, _ = w.get()
 	require.Equal(t, 200, resp.StatusCode)
 	require.Eventually(t, func() bool { return strings.Contains(w.log.String(), "bad-row") }, time.Second, time.Millisecond)
@@ -468,8 +468,8 @@
 		sound(c, r)
 	})
 	s := proxy.NewServer(w.gateway)
-	require.NoError(t, s.Callers("127.0.0.1:0"))
-	address := s.CallerAddress()
+	require.NoError(t, s.ListenClients("127.0.0.1:0"))
+	address := s.ClientAddress()
 	w.server.URL = "http://" + address
 	type result struct {
 		resp *http.Response
@@ -511,8 +511,8 @@
 	})
 	s := proxy.NewServer(w.gateway)
 	t.Cleanup(s.Close)
-	require.NoError(t, s.Callers("127.0.0.1:0"))
-	w.server.URL = "http://" + s.CallerAddress()
+	require.NoError(t, s.ListenClients("127.0.0.1:0"))
+	w.server.URL = "http://" + s.ClientAddress()
 	cut := make(chan int64, 1)
 	time.AfterFunc(50*time.Millisecond, func() { cut <- s.Stop(t.Context(), time.Second) })
 	resp, _, err := w.do(t.Context(), http.MethodPost, "/x/", "b")
--- a/internal/gateway/proxy/server.go
+++ b/internal/gateway/proxy/server.go
@@ -18,15 +18,15 @@
 	// exitMargin is the time kept between the last answer and the kill, and
 	// lastWords the part of it in which callers are told what was given up.
 	exitMargin = 400 * time.Millisecond
-	lastWords  = 150 * time.Millisecond
+	abortGrace = 150 * time.Millisecond
 	// exitPoll is how often a stopping host looks whether all is answered.
 	exitPoll = 20 * time.Millisecond
 )
 
 // Server is a gateway's listeners.
 type Server struct {
-	gateway *Gateway
-	callers *http.Server
+	proxy   *Proxy
+	clients *http.Server
 	others  []*http.Server
 	failed  chan error
 	// address is where callers are taken.
@@ -34,32 +34,32 @@
 }
 
 // CallerAddress is where callers are taken, once they are.
-func (s *Server) CallerAddress() string { return s.address }
+func (s *Server) ClientAddress() string { return s.address }
 
 // NewServer makes a server without listeners.
-func NewServer(g *Gateway) *Server {
+func NewServer(g *Proxy) *Server {
 	return &Server{
-		gateway: g,
+		proxy: g,
 		// How long connections may rest, and headers take, is up to
 		// callerListener.
-		callers: &http.Server{Handler: g, MaxHeaderBytes: maxHeader, ConnState: noteState},
+		clients: &http.Server{Handler: g, MaxHeaderBytes: maxHeader, ConnState: noteState},
 		failed:  make(chan error, 8),
 	}
 }
 
 // Callers takes callers at an address.
-func (s *Server) Callers(address string) error {
+func (s *Server) ListenClients(address string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return eris.Wrap(err, "listen for callers")
 	}
 	s.address = l.Addr().String()
-	s.serve(s.callers, callerListener{l, s.gateway.Knowledge.Limits})
+	s.serve(s.clients, clientListener{l, s.proxy.State.Limits})
 	return nil
 }
 
 // Also serves something else at an address.
-func (s *Server) Also(address string, h http.Handler) error {
+func (s *Server) Listen(address string, h http.Handler) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return eris.Wrap(err, "listen")
@@ -86,17 +86,17 @@
 // being served. It gives the number of requests it had to give up.
 func (s *Server) Stop(ctx context.Context, grace time.Duration) int64 {
 	began := time.Now()
-	s.gateway.Leave()
-	pause.For(ctx, acceptFor(grace))
+	s.proxy.Drain()
+	pause.For(ctx, drainTime(grace))
 	ctx, cancel := context.WithDeadline(ctx, began.Add(grace-exitMargin))
 	defer cancel()
 	// Closes the listener and the connections that rest, and waits.
-	_ = s.callers.Shutdown(ctx)
+	_ = s.clients.Shutdown(ctx)
 	s.waitIdle(ctx)
-	cut := s.gateway.InFlight()
+	cut := s.proxy.InFlight()
 	if cut > 0 {
-		s.gateway.GiveUp()
-		last, cancel := context.WithTimeout(context.WithoutCancel(ctx), lastWords)
+		s.proxy.Abort()
+		last, cancel := context.WithTimeout(context.WithoutCancel(ctx), abortGrace)
 		defer cancel()
 		s.waitIdle(last)
 	}
@@ -105,22 +105,22 @@
 
 // waitIdle waits until nothing is being served.
 func (s *Server) waitIdle(ctx context.Context) {
-	for s.gateway.InFlight() > 0 && ctx.Err() == nil {
+	for s.proxy.InFlight() > 0 && ctx.Err() == nil {
 		pause.For(ctx, exitPoll)
 	}
 }
 
 // acceptPart is the part of the grace in which a leaving host still takes
 // callers: they keep what the directory told them for a while.
-const acceptPart = 0.45
+const drainPart = 0.45
 
-func acceptFor(grace time.Duration) time.Duration {
-	return time.Duration(acceptPart * float64(grace))
+func drainTime(grace time.Duration) time.Duration {
+	return time.Duration(drainPart * float64(grace))
 }
 
 // Close ends all listeners at once.
 func (s *Server) Close() {
-	_ = s.callers.Close()
+	_ = s.clients.Close()
 	for _, other := range s.others {
 		_ = other.Close()
 	}
--- a/internal/gateway/reqtrace/cause.go
+++ b/internal/gateway/reqtrace/cause.go
@@ -4,22 +4,22 @@
 
 // staleFrom is the age, in milliseconds, from which on what a host knows may
 // itself be a cause.
-const staleFrom = 4000
+const staleAbove = 4000
 
 // Cause says in words why the request ended as it did.
-func (t Trail) Cause() string {
+func (t Trace) Cause() string {
 	last := t.Lines[len(t.Lines)-1]
 	if last.Event != "final" {
 		return "unknown: the final answer's line is missing, the host may have ended before it"
 	}
 	cause := t.cause(last)
-	if stale := max(last.ConfigAge, last.StateAge); stale > staleFrom {
+	if stale := max(last.ConfigAge, last.StateAge); stale > staleAbove {
 		cause += fmt.Sprintf("; the host's knowledge was %.1f s old", stale/1000)
 	}
 	return cause
 }
 
-func (t Trail) cause(final Line) string {
+func (t Trace) cause(final Line) string {
 	if final.Reason == "" {
 		if n := len(t.Lines) - 1; n > 1 {
 			return fmt.Sprintf("served, after %d attempts: %s first", n, t.Lines[0].Outcome)
@@ -60,7 +60,7 @@
 }
 
 // lastFailure gives the last attempt that failed, or an empty line.
-func (t Trail) lastFailure() Line {
+func (t Trace) lastFailure() Line {
 	for i := len(t.Lines) - 1; i >= 0; i-- {
 		if l := t.Lines[i]; l.Event == "attempt" && l.Outcome != "answered" {
 			return l
--- a/internal/gateway/reqtrace/trail.go
+++ b/internal/gateway/reqtrace/trace.go
@@ -57,24 +57,24 @@
 }
 
 // Trail is what logs tell of one request.
-type Trail struct {
+type Trace struct {
 	// Lines are the request's own, in the order of time.
 	Lines []Line
 	// Around are what the same hosts came to believe shortly before: lost
 	// dependencies, and the states and ejections of the upstreams it was
 	// sent to.
-	Around []Line
+	StateChanges []Line
 }
 
 // before is how long before a request's end a change of belief may have
 // decided it.
-const before = 15 * time.Second
+const lookBack = 15 * time.Second
 
 // Follow reads logs and gives the trail of a request. Lines that are no JSON
 // are passed over; what stands before the first brace, such as a container's
 // prefix, too.
-func Follow(logs io.Reader, request string) (Trail, error) {
-	var t Trail
+func Follow(logs io.Reader, request string) (Trace, error) {
+	var t Trace
 	var beliefs []Line
 	scanner := bufio.NewScanner(logs)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
@@ -95,7 +95,7 @@
 		return t, eris.Errorf("no line of request %q: it was not sampled, was left out, or never came", request)
 	}
 	slices.SortStableFunc(t.Lines, byTime)
-	t.Around = t.around(beliefs)
+	t.StateChanges = t.relevant(beliefs)
 	return t, nil
 }
 
@@ -121,7 +121,7 @@
 }
 
 // around keeps the beliefs that may have decided the request.
-func (t Trail) around(beliefs []Line) []Line {
+func (t Trace) relevant(beliefs []Line) []Line {
 	hosts, upstreams := map[string]bool{}, map[string]bool{}
 	end := t.Lines[len(t.Lines)-1].Time
 	for _, l := range t.Lines {
@@ -130,7 +130,7 @@
 	}
 	var out []Line
 	for _, l := range beliefs {
-		if !hosts[l.Host] || l.Time.After(end) || end.Sub(l.Time) > before {
+		if !hosts[l.Host] || l.Time.After(end) || end.Sub(l.Time) > lookBack {
 			continue
 		}
 		if l.Event == "lost" || upstreams[l.Upstream] {
@@ -142,10 +142,10 @@
 }
 
 // String tells the trail, a line for each step, and the cause in words.
-func (t Trail) String() string {
+func (t Trace) String() string {
 	var b strings.Builder
-	for _, l := range t.Around {
-		fmt.Fprintf(&b, "%s %s before: %s\n", l.Time.Format(time.TimeOnly), l.Host, belief(l))
+	for _, l := range t.StateChanges {
+		fmt.Fprintf(&b, "%s %s before: %s\n", l.Time.Format(time.TimeOnly), l.Host, stateChange(l))
 	}
 	for _, l := range t.Lines {
 		fmt.Fprintf(&b, "%s %s %s\n", l.Time.Format(time.TimeOnly), l.Host, step(l))
@@ -154,7 +154,7 @@
 	return b.String()
 }
 
-func belief(l Line) string {
+func stateChange(l Line) string {
 	switch l.Event {
 	case "lost":
 		return fmt.Sprintf("lost %s %s: %s", l.Dependency, l.Name, l.Error)
--- a/internal/gateway/retry/budget.go
+++ b/internal/gateway/retry/budget.go
@@ -35,7 +35,7 @@
 type window struct {
 	slice    int64
 	requests [slices]int
-	repeats  [slices]int
+	retries  [slices]int
 }
 
 // NewBudget makes a budget.
@@ -45,7 +45,7 @@
 
 // margin keeps a host below its part: the far end counts by its own clock,
 // and in windows that begin at any moment.
-const margin = 0.75
+const safetyMargin = 0.75
 
 func (b *Budget) window(service string, now time.Time) *window {
 	w := b.services[service]
@@ -64,12 +64,12 @@
 	for w.slice < slice {
 		w.slice++
 		w.requests[w.slice%slices] = 0
-		w.repeats[w.slice%slices] = 0
+		w.retries[w.slice%slices] = 0
 	}
 }
 
 // Request counts a request of a service.
-func (b *Budget) Request(service string, now time.Time) {
+func (b *Budget) RecordRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(service, now)
@@ -78,19 +78,19 @@
 
 // Take counts a repeat, unless the host has used its part. hosts is how
 // many hosts may send repeats of the service.
-func (b *Budget) Take(service string, hosts int, now time.Time) bool {
+func (b *Budget) TryRetry(service string, hosts int, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(service, now)
 	requests, repeats := 0, 0
 	for i := range slices {
 		requests += w.requests[i]
-		repeats += w.repeats[i]
+		repeats += w.retries[i]
 	}
-	allowed := margin * (b.limits.Ratio*float64(requests) + b.limits.Slack/float64(max(1, hosts)))
+	allowed := safetyMargin * (b.limits.Ratio*float64(requests) + b.limits.Slack/float64(max(1, hosts)))
 	if float64(repeats+1) > allowed {
 		return false
 	}
-	w.repeats[w.slice%slices]++
+	w.retries[w.slice%slices]++
 	return true
 }
--- a/internal/gateway/retry/budget_test.go
+++ b/internal/gateway/retry/budget_test.go
@@ -25,8 +25,8 @@
 	for at := start; at.Sub(start) < time.Minute; at = at.Add(step) {
 		for _, b := range budgets {
 			for range requestsPerStep {
-				b.Request("s", at)
-				if b.Take("s", hosts, at) {
+				b.RecordRequest("s", at)
+				if b.TryRetry("s", hosts, at) {
 					taken = append(taken, at)
 				}
 			}
@@ -48,10 +48,10 @@
 
 func TestABudgetRecoversAndServicesAreApart(t *testing.T) {
 	b, now := retry.NewBudget(limits), time.Now()
-	for b.Take("a", 9, now) {
+	for b.TryRetry("a", 9, now) {
 	}
-	require.True(t, b.Take("b", 9, now))
-	require.False(t, b.Take("a", 9, now.Add(5*time.Second)))
-	require.True(t, b.Take("a", 9, now.Add(11*time.Second)))
-	require.True(t, b.Take("a", 9, now.Add(time.Hour)), "after a long rest too")
+	require.True(t, b.TryRetry("b", 9, now))
+	require.False(t, b.TryRetry("a", 9, now.Add(5*time.Second)))
+	require.True(t, b.TryRetry("a", 9, now.Add(11*time.Second)))
+	require.True(t, b.TryRetry("a", 9, now.Add(time.Hour)), "after a long rest too")
 }
--- a/internal/gateway/upstream/instance.go
+++ b/internal/gateway/upstream/instance.go
@@ -9,7 +9,7 @@
 )
 
 // Instance is one life of an upstream. Its ID is never used again.
-type Instance struct {
+type Registration struct {
 	ID      string
 	Service string
 	// Address is where it listens; it may pass to another service's
@@ -26,28 +26,28 @@
 }
 
 // Member is an instance in a set, with what the host worked out about it.
-type Member struct {
-	Instance
+type Upstream struct {
+	Registration
 	// ColdUntil is when the instance is taken for warm.
 	ColdUntil time.Time
 	// GoneAt is when an instance whose entry lapsed is taken for gone;
 	// zero while it has an entry.
-	GoneAt time.Time
+	ExpiresAt time.Time
 }
 
 // Set is the instances known at one moment. It is not changed after it is
 // made.
 type Set struct {
-	byID      map[string]*Member
-	byService map[string][]*Member
+	byID      map[string]*Upstream
+	byService map[string][]*Upstream
 }
 
 // Service gives the instances of a service that may receive new work, in
 // the order of their ids.
-func (s *Set) Service(name string) []*Member { return s.byService[name] }
+func (s *Set) Service(name string) []*Upstream { return s.byService[name] }
 
 // Get gives an instance by its id.
-func (s *Set) Get(id string) (*Member, bool) {
+func (s *Set) Get(id string) (*Upstream, bool) {
 	m, ok := s.byID[id]
 	return m, ok
 }
@@ -58,11 +58,11 @@
 // Registry works out the set from what a source tells. It is a plain state
 // without locks.
 type Registry struct {
-	members   map[string]*Member
+	upstreams map[string]*Upstream
 	evacuated map[string]bool
 	seeded    bool
 	// removed has what is remembered of instances that were removed.
-	removed map[string]removal
+	removed map[string]tombstone
 	// warmUp gives how long an instance of a service stays cold.
 	warmUp func(service string) time.Duration
 }
@@ -71,7 +71,7 @@
 // a service stays cold after its start.
 func NewRegistry(warmUp func(service string) time.Duration) *Registry {
 	return &Registry{
-		members: map[string]*Member{}, evacuated: map[string]bool{}, removed: map[string]removal{}, warmUp: warmUp,
+		upstreams: map[string]*Upstream{}, evacuated: map[string]bool{}, removed: map[string]tombstone{}, warmUp: warmUp,
 	}
 }
 
@@ -80,7 +80,7 @@
 func (r *Registry) Seed() { r.seeded = true }
 
 // removal is what is remembered of an instance that was removed.
-type removal struct {
+type tombstone struct {
 	at        time.Time
 	coldUntil time.Time
 }
@@ -95,8 +95,8 @@
 )
 
 // Put takes over one instance.
-func (r *Registry) Put(in Instance, now time.Time) {
-	r.members[in.ID] = r.member(r.members[in.ID], in, now)
+func (r *Registry) Put(in Registration, now time.Time) {
+	r.upstreams[in.ID] = r.place(r.upstreams[in.ID], in, now)
 	delete(r.removed, in.ID)
 }
 
@@ -106,7 +106,7 @@
 // to an instance that lives. It stays until its heartbeat has had time to
 // arrive, unless it had said that it leaves. The result says whether it stays.
 func (r *Registry) Remove(id string, now, returned time.Time) (stays bool) {
-	m := r.members[id]
+	m := r.upstreams[id]
 	if m == nil {
 		return false
 	}
@@ -116,28 +116,28 @@
 		return false
 	}
 	lapsed := *m
-	lapsed.GoneAt = grace
-	r.members[id] = &lapsed
+	lapsed.ExpiresAt = grace
+	r.upstreams[id] = &lapsed
 	return true
 }
 
-func (r *Registry) remove(m *Member, now time.Time) {
-	delete(r.members, m.ID)
+func (r *Registry) remove(m *Upstream, now time.Time) {
+	delete(r.upstreams, m.ID)
 	for id, past := range r.removed {
 		if now.Sub(past.at) >= rememberFor {
 			delete(r.removed, id)
 		}
 	}
-	r.removed[m.ID] = removal{at: now, coldUntil: m.ColdUntil}
+	r.removed[m.ID] = tombstone{at: now, coldUntil: m.ColdUntil}
 }
 
 // Expire forgets the instances whose entries lapsed and did not come back in
 // time, and gives them.
-func (r *Registry) Expire(now time.Time) []Instance {
-	var gone []Instance
-	for _, m := range r.members {
-		if !m.GoneAt.IsZero() && !now.Before(m.GoneAt) {
-			gone = append(gone, m.Instance)
+func (r *Registry) Expire(now time.Time) []Registration {
+	var gone []Registration
+	for _, m := range r.upstreams {
+		if !m.ExpiresAt.IsZero() && !now.Before(m.ExpiresAt) {
+			gone = append(gone, m.Registration)
 			r.remove(m, now)
 		}
 	}
@@ -146,8 +146,8 @@
 
 // member decides how long an instance is cold. One that appears while the
 // host runs has just started, whatever it says of itself.
-func (r *Registry) member(old *Member, in Instance, now time.Time) *Member {
-	m := &Member{Instance: in}
+func (r *Registry) place(old *Upstream, in Registration, now time.Time) *Upstream {
+	m := &Upstream{Registration: in}
 	past, wasRemoved := r.removed[in.ID]
 	switch {
 	case old != nil:
@@ -166,7 +166,7 @@
 // Evacuate says which zones are to receive nothing. The instances of a zone
 // that is taken back are cold.
 func (r *Registry) Evacuate(zones map[string]bool, now time.Time) {
-	for id, m := range r.members {
+	for id, m := range r.upstreams {
 		if !r.evacuated[m.Zone] || zones[m.Zone] {
 			continue
 		}
@@ -174,7 +174,7 @@
 		if until := now.Add(r.warmUp(m.Service)); until.After(back.ColdUntil) {
 			back.ColdUntil = until
 		}
-		r.members[id] = &back
+		r.upstreams[id] = &back
 	}
 	r.evacuated = maps.Clone(zones)
 }
@@ -182,10 +182,10 @@
 // Set gives the instances as they are known now.
 func (r *Registry) Set() *Set {
 	s := &Set{
-		byID:      make(map[string]*Member, len(r.members)),
-		byService: map[string][]*Member{},
+		byID:      make(map[string]*Upstream, len(r.upstreams)),
+		byService: map[string][]*Upstream{},
 	}
-	for id, m := range r.members {
+	for id, m := range r.upstreams {
 		s.byID[id] = m
 		if m.Draining || r.evacuated[m.Zone] {
 			continue
@@ -193,7 +193,7 @@
 		s.byService[m.Service] = append(s.byService[m.Service], m)
 	}
 	for _, list := range s.byService {
-		slices.SortFunc(list, func(a, b *Member) int { return cmp.Compare(a.ID, b.ID) })
+		slices.SortFunc(list, func(a, b *Upstream) int { return cmp.Compare(a.ID, b.ID) })
 	}
 	return s
 }
--- a/internal/gateway/upstream/instance_test.go
+++ b/internal/gateway/upstream/instance_test.go
@@ -15,8 +15,8 @@
 	return upstream.NewRegistry(func(string) time.Duration { return warmUp })
 }
 
-func ready(id, zone string) upstream.Instance {
-	return upstream.Instance{ID: id, Service: "s", Zone: zone, Capacity: 2}
+func ready(id, zone string) upstream.Registration {
+	return upstream.Registration{ID: id, Service: "s", Zone: zone, Capacity: 2}
 }
 
 func ids(s *upstream.Set) []string {
@@ -139,7 +139,7 @@
 	require.True(t, r.Remove("gone", now, now))
 	r.Put(ready("back", "z"), now.Add(time.Second))
 	require.Empty(t, r.Expire(now.Add(upstream.LapseGrace-time.Millisecond)))
-	require.Equal(t, []upstream.Instance{ready("gone", "z")}, r.Expire(now.Add(upstream.LapseGrace)))
+	require.Equal(t, []upstream.Registration{ready("gone", "z")}, r.Expire(now.Add(upstream.LapseGrace)))
 	require.Equal(t, []string{"back"}, ids(r.Set()))
 	require.Zero(t, coldFor(t, r, "back", now), "it has not started anew")
 }
--- a/internal/gateway/watch/pack.go
+++ b/internal/gateway/watch/compress.go
@@ -12,14 +12,14 @@
 	// packFrom is the size from which a value is kept and relayed
 	// compressed, in bytes. One host of a region may have to send a large
 	// configuration to all others over a thin link.
-	packFrom = 4 << 10
+	compressFrom = 4 << 10
 	// maxValue bounds a value once it is unpacked, in bytes.
 	maxValue = 16 << 20
 )
 
 // packed gives the row with its value compressed if that is worth it.
-func (r Row) packed() Row {
-	if r.Packed || len(r.Value) < packFrom {
+func (r Row) compressed() Row {
+	if r.Compressed || len(r.Value) < compressFrom {
 		return r
 	}
 	var b bytes.Buffer
@@ -30,13 +30,13 @@
 	if _, err := w.Write(r.Value); err != nil || w.Close() != nil {
 		return r
 	}
-	r.Value, r.Packed = bytes.Clone(b.Bytes()), true
+	r.Value, r.Compressed = bytes.Clone(b.Bytes()), true
 	return r
 }
 
 // Bytes gives the row's value as the store has it.
 func (r Row) Bytes() ([]byte, error) {
-	if !r.Packed {
+	if !r.Compressed {
 		return r.Value, nil
 	}
 	reader := flate.NewReader(bytes.NewReader(r.Value))
--- a/internal/gateway/watch/replica.go
+++ b/internal/gateway/watch/replica.go
@@ -12,17 +12,17 @@
 
 // AwayAfter is the silence after which a store counts as having been away.
 // Entries lapse after three heartbeats of 1 to 1.5 s without a write.
-const AwayAfter = 2500 * time.Millisecond
+const StoreAwayAfter = 2500 * time.Millisecond
 
 // Never is the age of what was never heard.
 const Never = time.Duration(math.MaxInt64)
 
 // Replica is a table as far as it is known here. It is a source for others.
 type Replica struct {
-	mu      sync.Mutex
-	rows    map[string]Row
-	goneAt  map[string]time.Time
-	version int64
+	mu        sync.Mutex
+	rows      map[string]Row
+	deletedAt map[string]time.Time
+	version   int64
 	// changedAt is the version of the last change that a source told; a
 	// removal that only a whole reading showed is not among them.
 	changedAt int64
@@ -41,7 +41,7 @@
 
 // NewReplica makes an empty replica.
 func NewReplica() *Replica {
-	return &Replica{rows: map[string]Row{}, goneAt: map[string]time.Time{}, changed: make(chan struct{}), confirmed: make(chan struct{})}
+	return &Replica{rows: map[string]Row{}, deletedAt: map[string]time.Time{}, changed: make(chan struct{}), confirmed: make(chan struct{})}
 }
 
 // Version is the version that the replica is as of.
@@ -60,7 +60,7 @@
 
 // Returned is when the store was last in reach again after it had been away;
 // zero is never.
-func (r *Replica) Returned() time.Time {
+func (r *Replica) StoreReturned() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.returnedAt
@@ -98,10 +98,10 @@
 		}
 	}
 	for key, row := range r.rows {
-		if row.Gone || listed[key] {
+		if row.Deleted || listed[key] {
 			continue
 		}
-		gone := Row{Key: key, Version: p.Version, Gone: true}
+		gone := Row{Key: key, Version: p.Version, Deleted: true}
 		r.put(gone, now)
 		changes = append(changes, gone)
 	}
@@ -133,13 +133,13 @@
 	if known && row.Version <= old.Version {
 		return false
 	}
-	if !known && row.Gone {
+	if !known && row.Deleted {
 		return false
 	}
-	r.rows[row.Key] = row.packed()
-	delete(r.goneAt, row.Key)
-	if row.Gone {
-		r.goneAt[row.Key] = now
+	r.rows[row.Key] = row.compressed()
+	delete(r.deletedAt, row.Key)
+	if row.Deleted {
+		r.deletedAt[row.Key] = now
 	}
 	return true
 }
@@ -150,7 +150,7 @@
 	if p.Version >= r.version {
 		r.version = p.Version
 		if at := now.Add(-p.Age); at.After(r.freshAt) {
-			if !r.freshAt.IsZero() && at.Sub(r.freshAt) >= AwayAfter {
+			if !r.freshAt.IsZero() && at.Sub(r.freshAt) >= StoreAwayAfter {
 				r.returnedAt = now
 			}
 			r.freshAt = at
@@ -166,13 +166,13 @@
 }
 
 func (r *Replica) prune(now time.Time) {
-	for key, at := range r.goneAt {
+	for key, at := range r.deletedAt {
 		if now.Sub(at) < tombstoneFor {
 			continue
 		}
 		r.floor = max(r.floor, r.rows[key].Version)
 		delete(r.rows, key)
-		delete(r.goneAt, key)
+		delete(r.deletedAt, key)
 	}
 }
 
@@ -181,11 +181,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.synced {
-		return Page{}, ErrGap
+		return Page{}, ErrHistoryGone
 	}
 	page := r.page()
 	for _, row := range r.rows {
-		if !row.Gone {
+		if !row.Deleted {
 			page.Rows = append(page.Rows, row)
 		}
 	}
@@ -237,7 +237,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.synced || after < r.floor {
-		return Page{}, nil, ErrGap
+		return Page{}, nil, ErrHistoryGone
 	}
 	page := r.page()
 	for _, row := range r.rows {
--- a/internal/gateway/watch/row.go
+++ b/internal/gateway/watch/row.go
@@ -13,7 +13,7 @@
 // The errors of a source that a watcher tells apart.
 var (
 	// ErrGap says that the changes since a version are no longer known.
-	ErrGap = eris.New("history is gone")
+	ErrHistoryGone = eris.New("history is gone")
 	// ErrThrottled says that the source refused the call for its rate.
 	ErrThrottled = eris.New("throttled")
 )
@@ -25,9 +25,9 @@
 	// Version is that of the row's last change.
 	Version int64 `msgpack:"r"`
 	// Gone says that the row was removed.
-	Gone bool `msgpack:"g,omitempty"`
+	Deleted bool `msgpack:"g,omitempty"`
 	// Packed says that Value is compressed.
-	Packed bool `msgpack:"p,omitempty"`
+	Compressed bool `msgpack:"p,omitempty"`
 }
 
 // Page is an answer of a source.
--- a/internal/gateway/watch/watch_test.go
+++ b/internal/gateway/watch/watch_test.go
@@ -50,7 +50,7 @@
 	s.version++
 	v := s.version
 	s.mu.Unlock()
-	s.replica.apply(Page{Version: v, Rows: []Row{{Key: key, Version: v, Gone: true}}}, time.Now())
+	s.replica.apply(Page{Version: v, Rows: []Row{{Key: key, Version: v, Deleted: true}}}, time.Now())
 }
 
 func (s *fakeStore) set(f func(*fakeStore)) {
@@ -112,7 +112,7 @@
 	gap := s.gap
 	s.mu.Unlock()
 	if gap {
-		return Page{}, ErrGap
+		return Page{}, ErrHistoryGone
 	}
 	p, err := s.replica.Changes(ctx, after, wait)
 	p.Age = 0
@@ -134,7 +134,7 @@
 		r.rows = map[string]string{}
 	}
 	for _, row := range u.Rows {
-		if row.Gone {
+		if row.Deleted {
 			delete(r.rows, row.Key)
 			continue
 		}
@@ -180,11 +180,11 @@
 func nobodyKnowsMore() (int64, time.Duration) { return 0, 0 }
 
 // follow runs a watcher in a bubble of fake time.
-func follow(t *testing.T, newest Newest, sources ...Named) (*recorder, *Replica) {
+func follow(t *testing.T, newest NewestKnown, sources ...NamedSource) (*recorder, *Replica) {
 	t.Helper()
 	r := &recorder{}
 	replica := NewReplica()
-	w := New(replica, func() []Named { return sources }, newest, r, timing)
+	w := New(replica, func() []NamedSource { return sources }, newest, r, timing)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
@@ -202,7 +202,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
 		s.put("a", "1")
-		r, _ := follow(t, nobodyKnowsMore, Named{Name: "store", Source: s})
+		r, _ := follow(t, nobodyKnowsMore, NamedSource{Name: "store", Source: s})
 		synctest.Wait()
 		require.Equal(t, "1", r.value("a"))
 		time.Sleep(timing.SettleFirst)
@@ -220,7 +220,7 @@
 func TestAStoreThatIsDownIsAskedSparinglyAndFoundAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		r, _ := follow(t, nobodyKnowsMore, Named{Name: "store", Source: s})
+		r, _ := follow(t, nobodyKnowsMore, NamedSource{Name: "store", Source: s})
 		synctest.Wait()
 		s.set(func(s *fakeStore) { s.down, s.calls = errors.New("503"), 0 })
 		time.Sleep(10 * time.Second)
@@ -237,13 +237,13 @@
 func TestADeadConnectionCostsNoMoreThanTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		r, _ := follow(t, nobodyKnowsMore, Named{Name: "store", Source: s})
+		r, _ := follow(t, nobodyKnowsMore, NamedSource{Name: "store", Source: s})
 		synctest.Wait()
 		s.set(func(s *fakeStore) { s.silent = true })
-		time.Sleep(timing.Wait + time.Millisecond) // the next question is swallowed
+		time.Sleep(timing.LongPoll + time.Millisecond) // the next question is swallowed
 		s.set(func(s *fakeStore) { s.silent = false })
 		s.put("a", "1")
-		time.Sleep(timing.Wait + timing.Slack + timing.Retry)
+		time.Sleep(timing.LongPoll + timing.Slack + timing.Retry)
 		require.Equal(t, "1", r.value("a"))
 	})
 }
@@ -253,15 +253,15 @@
 		s := newFakeStore()
 		s.put("a", "1")
 		s.put("b", "1")
-		r, _ := follow(t, nobodyKnowsMore, Named{Name: "store", Source: s})
+		r, _ := follow(t, nobodyKnowsMore, NamedSource{Name: "store", Source: s})
 		synctest.Wait()
 		time.Sleep(timing.SettleFirst)
 		s.set(func(s *fakeStore) { s.silent = true })
-		time.Sleep(timing.Wait + time.Millisecond)
+		time.Sleep(timing.LongPoll + time.Millisecond)
 		s.set(func(s *fakeStore) { s.silent, s.gap = false, true })
 		s.remove("a")
 		s.put("b", "2")
-		time.Sleep(timing.Wait + timing.Slack + time.Second)
+		time.Sleep(timing.LongPoll + timing.Slack + time.Second)
 		require.Equal(t, "", r.value("a"), "what a whole reading lacks is gone")
 		require.Equal(t, "2", r.value("b"))
 		require.Less(t, s.listed(), 10, "a store that lags is not asked again and again")
@@ -274,7 +274,7 @@
 		s.put("a", "old")
 		stale, _ := s.replica.List(t.Context())
 		s.put("a", "new")
-		r, _ := follow(t, nobodyKnowsMore, Named{Name: "store", Source: s})
+		r, _ := follow(t, nobodyKnowsMore, NamedSource{Name: "store", Source: s})
 		synctest.Wait()
 		s.set(func(s *fakeStore) { s.stale, s.gap = &stale, true })
 		s.put("x", "wakes the watcher")
@@ -291,10 +291,10 @@
 		s := newFakeStore()
 		s.put("a", "1")
 		cut := &fakeStore{down: errors.New("unreachable")}
-		peer, peersReplica := follow(t, nobodyKnowsMore, Named{Name: "store", Source: s})
+		peer, peersReplica := follow(t, nobodyKnowsMore, NamedSource{Name: "store", Source: s})
 		synctest.Wait()
 		require.Equal(t, "1", peer.value("a"))
-		r, _ := follow(t, nobodyKnowsMore, Named{Name: "store", Source: cut}, Named{Name: "peer", Source: peersReplica, Relay: true})
+		r, _ := follow(t, nobodyKnowsMore, NamedSource{Name: "store", Source: cut}, NamedSource{Name: "peer", Source: peersReplica, Relay: true})
 		time.Sleep(time.Second)
 		require.Equal(t, "1", r.value("a"))
 		s.put("a", "2")
@@ -308,7 +308,7 @@
 		s := newFakeStore()
 		old := NewReplica()
 		old.replace(Page{Version: 1, Age: time.Minute}, time.Now())
-		r, _ := follow(t, nobodyKnowsMore, Named{Name: "peer", Source: old, Relay: true}, Named{Name: "store", Source: s})
+		r, _ := follow(t, nobodyKnowsMore, NamedSource{Name: "peer", Source: old, Relay: true}, NamedSource{Name: "store", Source: s})
 		s.put("a", "1")
 		time.Sleep(2 * time.Second)
 		require.Equal(t, "1", r.value("a"))
@@ -330,7 +330,7 @@
 		}
 		return 2, time.Since(began) - time.Second
 	}
-	r, _ := follow(t, newest, Named{Name: "peer", Source: dead, Relay: true}, Named{Name: "store", Source: s})
+	r, _ := follow(t, newest, NamedSource{Name: "peer", Source: dead, Relay: true}, NamedSource{Name: "store", Source: s})
 	time.Sleep(time.Second)
 	return s, r
 }
@@ -367,13 +367,13 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := newFakeStore()
 				relaysWay := &fakeStore{replica: s.replica}
-				_, relaysReplica := follow(t, nobodyKnowsMore, Named{Name: "store", Source: relaysWay})
+				_, relaysReplica := follow(t, nobodyKnowsMore, NamedSource{Name: "store", Source: relaysWay})
 				way := &fakeStore{replica: relaysReplica}
-				r, _ := follow(t, nobodyKnowsMore, Named{Name: "relay", Source: agedSource{way, relaysReplica}, Relay: true}, Named{Name: "store", Source: s})
+				r, _ := follow(t, nobodyKnowsMore, NamedSource{Name: "relay", Source: agedSource{way, relaysReplica}, Relay: true}, NamedSource{Name: "store", Source: s})
 				time.Sleep(10 * time.Second)
 				relaysWay.set(func(f *fakeStore) { f.silent = true })
 				way.set(func(f *fakeStore) { f.silent = relayDies })
-				time.Sleep(timing.Wait) // a question under way may still be answered
+				time.Sleep(timing.LongPoll) // a question under way may still be answered
 				s.put("a", "1")
 				time.Sleep(staleness - 100*time.Millisecond)
 				require.Equal(t, "1", r.value("a"))
@@ -406,22 +406,22 @@
 	now := time.Now()
 	r := NewReplica()
 	_, err := r.List(t.Context())
-	require.ErrorIs(t, err, ErrGap, "an empty replica says nothing rather than that nothing is there")
+	require.ErrorIs(t, err, ErrHistoryGone, "an empty replica says nothing rather than that nothing is there")
 	r.replace(Page{Version: 5, Rows: []Row{{Key: "a", Version: 3}, {Key: "b", Version: 4}}}, now)
 	_, err = r.Changes(t.Context(), 4, 0)
-	require.ErrorIs(t, err, ErrGap)
+	require.ErrorIs(t, err, ErrHistoryGone)
 	changes, ok := r.replace(Page{Version: 9, Rows: []Row{{Key: "b", Version: 8}}}, now)
 	require.True(t, ok)
 	require.Len(t, changes, 2)
 	p, err := r.Changes(t.Context(), 5, 0)
 	require.NoError(t, err)
-	require.ElementsMatch(t, []Row{{Key: "a", Version: 9, Gone: true}, {Key: "b", Version: 8}}, p.Rows)
+	require.ElementsMatch(t, []Row{{Key: "a", Version: 9, Deleted: true}, {Key: "b", Version: 8}}, p.Rows)
 	// A row that was removed does not come back by an older word.
 	require.Empty(t, r.apply(Page{Version: 9, Rows: []Row{{Key: "a", Version: 7}}}, now))
 	// Once the tombstone is forgotten, older versions are a gap.
 	r.apply(Page{Version: 10, Rows: []Row{{Key: "c", Version: 10}}}, now.Add(2*tombstoneFor))
 	_, err = r.Changes(t.Context(), 5, 0)
-	require.ErrorIs(t, err, ErrGap)
+	require.ErrorIs(t, err, ErrHistoryGone)
 }
 
 func TestRelaysOfRelaysOnlyGrowOlder(t *testing.T) {
@@ -456,7 +456,7 @@
 		require.Equal(t, large, value)
 		require.Less(t, len(row.Value), len(large)/10)
 	}
-	_, err = Row{Value: []byte("rubbish"), Packed: true}.Bytes()
+	_, err = Row{Value: []byte("rubbish"), Compressed: true}.Bytes()
 	require.Error(t, err)
 }
 
@@ -464,19 +464,19 @@
 	start := time.Now()
 	r := NewReplica()
 	r.replace(Page{Version: 1}, start)
-	require.Zero(t, r.Returned(), "the first reading is no return")
-	soon := start.Add(AwayAfter - time.Millisecond)
+	require.Zero(t, r.StoreReturned(), "the first reading is no return")
+	soon := start.Add(StoreAwayAfter - time.Millisecond)
 	r.apply(Page{Version: 1}, soon)
-	require.Zero(t, r.Returned())
-	late := soon.Add(AwayAfter + time.Second)
+	require.Zero(t, r.StoreReturned())
+	late := soon.Add(StoreAwayAfter + time.Second)
 	r.apply(Page{Version: 1, Age: 100 * time.Millisecond}, late)
-	require.Equal(t, late, r.Returned())
+	require.Equal(t, late, r.StoreReturned())
 }
 
 func TestABurstOfChangesCostsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		r, _ := follow(t, nobodyKnowsMore, Named{Name: "store", Source: s})
+		r, _ := follow(t, nobodyKnowsMore, NamedSource{Name: "store", Source: s})
 		synctest.Wait()
 		s.set(func(s *fakeStore) { s.calls = 0 })
 		for i := range 50 {
@@ -495,7 +495,7 @@
 func TestAFallbackAsksTheStoreLessOften(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, old := newFakeStore(), newFakeStore()
-		r, _ := follow(t, nobodyKnowsMore, Named{Name: "relay", Source: old, Relay: true}, Named{Name: "store", Source: s, Fallback: true})
+		r, _ := follow(t, nobodyKnowsMore, NamedSource{Name: "relay", Source: old, Relay: true}, NamedSource{Name: "store", Source: s, Fallback: true})
 		time.Sleep(timing.SettleFirst)
 		old.set(func(s *fakeStore) { s.down = errors.New("old") })
 		s.set(func(s *fakeStore) { s.down, s.calls = errors.New("503"), 0 })
@@ -514,7 +514,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
 		s.put("a", "1")
-		r, _ := follow(t, nobodyKnowsMore, Named{Name: "store", Source: s})
+		r, _ := follow(t, nobodyKnowsMore, NamedSource{Name: "store", Source: s})
 		synctest.Wait()
 		s.set(func(s *fakeStore) { s.gap = true })
 		s.remove("a")
@@ -535,7 +535,7 @@
 		time.Sleep(500 * time.Millisecond)
 		answered := make(chan Page)
 		go func() {
-			p, err := r.ChangesWithin(t.Context(), 1, timing.RelayWait, timing.MaxAge)
+			p, err := r.ChangesWithin(t.Context(), 1, timing.RelayLongPoll, timing.MaxAge)
 			require.NoError(t, err)
 			answered <- p
 		}()
--- a/internal/gateway/watch/watcher.go
+++ b/internal/gateway/watch/watcher.go
@@ -25,14 +25,14 @@
 	// Rows are the rows that changed.
 	Rows []Row
 	// Whole says that they come of a whole reading.
-	Whole bool
+	Full bool
 	// Returned is when the table's store was last in reach again after
 	// it had been out of reach for AwayAfter; zero is never.
-	Returned time.Time
+	StoreReturned time.Time
 }
 
 // Named is a source with a name for the log.
-type Named struct {
+type NamedSource struct {
 	Name   string
 	Source Source
 	// Relay says that the source is another host's replica, which may be
@@ -45,18 +45,18 @@
 }
 
 // Route tells a watcher which sources to ask, the best first.
-type Route func() []Named
+type SourceOrder func() []NamedSource
 
 // Newest tells the version of the newest change that any other host is known
 // to have, and for how long that has been known.
-type Newest func() (version int64, since time.Duration)
+type NewestKnown func() (version int64, since time.Duration)
 
 // Timing sets a watcher's pace.
 type Timing struct {
 	// Wait is how long the store holds a question for changes, and
 	// RelayWait how long another host does.
-	Wait      time.Duration
-	RelayWait time.Duration
+	LongPoll      time.Duration
+	RelayLongPoll time.Duration
 	// Slack is how much longer the store's answer may take than it holds
 	// the question; it doubles up to MaxSlack while answers are late.
 	// RelaySlack is that of another host.
@@ -102,7 +102,7 @@
 func TimingFor(staleness time.Duration) Timing {
 	part := func(p float64) time.Duration { return time.Duration(p * float64(staleness)) }
 	return Timing{
-		Wait: part(waitPart), MaxAge: part(maxAgePart), RelayWait: part(relayWaitPart), RelaySlack: part(relaySlackPart),
+		LongPoll: part(waitPart), MaxAge: part(maxAgePart), RelayLongPoll: part(relayWaitPart), RelaySlack: part(relaySlackPart),
 		Settle: part(settlePart), SettleFirst: part(firstPart),
 		Slack: 500 * time.Millisecond, MaxSlack: 2 * time.Second,
 		Retry: 100 * time.Millisecond, MaxRetry: 800 * time.Millisecond, MaxFallbackRetry: 2400 * time.Millisecond, Behind: part(behindPart),
@@ -112,29 +112,29 @@
 // Watcher keeps one replica up to date.
 type Watcher struct {
 	replica *Replica
-	route   Route
-	newest  Newest
+	order   SourceOrder
+	newest  NewestKnown
 	sink    Sink
 	timing  Timing
 
-	sources map[string]*standing
+	sources map[string]*sourceState
 	// listedAt is when the last answer was a whole reading; zero when it
 	// told of changes.
 	listedAt time.Time
 }
 
 // standing is how a source did lately.
-type standing struct {
+type sourceState struct {
 	retry time.Duration
 	slack time.Duration
 	tryAt time.Time
 	// lostAt is when it stopped answering; zero while it answers.
-	lostAt time.Time
+	failedSince time.Time
 }
 
 // New makes a watcher of a replica.
-func New(replica *Replica, route Route, newest Newest, sink Sink, timing Timing) *Watcher {
-	return &Watcher{replica: replica, route: route, newest: newest, sink: sink, timing: timing, sources: map[string]*standing{}}
+func New(replica *Replica, route SourceOrder, newest NewestKnown, sink Sink, timing Timing) *Watcher {
+	return &Watcher{replica: replica, order: route, newest: newest, sink: sink, timing: timing, sources: map[string]*sourceState{}}
 }
 
 // Run follows the table until the context ends.
@@ -145,23 +145,23 @@
 			pause.For(ctx, wait)
 			continue
 		}
-		news, err := w.ask(ctx, named)
+		news, err := w.poll(ctx, named)
 		if ctx.Err() != nil {
 			return
 		}
-		w.note(named, err)
+		w.recordResult(named, err)
 		if err == nil && !named.Relay {
-			pause.For(ctx, w.settle(news))
+			pause.For(ctx, w.pauseAfter(news))
 		}
 	}
 }
 
 // settle is the pause after an answer of the store.
-func (w *Watcher) settle(n news) time.Duration {
+func (w *Watcher) pauseAfter(n pollResult) time.Duration {
 	switch n {
-	case newsFirst:
+	case firstList:
 		return w.timing.SettleFirst
-	case newsChanges:
+	case changed:
 		return w.timing.Settle
 	default:
 		return 0
@@ -169,69 +169,69 @@
 }
 
 // idle is the pause when no source can be asked.
-const idle = 50 * time.Millisecond
+const noSourcePause = 50 * time.Millisecond
 
 // next gives the best source that may be asked now, or how long to wait.
-func (w *Watcher) next(now time.Time) (Named, time.Duration) {
-	for _, named := range w.route() {
+func (w *Watcher) next(now time.Time) (NamedSource, time.Duration) {
+	for _, named := range w.order() {
 		s := w.sources[named.Name]
 		if s == nil || !now.Before(s.tryAt) {
 			return named, 0
 		}
 	}
-	return Named{}, idle
+	return NamedSource{}, noSourcePause
 }
 
 // news is what an answer brought.
-type news uint8
+type pollResult uint8
 
 const (
-	newsNone news = iota
-	newsChanges
+	noChange pollResult = iota
+	changed
 	// newsFirst is the first whole reading.
-	newsFirst
+	firstList
 )
 
 // ask asks one source.
-func (w *Watcher) ask(ctx context.Context, n Named) (news, error) {
+func (w *Watcher) poll(ctx context.Context, n NamedSource) (pollResult, error) {
 	behind := w.behind()
-	wait, slack := w.patience(n, behind)
+	wait, slack := w.timeouts(n, behind)
 	ctx, cancel := context.WithTimeout(ctx, wait+slack)
 	defer cancel()
 	if !w.synced() {
-		return newsFirst, w.list(ctx, n)
+		return firstList, w.list(ctx, n)
 	}
 	if !behind {
 		stop := w.whenBehind(ctx, cancel)
 		defer stop()
 	}
 	page, err := n.Source.Changes(ctx, w.replica.Version(), wait)
-	if errors.Is(err, ErrGap) && time.Since(w.listedAt) >= w.timing.Wait {
-		return newsNone, w.list(ctx, n)
+	if errors.Is(err, ErrHistoryGone) && time.Since(w.listedAt) >= w.timing.LongPoll {
+		return noChange, w.list(ctx, n)
 	}
 	if err != nil {
-		return newsNone, err
+		return noChange, err
 	}
 	w.listedAt = time.Time{}
 	changes := w.replica.apply(page, time.Now())
 	if len(changes) == 0 {
-		return newsNone, w.judge(n, page)
+		return noChange, w.checkRelay(n, page)
 	}
-	w.sink.Apply(Update{Rows: changes, Returned: w.replica.Returned()})
-	return newsChanges, w.judge(n, page)
+	w.sink.Apply(Update{Rows: changes, StoreReturned: w.replica.StoreReturned()})
+	return changed, w.checkRelay(n, page)
 }
 
 // patience is how long a source may hold a question, and how much longer its
 // answer may take. A host that is behind waits for nothing to happen: what it
 // misses is there already. But it does give each source the time to answer.
-func (w *Watcher) patience(n Named, behind bool) (wait, slack time.Duration) {
+func (w *Watcher) timeouts(n NamedSource, behind bool) (wait, slack time.Duration) {
 	switch {
 	case behind:
-		return 0, w.standing(n).slack
+		return 0, w.state(n).slack
 	case n.Relay:
-		return w.timing.RelayWait, w.timing.RelaySlack
+		return w.timing.RelayLongPoll, w.timing.RelaySlack
 	default:
-		return w.timing.Wait, w.standing(n).slack
+		return w.timing.LongPoll, w.state(n).slack
 	}
 }
 
@@ -243,7 +243,7 @@
 
 // list reads everything. A reading that is older than what is known is not
 // taken: the source may answer from a copy that lags.
-func (w *Watcher) list(ctx context.Context, n Named) error {
+func (w *Watcher) list(ctx context.Context, n NamedSource) error {
 	page, err := n.Source.List(ctx)
 	if err != nil {
 		return err
@@ -253,12 +253,12 @@
 		return eris.Errorf("source is at version %d, %d is known", page.Version, w.replica.Version())
 	}
 	w.listedAt = time.Now()
-	w.sink.Apply(Update{Rows: changes, Whole: true, Returned: w.replica.Returned()})
-	return w.judge(n, page)
+	w.sink.Apply(Update{Rows: changes, Full: true, StoreReturned: w.replica.StoreReturned()})
+	return w.checkRelay(n, page)
 }
 
 // judge decides whether an answer is as good as the store's own.
-func (w *Watcher) judge(n Named, p Page) error {
+func (w *Watcher) checkRelay(n NamedSource, p Page) error {
 	if !n.Relay {
 		return nil
 	}
@@ -310,17 +310,17 @@
 	return func() { close(done) }
 }
 
-func (w *Watcher) maxRetry(n Named) time.Duration {
+func (w *Watcher) maxRetry(n NamedSource) time.Duration {
 	if n.Fallback {
 		return w.timing.MaxFallbackRetry
 	}
 	return w.timing.MaxRetry
 }
 
-func (w *Watcher) standing(n Named) *standing {
+func (w *Watcher) state(n NamedSource) *sourceState {
 	s := w.sources[n.Name]
 	if s == nil {
-		s = &standing{retry: w.timing.Retry, slack: w.timing.Slack}
+		s = &sourceState{retry: w.timing.Retry, slack: w.timing.Slack}
 		w.sources[n.Name] = s
 	}
 	return s
@@ -328,14 +328,14 @@
 
 // note takes down how a source did, and tells the sink when it stops
 // answering and when it answers again.
-func (w *Watcher) note(n Named, err error) {
+func (w *Watcher) recordResult(n NamedSource, err error) {
 	now := time.Now()
-	s := w.standing(n)
+	s := w.state(n)
 	if err == nil {
 		s.retry, s.slack = w.timing.Retry, w.timing.Slack
-		if !s.lostAt.IsZero() {
-			w.sink.Regained(n.Name, now.Sub(s.lostAt))
-			s.lostAt = time.Time{}
+		if !s.failedSince.IsZero() {
+			w.sink.Regained(n.Name, now.Sub(s.failedSince))
+			s.failedSince = time.Time{}
 		}
 		return
 	}
@@ -344,8 +344,8 @@
 	}
 	s.tryAt = now.Add(s.retry/2 + rand.N(s.retry/2+1))
 	s.retry = min(s.retry*2, w.maxRetry(n))
-	if s.lostAt.IsZero() {
-		s.lostAt = now
+	if s.failedSince.IsZero() {
+		s.failedSince = now
 		w.sink.Lost(n.Name, err)
 	}
 }
