--- a/cmd/gateway.go
+++ b/cmd/gateway.go
@@ -24,6 +24,7 @@
 	"cairndock/internal/gateway/outlier"
 	"cairndock/internal/gateway/proxy"
 	"cairndock/internal/gateway/retry"
+	"cairndock/internal/gateway/routing"
 	"cairndock/internal/gateway/watch"
 	"cairndock/internal/settings"
 	"cairndock/internal/telemetry"
@@ -99,7 +100,7 @@
 	log       *eventlog.Log
 	metrics   *telemetry.Metrics
 	tracer    trace.Tracer
-	knowledge *proxy.RoutingState
+	knowledge *routing.State
 	judge     *outlier.Detector
 	timing    watch.Timing
 	tables    [tableCount]fleet.Table
@@ -114,7 +115,7 @@
 	n.timing = watch.TimingFor(set.Limits.Staleness())
 	n.log = eventlog.New(out, set.Host.Name, n.metrics)
 	n.judge = outlier.New(n)
-	n.knowledge = proxy.NewRoutingState(platform.Decoder{Zones: set.Zones}, n.log, n.metrics)
+	n.knowledge = routing.New(platform.Decoder{Zones: set.Zones}, n.log, n.metrics)
 	store := platform.NewStore(set.Store.Address, dialer(storeDialTimeout).DialContext)
 	n.tables[intentTable] = fleet.Table{Replica: watch.NewReplica(), Store: platform.OperatorTable(store)}
 	n.tables[upstreamTable] = fleet.Table{Replica: watch.NewReplica(), Store: platform.UpstreamTable(store)}
@@ -127,8 +128,8 @@
 		Seeds: set.PeerSeeds(), Transport: fleet.TCP{Dialer: dialer(storeDialTimeout)},
 		Tables: n.tables[:], MaxAge: n.timing.MaxAge,
 	})
-	n.watch(intentTable, proxy.OperatorSink{State: n.knowledge})
-	n.watch(upstreamTable, proxy.UpstreamSink{State: n.knowledge})
+	n.watch(intentTable, routing.OperatorSink{State: n.knowledge})
+	n.watch(upstreamTable, routing.UpstreamSink{State: n.knowledge})
 	n.gateway = n.newGateway()
 	n.server = proxy.NewServer(n.gateway)
 	n.registerGauges()
--- a/internal/gateway/proxy/proxy.go
+++ b/internal/gateway/proxy/proxy.go
@@ -22,6 +22,7 @@
 	"cairndock/internal/gateway/exchange"
 	"cairndock/internal/gateway/outlier"
 	"cairndock/internal/gateway/retry"
+	"cairndock/internal/gateway/routing"
 	"cairndock/internal/telemetry"
 	"cairndock/internal/verdict"
 )
@@ -58,7 +59,7 @@
 
 // Options is what a gateway is made of.
 type Options struct {
-	State    *RoutingState
+	State    *routing.State
 	Balancer *balance.Balancer
 	Detector *outlier.Detector
 	Budget   *retry.Budget
--- a/internal/gateway/proxy/proxy_test.go
+++ b/internal/gateway/proxy/proxy_test.go
@@ -29,6 +29,7 @@
 	"cairndock/internal/gateway/proxy"
 	"cairndock/internal/gateway/retry"
 	"cairndock/internal/gateway/route"
+	"cairndock/internal/gateway/routing"
 	"cairndock/internal/gateway/upstream"
 	"cairndock/internal/gateway/watch"
 	"cairndock/internal/telemetry"
@@ -84,17 +85,17 @@
 	Limits route.Limits
 }
 
-func (decoder) OperatorRow(_ string, value []byte) (proxy.OperatorRow, error) {
+func (decoder) OperatorRow(_ string, value []byte) (routing.OperatorRow, error) {
 	var r intentRow
 	if err := json.Unmarshal(value, &r); err != nil {
-		return proxy.OperatorRow{}, eris.Wrap(err, "parse")
+		return routing.OperatorRow{}, eris.Wrap(err, "parse")
 	}
 	if r.Evacuate != "" {
-		return proxy.OperatorRow{Evacuate: r.Evacuate}, nil
+		return routing.OperatorRow{Evacuate: r.Evacuate}, nil
 	}
 	services := []route.Service{{Name: "s", WarmUp: time.Second, WarmUpRate: 5}}
 	r.Limits.BodyBytes, r.Limits.HeaderBytes = 1000, 2000
-	return proxy.OperatorRow{Table: route.NewTable(r.Version, r.Routes, services, r.Limits)}, nil
+	return routing.OperatorRow{Table: route.NewTable(r.Version, r.Routes, services, r.Limits)}, nil
 }
 
 func (decoder) Upstream(_ string, value []byte) (upstream.Registration, error) {
@@ -106,7 +107,7 @@
 type world struct {
 	t         *testing.T
 	gateway   *proxy.Proxy
-	knowledge *proxy.RoutingState
+	knowledge *routing.State
 	server    *httptest.Server
 	log       *lines
 	version   int64
@@ -149,7 +150,7 @@
 	m := telemetry.NewMetrics()
 	log := eventlog.New(w.log, "h", m)
 	t.Cleanup(log.Close)
-	w.knowledge = proxy.NewRoutingState(decoder{}, log, m)
+	w.knowledge = routing.New(decoder{}, log, m)
 	dial := exchange.Dialer{Timeout: 200 * time.Millisecond, Unacknowledged: time.Second}
 	age := func() time.Duration { return 0 }
 	judge := outlier.New(reporter{log})
@@ -170,7 +171,7 @@
 	w.version++
 	value, err := json.Marshal(r)
 	require.NoError(w.t, err)
-	proxy.OperatorSink{State: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: key, Value: value, Version: w.version}}})
+	routing.OperatorSink{State: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: key, Value: value, Version: w.version}}})
 }
 
 func (w *world) routes(rs ...route.Route) {
@@ -212,7 +213,7 @@
 	value, err := json.Marshal(upstream.Registration{ID: id, Service: "s", Address: l.Addr().String(), Zone: "z", Region: "r", Capacity: 2})
 	require.NoError(w.t, err)
 	w.version++
-	proxy.UpstreamSink{State: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: id, Value: value, Version: w.version}}, Full: true})
+	routing.UpstreamSink{State: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: id, Value: value, Version: w.version}}, Full: true})
 	return &count
 }
 
@@ -440,7 +441,7 @@
 	resp, _ := w.get()
 	require.Equal(t, 503, resp.StatusCode)
 	require.Zero(t, n.Load())
-	proxy.OperatorSink{State: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: "evacuate", Version: 99, Deleted: true}}})
+	routing.OperatorSink{State: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: "evacuate", Version: 99, Deleted: true}}})
 	resp, _ = w.get()
 	require.Equal(t, 200, resp.StatusCode)
 }
@@ -452,7 +453,7 @@
 	w.intent("config", intentRow{Version: 4})
 	resp, _ := w.get()
 	require.Equal(t, 200, resp.StatusCode)
-	proxy.OperatorSink{State: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: "config", Value: []byte("{"), Version: 50}}})
+	routing.OperatorSink{State: w.knowledge}.Apply(watch.Update{Rows: []watch.Row{{Key: "config", Value: []byte("{"), Version: 50}}})
 	resp, _ = w.get()
 	require.Equal(t, 200, resp.StatusCode)
 	require.Eventually(t, func() bool { return strings.Contains(w.log.String(), "bad-row") }, time.Second, time.Millisecond)
