--- /dev/null
+++ b/internal/docscheck/names_test.go
@@ -0,0 +1,220 @@
+// Package docscheck has only tests: they hold README.md and the pages under
+// docs against the code. A page that names a package, file, test, flag,
+// setting, metric or log line that isn't there fails, and so does a metric or
+// log line that no page explains.
+package docscheck
+
+import (
+	"path"
+	"regexp"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// allowed are names that stand on a page though the repository has no such
+// thing, each with the reason.
+var allowed = map[string]string{
+	"KNOWN-RED.txt":    "exists only while a test is known to fail",
+	"target/cairndock": "is what the build writes",
+	"admin/metrics":    "is the platform's name of a listener and a path there",
+	"PORT/PATH":        "stands for such a name",
+	"status/":          "is a table of the platform's store",
+	"target/":          "is where the build writes",
+	"--day-cap":        "is a flag of the users' bench, not of this program",
+	"--days":           "is a flag of the users' bench, not of this program",
+}
+
+// kind is one kind of name that pages use.
+type kind struct {
+	name string
+	// pattern finds the names in a piece of code; its first group, if it has
+	// one, is the name.
+	pattern *regexp.Regexp
+	// exists reports whether a page in a folder may use the name.
+	exists func(s *source, dir, name string) bool
+}
+
+// kinds are all kinds of names that are checked. A pattern between ^ and $
+// sees one word of a piece of code at a time, others the whole piece.
+var kinds = []kind{
+	{"command", regexp.MustCompile(`(?:\bcairndock|\bgo run \.) ([a-z]+)`), func(s *source, _, name string) bool {
+		return s.commands[name]
+	}},
+	{"flag", regexp.MustCompile(`(?:^|[\s\[(])(--[a-z][a-z-]*)`), func(s *source, _, name string) bool {
+		return s.flags[strings.TrimPrefix(name, "--")]
+	}},
+	{"test", regexp.MustCompile(`\b(?:Test|Benchmark|Fuzz)[A-Z]\w*`), func(s *source, _, name string) bool {
+		return s.tests[name]
+	}},
+	{"metric", regexp.MustCompile(`\bcairndock_[a-z_]+`), func(s *source, _, name string) bool {
+		return s.metrics[name] != nil
+	}},
+	{"path", regexp.MustCompile(`^\.?[A-Za-z][\w.-]*(?:/[\w.-]*)+$|^[\w-]+\.(?:go|md|toml|tmpl|txt)$|^\./[\w./-]*$`), isPath},
+	{"member", regexp.MustCompile(`\b[a-z][a-z0-9]*(?:\.[A-Z]\w*)+`), func(s *source, _, name string) bool {
+		return s.members[name]
+	}},
+	{"setting", regexp.MustCompile(`^(?:[a-z_]+)?\.[a-z_]+$`), isSetting},
+	{"identifier", regexp.MustCompile(`^[A-Z]+[a-z0-9]+(?:[A-Z]\w*)?$|^[a-z]+(?:[A-Z][a-z]\w*)$`), func(s *source, _, name string) bool {
+		return s.identifiers[name] || s.literals[name]
+	}},
+	{"environment", regexp.MustCompile(`\b[A-Z]+_[A-Z]+\b`), func(s *source, _, name string) bool {
+		return s.literals[name]
+	}},
+	{"header", regexp.MustCompile(`\b(?:X-)?Cairndock(?:-[A-Z]\w+)+`), func(s *source, _, name string) bool {
+		return s.literals[name]
+	}},
+}
+
+// isPath reports whether a path leads from the root or from the page's folder
+// to a file or folder. A pattern of packages ends in three dots.
+func isPath(_ *source, dir, name string) bool {
+	name = strings.TrimSuffix(name, "/...")
+	if name == "./..." || name == "." {
+		return true
+	}
+	return exists(root, name) || exists(root, dir, name)
+}
+
+// isSetting reports whether each part of a dotted key is a key of a settings
+// file; a key that begins with a dot leaves out its section. File names are
+// paths.
+func isSetting(s *source, _, name string) bool {
+	if path.Ext(name) == ".md" || path.Ext(name) == ".go" || path.Ext(name) == ".toml" || path.Ext(name) == ".txt" {
+		return true
+	}
+	for part := range strings.SplitSeq(strings.TrimPrefix(name, "."), ".") {
+		if !s.settings[part] {
+			return false
+		}
+	}
+	return true
+}
+
+// fault is a name that does not exist.
+type fault struct{ kind, name string }
+
+// missing gives the names on a page that do not exist, and notes in used
+// which exceptions it needed.
+func (p page) missing(s *source, used map[string]bool) []fault {
+	var faults []fault
+	for _, piece := range p.code() {
+		for _, k := range kinds {
+			for _, name := range k.find(piece) {
+				if k.exists(s, path.Dir(p.path), name) {
+					continue
+				}
+				if allowed[name] != "" {
+					used[name] = true
+					continue
+				}
+				faults = append(faults, fault{k.name, name})
+			}
+		}
+	}
+	return faults
+}
+
+// find gives the names of a kind in a piece of code.
+func (k kind) find(piece string) []string {
+	pieces := []string{piece}
+	if strings.HasPrefix(k.pattern.String(), "^") {
+		pieces = words(piece)
+	}
+	var names []string
+	for _, p := range pieces {
+		for _, m := range k.pattern.FindAllStringSubmatch(p, -1) {
+			names = append(names, m[len(m)-1])
+		}
+	}
+	return names
+}
+
+// words splits a piece of code, without the punctuation around its words but
+// for the dots of a pattern of packages.
+func words(piece string) []string {
+	var all []string
+	for word := range strings.FieldsSeq(piece) {
+		word = strings.Trim(word, `'"()[]|,;:`)
+		if !strings.HasSuffix(word, "/...") {
+			word = strings.TrimRight(word, ".")
+		}
+		all = append(all, word)
+	}
+	return all
+}
+
+func TestPagesNameOnlyWhatExists(t *testing.T) {
+	s := loadSource(t)
+	used := map[string]bool{}
+	for _, p := range loadPages(t) {
+		faults := p.missing(s, used) // of every page, also when -run names one
+		t.Run(p.path, func(t *testing.T) {
+			for _, f := range faults {
+				t.Errorf("%s names the %s %q, which isn't there", p.path, f.kind, f.name)
+			}
+		})
+	}
+	require.Equal(t, sortedKeys(allowed), sortedKeys(used), "an exception that no page needs")
+}
+
+func TestLinksLeadToAPageAndHeading(t *testing.T) {
+	for _, p := range loadPages(t) {
+		t.Run(p.path, func(t *testing.T) {
+			for _, link := range p.links() {
+				if _, ok := allowed[path.Base(link)]; !ok && !p.hasLinkTarget(t, link) {
+					t.Errorf("%s links to %q, which isn't there", p.path, link)
+				}
+			}
+		})
+	}
+}
+
+func TestANameThatIsNotThereIsFound(t *testing.T) {
+	s := loadSource(t)
+	for _, c := range []struct {
+		name, text string
+		want       []fault
+	}{
+		{"command", "`cairndock serve` and `cairndock fly`", []fault{{"command", "fly"}}},
+		{"command by go run", "    go run . fly --once", []fault{{"command", "fly"}}},
+		{"flag", "`serve --settings FILE --wings`", []fault{{"flag", "--wings"}}},
+		{"test", "`go test -run 'TestSoak|TestFlight'`", []fault{{"test", "TestFlight"}}},
+		{"metric", "`cairndock_flights_total{reason=\"full\"}`", []fault{{"metric", "cairndock_flights_total"}}},
+		{"package", "`internal/verdict` and `internal/wings`", []fault{{"path", "internal/wings"}}},
+		{"packages", "    go test ./internal/wings/...", []fault{{"path", "./internal/wings/..."}}},
+		{"file", "`main.go`, `wings.go`", []fault{{"path", "wings.go"}}},
+		{"member", "`verdict.NotRun`, `verdict.Error.Wings`", []fault{{"member", "verdict.Error.Wings"}}},
+		{"setting", "`host.name`, `.zone`, `host.wings`", []fault{{"setting", "host.wings"}}},
+		{"identifier", "`RetryAfter`, `wingSpan`", []fault{{"identifier", "wingSpan"}}},
+		{"environment", "`CAIRNDOCK_TOKEN=x` `CAIRNDOCK_WINGS=x`", []fault{{"environment", "CAIRNDOCK_WINGS"}}},
+		{"header", "`Cairndock-Verdict`, `Cairndock-Wings`", []fault{{"header", "Cairndock-Wings"}}},
+		{"fenced block", "```\ninternal/wings\n```\n", []fault{{"path", "internal/wings"}}},
+		{"output", "```log\ninternal/wings\n```\n", nil},
+		{"prose", "the internal/wings of it", nil},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			p := page{path: "docs/page.md", text: c.text}
+			require.Equal(t, c.want, p.missing(s, map[string]bool{}))
+		})
+	}
+}
+
+func TestALinkThatLeadsNowhereIsFound(t *testing.T) {
+	p := page{path: "docs/page.md", text: "# The page\n\n## Who owns it?\n"}
+	for _, c := range []struct {
+		link string
+		want bool
+	}{
+		{"../README.md", true},
+		{"findings.md", true},
+		{"wings.md", false},
+		{"../README.md#test-it", true},
+		{"../README.md#wings", false},
+	} {
+		require.Equal(t, c.want, p.hasLinkTarget(t, c.link), c.link)
+	}
+	require.True(t, p.hasAnchor("who-owns-it"))
+	require.False(t, p.hasAnchor("who"))
+}
--- /dev/null
+++ b/internal/docscheck/source_test.go
@@ -0,0 +1,245 @@
+package docscheck
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// root is the repository's root, seen from this package.
+const root = "../.."
+
+// sourceFile is one parsed Go file.
+type sourceFile struct {
+	// path is relative to the root, with slashes.
+	path string
+	ast  *ast.File
+}
+
+func (f sourceFile) isTest() bool { return strings.HasSuffix(f.path, "_test.go") }
+
+// source is the module's Go code as far as pages may name it.
+type source struct {
+	files []sourceFile
+	// tests has the names of test functions and benchmarks.
+	tests map[string]bool
+	// identifiers has the names of all declarations and fields.
+	identifiers map[string]bool
+	// members has "package.Name" and "package.Type.Member", by package name.
+	members map[string]bool
+	// literals has the values of all string literals.
+	literals map[string]bool
+	// commands and flags are those of the command line.
+	commands, flags map[string]bool
+	// settings has the keys of settings files, without their sections.
+	settings map[string]bool
+	metrics  map[string]*metric
+}
+
+var testName = regexp.MustCompile(`^(Test|Benchmark|Fuzz)[A-Z]`)
+
+// loadSource parses all Go files of the repository.
+func loadSource(t *testing.T) *source {
+	t.Helper()
+	s := &source{
+		tests: map[string]bool{}, identifiers: map[string]bool{}, members: map[string]bool{}, literals: map[string]bool{},
+		commands: map[string]bool{}, flags: map[string]bool{}, settings: map[string]bool{},
+	}
+	set := token.NewFileSet()
+	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if d.IsDir() && (d.Name() == ".git" || d.Name() == "journal") {
+			return fs.SkipDir
+		}
+		if d.IsDir() || filepath.Ext(path) != ".go" {
+			return nil
+		}
+		file, err := parser.ParseFile(set, path, nil, parser.SkipObjectResolution)
+		if err != nil {
+			return err
+		}
+		rel, err := filepath.Rel(root, path)
+		if err != nil {
+			return err
+		}
+		s.add(sourceFile{path: filepath.ToSlash(rel), ast: file})
+		return nil
+	})
+	require.NoError(t, err)
+	s.metrics = metricNames(s)
+	require.NotEmpty(t, s.commands)
+	require.NotEmpty(t, s.flags)
+	require.NotEmpty(t, s.settings)
+	return s
+}
+
+func (s *source) add(f sourceFile) {
+	s.files = append(s.files, f)
+	inCommands := strings.HasPrefix(f.path, "cmd/") && !f.isTest()
+	inSettings := strings.HasPrefix(f.path, "internal/settings/")
+	for _, decl := range f.ast.Decls {
+		s.addDecl(f, decl)
+	}
+	ast.Inspect(f.ast, func(n ast.Node) bool {
+		switch n := n.(type) {
+		case *ast.BasicLit:
+			if text, ok := literal(n); ok && !strings.HasPrefix(f.path, "internal/docscheck/") {
+				s.literals[text] = true
+			}
+		case *ast.Field:
+			for _, name := range n.Names {
+				s.identifiers[name.Name] = true
+			}
+			if inSettings && n.Tag != nil {
+				s.settings[settingsKey(n.Tag)] = true
+			}
+		case *ast.CallExpr:
+			if name, ok := flagName(n); inCommands && ok {
+				s.flags[name] = true
+			}
+		}
+		return true
+	})
+}
+
+func (s *source) addDecl(f sourceFile, decl ast.Decl) {
+	pkg := strings.TrimSuffix(f.ast.Name.Name, "_test")
+	switch d := decl.(type) {
+	case *ast.FuncDecl:
+		name := d.Name.Name
+		s.identifiers[name] = true
+		switch {
+		case d.Recv != nil:
+			s.members[pkg+"."+receiver(d)+"."+name] = true
+			if text, ok := returnedLiteral(d); ok && name == "Name" && strings.HasPrefix(f.path, "cmd/") {
+				s.commands[text] = true
+			}
+		case f.isTest() && testName.MatchString(name):
+			s.tests[name] = true
+		default:
+			s.members[pkg+"."+name] = true
+		}
+	case *ast.GenDecl:
+		for _, spec := range d.Specs {
+			s.addSpec(pkg, spec)
+		}
+	}
+}
+
+func (s *source) addSpec(pkg string, spec ast.Spec) {
+	switch spec := spec.(type) {
+	case *ast.ValueSpec:
+		for _, name := range spec.Names {
+			s.identifiers[name.Name] = true
+			s.members[pkg+"."+name.Name] = true
+		}
+	case *ast.TypeSpec:
+		s.identifiers[spec.Name.Name] = true
+		s.members[pkg+"."+spec.Name.Name] = true
+		for _, field := range fields(spec.Type) {
+			for _, name := range field.Names {
+				s.members[pkg+"."+spec.Name.Name+"."+name.Name] = true
+			}
+		}
+	}
+}
+
+// fields gives a struct's fields or an interface's methods.
+func fields(e ast.Expr) []*ast.Field {
+	switch e := e.(type) {
+	case *ast.StructType:
+		return e.Fields.List
+	case *ast.InterfaceType:
+		return e.Methods.List
+	default:
+		return nil
+	}
+}
+
+func receiver(d *ast.FuncDecl) string {
+	e := d.Recv.List[0].Type
+	if star, ok := e.(*ast.StarExpr); ok {
+		e = star.X
+	}
+	if index, ok := e.(*ast.IndexExpr); ok {
+		e = index.X
+	}
+	if id, ok := e.(*ast.Ident); ok {
+		return id.Name
+	}
+	return ""
+}
+
+// literal gives the value of a string literal.
+func literal(e ast.Expr) (string, bool) {
+	lit, ok := e.(*ast.BasicLit)
+	if !ok || lit.Kind != token.STRING {
+		return "", false
+	}
+	text, err := strconv.Unquote(lit.Value)
+	return text, err == nil
+}
+
+// returnedLiteral gives the string that a function of one statement returns.
+func returnedLiteral(d *ast.FuncDecl) (string, bool) {
+	if d.Body == nil || len(d.Body.List) != 1 {
+		return "", false
+	}
+	ret, ok := d.Body.List[0].(*ast.ReturnStmt)
+	if !ok || len(ret.Results) != 1 {
+		return "", false
+	}
+	return literal(ret.Results[0])
+}
+
+// flagName gives the name in a call such as f.StringVar(&v, "name", ...).
+func flagName(c *ast.CallExpr) (string, bool) {
+	name, ok := calledMethod(c)
+	if !ok || !strings.HasSuffix(name, "Var") || len(c.Args) < 3 {
+		return "", false
+	}
+	return literal(c.Args[1])
+}
+
+// calledMethod gives the last name of what is called: x.Name(...).
+func calledMethod(c *ast.CallExpr) (string, bool) {
+	sel, ok := c.Fun.(*ast.SelectorExpr)
+	if !ok {
+		return "", false
+	}
+	return sel.Sel.Name, true
+}
+
+func settingsKey(tag *ast.BasicLit) string {
+	text, _ := literal(tag) // a tag is always a string
+	return reflect.StructTag(text).Get("toml")
+}
+
+// exists reports whether a path names a file or folder of the repository.
+func exists(elem ...string) bool {
+	_, err := os.Stat(filepath.Join(elem...))
+	return err == nil
+}
+
+// sortedKeys gives a set's elements in order.
+func sortedKeys[V any](m map[string]V) []string {
+	keys := make([]string, 0, len(m))
+	for k := range m {
+		keys = append(keys, k)
+	}
+	slices.Sort(keys)
+	return keys
+}
