--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,4 +1,9 @@
-// Package verdict says whether a request may have run at an upstream.
+// Package verdict says of a failed request whether an upstream may have run it.
+//
+// The verdict decides what may follow: a request that did not run may be sent
+// again, and its client told so; one that may have run is sent again only if it
+// is idempotent. Both programs, serve and gateway, use the same verdicts and
+// reasons; how each tells them to clients is up to their own packages.
 package verdict
 
 import (
@@ -14,7 +19,8 @@
 const (
 	// NotRun is proof that no upstream began the request.
 	NotRun Verdict = iota + 1
-	// MayHaveRun is every doubt: a byte may have reached an upstream.
+	// MayHaveRun is anything less than proof: a byte may have reached an
+	// upstream.
 	MayHaveRun
 	// Ran is proof that an upstream ran the request.
 	Ran
@@ -23,7 +29,7 @@
 // Header is the name of the HTTP header that carries a verdict.
 const Header = "Cairndock-Verdict"
 
-// String gives the verdict's name as callers see it.
+// String gives the verdict's name in headers, logs and metrics.
 func (v Verdict) String() string {
 	switch v {
 	case NotRun:
@@ -35,45 +41,74 @@
 	}
 }
 
-// Reason says why a request got no upstream answer.
+// Reason says why a request got no response of an upstream.
 type Reason string
 
-// The reasons, each with one HTTP status.
+// The reasons of both programs. Their texts are in logs, metrics and problem
+// bodies, so they never change.
 const (
-	UnknownService Reason = "unknown-service"
-	BadTicket      Reason = "bad-ticket"
-	BadTimeout     Reason = "bad-timeout"
-	BadRequest     Reason = "bad-request"
-	TicketConflict Reason = "ticket-conflict"
-	TicketRunning  Reason = "ticket-running"
-	TicketUnknown  Reason = "ticket-unknown"
+	// NotReady: the host has just started and has no configuration yet.
+	NotReady Reason = "not-ready"
+	// Stopping: the host's planned stop ended the request before it was sent.
+	Stopping Reason = "stopping"
+	// BadRequest: the request is malformed, or its body broke off.
+	BadRequest Reason = "bad-request"
+	// BodyTooLarge and HeaderTooLarge: the request is above the size limits.
 	BodyTooLarge   Reason = "body-too-large"
 	HeaderTooLarge Reason = "header-too-large"
-	BodyStalled    Reason = "body-stalled"
-	Full           Reason = "full"
-	Capped         Reason = "capped"
-	NoUpstream     Reason = "no-upstream"
-	NotReady       Reason = "not-ready"
-	Stopping       Reason = "stopping"
+	// BodyStalled: the client did not send the whole body in time.
+	BodyStalled Reason = "body-stalled"
+	// Full: every upstream that may serve the request is at its limit.
+	Full Reason = "full"
+	// NoUpstream: no upstream may serve the request; all are gone, draining,
+	// evacuated or in regions that are not allowed.
+	NoUpstream Reason = "no-upstream"
+	// DeadlineLapsed: the deadline passed before a response came.
 	DeadlineLapsed Reason = "deadline-lapsed"
-	CallerLeft     Reason = "caller-left"
+	// CallerLeft: the client closed its connection or canceled the request.
+	CallerLeft Reason = "caller-left"
+	// UpstreamFailed: the upstream's response is missing, malformed or unsigned.
 	UpstreamFailed Reason = "upstream-failed"
-	UpstreamShed   Reason = "upstream-shed"
-	// Unreachable says that no connection to the upstream was made.
+	// UpstreamShed: the upstream rejected the request, with proof.
+	UpstreamShed Reason = "upstream-shed"
+	// AnswerTruncated: the response ended before its whole length.
+	AnswerTruncated Reason = "answer-truncated"
+
+	// UnknownRoute: no route matches host and path.
+	UnknownRoute Reason = "unknown-route"
+	// Warming: the upstreams with capacity are cold and have used their warm-up
+	// quota.
+	Warming Reason = "warming"
+	// Unreachable: no connection to the upstream could be made.
 	Unreachable Reason = "unreachable"
-	// Misdirected says that another instance has the address now.
+	// Misdirected: another upstream has the address now.
 	Misdirected Reason = "misdirected"
-	// Interrupted says that the host had to end before the answer came.
+	// Interrupted: the host's planned stop ended the request while an upstream
+	// may have been at work on it.
 	Interrupted Reason = "interrupted"
-	// UnknownRoute says that no route matches the host and path.
-	UnknownRoute Reason = "unknown-route"
-	// Warming says that the upstreams are cold and have their share.
-	Warming         Reason = "warming"
-	PeerFailed      Reason = "peer-failed"
-	AnswerTruncated Reason = "answer-truncated"
-	AnswerNotKept   Reason = "answer-not-kept"
+
+	// UnknownService: no such service is configured.
+	UnknownService Reason = "unknown-service"
+	// BadTimeout: the client's timeout is malformed.
+	BadTimeout Reason = "bad-timeout"
+	// BadTicket: the ticket is malformed or not valid for the request.
+	BadTicket Reason = "bad-ticket"
+	// TicketConflict: the ticket was used for a different request.
+	TicketConflict Reason = "ticket-conflict"
+	// TicketRunning: the ticket's request is still running.
+	TicketRunning Reason = "ticket-running"
+	// TicketUnknown: whether the ticket's request ran is not known, mostly since
+	// the host that issued the ticket is gone or can't be reached.
+	TicketUnknown Reason = "ticket-unknown"
+	// AnswerNotKept: the ticket's request ran, and its response is not kept.
+	AnswerNotKept Reason = "answer-not-kept"
+	// Capped: the rules' caps leave no share for the request.
+	Capped Reason = "capped"
+	// PeerFailed: the host that the request was forwarded to failed.
+	PeerFailed Reason = "peer-failed"
 )
 
+// statuses are the HTTP statuses of the reasons.
 var statuses = map[Reason]int{
 	UnknownService:  http.StatusNotFound,
 	BadTicket:       http.StatusBadRequest,
@@ -104,7 +139,7 @@
 	AnswerNotKept:   http.StatusGone,
 }
 
-// Status is the HTTP status a reason is told with.
+// Status gives the reason's HTTP status; 502 for one that is not listed.
 func (r Reason) Status() int {
 	if s, ok := statuses[r]; ok {
 		return s
@@ -118,11 +153,11 @@
 	Verdict Verdict
 	// Reason is the machine-readable cause.
 	Reason Reason
-	// Detail is one short sentence for people.
+	// Detail is one short sentence for the log and for people.
 	Detail string
-	// RetryAfter tells the caller when to come back; zero means not at all.
+	// RetryAfter is when the client should retry; zero gives no advice.
 	RetryAfter time.Duration
-	// Upstream names the zone and instance tried last, if any.
+	// Upstream is the upstream that the request was last sent to, or empty.
 	Upstream string
 }
 
@@ -136,21 +171,22 @@
 	return string(e.Reason) + " (" + e.Verdict.String() + "): " + e.Detail
 }
 
-// WithRetryAfter gives a copy that tells the caller when to come back.
+// WithRetryAfter gives a copy with the time after which to retry.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// WithUpstream gives a copy that names the upstream tried.
+// WithUpstream gives a copy with the upstream that the request was sent to.
 func (e *Error) WithUpstream(name string) *Error {
 	c := *e
 	c.Upstream = name
 	return &c
 }
 
-// From finds the Error inside err; any other error is every doubt.
+// From finds the Error inside err. Any other error proves nothing, so its
+// request may have run.
 func From(err error) *Error {
 	if err == nil {
 		return nil
