--- a/internal/gateway/balance/balance_test.go
+++ b/internal/gateway/balance/balance_test.go
@@ -364,3 +364,47 @@
 		require.LessOrEqual(t, n, all[0].Capacity, id)
 	}
 }
+
+// A host dials an upstream only for a request that has no idle connection to
+// use (exchange.Pool), so its connections to one upstream never outnumber the
+// requests that were outstanding there at once. That number is bounded by the
+// load above which the upstream takes none: the largest one below
+// rejectAbove x capacity, and one more.
+func TestConnectionsToAnUpstreamStayBelowItsLimit(t *testing.T) {
+	for _, c := range []struct {
+		deployment     string
+		hosts          int // spare ones included
+		capacity       int
+		maxConnections int
+		outstanding    int // per host
+	}{
+		{"cacf-ruteo ruteo", 15, 9, 330, 17},
+		{"cacf-ruteo patio", 15, 3, 330, 6},
+		{"renkoda-mix", 15, 3, 330, 6},
+		{"cacf-ruteo-grown", 94, 9, 1620, 17},
+		{"renkoda-mix-grown", 93, 3, 1620, 6},
+		{"cacf-ruteo-large", 295, 9, 5400, 17},
+		{"freight planning as first described", 9, 6, 110, 12},
+		{"tinting as first described", 9, 2, 110, 4},
+	} {
+		for _, noAffinity := range []bool{false, true} {
+			t.Run(c.deployment+" noAffinity="+strconv.FormatBool(noAffinity), func(t *testing.T) {
+				u := member("i", "west-1", "west")
+				u.Capacity = c.capacity
+				b := newBalancer(1)
+				q := balance.Query{Key: "k", NoAffinity: noAffinity, Candidates: []*upstream.Upstream{u}, Now: time.Now()}
+				outstanding := 0
+				for {
+					_, reason := b.Choose(q)
+					if reason != balance.Chosen {
+						require.Equal(t, balance.Overloaded, reason)
+						break
+					}
+					outstanding++
+				}
+				require.Equal(t, c.outstanding, outstanding)
+				require.LessOrEqual(t, c.hosts*outstanding, c.maxConnections)
+			})
+		}
+	}
+}
--- a/internal/gateway/route/table.go
+++ b/internal/gateway/route/table.go
@@ -43,8 +43,6 @@
 	Backends []Backend
 	// Timeout is the longest time that a request is held; zero is no bound.
 	Timeout time.Duration
-	// Objective is the time in which an answer is worth most.
-	Objective time.Duration
 	// Attempts bounds the upstreams that one request is sent to.
 	Attempts int
 	// Priority is the rank under overload; 0 is the most urgent.
@@ -65,11 +63,6 @@
 // Service holds what is configured for the upstreams of one service.
 type Service struct {
 	Name string
-	// Health is the path of the health check.
-	Health string
-	// MaxConnections bounds the connections that one upstream accepts
-	// from all hosts together.
-	MaxConnections int
 	// WarmUp is how long an upstream stays cold after its start, and
 	// WarmUpRate the requests a second that it bears meanwhile.
 	WarmUp     time.Duration
