--- a/internal/gateway/outlier/consecutive.go
+++ b/internal/gateway/outlier/consecutive.go
@@ -2,10 +2,21 @@
 
 import "time"
 
-// Outcome says how a request ended at an upstream.
+const (
+	// firstBackOff is how long this host avoids an upstream at first; it
+	// doubles with each further failure in a row. Chosen, not measured.
+	firstBackOff = 500 * time.Millisecond
+	// maxBackOffDoublings bounds that doubling, to 4 s. Chosen, not measured.
+	maxBackOffDoublings = 3
+	// failuresToBackOff is how many failures in a row it takes at an upstream
+	// that can be reached; one is enough at one that can't. Chosen, not
+	// measured.
+	failuresToBackOff = 3
+)
+
+// Outcome is how a request ended at an upstream.
 type Outcome uint8
 
-// The outcomes.
 const (
 	// Succeeded is a whole response.
 	Succeeded Outcome = iota
@@ -13,26 +24,17 @@
 	Rejected
 	// Failed is a broken, wrong or missing response.
 	Failed
-	// Unreachable is a connection that could not be made.
+	// Unreachable is a connection that could not be made, or one to another
+	// upstream that has the address now.
 	Unreachable
-	// Canceled is a request that this host itself ended.
+	// Canceled is a request given up before its response was complete: the
+	// client left, its deadline passed, or it was sent elsewhere as overdue.
+	// A response that breaks off while it is forwarded counts as one, too, as
+	// either side may have caused it.
 	Canceled
 )
 
-const (
-	// firstBackOff is how long this host avoids an upstream after a failure;
-	// it doubles with each failure in a row up to maxBackOff.
-	firstBackOff = 500 * time.Millisecond
-	maxBackOff   = 4 * time.Second
-	// failuresToBackOff is how many failures in a row it takes at an upstream
-	// that can be reached.
-	failuresToBackOff = 3
-)
-
-// consecutive counts failures in a row. It stands beside the evidence of the
-// whole region since it needs no window and no other host: an upstream that
-// refuses connections is avoided from the first one on, and used again after
-// half a second or its first success.
+// consecutive counts this host's failures in a row at one upstream.
 type consecutive struct {
 	failures     int
 	ejectedUntil time.Time
@@ -41,21 +43,26 @@
 func (c *consecutive) record(o Outcome, now time.Time) {
 	switch o {
 	case Succeeded:
-		c.failures, c.ejectedUntil = 0, time.Time{}
-	case Rejected, Canceled:
-		// Load shedding and cancellation are not upstream faults.
-	case Failed:
+		*c = consecutive{}
+	case Failed, Unreachable:
 		c.failures++
-		if c.failures >= failuresToBackOff {
-			c.backOff(c.failures-failuresToBackOff, now)
+		if d := backOff(o, c.failures); d > 0 {
+			c.ejectedUntil = now.Add(d)
 		}
-	case Unreachable:
-		c.failures++
-		c.backOff(c.failures-1, now)
+	case Rejected, Canceled:
+		// Load shedding and cancellation are not upstream faults.
 	}
 }
 
-func (c *consecutive) backOff(doublings int, now time.Time) {
-	pause := firstBackOff << min(doublings, 3)
-	c.ejectedUntil = now.Add(min(pause, maxBackOff))
+// backOff returns how long this host avoids an upstream after a failure that
+// is the given one in a row, from 1; zero is not at all.
+func backOff(o Outcome, failures int) time.Duration {
+	doublings := failures - 1
+	if o == Failed {
+		doublings = failures - failuresToBackOff
+	}
+	if doublings < 0 {
+		return 0
+	}
+	return firstBackOff << min(doublings, maxBackOffDoublings)
 }
--- a/internal/gateway/outlier/detector.go
+++ b/internal/gateway/outlier/detector.go
@@ -1,8 +1,3 @@
-// Package health judges upstreams by what requests show: failures, and
-// answers that take far longer than is usual for their service. Health checks
-// are not asked, as they may be good while requests fail. A host of a large
-// fleet sends too little to one upstream to judge it alone, so the hosts of a
-// region tell each other what they saw.
 package outlier
 
 import (
@@ -10,289 +5,163 @@
 	"time"
 )
 
-const (
-	// window is the time over which evidence counts.
-	window = 1600 * time.Millisecond
-	// minBad is how many bad ends in a window speak against an upstream,
-	// unless more than goodPerBad times as many went well.
-	minFailures     = 3
-	maxSuccessRatio = 1.5
-	// firstEjection is how long an upstream is avoided at first; it doubles
-	// each time that it is found bad again, up to maxEjection.
-	firstEjection = 2 * time.Second
-	maxEjection   = 8 * time.Second
-	// forgiveAfter is how long after an ejection the next counts as the
-	// first again.
-	forgiveAfter = 5 * time.Second
-	// maxSuspects bounds the upstreams that a host tells the others of.
-	maxObservations = 32
-)
-
-// Suspect is what one host saw of an upstream in the last window.
-type Observation struct {
-	Upstream  string `msgpack:"u"`
-	Failures  int    `msgpack:"b"`
-	Successes int    `msgpack:"g,omitempty"`
-}
+// maxObservations bounds the upstreams in one list of observations, and so the
+// size of a heartbeat. Chosen, not measured.
+const maxObservations = 32
 
-// Finding is why an upstream is avoided.
-type Ejection struct {
-	Upstream  string
-	Failures  int
-	Successes int
-	// Hosts is how many hosts saw something bad.
-	Hosts int
-	For   time.Duration
-}
-
-// Reporter is told what a judge comes to believe.
+// Reporter is notified of what a detector finds. Its methods are called
+// without the detector's lock.
 type Reporter interface {
-	// Suspected says that there is something bad that other hosts should
-	// learn of soon.
+	// FailureSeen means that this host saw a failure, which the other hosts
+	// should learn of before the next regular heartbeat.
 	FailureSeen()
-	// Ejected says that an upstream is avoided from now on.
+	// Ejected means that the region's evidence ejects an upstream from now on.
 	Ejected(Ejection)
 }
 
-// Judge keeps the evidence on all upstreams.
+// Detector keeps the counts of all upstreams. It is safe for concurrent use.
 type Detector struct {
-	report Reporter
+	reporter Reporter
 
 	mu        sync.Mutex
-	baselines map[string]*latencyBaseline
-	upstreams map[string]*evidence
+	baselines map[string]*latencyBaseline // by service
+	upstreams map[string]*record          // by id
 }
 
-// evidence is what is known against and for one upstream.
-type evidence struct {
-	own         counter
-	peers       map[string]peerReport
+// record is what is known of one upstream.
+type record struct {
+	evidence    evidence
 	consecutive consecutive
-
-	ejectedUntil time.Time
-	pause        time.Duration
 }
 
-// told is what another host saw, and when it said so.
-type peerReport struct {
-	failures, successes int
-	at                  time.Time
+// New makes a detector that knows nothing yet.
+func New(reporter Reporter) *Detector {
+	return &Detector{reporter: reporter, baselines: map[string]*latencyBaseline{}, upstreams: map[string]*record{}}
 }
 
-// New makes a judge.
-func New(report Reporter) *Detector {
-	return &Detector{report: report, baselines: map[string]*latencyBaseline{}, upstreams: map[string]*evidence{}}
-}
-
-// Patience is how long an answer of a service may take before it speaks
-// against its upstream, for a load in the upstream's capacities; zero is not
-// known yet.
-func (j *Detector) OverdueAfter(service string, load float64) time.Duration {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	u := j.baselines[service]
-	if u == nil {
+// OverdueAfter returns how long a service's response may take before it is
+// overdue, at an upstream with a load in its capacities. It is zero while too
+// few responses of the service were seen.
+func (d *Detector) OverdueAfter(service string, load float64) time.Duration {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	b := d.baselines[service]
+	if b == nil {
 		return 0
 	}
-	return u.overdueAfter(load)
+	return overdueAfter(b.median, load)
 }
 
-// Good notes an answer that came in time.
-func (j *Detector) RecordSuccess(service, upstream string, took time.Duration, now time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.baseline(service).add(took)
-	j.evidence(upstream).own.add(now, 0, 1)
+// RecordSuccess records a response that came in time.
+func (d *Detector) RecordSuccess(service, upstream string, took time.Duration, now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.baseline(service).add(took)
+	d.record(upstream).evidence.own.add(now, 0, 1)
 }
 
-// Slow notes how long an answer took that came too late to be good, so that
-// what is usual follows a service that has grown slow as a whole.
-func (j *Detector) RecordLatency(service string, took time.Duration) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.baseline(service).add(took)
+// RecordLatency records how long an overdue response took, which was a failure
+// already: the baseline has to follow a service that grew slow as a whole.
+func (d *Detector) RecordLatency(service string, took time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.baseline(service).add(took)
 }
 
-// Bad notes a failure, or that an answer is overdue.
-func (j *Detector) RecordFailure(upstream string, now time.Time) {
-	j.mu.Lock()
-	e := j.evidence(upstream)
+// RecordFailure records a failure of the upstream, or that its response is
+// overdue.
+func (d *Detector) RecordFailure(upstream string, now time.Time) {
+	d.mu.Lock()
+	e := &d.record(upstream).evidence
 	e.own.add(now, 1, 0)
-	finding, found := e.evaluate(upstream, now)
-	j.mu.Unlock()
-	j.report.FailureSeen()
-	if found {
-		j.report.Ejected(finding)
-	}
-}
-
-// RecordOutcome notes how a request ended that was sent to an upstream, for
-// this host's own count of failures in a row.
-func (j *Detector) RecordOutcome(upstream string, o Outcome, now time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.evidence(upstream).consecutive.record(o, now)
-}
-
-// Merge takes over what another host saw.
-func (j *Detector) Merge(host string, suspects []Observation, now time.Time) {
-	var findings []Ejection
-	j.mu.Lock()
-	for _, s := range suspects {
-		e := j.evidence(s.Upstream)
-		if now.Before(e.ejectedUntil) {
-			continue // what led to the ejection must not count again after it
-		}
-		if e.peers == nil {
-			e.peers = map[string]peerReport{}
+	ejection, ejected := e.evaluate(upstream, now)
+	d.mu.Unlock()
+	d.reporter.FailureSeen()
+	if ejected {
+		d.reporter.Ejected(ejection)
+	}
+}
+
+// RecordOutcome records how a request ended, for this host's count of
+// consecutive failures.
+func (d *Detector) RecordOutcome(upstream string, o Outcome, now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.record(upstream).consecutive.record(o, now)
+}
+
+// Merge adds what another host observed; it replaces that host's earlier
+// observation of the same upstream.
+func (d *Detector) Merge(host string, observations []Observation, now time.Time) {
+	var ejections []Ejection
+	d.mu.Lock()
+	for _, o := range observations {
+		e := &d.record(o.Upstream).evidence
+		if !e.merge(host, o, now) {
+			continue
 		}
-		e.peers[host] = peerReport{failures: s.Failures, successes: s.Successes, at: now}
-		if f, found := e.evaluate(s.Upstream, now); found {
-			findings = append(findings, f)
+		if ejection, ejected := e.evaluate(o.Upstream, now); ejected {
+			ejections = append(ejections, ejection)
 		}
 	}
-	j.mu.Unlock()
-	for _, f := range findings {
-		j.report.Ejected(f)
+	d.mu.Unlock()
+	for _, e := range ejections {
+		d.reporter.Ejected(e)
 	}
 }
 
-// Suspects gives what the host tells the others: the upstreams at which it
-// saw something bad, and those that others suspect and it found good.
-func (j *Detector) Observations(now time.Time) []Observation {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	var suspects []Observation
-	for id, e := range j.upstreams {
-		bad, good := e.own.count(now)
-		if bad == 0 && (good == 0 || !e.failingAtPeer(now)) {
+// Observations returns what this host tells the others: the upstreams at which
+// it saw failures, and its successes at those where another host did.
+func (d *Detector) Observations(now time.Time) []Observation {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	var observations []Observation
+	for id, r := range d.upstreams {
+		failures, successes := r.evidence.own.count(now)
+		if failures == 0 && (successes == 0 || !r.evidence.failingAtPeer(now)) {
 			continue
 		}
-		suspects = append(suspects, Observation{Upstream: id, Failures: bad, Successes: good})
-		if len(suspects) == maxObservations {
+		observations = append(observations, Observation{Upstream: id, Failures: failures, Successes: successes})
+		if len(observations) == maxObservations {
 			break
 		}
 	}
-	return suspects
+	return observations
 }
 
-// Ejected reports whether an upstream is to be avoided.
-func (j *Detector) Ejected(upstream string, now time.Time) bool {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	e := j.upstreams[upstream]
-	return e != nil && (now.Before(e.ejectedUntil) || now.Before(e.consecutive.ejectedUntil))
+// Ejected reports whether an upstream is ejected, by either count.
+func (d *Detector) Ejected(upstream string, now time.Time) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	r := d.upstreams[upstream]
+	return r != nil && (now.Before(r.evidence.ejectedUntil) || now.Before(r.consecutive.ejectedUntil))
 }
 
-// Keep forgets the upstreams that keep does not name.
-func (j *Detector) Retain(keep func(id string) bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for id := range j.upstreams {
+// Retain drops the records of the upstreams that keep rejects.
+func (d *Detector) Retain(keep func(id string) bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for id := range d.upstreams {
 		if !keep(id) {
-			delete(j.upstreams, id)
-		}
-	}
-}
-
-func (j *Detector) evidence(upstream string) *evidence {
-	e := j.upstreams[upstream]
-	if e == nil {
-		e = &evidence{}
-		j.upstreams[upstream] = e
-	}
-	return e
-}
-
-func (j *Detector) baseline(service string) *latencyBaseline {
-	u := j.baselines[service]
-	if u == nil {
-		u = &latencyBaseline{}
-		j.baselines[service] = u
-	}
-	return u
-}
-
-// suspected reports whether another host saw something bad lately.
-func (e *evidence) failingAtPeer(now time.Time) bool {
-	for _, t := range e.peers {
-		if t.failures > 0 && now.Sub(t.at) < window {
-			return true
+			delete(d.upstreams, id)
 		}
 	}
-	return false
 }
 
-// weigh adds all evidence up, and ejects the upstream when it speaks against
-// it. What was seen before an ejection does not count again.
-func (e *evidence) evaluate(upstream string, now time.Time) (Ejection, bool) {
-	if now.Before(e.ejectedUntil) {
-		return Ejection{}, false
-	}
-	f := Ejection{Upstream: upstream}
-	f.Failures, f.Successes = e.own.count(now)
-	if f.Failures > 0 {
-		f.Hosts = 1
+func (d *Detector) record(upstream string) *record {
+	r := d.upstreams[upstream]
+	if r == nil {
+		r = &record{}
+		d.upstreams[upstream] = r
 	}
-	for host, t := range e.peers {
-		if now.Sub(t.at) >= window {
-			delete(e.peers, host)
-			continue
-		}
-		f.Failures += t.failures
-		f.Successes += t.successes
-		if t.failures > 0 {
-			f.Hosts++
-		}
-	}
-	if f.Failures < minFailures || float64(f.Successes) > maxSuccessRatio*float64(f.Failures) {
-		return Ejection{}, false
-	}
-	e.eject(now)
-	f.For = e.pause
-	return f, true
+	return r
 }
 
-func (e *evidence) eject(now time.Time) {
-	if e.pause == 0 || now.Sub(e.ejectedUntil) >= forgiveAfter {
-		e.pause = firstEjection
-	} else {
-		e.pause = min(2*e.pause, maxEjection)
-	}
-	e.ejectedUntil = now.Add(e.pause)
-	e.own = counter{}
-	clear(e.peers)
-}
-
-// tally counts ends in two halves of the window.
-type counter struct {
-	began                       time.Time
-	failures, successes         int
-	pastFailures, pastSuccesses int
-}
-
-// half is the length of one of a tally's halves.
-const halfWindow = window / 2
-
-func (t *counter) add(now time.Time, bad, good int) {
-	t.advance(now)
-	t.failures += bad
-	t.successes += good
-}
-
-func (t *counter) count(now time.Time) (bad, good int) {
-	t.advance(now)
-	return t.failures + t.pastFailures, t.successes + t.pastSuccesses
-}
-
-func (t *counter) advance(now time.Time) {
-	age := now.Sub(t.began)
-	if age < halfWindow {
-		return
-	}
-	t.pastFailures, t.pastSuccesses = t.failures, t.successes
-	if age >= window {
-		t.pastFailures, t.pastSuccesses = 0, 0
+func (d *Detector) baseline(service string) *latencyBaseline {
+	b := d.baselines[service]
+	if b == nil {
+		b = &latencyBaseline{}
+		d.baselines[service] = b
 	}
-	t.failures, t.successes, t.began = 0, 0, now
+	return b
 }
--- a/internal/gateway/outlier/detector_test.go
+++ b/internal/gateway/outlier/detector_test.go
@@ -9,128 +9,140 @@
 	"cairndock/internal/gateway/outlier"
 )
 
-// findings records what a judge finds.
-type findings struct {
-	ejected   []outlier.Ejection
-	suspected int
+// recorder records what a detector reports.
+type recorder struct {
+	ejections    []outlier.Ejection
+	failuresSeen int
 }
 
-func (f *findings) FailureSeen()               { f.suspected++ }
-func (f *findings) Ejected(x outlier.Ejection) { f.ejected = append(f.ejected, x) }
+func (r *recorder) FailureSeen()               { r.failuresSeen++ }
+func (r *recorder) Ejected(e outlier.Ejection) { r.ejections = append(r.ejections, e) }
 
-func newJudge() (*outlier.Detector, *findings) {
-	f := &findings{}
-	return outlier.New(f), f
+func newDetector() (*outlier.Detector, *recorder) {
+	r := &recorder{}
+	return outlier.New(r), r
 }
 
-func TestAnUpstreamIsAvoidedForWhatRequestsShow(t *testing.T) {
+func fail(d *outlier.Detector, upstream string, times int, at time.Time) {
+	for range times {
+		d.RecordFailure(upstream, at)
+	}
+}
+
+func TestUpstreamIsEjectedForItsRateOfFailures(t *testing.T) {
 	for _, c := range []struct {
-		name      string
-		bad, good int
-		ejected   bool
+		name                string
+		failures, successes int
+		ejected             bool
 	}{
-		{"nothing bad", 0, 10, false},
-		{"too little to tell", 2, 0, false},
-		{"fails all", 3, 0, true},
-		{"fails every third", 4, 8, false},
-		{"fails half", 4, 4, true},
-		{"loses an answer now and then", 3, 40, false},
+		{"no failures", 0, 10, false},
+		{"too few failures", 2, 0, false},
+		{"all fail", 3, 0, true},
+		{"a third fails", 4, 8, false},
+		{"half fail", 4, 4, true},
+		{"few of many fail", 3, 40, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			j, findings := newJudge()
+			d, reports := newDetector()
 			now := time.Now()
-			for range c.good {
-				j.RecordSuccess("s", "i", time.Millisecond, now)
+			for range c.successes {
+				d.RecordSuccess("s", "i", time.Millisecond, now)
 			}
-			for range c.bad {
-				j.RecordFailure("i", now)
-			}
-			require.Equal(t, c.ejected, j.Ejected("i", now))
-			require.Equal(t, c.ejected, len(findings.ejected) == 1)
+			fail(d, "i", c.failures, now)
+			require.Equal(t, c.ejected, d.Ejected("i", now))
+			require.Equal(t, c.ejected, len(reports.ejections) == 1)
+			require.Equal(t, c.failures, reports.failuresSeen)
 		})
 	}
 }
 
-// One host of a large fleet sees an upstream too seldom to judge it.
-func TestHostsAddUpWhatTheySaw(t *testing.T) {
+// One host of a large fleet sends too little to an upstream to judge it.
+func TestObservationsOfAllHostsAddUp(t *testing.T) {
 	now := time.Now()
-	j, findings := newJudge()
-	j.RecordFailure("i", now)
-	j.Merge("a", []outlier.Observation{{Upstream: "i", Failures: 1}}, now)
-	require.False(t, j.Ejected("i", now))
-	j.Merge("a", []outlier.Observation{{Upstream: "i", Failures: 1}}, now)
-	require.False(t, j.Ejected("i", now), "the same word again is no news")
-	j.Merge("b", []outlier.Observation{{Upstream: "i", Failures: 1}}, now)
-	require.True(t, j.Ejected("i", now))
-	require.Equal(t, []outlier.Ejection{{Upstream: "i", Failures: 3, Hosts: 3, For: 2 * time.Second}}, findings.ejected)
+	d, reports := newDetector()
+	d.RecordFailure("i", now)
+	d.Merge("a", []outlier.Observation{{Upstream: "i", Failures: 1}}, now)
+	require.False(t, d.Ejected("i", now))
+	d.Merge("a", []outlier.Observation{{Upstream: "i", Failures: 1}}, now)
+	require.False(t, d.Ejected("i", now), "a repeated observation replaces the earlier one")
+	d.Merge("b", []outlier.Observation{{Upstream: "i", Failures: 1}}, now)
+	require.True(t, d.Ejected("i", now))
+	require.Equal(t, []outlier.Ejection{{Upstream: "i", Failures: 3, Hosts: 3, For: 2 * time.Second}}, reports.ejections)
 }
 
-func TestWhatOthersFoundGoodSpeaksForAnUpstream(t *testing.T) {
+func TestSuccessesAtOtherHostsCountForAnUpstream(t *testing.T) {
 	now := time.Now()
-	j, _ := newJudge()
-	j.Merge("a", []outlier.Observation{{Upstream: "i", Successes: 5}}, now)
-	j.Merge("b", []outlier.Observation{{Upstream: "i", Failures: 3}}, now)
-	require.False(t, j.Ejected("i", now))
+	d, _ := newDetector()
+	d.Merge("a", []outlier.Observation{{Upstream: "i", Successes: 5}}, now)
+	d.Merge("b", []outlier.Observation{{Upstream: "i", Failures: 3}}, now)
+	require.False(t, d.Ejected("i", now))
 }
 
-func TestAHostTellsWhatItSawOfSuspects(t *testing.T) {
+func TestObservationsCoverUpstreamsThatAnyHostSawFail(t *testing.T) {
 	now := time.Now()
-	j, _ := newJudge()
-	j.RecordSuccess("s", "sound", time.Millisecond, now)
-	j.RecordSuccess("s", "doubted", time.Millisecond, now)
-	j.RecordFailure("bad", now)
-	j.Merge("a", []outlier.Observation{{Upstream: "doubted", Failures: 1}}, now)
-	require.ElementsMatch(t, []outlier.Observation{{Upstream: "bad", Failures: 1}, {Upstream: "doubted", Successes: 1}}, j.Observations(now))
-	require.Empty(t, j.Observations(now.Add(5*time.Second)), "evidence grows old")
+	d, _ := newDetector()
+	d.RecordSuccess("s", "healthy", time.Millisecond, now)
+	d.RecordSuccess("s", "failing-elsewhere", time.Millisecond, now)
+	d.RecordFailure("failing", now)
+	d.Merge("a", []outlier.Observation{{Upstream: "failing-elsewhere", Failures: 1}}, now)
+	want := []outlier.Observation{{Upstream: "failing", Failures: 1}, {Upstream: "failing-elsewhere", Successes: 1}}
+	require.ElementsMatch(t, want, d.Observations(now))
+	require.Empty(t, d.Observations(now.Add(5*time.Second)), "old evidence does not count")
 }
 
-func TestAnEjectionEndsAndGrowsWhenTheUpstreamIsStillBad(t *testing.T) {
+func TestEjectionEndsAndDoublesWhileTheUpstreamStillFails(t *testing.T) {
 	now := time.Now()
-	j, findings := newJudge()
-	fail := func(at time.Time) {
-		for range 3 {
-			j.RecordFailure("i", at)
-		}
-	}
-	fail(now)
-	j.Merge("a", []outlier.Observation{{Upstream: "i", Failures: 9}}, now.Add(time.Second)) // seen before the ejection
+	d, reports := newDetector()
+	fail(d, "i", 3, now)
+	d.Merge("a", []outlier.Observation{{Upstream: "i", Failures: 9}}, now.Add(time.Second)) // seen before the ejection
 	end := now.Add(2 * time.Second)
-	require.False(t, j.Ejected("i", end))
-	j.RecordFailure("i", end)
-	require.False(t, j.Ejected("i", end), "it begins anew")
-	fail(end)
-	require.Equal(t, 4*time.Second, (findings.ejected)[1].For)
-	require.True(t, j.Ejected("i", end.Add(3*time.Second)))
-	fail(end.Add(20 * time.Second))
-	require.Equal(t, 2*time.Second, (findings.ejected)[2].For, "long ago is forgiven")
+	require.False(t, d.Ejected("i", end))
+	d.RecordFailure("i", end)
+	require.False(t, d.Ejected("i", end), "evidence from before the ejection does not count")
+	fail(d, "i", 3, end)
+	require.Equal(t, 4*time.Second, reports.ejections[1].For)
+	require.True(t, d.Ejected("i", end.Add(3*time.Second)))
+	fail(d, "i", 3, end.Add(20*time.Second))
+	require.Equal(t, 2*time.Second, reports.ejections[2].For, "an ejection long ago is forgiven")
 }
 
-func TestPatienceFollowsWhatIsUsualForTheService(t *testing.T) {
+func TestOverdueFollowsTheMedianOfTheService(t *testing.T) {
 	now := time.Now()
-	j, _ := newJudge()
-	require.Zero(t, j.OverdueAfter("s", 0))
+	d, _ := newDetector()
+	require.Zero(t, d.OverdueAfter("s", 0))
 	for range 64 {
-		j.RecordSuccess("s", "i", 100*time.Millisecond, now)
+		d.RecordSuccess("s", "i", 100*time.Millisecond, now)
 	}
-	require.Equal(t, 400*time.Millisecond, j.OverdueAfter("s", 0))
-	require.Equal(t, 800*time.Millisecond, j.OverdueAfter("s", 2), "a queue is no fault")
+	require.Equal(t, 400*time.Millisecond, d.OverdueAfter("s", 0))
+	require.Equal(t, 800*time.Millisecond, d.OverdueAfter("s", 2), "a queue is no fault")
 	for range 64 {
-		j.RecordLatency("s", time.Second)
+		d.RecordLatency("s", time.Second)
 	}
-	require.Equal(t, 4*time.Second, j.OverdueAfter("s", 0), "all are slow")
+	require.Equal(t, 4*time.Second, d.OverdueAfter("s", 0), "the whole service is slow")
 	for range 64 {
-		j.RecordSuccess("s", "i", time.Millisecond, now)
+		d.RecordSuccess("s", "i", time.Millisecond, now)
 	}
-	require.Equal(t, 250*time.Millisecond, j.OverdueAfter("s", 0))
-	require.Zero(t, j.OverdueAfter("other", 0))
+	require.Equal(t, 250*time.Millisecond, d.OverdueAfter("s", 0))
+	require.Zero(t, d.OverdueAfter("other", 0))
 }
 
-func TestUpstreamsThatAreGoneAreForgotten(t *testing.T) {
+func TestRetainDropsUpstreamsThatAreGone(t *testing.T) {
 	now := time.Now()
-	j, _ := newJudge()
-	for range 3 {
-		j.RecordFailure("i", now)
-	}
-	j.Retain(func(string) bool { return false })
-	require.False(t, j.Ejected("i", now))
+	d, _ := newDetector()
+	fail(d, "i", 3, now)
+	d.Retain(func(string) bool { return false })
+	require.False(t, d.Ejected("i", now))
+}
+
+// The host's own count ejects without any evidence, and reports nothing.
+func TestConsecutiveFailuresEjectAtThisHostOnly(t *testing.T) {
+	now := time.Now()
+	d, reports := newDetector()
+	d.RecordOutcome("i", outlier.Unreachable, now)
+	require.True(t, d.Ejected("i", now))
+	require.False(t, d.Ejected("i", now.Add(500*time.Millisecond)))
+	require.Empty(t, d.Observations(now))
+	require.Equal(t, &recorder{}, reports)
+	d.RecordOutcome("i", outlier.Succeeded, now)
+	require.False(t, d.Ejected("i", now))
 }
