--- a/internal/gateway/retry/budget.go
+++ b/internal/gateway/retry/budget.go
@@ -1,5 +1,10 @@
-// Package retry bounds how often requests are sent a second time, so that
-// failures do not multiply the load on what is left.
+// Package retry bounds how often requests are sent to a second upstream, so
+// that failures do not multiply the load on the upstreams that are left.
+//
+// A Budget owns one host's counts of requests and retries. The limit holds for
+// all hosts together without any message between them: each host uses the
+// part that its own requests give it, and an even part of the constant slack.
+// It relies on its caller for the number of hosts.
 package retry
 
 import (
@@ -7,90 +12,114 @@
 	"time"
 )
 
-// slices is how many parts the window is counted in.
-const slices = 10
+const (
+	// buckets is how many parts a window is counted in: more make it slide
+	// more evenly and cost more to sum up. Chosen, not measured.
+	buckets = 10
+	// safetyMargin is the part of the limit that is used. The platform counts
+	// retries when they arrive and in windows that begin at any moment, which
+	// are not aligned with this host's buckets. Chosen, not measured.
+	safetyMargin = 0.75
+)
 
-// Limits bound the repeats of one service in a sliding window, over all
-// hosts together.
+// Limits bound the retries of one service in any window, over all hosts
+// together: Ratio x requests + Slack.
 type Limits struct {
-	// Ratio is the repeats allowed for each request.
+	// Ratio is how many retries each request allows.
 	Ratio float64
-	// Window is the length of the window.
+	// Window is the length of the sliding window.
 	Window time.Duration
-	// Slack is the repeats allowed besides.
+	// Slack is how many retries are allowed in a window besides.
 	Slack float64
 }
 
-// Budget counts one host's requests and repeats of each service.
+// allowed returns how many retries this host may send in a window in which it
+// had a number of requests, when the slack is split over a number of hosts.
+func (l Limits) allowed(requests, hosts int) float64 {
+	return safetyMargin * (l.Ratio*float64(requests) + l.Slack/float64(max(1, hosts)))
+}
+
+// Budget counts one host's requests and retries of each service. It is safe
+// for concurrent use.
 type Budget struct {
 	limits Limits
-	// made is what slices are counted from: the time of day may jump.
-	made time.Time
+	// origin is the start of the first bucket. Buckets are numbered by the
+	// monotonic time since then, as the time of day may jump.
+	origin time.Time
 
 	mu       sync.Mutex
 	services map[string]*window
 }
 
-// window counts in slices of time; the oldest is used again.
-type window struct {
-	slice    int64
-	requests [slices]int
-	retries  [slices]int
+// NewBudget makes a budget that has seen no requests.
+func NewBudget(l Limits) *Budget {
+	return &Budget{limits: l, origin: time.Now(), services: map[string]*window{}}
 }
 
-// NewBudget makes a budget.
-func NewBudget(l Limits) *Budget {
-	return &Budget{limits: l, made: time.Now(), services: map[string]*window{}}
+// RecordRequest counts a request for a service.
+func (b *Budget) RecordRequest(service string, now time.Time) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.window(service, now).current().requests++
 }
 
-// margin keeps a host below its part: the far end counts by its own clock,
-// and in windows that begin at any moment.
-const safetyMargin = 0.75
+// TryRetry counts a retry and returns true, unless this host has used up its
+// part of the service's limit. hosts is how many hosts share the limit; it
+// must not be too low, so it counts those known, not only those alive.
+func (b *Budget) TryRetry(service string, hosts int, now time.Time) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	w := b.window(service, now)
+	total := w.total()
+	if float64(total.retries+1) > b.limits.allowed(total.requests, hosts) {
+		return false
+	}
+	w.current().retries++
+	return true
+}
 
+// window returns a service's window, advanced to now.
 func (b *Budget) window(service string, now time.Time) *window {
 	w := b.services[service]
 	if w == nil {
 		w = &window{}
 		b.services[service] = w
 	}
-	w.advance(int64(now.Sub(b.made) / (b.limits.Window / slices)))
+	w.advance(int64(now.Sub(b.origin) / (b.limits.Window / buckets)))
 	return w
 }
 
-func (w *window) advance(slice int64) {
-	if slice-w.slice > slices {
-		w.slice = slice - slices
-	}
-	for w.slice < slice {
-		w.slice++
-		w.requests[w.slice%slices] = 0
-		w.retries[w.slice%slices] = 0
-	}
+// counts are the requests and retries of a span of time.
+type counts struct {
+	requests int
+	retries  int
 }
 
-// Request counts a request of a service.
-func (b *Budget) RecordRequest(service string, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	w := b.window(service, now)
-	w.requests[w.slice%slices]++
+// window is a ring of the last buckets; newest is the number of the current
+// one.
+type window struct {
+	newest int64
+	ring   [buckets]counts
 }
 
-// Take counts a repeat, unless the host has used its part. hosts is how
-// many hosts may send repeats of the service.
-func (b *Budget) TryRetry(service string, hosts int, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	w := b.window(service, now)
-	requests, repeats := 0, 0
-	for i := range slices {
-		requests += w.requests[i]
-		repeats += w.retries[i]
+func (w *window) current() *counts { return &w.ring[w.newest%buckets] }
+
+// advance moves the window to a bucket and clears those that it passes.
+func (w *window) advance(bucket int64) {
+	if bucket-w.newest > buckets {
+		w.newest = bucket - buckets
 	}
-	allowed := safetyMargin * (b.limits.Ratio*float64(requests) + b.limits.Slack/float64(max(1, hosts)))
-	if float64(repeats+1) > allowed {
-		return false
+	for w.newest < bucket {
+		w.newest++
+		*w.current() = counts{}
 	}
-	w.retries[w.slice%slices]++
-	return true
+}
+
+func (w *window) total() counts {
+	var sum counts
+	for _, c := range w.ring {
+		sum.requests += c.requests
+		sum.retries += c.retries
+	}
+	return sum
 }
--- a/internal/gateway/retry/budget_test.go
+++ b/internal/gateway/retry/budget_test.go
@@ -11,9 +11,9 @@
 
 var limits = retry.Limits{Ratio: 0.2, Window: 10 * time.Second, Slack: 58}
 
-// All hosts together stay within the limit in every window, whatever they
-// are asked for.
-func TestRepeatsStayWithinTheirPartInEveryWindow(t *testing.T) {
+// All hosts together stay within the limit in every window, however many
+// retries they are asked for.
+func TestRetriesOfAllHostsStayWithinTheLimitInEveryWindow(t *testing.T) {
 	const hosts = 9
 	start := time.Now()
 	budgets := make([]*retry.Budget, hosts)
@@ -46,12 +46,38 @@
 	require.NotEmpty(t, taken)
 }
 
-func TestABudgetRecoversAndServicesAreApart(t *testing.T) {
+func TestBudgetRecoversWithTheWindowAndForEachServiceAlone(t *testing.T) {
 	b, now := retry.NewBudget(limits), time.Now()
 	for b.TryRetry("a", 9, now) {
 	}
 	require.True(t, b.TryRetry("b", 9, now))
 	require.False(t, b.TryRetry("a", 9, now.Add(5*time.Second)))
 	require.True(t, b.TryRetry("a", 9, now.Add(11*time.Second)))
-	require.True(t, b.TryRetry("a", 9, now.Add(time.Hour)), "after a long rest too")
+	require.True(t, b.TryRetry("a", 9, now.Add(time.Hour)), "after many windows without requests")
+}
+
+func TestHostUsesItsPartOfTheLimit(t *testing.T) {
+	for _, c := range []struct {
+		name            string
+		requests, hosts int
+		retries         int
+	}{
+		{"no requests: an even part of the slack", 0, 9, 4},     // 0.75 x 58/9 = 4.8
+		{"alone: the whole slack", 0, 1, 43},                    // 0.75 x 58 = 43.5
+		{"no host known counts as one", 0, 0, 43},               //
+		{"each request adds the ratio", 100, 9, 19},             // 0.75 x (20 + 58/9) = 19.8
+		{"many hosts: a part of the slack below one", 0, 80, 0}, // 0.75 x 58/80 = 0.5
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b, now := retry.NewBudget(limits), time.Now()
+			for range c.requests {
+				b.RecordRequest("s", now)
+			}
+			retries := 0
+			for b.TryRetry("s", c.hosts, now) {
+				retries++
+			}
+			require.Equal(t, c.retries, retries)
+		})
+	}
 }
