--- a/internal/gateway/route/route_test.go
+++ b/internal/gateway/route/route_test.go
@@ -9,16 +9,21 @@
 	"cairndock/internal/gateway/route"
 )
 
-func table(routes ...route.Route) *route.Table {
+func newTable(routes ...route.Route) *route.Table {
 	return route.NewTable(1, routes, nil, route.Limits{})
 }
 
-func named(name, host, prefix string) route.Route {
+func newRoute(name, host, prefix string) route.Route {
 	return route.Route{Name: name, Host: host, Prefix: prefix, Backends: []route.Backend{{Service: name, Weight: 1}}}
 }
 
-func TestTableMatchesTheLongestPrefixOfTheHost(t *testing.T) {
-	tb := table(named("root", "a.example", "/"), named("deep", "a.example", "/x/y/"), named("mid", "a.example", "/x/"), named("other", "b.example", "/x/"))
+func TestRequestHasTheRouteWithTheLongestPrefixOfItsHost(t *testing.T) {
+	table := newTable(
+		newRoute("root", "a.example", "/"),
+		newRoute("deep", "a.example", "/x/y/"),
+		newRoute("mid", "a.example", "/x/"),
+		newRoute("other", "b.example", "/x/"),
+	)
 	for _, c := range []struct{ host, path, want string }{
 		{"a.example", "/x/y/z", "deep"},
 		{"a.example", "/x/z", "mid"},
@@ -28,22 +33,24 @@
 		{"b.example", "/", ""},
 		{"c.example", "/x/", ""},
 	} {
-		r, ok := tb.Match(c.host, c.path)
-		require.Equal(t, c.want != "", ok, c)
-		if ok {
-			require.Equal(t, c.want, r.Name, c)
-		}
+		t.Run(c.host+c.path, func(t *testing.T) {
+			r, ok := table.Match(c.host, c.path)
+			require.Equal(t, c.want != "", ok)
+			if ok {
+				require.Equal(t, c.want, r.Name)
+			}
+		})
 	}
 }
 
-func TestPickKeepsTheWeightsAndIsTheSameForOneRequest(t *testing.T) {
+func TestEachBackendGetsTheRequestsOfItsWeight(t *testing.T) {
 	r := route.Route{Backends: []route.Backend{{Service: "a", Weight: 70}, {Service: "b", Weight: 30}, {Service: "c", Weight: 0}}}
 	counts := map[string]int{}
 	const requests = 20_000
 	for i := range requests {
 		id := "request-" + strconv.Itoa(i)
 		picked := r.Pick(id)
-		require.Equal(t, picked, r.Pick(id))
+		require.Equal(t, picked, r.Pick(id), "every attempt of a request picks the same")
 		counts[picked]++
 	}
 	require.InDelta(t, 0.7, float64(counts["a"])/requests, 0.02)
@@ -51,18 +58,40 @@
 	require.Zero(t, counts["c"])
 }
 
-func TestPickWithoutWeightsTakesTheFirst(t *testing.T) {
+func TestFirstBackendServesAllWithoutWeights(t *testing.T) {
 	r := route.Route{Backends: []route.Backend{{Service: "a"}, {Service: "b"}}}
 	require.Equal(t, "a", r.Pick("x"))
 }
 
-func TestHostRegionsAreAnyWhenOneRouteIsFree(t *testing.T) {
-	bound := named("bound", "a.example", "/x/")
+func TestRegionsOfAHostNameAreThoseOfItsRoutesUnlessOneIsFree(t *testing.T) {
+	bound := newRoute("bound", "a.example", "/x/")
 	bound.Regions = []string{"west", "east"}
-	free := named("free", "a.example", "/y/")
-	require.Equal(t, []string{"east", "west"}, table(bound).HostRegions("a.example"))
-	require.Empty(t, table(bound, free).HostRegions("a.example"))
+	free := newRoute("free", "a.example", "/y/")
+	require.Equal(t, []string{"east", "west"}, newTable(bound).HostRegions("a.example"))
+	require.Empty(t, newTable(bound, free).HostRegions("a.example"))
 	require.True(t, bound.Allows("west"))
 	require.False(t, bound.Allows("south"))
 	require.True(t, free.Allows("south"))
 }
+
+func TestServiceIsMixedWhenItIsTheMainBackendOfLargeAndSmallResponses(t *testing.T) {
+	backends := func(main, other string) []route.Backend {
+		return []route.Backend{{Service: other, Weight: 10}, {Service: main, Weight: 90}}
+	}
+	large := route.Route{Bulk: true, Backends: backends("a", "b")}
+	for _, c := range []struct {
+		name  string
+		small []route.Backend
+		mixed bool
+	}{
+		{"main backend of both", backends("a", "b"), true},
+		{"a minor backend of the small ones", backends("b", "a"), false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			table := newTable(large, route.Route{Backends: c.small})
+			require.Equal(t, c.mixed, table.Mixed("a"))
+			require.False(t, table.Mixed("b"))
+			require.False(t, table.Mixed("unknown"))
+		})
+	}
+}
--- a/internal/gateway/route/table.go
+++ b/internal/gateway/route/table.go
@@ -1,5 +1,3 @@
-// Package route holds the routing configuration of a gateway: which requests
-// go to which groups of upstreams, and under which limits.
 package route
 
 import (
@@ -9,93 +7,47 @@
 	"time"
 )
 
-// Repeat says how often a request may run.
-type Repeat uint8
-
-const (
-	// Once is a request that must run at most once.
-	Once Repeat = iota
-	// Repeatable is a request that may run more than once.
-	Repeatable
-)
-
-// Backend is one group of upstreams that a route sends a share of its
-// requests to.
-type Backend struct {
-	// Service names the upstreams.
-	Service string
-	// Weight is the backend's part of the route's requests, in proportion
-	// to the other backends' weights.
-	Weight int
-}
-
-// Route says how requests for one host and path prefix are served.
-type Route struct {
-	// Name identifies the route in logs and metrics.
-	Name string
-	// Host is the request's host, and Prefix the beginning of its path;
-	// it begins and ends with a slash.
-	Host   string
-	Prefix string
-	// Repeat says whether a request may run more than once.
-	Repeat Repeat
-	// Backends has one entry at least.
-	Backends []Backend
-	// Timeout is the longest time that a request is held; zero is no bound.
-	Timeout time.Duration
-	// Attempts bounds the upstreams that one request is sent to.
-	Attempts int
-	// Priority is the rank under overload; 0 is the most urgent.
-	Priority int
-	// Bulk says that answers are large.
-	Bulk bool
-	// Sticky says that upstreams work faster on objects seen lately.
-	Sticky bool
-	// Regions are those in which the route may be served; empty is any.
-	Regions []string
-}
-
-// Allows reports whether the route may be served in a region.
-func (r *Route) Allows(region string) bool {
-	return len(r.Regions) == 0 || slices.Contains(r.Regions, region)
-}
-
-// Service holds what is configured for the upstreams of one service.
+// Service is the configuration of a service's upstreams.
 type Service struct {
 	Name string
-	// WarmUp is how long an upstream stays cold after its start, and
-	// WarmUpRate the requests a second that it bears meanwhile.
-	WarmUp     time.Duration
+	// WarmUp is how long an upstream stays cold after its start.
+	WarmUp time.Duration
+	// WarmUpRate is how many requests a second a cold upstream bears.
 	WarmUpRate float64
 }
 
-// Limits bound what a caller may send.
+// Limits bound what a client may send; zero values are no limits.
 type Limits struct {
-	// HeaderBytes and BodyBytes bound a request's size; zero is no bound.
+	// HeaderBytes bounds the size of a request's header.
 	HeaderBytes int
-	BodyBytes   int64
-	// HeaderTimeout bounds the reading of a request's header, and
-	// IdleTimeout the rest of a connection between two requests.
+	// BodyBytes bounds the size of a request's body.
+	BodyBytes int64
+	// HeaderTimeout bounds the time in which a request's header is read.
 	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	// IdleTimeout bounds how long a connection is idle between two requests.
+	IdleTimeout time.Duration
 }
 
-// Table is one version of the configuration. It is not changed after New.
+// Table is one version of the configuration. It is not changed after NewTable.
 type Table struct {
-	// Version orders tables; a host never moves to a lower one.
+	// Version orders tables; a host never goes back to a lower one.
 	Version int64
 	Limits  Limits
 
+	// byHost has the routes of each host name, the longest prefix first.
 	byHost   map[string][]*Route
 	services map[string]Service
-	// mixed has the services that serve large answers and small ones.
+	// mixed has the services with large and small responses.
 	mixed  map[string]bool
 	routes int
 }
 
-// NewTable makes a table.
+// NewTable makes a table. It keeps the routes.
 func NewTable(version int64, routes []Route, services []Service, limits Limits) *Table {
-	t := &Table{Version: version, Limits: limits, byHost: map[string][]*Route{}, services: map[string]Service{}, routes: len(routes)}
+	t := &Table{
+		Version: version, Limits: limits, byHost: map[string][]*Route{}, services: map[string]Service{},
+		mixed: mixedServices(routes), routes: len(routes),
+	}
 	for i := range routes {
 		r := &routes[i]
 		t.byHost[r.Host] = append(t.byHost[r.Host], r)
@@ -106,37 +58,34 @@
 	for _, s := range services {
 		t.services[s.Name] = s
 	}
-	t.mixed = mixedServices(routes)
 	return t
 }
 
-// mixedServices gives the services whose main routes, those that send them
-// most of their requests, have large answers and small ones.
+func longestFirst(a, b *Route) int {
+	return cmp.Or(cmp.Compare(len(b.Prefix), len(a.Prefix)), cmp.Compare(a.Prefix, b.Prefix))
+}
+
+// mixedServices returns the services that are the main backend, the one with
+// the highest weight, of routes with large responses and of routes with small
+// ones.
 func mixedServices(routes []Route) map[string]bool {
-	bulk, small := map[string]bool{}, map[string]bool{}
+	large, small := map[string]bool{}, map[string]bool{}
 	for _, r := range routes {
 		main := slices.MaxFunc(r.Backends, func(a, b Backend) int { return cmp.Compare(a.Weight, b.Weight) })
 		if r.Bulk {
-			bulk[main.Service] = true
+			large[main.Service] = true
 		} else {
 			small[main.Service] = true
 		}
 	}
 	mixed := map[string]bool{}
-	for service := range bulk {
+	for service := range large {
 		mixed[service] = small[service]
 	}
 	return mixed
 }
 
-// Mixed reports whether a service serves large answers and small ones.
-func (t *Table) Mixed(service string) bool { return t.mixed[service] }
-
-func longestFirst(a, b *Route) int {
-	return cmp.Or(cmp.Compare(len(b.Prefix), len(a.Prefix)), cmp.Compare(a.Prefix, b.Prefix))
-}
-
-// Match finds the route with the longest prefix for a host and path.
+// Match returns the route with the longest prefix for a host name and path.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	for _, r := range t.byHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -146,22 +95,25 @@
 	return nil, false
 }
 
-// HostRegions gives the regions in which every route of a host may be
-// served; empty is any.
+// HostRegions returns the regions in which routes of a host name may be served,
+// sorted; empty is any, as soon as one route may be served in any.
 func (t *Table) HostRegions(host string) []string {
-	var common []string
+	var regions []string
 	for _, r := range t.byHost[host] {
 		if len(r.Regions) == 0 {
 			return nil
 		}
-		common = append(common, r.Regions...)
+		regions = append(regions, r.Regions...)
 	}
-	slices.Sort(common)
-	return slices.Compact(common)
+	slices.Sort(regions)
+	return slices.Compact(regions)
 }
 
-// Service gives a service's configuration, or the zero value.
+// Service returns a service's configuration, or the zero value.
 func (t *Table) Service(name string) Service { return t.services[name] }
 
-// Routes is the number of routes.
+// Mixed reports whether a service has both large and small responses.
+func (t *Table) Mixed(service string) bool { return t.mixed[service] }
+
+// Routes returns the number of routes.
 func (t *Table) Routes() int { return t.routes }
