--- a/internal/gateway/balance/admission_test.go
+++ b/internal/gateway/balance/admission_test.go
@@ -54,11 +54,10 @@
 	require.Equal(t, balance.Chosen, reason)
 }
 
-// A host dials an upstream only for a request that has no idle connection to
-// use (exchange.Pool), so its connections to one upstream never outnumber the
-// requests that were outstanding there at once. That number is bounded by the
-// load above which the upstream takes none: the largest one below
-// rejectAbove x capacity, and one more.
+// A host dials an upstream only for a request that finds no idle connection
+// (exchange.Pool), so its connections to one upstream, idle ones included,
+// never outnumber the requests that were outstanding there at once. A request
+// is admitted while that number is below rejectAbove x capacity.
 func TestConnectionsToAnUpstreamStayBelowItsLimit(t *testing.T) {
 	for _, c := range []struct {
 		deployment     string
--- a/internal/gateway/balance/export_test.go
+++ b/internal/gateway/balance/export_test.go
@@ -1,7 +1,8 @@
 package balance
 
-// Constants that the tests of the Balancer refer to.
 const (
+	// PreferenceListSize is preferenceListSize for the tests of the Balancer.
 	PreferenceListSize = preferenceListSize
-	RejectAbove        = rejectAbove
+	// RejectAbove is rejectAbove for the tests of the Balancer.
+	RejectAbove = rejectAbove
 )
--- a/internal/gateway/balance/query.go
+++ b/internal/gateway/balance/query.go
@@ -57,7 +57,7 @@
 	Cold bool
 }
 
-// Reason is the outcome of a choice.
+// Reason is the outcome of a choice: Chosen, or why the request is rejected.
 type Reason uint8
 
 const (
@@ -66,10 +66,11 @@
 	// NoUpstream means that no upstream may serve the request, or that all
 	// that may were tried.
 	NoUpstream
-	// Overloaded means that every upstream that may serve the request is
-	// above the load at which it takes one of this priority.
+	// Overloaded means that all upstreams considered, which are the key's
+	// preference list or, without affinity, all that may serve the request,
+	// are at or above the load from which they take none of its priority.
 	Overloaded
-	// WarmUpLimited means that every upstream with capacity is warming up
-	// and that this host has used its quota of requests there.
+	// WarmUpLimited means that each upstream considered that is not
+	// overloaded is cold, and that this host has used its quota there.
 	WarmUpLimited
 )
--- a/internal/gateway/outlier/detector.go
+++ b/internal/gateway/outlier/detector.go
@@ -110,8 +110,9 @@
 	}
 }
 
-// Observations returns what this host tells the others: the upstreams at which
-// it saw failures, and its successes at those where another host did.
+// Observations returns what this host sends to the others: its counts at the
+// upstreams at which it saw failures, or successes where another host saw
+// failures.
 func (d *Detector) Observations(now time.Time) []Observation {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/gateway/retry/budget_test.go
+++ b/internal/gateway/retry/budget_test.go
@@ -64,7 +64,7 @@
 	}{
 		{"no requests: an even part of the slack", 0, 9, 4},     // 0.75 x 58/9 = 4.8
 		{"alone: the whole slack", 0, 1, 43},                    // 0.75 x 58 = 43.5
-		{"no host known counts as one", 0, 0, 43},               //
+		{"no host known counts as one", 0, 0, 43},               // the same
 		{"each request adds the ratio", 100, 9, 19},             // 0.75 x (20 + 58/9) = 19.8
 		{"many hosts: a part of the slack below one", 0, 80, 0}, // 0.75 x 58/80 = 0.5
 	} {
