--- a/internal/gateway/upstream/registry.go
+++ b/internal/gateway/upstream/registry.go
@@ -117,7 +117,7 @@
 func (r *Registry) Expire(now time.Time) []Registration {
 	var gone []Registration
 	for _, u := range r.upstreams {
-		if !u.ExpiresAt.IsZero() && !now.Before(u.ExpiresAt) {
+		if !u.expiresAt.IsZero() && !now.Before(u.expiresAt) {
 			gone = append(gone, u.Registration)
 			r.remove(u, now)
 		}
--- a/internal/gateway/upstream/registry_test.go
+++ b/internal/gateway/upstream/registry_test.go
@@ -98,12 +98,14 @@
 	r := newRegistry()
 	r.Put(ready("a", "west"), now)
 	before := r.Set()
+	u, _ := before.Get("a")
+	unchanged := *u
 	r.Evacuate(map[string]bool{"west": true}, now)
 	r.Evacuate(nil, now)
 	r.Remove("a", now, now)
-	u, _ := before.Get("a")
+	u, _ = before.Get("a")
 	require.True(t, u.ColdUntil.IsZero())
-	require.True(t, u.ExpiresAt.IsZero())
+	require.Equal(t, unchanged, *u)
 }
 
 func TestEntryThatIsMissingAfterAnOutageMayHaveLapsed(t *testing.T) {
--- a/internal/gateway/upstream/upstream.go
+++ b/internal/gateway/upstream/upstream.go
@@ -33,9 +33,9 @@
 	Registration
 	// ColdUntil is when the upstream counts as warm.
 	ColdUntil time.Time
-	// ExpiresAt is when an upstream whose entry lapsed counts as gone; zero
+	// expiresAt is when an upstream whose entry lapsed counts as gone; zero
 	// while it has an entry.
-	ExpiresAt time.Time
+	expiresAt time.Time
 }
 
 // Cold reports whether the upstream is warming up: it bears few requests.
@@ -51,7 +51,7 @@
 // withExpiry returns the upstream as one that is gone from a time on.
 func (u *Upstream) withExpiry(t time.Time) *Upstream {
 	out := *u
-	out.ExpiresAt = t
+	out.expiresAt = t
 	return &out
 }
 
