--- a/internal/gateway/wiring.go
+++ b/internal/gateway/wiring.go
@@ -64,7 +64,7 @@
 	pool := exchange.NewPool(dialer(upstreamDialTimeout).DialContext)
 	return proxy.New(proxy.Options{
 		State:    g.state,
-		Balancer: balance.New(location, balance.DefaultWeights, quotas, g.detector),
+		Balancer: balance.New(location, quotas, g.detector),
 		Detector: g.detector,
 		Budget:   retry.NewBudget(retry.Limits{Ratio: limits.RetryRatio, Window: time.Duration(limits.RetryWindow), Slack: limits.RetrySlack}),
 		Client:   exchange.NewClient(pool, platform.Protocol{}),
