--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -12,123 +12,94 @@
 )
 
 var (
-	// ErrNotSent says that not a byte of the message left this host.
+	// ErrNotSent reports that not a byte of the request left this host.
 	ErrNotSent = eris.New("not sent")
-	// ErrLost says that the connection broke after the message may have left.
+	// ErrLost reports that the connection broke, or the time ran out, after the
+	// request may have left.
 	ErrLost = eris.New("connection lost")
-	// ErrBroken says that a body ended before its whole length.
-	ErrBroken = eris.New("body is not whole")
+	// errIncomplete reports that a stream ended before its response or before
+	// the end of its body.
+	errIncomplete = eris.New("body is not whole")
 )
 
 const (
-	// window is how many bytes of a stream's body may be on their way.
-	window = 256 << 10
-	// handshakeTimeout bounds the time until a peer has shown itself.
-	handshakeTimeout = 3 * time.Second
-	// readOutTime is how long a connection that can't be written to is read.
+	// readBuffer is a connection's buffer for reading, in bytes. A host has a
+	// connection each way with every peer that gets heartbeats, and a larger
+	// frame is read past the buffer, so more would only hold memory: 64 KB to
+	// 4 KB took a host's peak on quiet-1 of cacf-ruteo from 12.0 to 11.8 MB.
+	readBuffer = 4 << 10
+	// readOutTime is how long a connection is still read after a write to it
+	// failed. A peer that closes right after its response makes a credit frame
+	// fail, and the response must not be lost with it. Chosen, not measured.
 	readOutTime = time.Second
-	// writeTimeout bounds how long a peer may not read.
+	// writeTimeout bounds the time in which a peer must take a frame. Chosen,
+	// not measured.
 	writeTimeout = 10 * time.Second
 )
 
-// Handler serves streams that peers open.
-type Handler interface {
-	// ServePeer answers one stream. It must call Reply once at most.
-	ServePeer(ctx context.Context, from Hello, kind Kind, payload []byte, w *Responder)
-}
-
-// Conn is one connection to a peer, used from both ends.
-type Conn struct {
+// conn is one connection to a peer, on which both ends open streams.
+type conn struct {
 	net     net.Conn
 	remote  Hello
 	handler Handler
 
+	// writeMu guards writing to net. It is taken before mu.
 	writeMu sync.Mutex
 	out     []byte
-	// unwritable says that a write failed, so that none may follow.
+	// unwritable is set after a failed write, as half a frame may have left.
 	unwritable bool
 
-	mu      sync.Mutex
-	nextID  uint64
-	seenID  uint64
-	streams map[uint64]*Stream    // opened here
-	serving map[uint64]*Responder // opened by the peer
-	failed  error
-	done    chan struct{}
-	wait    sync.WaitGroup
-}
-
-// readBuffer is a connection's buffer for reading, in bytes. What a frame has
-// beyond it is read past the buffer, so that a larger one would only hold
-// memory: a host has a connection each way with every peer it follows.
-const readBuffer = 4 << 10
-
-// newConn shows itself to the peer and learns who it is.
-func newConn(ctx context.Context, nc net.Conn, self Hello, h Handler) (*Conn, error) {
-	c := &Conn{
+	mu sync.Mutex
+	// nextID is the ID of the last stream opened here.
+	nextID uint64
+	// lastPeerID is the ID of the last stream that the peer opened.
+	lastPeerID uint64
+	// streams are those opened here, and serving those opened by the peer.
+	streams map[uint64]*Stream
+	serving map[uint64]*Responder
+	// failed is why the connection broke; nil while it works.
+	failed error
+	// closed is closed when it breaks.
+	closed chan struct{}
+	wg     sync.WaitGroup
+}
+
+// newConn does the handshake on a network connection, made or accepted, and
+// starts to serve the peer's streams. It closes the connection on an error.
+func newConn(ctx context.Context, nc net.Conn, self Hello, h Handler) (*conn, error) {
+	c := &conn{
 		net:     nc,
 		handler: h,
 		streams: map[uint64]*Stream{},
 		serving: map[uint64]*Responder{},
-		done:    make(chan struct{}),
+		closed:  make(chan struct{}),
 	}
 	reader := bufio.NewReaderSize(nc, readBuffer)
 	if err := c.handshake(self, reader); err != nil {
 		_ = nc.Close()
 		return nil, eris.Wrap(err, "handshake")
 	}
-	c.wait.Add(1)
+	c.wg.Add(1)
 	go c.readLoop(context.WithoutCancel(ctx), reader)
 	return c, nil
 }
 
-func (c *Conn) handshake(self Hello, reader *bufio.Reader) error {
-	if err := c.net.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
-		return err
-	}
-	self.Version = Version
-	hello, err := Encode(self)
-	if err != nil {
-		return err
-	}
-	sent := make(chan error, 1)
-	go func() { sent <- c.write(&frame{Type: frameHello, Data: hello}) }()
-	f, err := readFrame(reader)
-	if err != nil {
-		return err
-	}
-	if err := <-sent; err != nil {
-		return err
-	}
-	if f.Type != frameHello {
-		return eris.Wrap(ErrFrame, "no hello")
-	}
-	if c.remote, err = Decode[Hello](f.Data); err != nil {
-		return err
-	}
-	if c.remote.Version != Version {
-		return eris.Wrapf(ErrFrame, "version %q", c.remote.Version)
-	}
-	return c.net.SetDeadline(time.Time{})
-}
-
-// Remote is who the peer says it is.
-func (c *Conn) Remote() Hello { return c.remote }
-
-// Close breaks the connection and every stream on it.
-func (c *Conn) Close() {
+// close breaks the connection and every stream on it, and waits for the
+// handlers of the peer's streams.
+func (c *conn) close() {
 	c.fail(ErrLost)
-	c.wait.Wait()
+	c.wg.Wait()
 }
 
-func (c *Conn) fail(err error) {
+// fail breaks the connection and every stream on it.
+func (c *conn) fail(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.failed != nil {
 		return
 	}
 	c.failed = err
-	close(c.done)
+	close(c.closed)
 	_ = c.net.Close()
 	for _, s := range c.streams {
 		s.fail(ErrLost)
@@ -138,20 +109,22 @@
 	}
 }
 
-func (c *Conn) err() error {
+// err returns why the connection broke; nil while it works.
+func (c *conn) err() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.failed
 }
 
-// write sends one frame whole or fails the connection.
-func (c *Conn) write(f *frame) error {
+// write sends a frame. The error is ErrNotSent if nothing of it left this host.
+func (c *conn) write(f *frame) error {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
 	return c.writeLocked(f)
 }
 
-func (c *Conn) writeLocked(f *frame) error {
+// writeLocked is write with c.writeMu held.
+func (c *conn) writeLocked(f *frame) error {
 	buf, err := appendFrame(c.out[:0], f)
 	if err != nil {
 		return eris.Wrap(ErrNotSent, err.Error())
@@ -160,98 +133,23 @@
 	if c.unwritable || c.err() != nil {
 		return ErrNotSent
 	}
-	if f.Type != frameHello {
+	if f.Type != frameHello { // the handshake has its own deadline
+		// An error means that the connection is closed, which Write reports.
 		_ = c.net.SetWriteDeadline(time.Now().Add(writeTimeout))
 	}
 	if _, err := c.net.Write(buf); err != nil {
 		c.unwritable = true
-		// What the peer sent before it closed may still be read.
+		// An error means that the connection is closed, which the read loop
+		// notices.
 		_ = c.net.SetReadDeadline(time.Now().Add(readOutTime))
 		return ErrLost
 	}
 	return nil
 }
 
-func (c *Conn) readLoop(ctx context.Context, reader *bufio.Reader) {
-	defer c.wait.Done()
-	for {
-		f, err := readFrame(reader)
-		if err != nil {
-			c.fail(err)
-			return
-		}
-		if err := c.receive(ctx, f); err != nil {
-			c.fail(err)
-			return
-		}
-	}
-}
-
-func (c *Conn) receive(ctx context.Context, f frame) error {
-	switch f.Type {
-	case frameOpen:
-		c.accept(ctx, f)
-	case frameReply, frameBody, frameEnd, frameFail:
-		c.mu.Lock()
-		s := c.streams[f.ID]
-		c.mu.Unlock()
-		// A frame for a stream that is gone came late, and is dropped.
-		if s != nil {
-			s.receive(f)
-		}
-	case frameCancel, frameCredit:
-		c.mu.Lock()
-		r := c.serving[f.ID]
-		c.mu.Unlock()
-		if r != nil {
-			r.receive(f)
-		}
-	default:
-		return eris.Wrapf(ErrFrame, "type %d out of place", f.Type)
-	}
-	return nil
-}
-
-// accept serves a stream that the peer opened. An ID that is not above all
-// earlier ones is a duplicate and is dropped.
-func (c *Conn) accept(ctx context.Context, f frame) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.failed != nil || f.ID <= c.seenID {
-		return
-	}
-	c.seenID = f.ID
-	ctx, cancel := context.WithCancel(ctx)
-	r := &Responder{conn: c, id: f.ID, ctx: ctx, cancel: cancel, credit: window}
-	r.ready.L = &r.mu
-	c.serving[f.ID] = r
-	c.wait.Add(1)
-	go func() {
-		defer c.wait.Done()
-		defer c.finished(f.ID)
-		c.handler.ServePeer(ctx, c.remote, f.Kind, f.Data, r)
-	}()
-}
-
-func (c *Conn) finished(id uint64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if r := c.serving[id]; r != nil {
-		r.cancel()
-		delete(c.serving, id)
-	}
-}
-
-// Serving is how many streams of the peer are being served.
-func (c *Conn) Serving() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.serving)
-}
-
-// Open starts a stream and waits for its reply. The error is ErrNotSent
-// when the peer can't have got it. The stream must be closed.
-func (c *Conn) Open(ctx context.Context, kind Kind, payload []byte) (*Stream, error) {
+// open opens a stream and waits for its response. The error is ErrNotSent if
+// the peer cannot have got the request. The stream must be closed.
+func (c *conn) open(ctx context.Context, kind Kind, payload []byte) (*Stream, error) {
 	s, err := c.start(kind, payload)
 	if err != nil {
 		return nil, err
@@ -264,42 +162,51 @@
 	}
 	if s.Payload == nil {
 		s.Close()
-		return nil, s.broken()
+		return nil, s.fault()
 	}
 	return s, nil
 }
 
-func (c *Conn) start(kind Kind, payload []byte) (*Stream, error) {
-	// Opening is one step with writing, so that IDs rise on the wire.
+// start sends a stream's first frame. The ID is taken under the lock for
+// writing, so that IDs rise on the wire.
+func (c *conn) start(kind Kind, payload []byte) (*Stream, error) {
 	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	s, err := c.register()
+	if err != nil {
+		return nil, err
+	}
+	if err := c.writeLocked(&frame{Type: frameOpen, ID: s.id, Kind: kind, Data: payload}); err != nil {
+		s.forget()
+		return nil, err
+	}
+	return s, nil
+}
+
+// register adds a new stream of this host.
+func (c *conn) register() (*Stream, error) {
 	c.mu.Lock()
+	defer c.mu.Unlock()
 	if c.failed != nil {
-		c.mu.Unlock()
-		c.writeMu.Unlock()
 		return nil, ErrNotSent
 	}
 	c.nextID++
 	s := newStream(c, c.nextID)
 	c.streams[s.id] = s
-	c.mu.Unlock()
-	err := c.writeLocked(&frame{Type: frameOpen, ID: s.id, Kind: kind, Data: payload})
-	c.writeMu.Unlock()
-	if err != nil {
-		s.forget()
-	}
-	return s, err
+	return s, nil
 }
 
-// Call opens a stream that has no body and gives its reply.
-func (c *Conn) Call(ctx context.Context, kind Kind, payload []byte) ([]byte, error) {
-	s, err := c.Open(ctx, kind, payload)
+// call opens a stream without a body and returns its response.
+func (c *conn) call(ctx context.Context, kind Kind, payload []byte) ([]byte, error) {
+	s, err := c.open(ctx, kind, payload)
 	if err != nil {
 		return nil, err
 	}
 	defer s.Close()
 	stop := context.AfterFunc(ctx, func() { _ = s.Close() })
 	defer stop()
-	// Replies without a body still end, so that a lost end is seen.
+	// A response without a body ends as well; reading to the end shows whether
+	// it is complete.
 	if _, err := io.Copy(io.Discard, s); err != nil {
 		return nil, err
 	}
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -1,5 +1,3 @@
-// Package peer carries requests and control messages between entry hosts:
-// framed msgpack over TCP, many streams on one connection.
 package peer
 
 import (
@@ -12,73 +10,47 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// MaxFrame is the largest frame in bytes. A larger one closes its connection.
-const MaxFrame = 1 << 20
+// maxFrame is the largest frame in bytes, without its length. A larger one is
+// not sent, and closes the connection if received. Chosen, not measured.
+const maxFrame = 1 << 20
 
-// Version is the protocol version that both ends of a connection must name.
-const Version = "cairndock/1"
-
-// Kind says what a stream asks for.
-type Kind uint8
-
-// The kinds of stream.
-const (
-	// KindForward asks for a request to be admitted to an upstream.
-	KindForward Kind = iota + 1
-	// KindTicket asks a ticket's minter to serve it.
-	KindTicket
-	// KindHeartbeat exchanges liveness, revisions and free slots.
-	KindHeartbeat
-	// KindRoster asks for the zone's roster.
-	KindRoster
-	// KindChanges asks for configuration changes after a revision.
-	KindChanges
-	// KindPush brings a new configuration change.
-	KindPush
-	// KindConfirm asks whether a zone has a revision in force.
-	KindConfirm
-	// KindHandover gives a leaving host's tickets to another.
-	KindHandover
-	// KindLend asks for a part of a link.
-	KindLend
-	// KindDrain asks what is still outstanding at leaving upstreams.
-	KindDrain
-)
+// errFrame reports that a peer sent an invalid frame.
+var errFrame = eris.New("bad frame")
 
+// frameType is on the wire.
 type frameType uint8
 
 const (
-	frameHello  frameType = iota + 1
-	frameOpen             // starts a stream: Kind, Data
-	frameReply            // the stream's one reply: Data
-	frameBody             // a part of the body: Data, Offset
-	frameEnd              // the body's end: Offset is its total length
-	frameFail             // the stream broke off after its reply
-	frameCancel           // the opener no longer wants the stream
-	frameCredit           // Offset more bytes of body may be sent
+	// frameHello is the first frame each way; Data is a Hello.
+	frameHello frameType = iota + 1
+	// frameOpen opens a stream with a request: Kind, Data.
+	frameOpen
+	// frameReply is a stream's one response: Data.
+	frameReply
+	// frameBody is a part of the body: Data, and Offset, where it begins.
+	frameBody
+	// frameEnd ends the body; Offset is its length.
+	frameEnd
+	// frameFail ends the stream without a response or with half a body.
+	frameFail
+	// frameCancel reports that the opener no longer reads the stream.
+	frameCancel
+	// frameCredit permits Offset more bytes of body.
+	frameCredit
 )
 
-// frame is the unit on the wire. A stream's ID is never used again on its
-// connection.
+// frame is the unit on the wire, an array of its fields in this order.
 type frame struct {
-	Type   frameType
+	Type frameType
+	// ID is the stream's. Each end numbers the streams that it opens upwards
+	// from 1; a frame's type says whose stream it is.
 	ID     uint64
 	Kind   Kind
 	Offset int64
 	Data   []byte
 }
 
-// Hello is the first message in each direction of a connection.
-type Hello struct {
-	Version     string `msgpack:"v"`
-	Host        string `msgpack:"h"`
-	Zone        string `msgpack:"z"`
-	Incarnation string `msgpack:"i"`
-}
-
-// ErrFrame says that a peer sent what is no valid frame.
-var ErrFrame = eris.New("bad frame")
-
+// appendFrame appends a frame with its length to a buffer.
 func appendFrame(buf []byte, f *frame) ([]byte, error) {
 	var body bytes.Buffer
 	enc := msgpack.NewEncoder(&body)
@@ -87,26 +59,25 @@
 	if err := enc.Encode(f); err != nil {
 		return nil, eris.Wrap(err, "encode frame")
 	}
-	if body.Len() > MaxFrame {
-		return nil, eris.Wrapf(ErrFrame, "%d bytes are too many", body.Len())
+	if body.Len() > maxFrame {
+		return nil, eris.Wrapf(errFrame, "%d bytes are too many", body.Len())
 	}
 	buf = binary.BigEndian.AppendUint32(buf, uint32(body.Len()))
 	return append(buf, body.Bytes()...), nil
 }
 
 func readFrame(r *bufio.Reader) (frame, error) {
-	var f frame
 	var size [4]byte
 	if _, err := io.ReadFull(r, size[:]); err != nil {
-		return f, err
+		return frame{}, err
 	}
 	n := binary.BigEndian.Uint32(size[:])
-	if n == 0 || n > MaxFrame {
-		return f, eris.Wrapf(ErrFrame, "length %d", n)
+	if n == 0 || n > maxFrame {
+		return frame{}, eris.Wrapf(errFrame, "length %d", n)
 	}
 	body := make([]byte, n)
 	if _, err := io.ReadFull(r, body); err != nil {
-		return f, err
+		return frame{}, err
 	}
 	return decodeFrame(body)
 }
@@ -114,29 +85,13 @@
 func decodeFrame(body []byte) (frame, error) {
 	var f frame
 	if err := msgpack.Unmarshal(body, &f); err != nil {
-		return f, eris.Wrap(ErrFrame, err.Error())
+		return f, eris.Wrap(errFrame, err.Error())
 	}
 	if f.Type < frameHello || f.Type > frameCredit {
-		return f, eris.Wrapf(ErrFrame, "type %d", f.Type)
+		return f, eris.Wrapf(errFrame, "type %d", f.Type)
 	}
 	if f.Offset < 0 {
-		return f, eris.Wrapf(ErrFrame, "offset %d", f.Offset)
+		return f, eris.Wrapf(errFrame, "offset %d", f.Offset)
 	}
 	return f, nil
 }
-
-// Encode writes a message's payload.
-func Encode(v any) ([]byte, error) {
-	var body bytes.Buffer
-	enc := msgpack.NewEncoder(&body)
-	enc.UseCompactInts(true)
-	err := enc.Encode(v)
-	return body.Bytes(), eris.Wrap(err, "encode message")
-}
-
-// Decode reads a message's payload.
-func Decode[T any](b []byte) (T, error) {
-	var v T
-	err := msgpack.Unmarshal(b, &v)
-	return v, eris.Wrap(err, "decode message")
-}
--- /dev/null
+++ b/internal/peer/handshake.go
@@ -0,0 +1,56 @@
+package peer
+
+import (
+	"bufio"
+	"time"
+
+	"github.com/rotisserie/eris"
+)
+
+const (
+	// protocolVersion must be the same at both ends of a connection.
+	protocolVersion = "cairndock/1"
+	// handshakeTimeout bounds the exchange of Hellos. Chosen, not measured.
+	handshakeTimeout = 3 * time.Second
+)
+
+// Hello is the first message in each direction of a connection: who sends it.
+type Hello struct {
+	// Version is set by this package.
+	Version     string `msgpack:"v"`
+	Host        string `msgpack:"h"`
+	Zone        string `msgpack:"z"`
+	Incarnation string `msgpack:"i"`
+}
+
+// handshake exchanges Hellos and sets c.remote. Its own is sent while it reads
+// the peer's, as both ends send first and a write may block until it is read.
+func (c *conn) handshake(self Hello, reader *bufio.Reader) error {
+	if err := c.net.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
+		return err
+	}
+	self.Version = protocolVersion
+	hello, err := Encode(self)
+	if err != nil {
+		return err
+	}
+	sent := make(chan error, 1)
+	go func() { sent <- c.write(&frame{Type: frameHello, Data: hello}) }()
+	f, err := readFrame(reader)
+	if err != nil {
+		return err
+	}
+	if err := <-sent; err != nil {
+		return err
+	}
+	if f.Type != frameHello {
+		return eris.Wrap(errFrame, "no hello")
+	}
+	if c.remote, err = Decode[Hello](f.Data); err != nil {
+		return err
+	}
+	if c.remote.Version != protocolVersion {
+		return eris.Wrapf(errFrame, "version %q", c.remote.Version)
+	}
+	return c.net.SetDeadline(time.Time{})
+}
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -2,7 +2,9 @@
 
 import (
 	"context"
+	"maps"
 	"net"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -11,73 +13,82 @@
 )
 
 const (
-	// dialTimeout bounds the making of a connection.
+	// dialTimeout bounds the making of a connection. Chosen, not measured.
 	dialTimeout = 2 * time.Second
-	// redialPause is the least time between two tries to reach a peer that
-	// could not be reached.
+	// redialPause is the time after a failed dial in which requests to the peer
+	// fail at once. Chosen, not measured.
 	redialPause = 500 * time.Millisecond
 )
 
-// Transport makes and takes connections; it is TCP, with mutual TLS where
+// Transport makes and accepts network connections: TCP, with mutual TLS where
 // the settings ask for it, or a fake.
 type Transport interface {
 	Dial(ctx context.Context, addr string) (net.Conn, error)
 	Listen(addr string) (net.Listener, error)
 }
 
-// Mesh keeps one connection to each peer that is talked to.
+// Mesh is a host's connections to its peers: one for each address that requests
+// are sent to, and those that peers have made. Its methods may be used
+// concurrently.
 type Mesh struct {
 	self      Hello
 	transport Transport
 	handler   Handler
 
 	mu       sync.Mutex
-	dialed   map[string]*peerConn
-	accepted map[*Conn]struct{}
+	dialed   map[string]*dialedPeer
+	accepted map[*conn]struct{}
 	closed   bool
 	listener net.Listener
-	wait     sync.WaitGroup
+	wg       sync.WaitGroup
 }
 
-type peerConn struct {
-	conn atomic.Pointer[Conn]
-	// dialing holds one token, which the only dialer at a time has.
-	dialing  chan struct{}
-	failedAt time.Time
+// dialedPeer is the connection to one address.
+type dialedPeer struct {
+	conn atomic.Pointer[conn]
+	// dialing holds the token of the one caller that dials. It guards what
+	// follows. A channel, since waiting for it ends with the caller's context.
+	dialing chan struct{}
+	// err is why the last dial failed, and failedAt when.
 	err      error
+	failedAt time.Time
 }
 
-// NewMesh makes a mesh that shows itself as self.
+// NewMesh returns a mesh that identifies itself as self. The handler serves the
+// streams of peers.
 func NewMesh(self Hello, t Transport, h Handler) *Mesh {
-	return &Mesh{self: self, transport: t, handler: h, dialed: map[string]*peerConn{}, accepted: map[*Conn]struct{}{}}
+	return &Mesh{self: self, transport: t, handler: h, dialed: map[string]*dialedPeer{}, accepted: map[*conn]struct{}{}}
 }
 
-// Listen takes connections at an address and gives the address taken.
+// Listen accepts connections at an address, and returns the address in use.
 func (m *Mesh) Listen(addr string) (string, error) {
 	l, err := m.transport.Listen(addr)
 	if err != nil {
 		return "", eris.Wrap(err, "listen for peers")
 	}
 	m.listener = l
-	m.wait.Add(1)
+	m.wg.Add(1)
 	go m.acceptLoop(l)
 	return l.Addr().String(), nil
 }
 
+// acceptLoop accepts connections until the listener is closed.
 func (m *Mesh) acceptLoop(l net.Listener) {
-	defer m.wait.Done()
+	defer m.wg.Done()
 	for {
 		nc, err := l.Accept()
 		if err != nil {
 			return
 		}
-		m.wait.Add(1)
-		go m.acceptOne(nc)
+		m.wg.Add(1)
+		go m.serveConn(nc)
 	}
 }
 
-func (m *Mesh) acceptOne(nc net.Conn) {
-	defer m.wait.Done()
+// serveConn serves an accepted connection until it breaks. A failed handshake
+// is not logged: whoever connected notices it.
+func (m *Mesh) serveConn(nc net.Conn) {
+	defer m.wg.Done()
 	c, err := newConn(context.Background(), nc, m.self, m.handler)
 	if err != nil {
 		return
@@ -85,21 +96,31 @@
 	m.mu.Lock()
 	if m.closed {
 		m.mu.Unlock()
-		c.Close()
+		c.close()
 		return
 	}
 	m.accepted[c] = struct{}{}
 	m.mu.Unlock()
-	<-c.done
-	c.wait.Wait()
+	<-c.closed
+	c.wg.Wait()
 	m.mu.Lock()
 	delete(m.accepted, c)
 	m.mu.Unlock()
 }
 
-// Get gives the connection to a peer, making it when there is none. Its
-// error means that nothing was sent.
-func (m *Mesh) Get(ctx context.Context, addr string) (*Conn, error) {
+// Open opens a stream to a peer and waits for its response. The error is
+// ErrNotSent if the peer cannot have got the request. The stream must be closed.
+func (m *Mesh) Open(ctx context.Context, addr string, kind Kind, payload []byte) (*Stream, error) {
+	c, err := m.connect(ctx, addr)
+	if err != nil {
+		return nil, err
+	}
+	return c.open(ctx, kind, payload)
+}
+
+// connect returns the connection to a peer, and makes it if there is none. The
+// error is always ErrNotSent.
+func (m *Mesh) connect(ctx context.Context, addr string) (*conn, error) {
 	m.mu.Lock()
 	if m.closed {
 		m.mu.Unlock()
@@ -107,15 +128,15 @@
 	}
 	p := m.dialed[addr]
 	if p == nil {
-		p = &peerConn{dialing: make(chan struct{}, 1)}
+		p = &dialedPeer{dialing: make(chan struct{}, 1)}
 		m.dialed[addr] = p
 	}
 	m.mu.Unlock()
-	return p.get(ctx, m, addr)
+	return p.connect(ctx, m, addr)
 }
 
-func (p *peerConn) get(ctx context.Context, m *Mesh, addr string) (*Conn, error) {
-	if c := p.conn.Load(); c != nil && c.err() == nil {
+func (p *dialedPeer) connect(ctx context.Context, m *Mesh, addr string) (*conn, error) {
+	if c := p.working(); c != nil {
 		return c, nil
 	}
 	select {
@@ -124,23 +145,31 @@
 	case <-ctx.Done():
 		return nil, ErrNotSent
 	}
-	if c := p.conn.Load(); c != nil && c.err() == nil {
+	if c := p.working(); c != nil { // another caller has dialed meanwhile
 		return c, nil
 	}
 	if p.err != nil && time.Since(p.failedAt) < redialPause {
 		return nil, p.err
 	}
-	conn, err := m.dial(ctx, addr)
+	c, err := m.dial(ctx, addr)
 	if err != nil {
 		p.err, p.failedAt = eris.Wrap(ErrNotSent, err.Error()), time.Now()
 		return nil, p.err
 	}
 	p.err = nil
-	p.conn.Store(conn)
-	return conn, nil
+	p.conn.Store(c)
+	return c, nil
+}
+
+// working returns the connection if there is one that is not broken.
+func (p *dialedPeer) working() *conn {
+	if c := p.conn.Load(); c != nil && c.err() == nil {
+		return c
+	}
+	return nil
 }
 
-func (m *Mesh) dial(ctx context.Context, addr string) (*Conn, error) {
+func (m *Mesh) dial(ctx context.Context, addr string) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	nc, err := m.transport.Dial(ctx, addr)
@@ -154,51 +183,14 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed {
-		go c.Close()
+		go c.close()
 		return nil, ErrNotSent
 	}
 	return c, nil
 }
 
-// Open opens a stream to a peer.
-func (m *Mesh) Open(ctx context.Context, addr string, kind Kind, payload []byte) (*Stream, error) {
-	c, err := m.Get(ctx, addr)
-	if err != nil {
-		return nil, err
-	}
-	return c.Open(ctx, kind, payload)
-}
-
-// Call sends a message to a peer and decodes its reply into reply.
-func Call[T any](ctx context.Context, m *Mesh, addr string, kind Kind, message any) (T, error) {
-	reply, _, err := CallSized[T](ctx, m, addr, kind, message)
-	return reply, err
-}
-
-// frameOverhead is about what the frames of a call add to its messages: an
-// open, a reply and an end, in bytes.
-const frameOverhead = 40
-
-// CallSized is Call that also gives the bytes exchanged.
-func CallSized[T any](ctx context.Context, m *Mesh, addr string, kind Kind, message any) (T, int, error) {
-	var zero T
-	payload, err := Encode(message)
-	if err != nil {
-		return zero, 0, err
-	}
-	c, err := m.Get(ctx, addr)
-	if err != nil {
-		return zero, 0, err
-	}
-	reply, err := c.Call(ctx, kind, payload)
-	if err != nil {
-		return zero, 0, err
-	}
-	v, err := Decode[T](reply)
-	return v, len(payload) + len(reply) + frameOverhead, err
-}
-
-// Drop breaks the connection to a peer that no longer answers.
+// Drop breaks the connection to a peer that no longer responds. The next
+// request makes a new one.
 func (m *Mesh) Drop(addr string) {
 	m.mu.Lock()
 	p := m.dialed[addr]
@@ -211,45 +203,28 @@
 	}
 }
 
-// Serving is how many streams of peers are being served.
-func (m *Mesh) Serving() int {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	n := 0
-	for c := range m.accepted {
-		n += c.Serving()
-	}
-	for _, p := range m.dialed {
+// Close breaks all connections and waits for the handlers.
+func (m *Mesh) Close() {
+	conns, dialed := m.shutdown()
+	for _, p := range dialed {
 		if c := p.conn.Load(); c != nil {
-			n += c.Serving()
+			conns = append(conns, c)
 		}
 	}
-	return n
+	for _, c := range conns {
+		c.close()
+	}
+	m.wg.Wait()
 }
 
-// Close breaks all connections.
-func (m *Mesh) Close() {
+// shutdown stops the mesh from making and accepting connections. It returns
+// the accepted connections and the peers that were dialed.
+func (m *Mesh) shutdown() ([]*conn, []*dialedPeer) {
 	m.mu.Lock()
+	defer m.mu.Unlock()
 	m.closed = true
 	if m.listener != nil {
 		_ = m.listener.Close()
 	}
-	var conns []*Conn
-	for c := range m.accepted {
-		conns = append(conns, c)
-	}
-	dialed := make([]*peerConn, 0, len(m.dialed))
-	for _, p := range m.dialed {
-		dialed = append(dialed, p)
-	}
-	m.mu.Unlock()
-	for _, p := range dialed {
-		if c := p.conn.Load(); c != nil {
-			conns = append(conns, c)
-		}
-	}
-	for _, c := range conns {
-		c.Close()
-	}
-	m.wait.Wait()
+	return slices.Collect(maps.Keys(m.accepted)), slices.Collect(maps.Values(m.dialed))
 }
--- /dev/null
+++ b/internal/peer/mesh_test.go
@@ -0,0 +1,97 @@
+package peer
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"go.uber.org/goleak"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// echoHandler responds with the payload and then a body of the same. A
+// KindConfirm it holds until it is cancelled.
+type echoHandler struct{ cancelled chan struct{} }
+
+func (h echoHandler) ServePeer(ctx context.Context, _ Hello, kind Kind, payload []byte, w *Responder) {
+	if kind == KindConfirm {
+		<-ctx.Done()
+		close(h.cancelled)
+		return
+	}
+	_ = w.Reply(payload)
+	_, _ = w.Write(payload)
+	_ = w.End()
+}
+
+type tcpTransport struct{}
+
+func (tcpTransport) Dial(ctx context.Context, addr string) (net.Conn, error) {
+	var d net.Dialer
+	return d.DialContext(ctx, "tcp", addr)
+}
+
+func (tcpTransport) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
+
+// connectedMeshes returns a client and the address of a server with a handler.
+func connectedMeshes(t *testing.T, h Handler) (*Mesh, string) {
+	server := NewMesh(Hello{Host: "server"}, tcpTransport{}, h)
+	addr, err := server.Listen("127.0.0.1:0")
+	require.NoError(t, err)
+	client := NewMesh(Hello{Host: "client"}, tcpTransport{}, echoHandler{})
+	t.Cleanup(func() {
+		client.Close()
+		server.Close()
+	})
+	return client, addr
+}
+
+func TestConcurrentStreamsGetTheirOwnResponses(t *testing.T) {
+	client, addr := connectedMeshes(t, echoHandler{})
+	results := make(chan error, 50)
+	for i := range 50 {
+		go func() {
+			want := bytes.Repeat([]byte{byte(i)}, 10_000+i)
+			s, err := client.Open(context.Background(), addr, KindForward, want)
+			if err != nil {
+				results <- err
+				return
+			}
+			defer s.Close()
+			body, err := io.ReadAll(s)
+			if err == nil && (!bytes.Equal(s.Payload, want) || !bytes.Equal(body, want)) {
+				err = io.ErrNoProgress
+			}
+			results <- err
+		}()
+	}
+	for range 50 {
+		require.NoError(t, <-results)
+	}
+}
+
+func TestTheHandlerIsCancelledWhenTheOpenerGivesUp(t *testing.T) {
+	h := echoHandler{cancelled: make(chan struct{})}
+	client, addr := connectedMeshes(t, h)
+	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
+	defer cancel()
+	_, err := client.Open(ctx, addr, KindConfirm, []byte("x"))
+	require.ErrorIs(t, err, ErrLost)
+	<-h.cancelled
+}
+
+func TestAnUnreachablePeerIsNotSentTo(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	addr := l.Addr().String()
+	require.NoError(t, l.Close())
+	client := NewMesh(Hello{Host: "client"}, tcpTransport{}, echoHandler{})
+	defer client.Close()
+	_, err = client.Open(context.Background(), addr, KindForward, []byte("x"))
+	require.ErrorIs(t, err, ErrNotSent)
+}
--- /dev/null
+++ b/internal/peer/readloop.go
@@ -0,0 +1,87 @@
+package peer
+
+import (
+	"bufio"
+	"context"
+
+	"github.com/rotisserie/eris"
+)
+
+// Handler serves the streams that peers open.
+type Handler interface {
+	// ServePeer serves one stream, concurrently with others. The stream ends
+	// when it returns. It may send one response at most. The context ends when
+	// the peer cancels the stream or the connection breaks.
+	ServePeer(ctx context.Context, from Hello, kind Kind, payload []byte, w *Responder)
+}
+
+// readLoop reads frames until the connection breaks or a frame is invalid.
+func (c *conn) readLoop(ctx context.Context, reader *bufio.Reader) {
+	defer c.wg.Done()
+	for {
+		f, err := readFrame(reader)
+		if err != nil {
+			c.fail(err)
+			return
+		}
+		if err := c.receive(ctx, f); err != nil {
+			c.fail(err)
+			return
+		}
+	}
+}
+
+// receive passes a frame to its stream. A frame of a stream that has ended here
+// came late and is dropped.
+func (c *conn) receive(ctx context.Context, f frame) error {
+	switch f.Type {
+	case frameOpen:
+		c.serve(ctx, f)
+	case frameReply, frameBody, frameEnd, frameFail:
+		c.mu.Lock()
+		s := c.streams[f.ID]
+		c.mu.Unlock()
+		if s != nil {
+			s.receive(f)
+		}
+	case frameCancel, frameCredit:
+		c.mu.Lock()
+		r := c.serving[f.ID]
+		c.mu.Unlock()
+		if r != nil {
+			r.receive(f)
+		}
+	default:
+		return eris.Wrapf(errFrame, "type %d out of place", f.Type)
+	}
+	return nil
+}
+
+// serve starts the handler for a stream that the peer opened. An ID that is not
+// above all earlier ones is of a repeated frame, which is dropped.
+func (c *conn) serve(ctx context.Context, f frame) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.failed != nil || f.ID <= c.lastPeerID {
+		return
+	}
+	c.lastPeerID = f.ID
+	r := newResponder(ctx, c, f.ID)
+	c.serving[f.ID] = r
+	c.wg.Add(1)
+	go func() {
+		defer c.wg.Done()
+		defer c.finish(f.ID)
+		c.handler.ServePeer(r.ctx, c.remote, f.Kind, f.Data, r)
+	}()
+}
+
+// finish ends a stream that the peer opened.
+func (c *conn) finish(id uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if r := c.serving[id]; r != nil {
+		r.cancel()
+		delete(c.serving, id)
+	}
+}
