--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -68,7 +68,6 @@
 	seeds        []string
 	tables       []Table
 	maxAge       time.Duration
-	wait         sync.WaitGroup
 
 	// mu guards what follows.
 	mu      sync.Mutex
@@ -95,30 +94,17 @@
 }
 
 // Start listens for peers, and registers this host and sends heartbeats until
-// the context ends.
+// the context ends. Peers are served until the process ends, so that a host
+// which drains still relays and reports that it is leaving.
 func (f *Fleet) Start(ctx context.Context) error {
 	if _, err := f.mesh.Listen(f.members.self.PeerAddress); err != nil {
 		return err
 	}
-	f.wait.Add(2)
-	go func() {
-		defer f.wait.Done()
-		f.register(ctx)
-	}()
-	go func() {
-		defer f.wait.Done()
-		f.heartbeatLoop(ctx)
-	}()
+	go f.register(ctx)
+	go f.heartbeatLoop(ctx)
 	return nil
 }
 
-// Close closes the connections to peers and waits for what Start began, whose
-// context must have ended.
-func (f *Fleet) Close() {
-	f.mesh.Close()
-	f.wait.Wait()
-}
-
 // Withdraw sends all peers a heartbeat with the status of a host that leaves,
 // and removes this host from the registry.
 func (f *Fleet) Withdraw(ctx context.Context) {
--- a/internal/gateway/fleet/harness_test.go
+++ b/internal/gateway/fleet/harness_test.go
@@ -117,7 +117,7 @@
 	require.NoError(t, f.Start(ctx))
 	t.Cleanup(func() {
 		cancel()
-		f.Close()
+		f.mesh.Close()
 	})
 	return f
 }
--- a/internal/gateway/fleet/quota.go
+++ b/internal/gateway/fleet/quota.go
@@ -22,7 +22,7 @@
 // total is what all hosts together may send it, in requests a second; the
 // result is in the same unit. The rate is split without messages: over all
 // known hosts, dead ones included, so that the shares add up to at most total
-// whatever each host believes of who is alive.
+// whomever each host sees alive.
 func (m *members) warmUpQuota(upstream, region string, total float64, now time.Time) int {
 	if m.self.Region == region {
 		return m.hostShare(upstream, int(ownRegionPart*total), func(r string) bool { return r == region })
--- a/internal/gateway/fleet/quota_test.go
+++ b/internal/gateway/fleet/quota_test.go
@@ -28,18 +28,18 @@
 	}
 }
 
-// Whatever the hosts believe of who is alive, together they send a cold
+// Whomever the hosts see alive, together they send a cold
 // upstream no more than its rate.
 func TestColdPartsAddUpUnderAnyBeliefs(t *testing.T) {
 	now := time.Now()
 	const total = 26
 	names := []string{"west0", "west1", "west2", "east0", "east1", "east2", "south0", "south1", "south2"}
-	for beliefs := range 1 << 3 {
+	for views := range 1 << 3 {
 		sum := 0
 		for i, name := range names {
 			m := nineHosts(name, now)
 			at := now
-			if beliefs>>(i%3)&1 == 1 { // this one gets no heartbeats
+			if views>>(i%3)&1 == 1 { // this one gets no heartbeats
 				at = now.Add(deadAfter + time.Second)
 			}
 			sum += m.warmUpQuota("i-1", "west", total, at)
--- a/internal/gateway/fleet/relaytree_test.go
+++ b/internal/gateway/fleet/relaytree_test.go
@@ -68,12 +68,12 @@
 // Hosts that differ in whom they see alive must not poll each other in a cycle.
 func TestRelaysNeverFormACycle(t *testing.T) {
 	now := time.Now()
-	for beliefs := range 1 << 6 {
+	for views := range 1 << 6 {
 		parents := map[string]string{}
 		for i := range 3 {
 			m := newMembers(host(fmt.Sprint("west", i), "west-0", "west"))
 			for j := range 3 {
-				if i != j && beliefs>>(2*i+(j+3-i)%3-1)&1 == 1 {
+				if i != j && views>>(2*i+(j+3-i)%3-1)&1 == 1 {
 					m.recordHeartbeat(host(fmt.Sprint("west", j), "west-0", "west"), readyStatus, now)
 				}
 			}
--- a/internal/gateway/fleet/schedule.go
+++ b/internal/gateway/fleet/schedule.go
@@ -102,7 +102,7 @@
 }
 
 // postpone schedules the next heartbeat to a peer that has just sent one. The
-// response told it all that a heartbeat would.
+// response to it has all that a heartbeat would have.
 func (f *Fleet) postpone(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/fleet/schedule_test.go
+++ b/internal/gateway/fleet/schedule_test.go
@@ -80,5 +80,5 @@
 	f.sendSoon(now.Add(sendSoonEvery))
 	require.Len(t, f.due(now.Add(sendSoonEvery)), 1)
 	require.Equal(t, sendSoonEvery, sendSoonPause(sendSoonHosts-1))
-	require.Equal(t, 2*sendSoonEvery, sendSoonPause(sendSoonHosts), "a large region is told less often")
+	require.Equal(t, 2*sendSoonEvery, sendSoonPause(sendSoonHosts), "heartbeats to a large region are rarer")
 }
--- a/internal/gateway/watch/doc.go
+++ b/internal/gateway/watch/doc.go
@@ -7,10 +7,10 @@
 // itself a source for other hosts, so that few hosts poll the store.
 //
 // It guarantees that a row never goes back to an older version, that a
-// replica is never younger than the store's last confirmation of it, and that
-// a host which can reach the store is no staler than a bound. How old a
-// replica may get, and which wait takes which part of the bound, stands in
-// staleness.go.
+// replica's age counts from the store's last confirmation, also over a chain of
+// relays, and that a host which can reach the store is no staler than a bound.
+// staleness.go says how old a replica may get and which wait takes which part
+// of the bound.
 //
 // It relies on its caller for the order of the sources and for the newest
 // version that other hosts report (package fleet).
--- a/internal/gateway/watch/staleness.go
+++ b/internal/gateway/watch/staleness.go
@@ -94,18 +94,18 @@
 }
 
 // timeouts returns how long a source may hold a poll, and how much longer its
-// response may take; slack is what the store's may take now. A host that is
-// behind does not let the source wait, as the change that it misses is there
-// already, but it gives a relay too the store's slack: a source may be slow or
-// far away and still the only one.
-func (t Timing) timeouts(relay, behind bool, slack time.Duration) (hold, late time.Duration) {
+// response may take. backedOff is the slack that the source has now after its
+// late responses. A host that is behind does not let the source wait, as the
+// change that it misses is there already, but gives even a relay that slack:
+// the source may be slow or far away and still the only one.
+func (t Timing) timeouts(relay, behind bool, backedOff time.Duration) (longPoll, slack time.Duration) {
 	switch {
 	case behind:
-		return 0, slack
+		return 0, backedOff
 	case relay:
 		return t.relayLongPoll, t.relaySlack
 	default:
-		return t.longPoll, slack
+		return t.longPoll, backedOff
 	}
 }
 
--- a/internal/gateway/watch/staleness_test.go
+++ b/internal/gateway/watch/staleness_test.go
@@ -40,7 +40,7 @@
 	})
 }
 
-// behindADeadRelay starts a watcher whose relay no longer hears from its store,
+// behindADeadRelay starts a watcher whose relay is cut off from its store,
 // and returns a second later: from then on other hosts report version 2.
 func behindADeadRelay(t *testing.T) (*fakeStore, *recordingSink) {
 	t.Helper()
@@ -134,9 +134,9 @@
 
 func TestHowLongASourceMayTake(t *testing.T) {
 	cases := []struct {
-		name          string
-		relay, behind bool
-		hold, late    time.Duration
+		name            string
+		relay, behind   bool
+		longPoll, slack time.Duration
 	}{
 		{"the store", false, false, timing.longPoll, maxSlack},
 		{"a relay", true, false, timing.relayLongPoll, timing.relaySlack},
@@ -145,9 +145,9 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			hold, late := timing.timeouts(tc.relay, tc.behind, maxSlack)
-			require.Equal(t, tc.hold, hold)
-			require.Equal(t, tc.late, late)
+			longPoll, slack := timing.timeouts(tc.relay, tc.behind, maxSlack)
+			require.Equal(t, tc.longPoll, longPoll)
+			require.Equal(t, tc.slack, slack)
 		})
 	}
 }
--- a/internal/gateway/watch/watcher.go
+++ b/internal/gateway/watch/watcher.go
@@ -107,8 +107,8 @@
 // source failed, also if its response was applied.
 func (w *Watcher) poll(ctx context.Context, n NamedSource) (pollResult, error) {
 	behind := w.behind()
-	hold, late := w.timing.timeouts(n.Relay, behind, w.state(n).slack)
-	ctx, cancel := context.WithTimeout(ctx, hold+late)
+	longPoll, slack := w.timing.timeouts(n.Relay, behind, w.state(n).slack)
+	ctx, cancel := context.WithTimeout(ctx, longPoll+slack)
 	defer cancel()
 	if !w.replica.isSynced() {
 		return firstList, w.list(ctx, n)
@@ -117,7 +117,7 @@
 		stop := w.cancelWhenBehind(ctx, cancel)
 		defer stop()
 	}
-	page, err := n.Source.Changes(ctx, w.replica.Version(), hold)
+	page, err := n.Source.Changes(ctx, w.replica.Version(), longPoll)
 	if w.mustList(err) {
 		return noChange, w.list(ctx, n)
 	}
@@ -208,7 +208,7 @@
 	return s
 }
 
-// recordResult records a poll's result for its source, and tells the sink when
+// recordResult records a poll's result for its source, and calls the sink when
 // the source begins to fail and when it works again.
 func (w *Watcher) recordResult(n NamedSource, err error) {
 	now := time.Now()
