--- a/internal/gateway/exchange/conn.go
+++ b/internal/gateway/exchange/conn.go
@@ -13,13 +13,19 @@
 )
 
 const (
-	// readBuffer is a connection's buffer for reading, in bytes.
+	// readBuffer is the size of a connection's read buffer, in bytes. 4 KiB is
+	// the default of bufio; chosen, not measured here.
 	readBuffer = 4 << 10
-	// keepAliveIdle, keepAliveInterval and keepAliveCount find a silent
-	// cut on a connection that waits.
-	keepAliveIdle     = time.Second
+	// keepAliveIdle is how long a connection is silent before the kernel probes
+	// it. With the two constants below a link that is cut without a reset is
+	// found within keepAliveIdle + keepAliveCount*keepAliveInterval, 2.5 s. All
+	// three were chosen, not measured.
+	keepAliveIdle = time.Second
+	// keepAliveInterval is the time between two probes.
 	keepAliveInterval = 500 * time.Millisecond
-	keepAliveCount    = 3
+	// keepAliveCount is the number of unanswered probes after which the
+	// connection is closed.
+	keepAliveCount = 3
 )
 
 // Dialer makes TCP connections that notice a silent cut.
@@ -56,11 +62,11 @@
 	return failed
 }
 
-// conn is a connection to an upstream. One request at a time uses it.
+// conn is a connection to an upstream. It carries one request at a time.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// usable is until when it may rest; zero is forever.
+	// idleUntil is when the pool closes the connection; it is set by Pool.put.
 	idleUntil time.Time
 }
 
@@ -68,11 +74,12 @@
 	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBuffer)}
 }
 
-// errUnasked says that bytes came on a connection where nothing was asked.
-var errUnexpectedBytes = eris.New("unasked bytes on an idle connection")
+// errUnexpectedBytes is the error of an idle connection on which bytes arrived:
+// they belong to no request.
+var errUnexpectedBytes = eris.New("unexpected bytes on an idle connection")
 
-// idleError tells what is wrong with a connection that rests: bytes that
-// nobody asked for, or the other side's close. It does not block.
+// idleError reports why an idle connection can't be used: bytes that belong to
+// no request, or the upstream's close. It does not block.
 func (c *conn) idleError() error {
 	if c.reader.Buffered() > 0 {
 		return errUnexpectedBytes
@@ -96,6 +103,7 @@
 	return found
 }
 
+// peek reads one byte of a non-blocking socket; an idle one has none.
 func peek(fd int) error {
 	var one [1]byte
 	n, err := unix.Read(fd, one[:])
--- a/internal/gateway/exchange/exchange.go
+++ b/internal/gateway/exchange/exchange.go
@@ -1,283 +1,134 @@
-// Package exchange sends one request to one upstream and takes its answer,
-// and only its answer: what it can't prove to be the whole answer to this
-// very request is a failure, and what it can't prove not to have run may have
-// run.
+// Package exchange sends one request to one upstream and reads its response.
+// It owns the connections to upstreams and the proof of what ran: only a
+// response that provably belongs to the request is returned, a body that
+// breaks off never looks complete, and a failure is reported as "not run" only
+// when no byte of the request can have reached the upstream. Which headers
+// carry those proofs is up to a Protocol.
 package exchange
 
 import (
-	"bytes"
 	"context"
-	"errors"
 	"io"
+	"math"
 	"net/http"
-	"os"
-	"strconv"
-	"strings"
 	"time"
 
-	"github.com/rotisserie/eris"
-
 	"cairndock/internal/verdict"
 )
 
-// Request is what one upstream is sent.
+// Request is what is sent to an upstream. It is not changed by Send.
 type Request struct {
-	// ID is the caller's id of the request.
-	ID     string
+	// ID is the client's id of the request.
+	ID string
+	// Method is the HTTP method.
 	Method string
-	// Target is the path and query as the caller wrote them.
+	// Target is the path and query as the client wrote them.
 	Target string
-	Host   string
+	// Host is the value of the Host header.
+	Host string
 	// Header holds the end-to-end headers.
 	Header http.Header
-	Body   []byte
-	// Repeat says that the request may run more than once.
-	Repeat bool
+	// Body is the whole body.
+	Body []byte
 }
 
 // Target is the upstream of one attempt.
 type Target struct {
+	// UpstreamID is the upstream's id; connections are pooled by it.
 	UpstreamID string
-	Address    string
+	// Address is the upstream's "host:port".
+	Address string
 }
 
-// Load is what an upstream tells of its load.
+// LoadReport is what an upstream reports of its load.
 type LoadReport struct {
-	Known   bool
+	// Known is false when the response carried no report.
+	Known bool
+	// Running is the number of requests that the upstream works on.
 	Running int
+	// Waiting is the number of requests in the upstream's queue.
 	Waiting int
-	Slots   int
 }
 
-// Sign is what an answer's header tells, in the product's words.
+// ResponseInfo is what a response's header says in the product's terms.
 type ResponseInfo struct {
-	// Foreign says that the answer belongs to another request.
+	// WrongRequest is set when the response belongs to another request.
 	WrongRequest bool
-	// NotRun is the upstream's own proof that it did not run the request.
+	// NotExecuted is the upstream's own proof that it did not run the request.
 	NotExecuted bool
-	// Misdirected says that another instance has the address now.
+	// Misdirected is set when another upstream has the address now.
 	Misdirected bool
-	// Genuine says that the answer carries the upstream's proof of origin.
+	// Signed is set when the response carries the upstream's proof of origin.
 	Signed bool
-	Load   LoadReport
+	// Load is the upstream's load report.
+	Load LoadReport
 }
 
-// Protocol knows the headers of requests and answers.
+// Protocol reads and writes the headers that upstreams and the gateway
+// exchange.
 type Protocol interface {
-	// Address sets what one attempt adds to the request's header.
-	SetHeaders(h http.Header, instance string, left time.Duration)
-	// Read tells what an answer's header says to the request with an id.
+	// SetHeaders adds the headers of one attempt: the upstream that is meant
+	// and the time left for the response.
+	SetHeaders(h http.Header, upstream string, left time.Duration)
+	// ParseResponse reads the header of a response to the request with an id.
 	ParseResponse(requestID string, status int, h http.Header) ResponseInfo
 }
 
-// Answer is an upstream's answer. Body must be closed.
+// Response is an upstream's response. Body must be closed.
 type Response struct {
+	// Status is the HTTP status code.
 	Status int
+	// Header is the header as the upstream sent it.
 	Header http.Header
-	Info   ResponseInfo
-	// Length is the body's length in bytes, or -1 when it is not told.
+	// Info is what the header says.
+	Info ResponseInfo
+	// Length is the body's length in bytes, or -1 when it is not known.
 	Length int64
-	Body   io.ReadCloser
-	// HeaderAfter is how long the answer's header took.
-	HeaderAfter time.Duration
+	// Body is the body; only a whole body ends with io.EOF.
+	Body io.ReadCloser
 }
 
-// Client sends requests.
+// Client sends requests to upstreams.
 type Client struct {
 	pool     *Pool
 	protocol Protocol
 }
 
-// NewClient makes a client.
+// NewClient makes a client that takes its connections from a pool.
 func NewClient(pool *Pool, protocol Protocol) *Client {
 	return &Client{pool: pool, protocol: protocol}
 }
 
-// Pool is the client's pool of connections.
+// Pool is the pool that the client takes its connections from.
 func (c *Client) Pool() *Pool { return c.pool }
 
-// maxForeign bounds the answers to other requests that are skipped.
-const maxWrongResponses = 4
-
-// Send sends a request and waits for the header of its answer until the
-// context ends. Its error is a *verdict.Error.
+// Send sends a request once and waits until the context ends for the header of
+// its response. Its error is a *verdict.Error.
 func (c *Client) Send(ctx context.Context, t Target, r *Request) (*Response, error) {
-	began := time.Now()
 	nc, err := c.pool.get(ctx, t.UpstreamID, t.Address)
 	if err != nil {
-		return nil, notSent(ctx, t, err)
-	}
-	left := time.Duration(1<<63 - 1)
-	if deadline, ok := ctx.Deadline(); ok {
-		left = time.Until(deadline)
+		return nil, connectError(ctx, t, err)
 	}
+	left := timeLeft(ctx)
 	if left <= 0 {
 		c.pool.put(t.UpstreamID, nc, 0)
 		return nil, verdict.New(verdict.NotRun, verdict.DeadlineLapsed, "no time left to send").WithUpstream(t.UpstreamID)
 	}
 	x := &roundTrip{client: c, conn: nc, target: t, request: r}
-	// A context that ends wakes whoever reads or writes the connection.
-	x.stop = context.AfterFunc(ctx, func() { _ = nc.SetDeadline(past) })
-	head := x.encode(left)
-	if n, err := nc.Write(head); err != nil {
-		return nil, x.failed(ctx, err, n > 0)
-	}
-	answer, err := x.readOwnResponse(ctx)
-	if err != nil {
-		return nil, err
-	}
-	answer.HeaderAfter = time.Since(began)
-	return answer, nil
-}
-
-// past is a deadline that has passed.
-var past = time.Unix(1, 0)
-
-func notSent(ctx context.Context, t Target, err error) error {
-	if errors.Is(ctx.Err(), context.Canceled) {
-		return verdict.New(verdict.NotRun, verdict.CallerLeft, "caller left before the request was sent").WithUpstream(t.UpstreamID)
-	}
-	if ctx.Err() != nil {
-		return verdict.New(verdict.NotRun, verdict.DeadlineLapsed, "no connection in time: %v", err).WithUpstream(t.UpstreamID)
-	}
-	return verdict.New(verdict.NotRun, verdict.Unreachable, "no connection: %v", err).WithUpstream(t.UpstreamID)
-}
-
-// transfer is one request on one connection.
-type roundTrip struct {
-	client  *Client
-	conn    *conn
-	target  Target
-	request *Request
-	stop    func() bool
-}
-
-func (x *roundTrip) encode(left time.Duration) []byte {
-	r := x.request
-	h := r.Header.Clone()
-	x.client.protocol.SetHeaders(h, x.target.UpstreamID, left)
-	var b bytes.Buffer
-	b.Grow(512 + len(r.Body))
-	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
-	if len(r.Body) > 0 || bodyExpected(r.Method) {
-		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
-	}
-	_ = h.Write(&b)
-	b.WriteString("\r\n")
-	b.Write(r.Body)
-	return b.Bytes()
-}
-
-func bodyExpected(method string) bool {
-	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
-}
-
-// answer reads answers until one belongs to the request.
-func (x *roundTrip) readOwnResponse(ctx context.Context) (*Response, error) {
-	for range maxWrongResponses {
-		resp, err := x.readResponse()
-		if err != nil {
-			return nil, x.failed(ctx, err, true)
-		}
-		sign := x.client.protocol.ParseResponse(x.request.ID, resp.StatusCode, resp.Header)
-		if !sign.WrongRequest {
-			return x.deliver(resp, sign), nil
-		}
-		if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.Close {
-			return nil, x.failed(ctx, eris.New("answer to another request, then the connection ended"), true)
-		}
+	// Ending the context wakes whoever reads or writes the connection.
+	x.stop = context.AfterFunc(ctx, x.interrupt)
+	if n, err := nc.Write(x.encode(left)); err != nil {
+		return nil, x.fail(ctx, err, n > 0)
 	}
-	return nil, x.failed(ctx, eris.New("too many answers to other requests"), true)
+	return x.readOwnResponse(ctx)
 }
 
-// read reads one answer's header; interim answers are passed over.
-func (x *roundTrip) readResponse() (*http.Response, error) {
-	for {
-		resp, err := http.ReadResponse(x.conn.reader, &http.Request{Method: x.request.Method})
-		if err != nil {
-			return nil, err
-		}
-		if resp.StatusCode >= http.StatusOK {
-			return resp, nil
-		}
-	}
-}
-
-// failed closes the connection and gives the verdict on a request without an
-// answer. sent says whether any byte may have reached the upstream.
-func (x *roundTrip) failed(ctx context.Context, err error, sent bool) error {
-	x.stop()
-	_ = x.conn.Close()
-	v := verdict.MayHaveRun
-	if !sent {
-		v = verdict.NotRun
-	}
-	reason := verdict.UpstreamFailed
-	switch {
-	case errors.Is(ctx.Err(), context.Canceled):
-		reason = verdict.CallerLeft
-	case ctx.Err() != nil, errors.Is(err, os.ErrDeadlineExceeded):
-		reason = verdict.DeadlineLapsed
-	}
-	return verdict.New(v, reason, "no answer: %v", err).WithUpstream(x.target.UpstreamID)
-}
-
-func (x *roundTrip) deliver(resp *http.Response, sign ResponseInfo) *Response {
-	b := &body{roundTrip: x, inner: resp.Body, reusable: !resp.Close, idleTimeout: keepAliveTimeout(resp.Header)}
-	return &Response{Status: resp.StatusCode, Header: resp.Header, Info: sign, Length: resp.ContentLength, Body: b}
-}
-
-// restMargin is how much earlier than the upstream the pool closes a
-// connection that rests.
-const idleMargin = 500 * time.Millisecond
-
-// restOf gives how long a connection may rest, by the Keep-Alive header.
-func keepAliveTimeout(h http.Header) time.Duration {
-	for field := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
-		if !strings.EqualFold(name, "timeout") {
-			continue
-		}
-		seconds, err := strconv.Atoi(value)
-		if err != nil {
-			return 0
-		}
-		return max(time.Duration(seconds)*time.Second-idleMargin, time.Millisecond)
-	}
-	return 0
-}
-
-// body is an answer's body that gives its connection back at the end.
-type body struct {
-	roundTrip   *roundTrip
-	inner       io.ReadCloser
-	reusable    bool
-	idleTimeout time.Duration
-	whole       bool
-	closed      bool
-}
-
-// Read gives io.EOF only when the whole body was read.
-func (b *body) Read(p []byte) (int, error) {
-	n, err := b.inner.Read(p)
-	if err == io.EOF {
-		b.whole = true
-	}
-	return n, err
-}
-
-// Close gives the connection back if the answer was read whole, and closes
-// it otherwise, which cancels the request at the upstream.
-func (b *body) Close() error {
-	if b.closed {
-		return nil
-	}
-	b.closed = true
-	x := b.roundTrip
-	woken := !x.stop()
-	if !b.whole || !b.reusable || woken || x.conn.reader.Buffered() > 0 {
-		return x.conn.Close()
+// timeLeft is the time until the context's deadline, or the longest duration
+// when it has none.
+func timeLeft(ctx context.Context) time.Duration {
+	deadline, ok := ctx.Deadline()
+	if !ok {
+		return math.MaxInt64
 	}
-	x.client.pool.put(x.target.UpstreamID, x.conn, b.idleTimeout)
-	return nil
+	return time.Until(deadline)
 }
--- a/internal/gateway/exchange/pool.go
+++ b/internal/gateway/exchange/pool.go
@@ -3,20 +3,30 @@
 import (
 	"context"
 	"net"
+	"net/http"
+	"strconv"
+	"strings"
 	"sync"
 	"time"
 )
 
-// maxIdle bounds the connections that rest for one upstream.
-const maxIdle = 8
-
-// maxRest is how long a connection may rest when the upstream tells nothing.
-const maxIdleTime = 8 * time.Second
+const (
+	// maxIdle bounds the idle connections to one upstream. Chosen, not measured.
+	maxIdle = 8
+	// maxIdleTime bounds how long a connection stays idle, and is what holds when
+	// the upstream's Keep-Alive header gives no time. Chosen, not measured.
+	maxIdleTime = 8 * time.Second
+	// idleMargin is how much earlier than the upstream the pool closes an idle
+	// connection, so that no request is written to one that is being closed. The
+	// header gives whole seconds; half of one was chosen, not measured.
+	idleMargin = 500 * time.Millisecond
+)
 
 // Dial connects to an address.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Pool keeps connections that rest, by the instance they lead to.
+// Pool keeps idle connections by the upstream that they lead to. Addresses pass
+// from one upstream to another, ids do not.
 type Pool struct {
 	dial Dial
 
@@ -24,15 +34,15 @@
 	idle map[string][]*conn
 }
 
-// NewPool makes a pool.
+// NewPool makes an empty pool.
 func NewPool(dial Dial) *Pool {
 	return &Pool{dial: dial, idle: map[string][]*conn{}}
 }
 
-// get takes a sound connection that rests, or makes one.
-func (p *Pool) get(ctx context.Context, instance, address string) (*conn, error) {
+// get takes a usable idle connection or dials a new one.
+func (p *Pool) get(ctx context.Context, upstream, address string) (*conn, error) {
 	for {
-		c := p.pop(instance)
+		c := p.pop(upstream)
 		if c == nil {
 			break
 		}
@@ -48,69 +58,78 @@
 	return newConn(nc), nil
 }
 
-// pop takes the connection that rested least.
-func (p *Pool) pop(instance string) *conn {
+// pop takes the connection that became idle last, or nil.
+func (p *Pool) pop(upstream string) *conn {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[instance]
+	list := p.idle[upstream]
 	for len(list) > 0 {
 		c := list[len(list)-1]
 		list = list[:len(list)-1]
-		p.idle[instance] = list
+		p.idle[upstream] = list
 		if now.Before(c.idleUntil) {
 			return c
 		}
 		_ = c.Close()
 	}
-	delete(p.idle, instance)
+	delete(p.idle, upstream)
 	return nil
 }
 
-func (p *Pool) put(instance string, c *conn, rest time.Duration) {
-	if rest <= 0 || rest > maxIdleTime {
-		rest = maxIdleTime
+// put keeps an idle connection for idleTimeout, or for maxIdleTime when that is
+// zero or longer.
+func (p *Pool) put(upstream string, c *conn, idleTimeout time.Duration) {
+	if idleTimeout <= 0 || idleTimeout > maxIdleTime {
+		idleTimeout = maxIdleTime
 	}
-	c.idleUntil = time.Now().Add(rest)
+	c.idleUntil = time.Now().Add(idleTimeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[instance]) >= maxIdle {
+	if len(p.idle[upstream]) >= maxIdle {
 		_ = c.Close()
 		return
 	}
-	p.idle[instance] = append(p.idle[instance], c)
+	p.idle[upstream] = append(p.idle[upstream], c)
 }
 
-// Forget closes the connections that rest for instances that keep does not
-// name, and those that rested too long.
-func (p *Pool) Retain(keep func(instance string) bool) {
+// Retain closes the idle connections to upstreams that keep does not report,
+// and those that were idle too long.
+func (p *Pool) Retain(keep func(upstream string) bool) {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for instance, list := range p.idle {
+	for upstream, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if keep(instance) && now.Before(c.idleUntil) {
+			if keep(upstream) && now.Before(c.idleUntil) {
 				kept = append(kept, c)
 				continue
 			}
 			_ = c.Close()
 		}
 		if len(kept) == 0 {
-			delete(p.idle, instance)
+			delete(p.idle, upstream)
 			continue
 		}
-		p.idle[instance] = kept
+		p.idle[upstream] = kept
 	}
 }
 
-// Idle is the number of connections that rest.
-func (p *Pool) Idle() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	n := 0
-	for _, list := range p.idle {
-		n += len(list)
+// keepAliveTimeout is how long a connection may stay idle by a response's
+// Keep-Alive header, idleMargin less than it says, or zero when the header
+// gives no time that can be read.
+func keepAliveTimeout(h http.Header) time.Duration {
+	for field := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
+		if !strings.EqualFold(name, "timeout") {
+			continue
+		}
+		seconds, err := strconv.Atoi(value)
+		if err != nil {
+			return 0
+		}
+		return max(time.Duration(seconds)*time.Second-idleMargin, time.Millisecond)
 	}
-	return n
+	return 0
 }
--- /dev/null
+++ b/internal/gateway/exchange/roundtrip.go
@@ -0,0 +1,152 @@
+package exchange
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/rotisserie/eris"
+)
+
+const (
+	// maxWrongResponses is how many responses to other requests are skipped on
+	// one connection before it is given up. The platform sends at most one extra
+	// response late; 4 was chosen, not measured.
+	maxWrongResponses = 4
+	// headerRoom is the space reserved for a request's header in the buffer that
+	// it is encoded into, in bytes. Chosen, not measured; the buffer grows.
+	headerRoom = 512
+)
+
+// roundTrip is one request on one connection.
+type roundTrip struct {
+	client  *Client
+	conn    *conn
+	target  Target
+	request *Request
+	// stop ends the watch on the context; it reports false when the context
+	// has ended and interrupt was started.
+	stop func() bool
+}
+
+// past is a deadline that has passed.
+var past = time.Unix(1, 0)
+
+// interrupt wakes whoever reads or writes the connection.
+func (x *roundTrip) interrupt() {
+	// An error means that the connection is closed, which wakes them too.
+	_ = x.conn.SetDeadline(past)
+}
+
+// encode gives the request's bytes on the wire. left is the time left for the
+// response.
+func (x *roundTrip) encode(left time.Duration) []byte {
+	r := x.request
+	h := r.Header.Clone()
+	x.client.protocol.SetHeaders(h, x.target.UpstreamID, left)
+	var b bytes.Buffer
+	b.Grow(headerRoom + len(r.Body))
+	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
+	if len(r.Body) > 0 || bodyExpected(r.Method) {
+		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
+	}
+	_ = h.Write(&b) // a bytes.Buffer returns no error
+	b.WriteString("\r\n")
+	b.Write(r.Body)
+	return b.Bytes()
+}
+
+// bodyExpected reports whether a request of a method has a Content-Length even
+// when its body is empty (RFC 9110 section 8.6).
+func bodyExpected(method string) bool {
+	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
+}
+
+// readOwnResponse reads responses until one belongs to the request. An extra
+// response of an earlier request may stand before it.
+func (x *roundTrip) readOwnResponse(ctx context.Context) (*Response, error) {
+	for range maxWrongResponses {
+		resp, err := x.readResponse()
+		if err != nil {
+			return nil, x.fail(ctx, err, true)
+		}
+		info := x.client.protocol.ParseResponse(x.request.ID, resp.StatusCode, resp.Header)
+		if !info.WrongRequest {
+			return x.deliver(resp, info), nil
+		}
+		if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.Close {
+			return nil, x.fail(ctx, eris.New("connection ended after a response to another request"), true)
+		}
+	}
+	return nil, x.fail(ctx, eris.New("too many responses to other requests"), true)
+}
+
+// readResponse reads one response's header. Interim responses (1xx) are
+// skipped.
+func (x *roundTrip) readResponse() (*http.Response, error) {
+	for {
+		resp, err := http.ReadResponse(x.conn.reader, &http.Request{Method: x.request.Method})
+		if err != nil {
+			return nil, err
+		}
+		if resp.StatusCode >= http.StatusOK {
+			return resp, nil
+		}
+	}
+}
+
+// deliver hands the response over; its body returns the connection.
+func (x *roundTrip) deliver(resp *http.Response, info ResponseInfo) *Response {
+	b := &body{roundTrip: x, inner: resp.Body, reusable: !resp.Close, idleTimeout: keepAliveTimeout(resp.Header)}
+	return &Response{Status: resp.StatusCode, Header: resp.Header, Info: info, Length: resp.ContentLength, Body: b}
+}
+
+// fail closes the connection, which cancels the request at the upstream, and
+// gives the error of a request without a response. sent says whether any byte
+// may have reached the upstream.
+func (x *roundTrip) fail(ctx context.Context, err error, sent bool) error {
+	x.stop()
+	_ = x.conn.Close()
+	return responseError(ctx, x.target, err, sent)
+}
+
+// body is a response's body that returns its connection to the pool.
+type body struct {
+	roundTrip *roundTrip
+	inner     io.ReadCloser
+	// reusable is false when the response ends its connection.
+	reusable    bool
+	idleTimeout time.Duration
+	whole       bool
+	closed      bool
+}
+
+// Read returns io.EOF only when the whole body was read.
+func (b *body) Read(p []byte) (int, error) {
+	n, err := b.inner.Read(p)
+	if err == io.EOF {
+		b.whole = true
+	}
+	return n, err
+}
+
+// Close returns the connection to the pool if the response was read whole, and
+// closes it otherwise, which cancels the request at the upstream. A connection
+// whose context ended has a deadline in the past, and one with bytes after the
+// response can't be trusted: both are closed as well.
+func (b *body) Close() error {
+	if b.closed {
+		return nil
+	}
+	b.closed = true
+	x := b.roundTrip
+	interrupted := !x.stop()
+	if !b.whole || !b.reusable || interrupted || x.conn.reader.Buffered() > 0 {
+		return x.conn.Close()
+	}
+	x.client.pool.put(x.target.UpstreamID, x.conn, b.idleTimeout)
+	return nil
+}
