--- /dev/null
+++ b/internal/gateway/routing/routing_test.go
@@ -0,0 +1,200 @@
+package routing_test
+
+import (
+	"bytes"
+	"strconv"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/rotisserie/eris"
+	"github.com/stretchr/testify/require"
+
+	"cairndock/internal/gateway/eventlog"
+	"cairndock/internal/gateway/route"
+	"cairndock/internal/gateway/routing"
+	"cairndock/internal/gateway/upstream"
+	"cairndock/internal/gateway/watch"
+	"cairndock/internal/telemetry"
+)
+
+const warmUp = time.Minute
+
+// decoder reads "config VERSION", "evacuate ZONE" and "upstream ZONE".
+type decoder struct{}
+
+func (decoder) OperatorRow(_ string, value []byte) (routing.OperatorRow, error) {
+	kind, text, _ := strings.Cut(string(value), " ")
+	switch kind {
+	case "config":
+		version, err := strconv.ParseInt(text, 10, 64)
+		services := []route.Service{{Name: "s", WarmUp: warmUp}}
+		return routing.OperatorRow{Table: route.NewTable(version, nil, services, route.Limits{})}, err
+	case "evacuate":
+		return routing.OperatorRow{Evacuate: text}, nil
+	default:
+		return routing.OperatorRow{}, eris.New("unknown row")
+	}
+}
+
+func (decoder) Upstream(key string, value []byte) (upstream.Registration, error) {
+	kind, zone, _ := strings.Cut(string(value), " ")
+	if kind != "upstream" {
+		return upstream.Registration{}, eris.New("unknown row")
+	}
+	return upstream.Registration{ID: key, Service: "s", Zone: zone}, nil
+}
+
+// host is the state of a host with its sinks and its log.
+type host struct {
+	state *routing.State
+	log   *eventlog.Log
+	lines *bytes.Buffer
+}
+
+func newHost() host {
+	lines := &bytes.Buffer{}
+	m := telemetry.NewMetrics()
+	log := eventlog.New(lines, "h", m)
+	return host{state: routing.New(decoder{}, log, m), log: log, lines: lines}
+}
+
+// logged ends the log and gives its lines.
+func (h host) logged() string {
+	h.log.Close()
+	return h.lines.String()
+}
+
+func (h host) operator(rows ...watch.Row) {
+	routing.OperatorSink{State: h.state}.Apply(watch.Update{Rows: rows})
+}
+
+func (h host) upstreams(u watch.Update) { routing.UpstreamSink{State: h.state}.Apply(u) }
+
+func row(key, value string) watch.Row { return watch.Row{Key: key, Value: []byte(value)} }
+
+func deleted(key string) watch.Row { return watch.Row{Key: key, Deleted: true} }
+
+// serving gives the ids of the upstreams that may receive requests.
+func (h host) serving() []string {
+	ids := []string{}
+	for _, u := range h.state.Set().Service("s") {
+		ids = append(ids, u.ID)
+	}
+	return ids
+}
+
+func TestAHostIsReadyWithAConfigurationAndAFullReadingOfUpstreams(t *testing.T) {
+	config := func(h host) { h.operator(row("config", "config 1")) }
+	change := func(h host) { h.upstreams(watch.Update{Rows: []watch.Row{row("i-1", "upstream z")}}) }
+	full := func(h host) { h.upstreams(watch.Update{Full: true}) }
+	for _, c := range []struct {
+		rule  string
+		steps []func(host)
+		ready bool
+	}{
+		{"nothing known", nil, false},
+		{"only a configuration", []func(host){config}, false},
+		{"only upstreams", []func(host){full}, false},
+		{"a change is no full reading", []func(host){config, change}, false},
+		{"an empty full reading is one", []func(host){config, full}, true},
+		{"in the other order", []func(host){full, config}, true},
+	} {
+		t.Run(c.rule, func(t *testing.T) {
+			h := newHost()
+			defer h.log.Close()
+			for _, step := range c.steps {
+				step(h)
+			}
+			require.Equal(t, c.ready, h.state.Ready())
+		})
+	}
+}
+
+func TestARowThatCannotBeDecodedKeepsTheLastGoodOne(t *testing.T) {
+	h := newHost()
+	h.operator(row("config", "config 1"), row("away", "evacuate y"))
+	h.upstreams(watch.Update{Full: true, Rows: []watch.Row{row("i-1", "upstream z"), row("i-2", "upstream y")}})
+	for range 2 {
+		require.EqualValues(t, 1, h.state.Table().Version)
+		require.Equal(t, []string{"i-1"}, h.serving())
+		h.operator(row("config", "?"), row("away", "?"))
+		h.upstreams(watch.Update{Rows: []watch.Row{row("i-1", "?")}})
+	}
+	require.Equal(t, 2*3, strings.Count(h.logged(), `"event":"bad-row"`))
+}
+
+func TestAConfigurationIsOnlyReplacedByANewerOne(t *testing.T) {
+	h := newHost()
+	defer h.log.Close()
+	for _, step := range []struct {
+		value string
+		want  int64
+	}{{"config 5", 5}, {"config 4", 5}, {"config 5", 5}, {"config 7", 7}} {
+		h.operator(row("config", step.value))
+		require.Equal(t, step.want, h.state.Table().Version, step.value)
+	}
+	h.operator(deleted("config"))
+	require.EqualValues(t, 7, h.state.Table().Version, "a deleted configuration stays in force")
+}
+
+func TestAnEvacuationLastsUntilItsRowIsDeleted(t *testing.T) {
+	h := newHost()
+	defer h.log.Close()
+	h.upstreams(watch.Update{Full: true, Rows: []watch.Row{row("i-1", "upstream z"), row("i-2", "upstream y")}})
+	h.operator(row("a", "evacuate z"), row("b", "evacuate y"))
+	require.Empty(t, h.serving())
+	h.operator(deleted("a"))
+	require.Equal(t, []string{"i-1"}, h.serving())
+	h.operator(row("config", "config 1"))
+	require.Equal(t, []string{"i-1"}, h.serving(), "another row changes no evacuation")
+}
+
+func TestAnUpstreamThatAppearsAfterTheFirstFullReadingIsCold(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h := newHost()
+		defer h.log.Close()
+		h.operator(row("config", "config 1"))
+		h.upstreams(watch.Update{Full: true, Rows: []watch.Row{row("i-1", "upstream z")}})
+		h.upstreams(watch.Update{Rows: []watch.Row{row("i-2", "upstream z")}})
+		first, _ := h.state.Set().Get("i-1")
+		second, _ := h.state.Set().Get("i-2")
+		require.Zero(t, first.ColdUntil)
+		require.Equal(t, time.Now().Add(warmUp), second.ColdUntil)
+	})
+}
+
+func TestAnEntryThatLapsesWhileTheStoreWasAwayHasTimeToComeBack(t *testing.T) {
+	for _, c := range []struct {
+		rule string
+		// away says that the store had been away, back that the entry returns.
+		away, back    bool
+		during, after []string
+	}{
+		{"the store was not away: gone at once", false, false, []string{}, []string{}},
+		{"the entry does not come back: gone after the grace", true, false, []string{"i-1"}, []string{}},
+		{"the entry comes back: stays", true, true, []string{"i-1"}, []string{"i-1"}},
+	} {
+		t.Run(c.rule, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				h := newHost()
+				defer h.log.Close()
+				h.upstreams(watch.Update{Full: true, Rows: []watch.Row{row("i-1", "upstream z")}})
+				lapse := watch.Update{Rows: []watch.Row{deleted("i-1")}}
+				if c.away {
+					lapse.StoreReturned = time.Now()
+				}
+				h.upstreams(lapse)
+				time.Sleep(upstream.LapseGrace - time.Millisecond)
+				require.Equal(t, c.during, h.serving())
+				if c.back {
+					h.upstreams(watch.Update{Rows: []watch.Row{row("i-1", "upstream z")}})
+				}
+				time.Sleep(time.Millisecond)
+				synctest.Wait()
+				require.Equal(t, c.after, h.serving())
+			})
+		})
+	}
+}
--- a/internal/gateway/routing/state.go
+++ b/internal/gateway/routing/state.go
@@ -1,6 +1,12 @@
-// Package routing keeps what a host knows of the operators' configuration and
-// of the upstreams that run, and gives readers the current version of both
-// without a lock. It owns the state; packages watch and fleet bring the rows.
+// Package routing keeps what a host knows of the operator configuration and of
+// the running upstreams. It owns that state and gives readers the current
+// version of both without a lock. The rows come from package watch, by an
+// OperatorSink and an UpstreamSink; a Decoder reads them.
+//
+// The state never becomes worse by an update: a row that can't be decoded
+// leaves the last good one in place, an older configuration never replaces a
+// newer one, and an upstream whose entry lapsed while the store was away stays
+// for upstream.LapseGrace.
 package routing
 
 import (
@@ -11,24 +17,37 @@
 	"cairndock/internal/gateway/eventlog"
 	"cairndock/internal/gateway/route"
 	"cairndock/internal/gateway/upstream"
+	"cairndock/internal/gateway/watch"
 	"cairndock/internal/telemetry"
 )
 
-// OperatorRow is one row of the operators' table: a configuration, or a zone
-// to evacuate. Exactly one of the two is set.
+// The names of the watched tables in logs and metrics.
+const (
+	// operatorTable is the name of the operators' table.
+	operatorTable = "intent"
+	// upstreamTable is the name of the upstreams' table.
+	upstreamTable = "upstream"
+)
+
+// OperatorRow is one row of the operators' table: a configuration, or a zone to
+// evacuate. Exactly one of the two is set.
 type OperatorRow struct {
-	Table    *route.Table
+	// Table is a whole configuration.
+	Table *route.Table
+	// Evacuate is a zone whose upstreams are to receive nothing.
 	Evacuate string
 }
 
-// Decoder reads rows in the product's words.
+// Decoder reads rows of the watched tables.
 type Decoder interface {
+	// OperatorRow reads a row of the operators' table.
 	OperatorRow(key string, value []byte) (OperatorRow, error)
+	// Upstream reads a row of the upstreams' table.
 	Upstream(key string, value []byte) (upstream.Registration, error)
 }
 
-// State is what the host knows of the operators' configuration and of the
-// upstreams that run. Readers take what is current without a lock.
+// State is the operator configuration and the upstreams, as far as the host
+// knows them. All methods may be called concurrently.
 type State struct {
 	decoder Decoder
 	log     *eventlog.Log
@@ -36,12 +55,15 @@
 
 	table atomic.Pointer[route.Table]
 	set   atomic.Pointer[upstream.Set]
-	// seeded says that all upstreams were read once.
+	// seeded is set once all upstreams were read.
 	seeded atomic.Bool
 
-	mu        sync.Mutex
-	registry  *upstream.Registry
-	evacuated map[string]string // row's key to zone
+	// mu is held by writers; readers use the pointers above.
+	mu       sync.Mutex
+	registry *upstream.Registry
+	// evacuated has the zone of each row that asks for an evacuation, by the
+	// row's key.
+	evacuated map[string]string
 }
 
 // New makes the state of a host that has just started.
@@ -52,6 +74,7 @@
 	return s
 }
 
+// warmUp is how long an upstream of a service is cold after its start.
 func (s *State) warmUp(service string) time.Duration {
 	t := s.table.Load()
 	if t == nil {
@@ -60,10 +83,10 @@
 	return t.Service(service).WarmUp
 }
 
-// Table is the configuration in force, or nil.
+// Table is the configuration in force, or nil before the first.
 func (s *State) Table() *route.Table { return s.table.Load() }
 
-// Limits are what callers are held to now; zero values are no limits.
+// Limits are the limits on clients in force; zero values are no limits.
 func (s *State) Limits() route.Limits {
 	t := s.table.Load()
 	if t == nil {
@@ -75,19 +98,29 @@
 // Set is the upstreams known.
 func (s *State) Set() *upstream.Set { return s.set.Load() }
 
-// Ready reports whether the host knows enough to serve.
+// Ready reports whether the host knows enough to serve: a configuration, and
+// all upstreams by one full reading. Once ready it stays so, also while the
+// sources are lost.
 func (s *State) Ready() bool {
 	return s.table.Load() != nil && s.seeded.Load()
 }
 
-// adopt puts a configuration in force unless a newer one is.
-func (s *State) adopt(t *route.Table) {
-	if old := s.table.Load(); old != nil && t.Version <= old.Version {
-		return
-	}
-	s.table.Store(t)
-	s.log.Config(t.Version, t.Routes())
+// publish gives readers the upstreams as the registry has them; s.mu is held.
+func (s *State) publish() { s.set.Store(s.registry.Set()) }
+
+// recordBadRow logs a row that can't be decoded.
+func (s *State) recordBadRow(table string, row watch.Row, err error) {
+	s.metrics.Count(`cairndock_bad_rows_total{table="` + table + `"}`)
+	s.log.BadRow(table, row.Key, row.Version, err)
 }
 
-// publish gives readers the upstreams as they are known now; s.mu is held.
-func (s *State) publish() { s.set.Store(s.registry.Set()) }
+// recordLost logs that a table's source does not respond any more.
+func (s *State) recordLost(table, source string, err error) {
+	s.metrics.Count(`cairndock_source_lost_total{table="` + table + `"}`)
+	s.log.Lost(table+" source", source, err)
+}
+
+// recordRegained logs that a table's source responds again.
+func (s *State) recordRegained(table, source string, after time.Duration) {
+	s.log.Regained(table+" source", source, after)
+}
