--- /dev/null
+++ b/internal/gateway/proxy/attempts_test.go
@@ -0,0 +1,110 @@
+package proxy_test
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"cairndock/internal/gateway/route"
+)
+
+// Each way an upstream can fail, with one upstream that fails and one that is
+// healthy: a request that may run again is served all the same; any other runs
+// at most once, and its error says whether it may have run.
+func TestOnlyWhatDidNotRunOrMayRunAgainIsSentAgain(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		fail    func(c net.Conn, r *http.Request)
+		mayRun  bool
+		verdict string
+	}{
+		{"refuses", shedding, false, ""},
+		{"resets", resetting, true, "may-have-run"},
+		{"other instance", func(c net.Conn, r *http.Request) { reply(c, r, 421, "", "") }, false, ""},
+		{"refuses without proof", func(c net.Conn, r *http.Request) { reply(c, r, 503, "Genuine: 1\r\n", "") }, true, "may-have-run"},
+		{"success without proof", func(c net.Conn, r *http.Request) { reply(c, r, 200, "", "fake") }, true, "may-have-run"},
+		{"half a body", truncating, true, "may-have-run"},
+	} {
+		for _, repeat := range []route.Repeat{route.Repeatable, route.Once} {
+			t.Run(fmt.Sprint(c.name, repeat), func(t *testing.T) {
+				g := newTestGateway(t)
+				g.setRoutes(testRoute(repeat))
+				failing := g.addUpstream(c.fail)
+				good := g.addUpstream(healthy)
+				// Until a key prefers the failing upstream.
+				for key := 0; failing.Load() == 0 && key < 50; key++ {
+					r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, g.server.URL+"/x/", nil)
+					require.NoError(t, err)
+					r.Host = "a.example"
+					r.Header.Set(headerID, strconv.Itoa(key))
+					r.Header.Set(headerKey, strconv.Itoa(key))
+					before := good.Load()
+					resp, err := http.DefaultClient.Do(r)
+					require.NoError(t, err)
+					body, _ := io.ReadAll(resp.Body)
+					_ = resp.Body.Close()
+					if failing.Load() == 0 {
+						continue
+					}
+					if repeat == route.Once && c.mayRun {
+						require.Equal(t, 502, resp.StatusCode)
+						require.Equal(t, c.verdict, resp.Header.Get("Verdict"))
+						require.Equal(t, before, good.Load(), "a request that may have run is not sent again")
+						continue
+					}
+					require.Equal(t, 200, resp.StatusCode)
+					require.Equal(t, "whole", string(body))
+				}
+				require.EqualValues(t, 1, failing.Load())
+			})
+		}
+	}
+}
+
+func TestARequestThatAllUpstreamsShedDidNotRun(t *testing.T) {
+	g := newTestGateway(t)
+	g.setRoutes(testRoute(route.Once))
+	a, b := g.addUpstream(shedding), g.addUpstream(shedding)
+	resp, _ := g.get()
+	require.Equal(t, 503, resp.StatusCode)
+	require.Equal(t, "not-run", resp.Header.Get("Verdict"))
+	require.NotEqual(t, "0s", resp.Header.Get("Retry"), "the client learns when to return")
+	require.EqualValues(t, 2, a.Load()+b.Load(), "attempts bound the upstreams tried")
+}
+
+func TestClientsRefusedForLoadReturnAtDifferentTimes(t *testing.T) {
+	g := newTestGateway(t)
+	g.setRoutes(testRoute(route.Once))
+	g.addUpstream(shedding)
+	times := map[string]bool{}
+	for range 8 {
+		resp, _ := g.get()
+		require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
+		again, err := time.ParseDuration(resp.Header.Get("Retry"))
+		require.NoError(t, err)
+		require.GreaterOrEqual(t, again, 350*time.Millisecond)
+		require.Less(t, again, 750*time.Millisecond)
+		times[again.String()] = true
+	}
+	require.Greater(t, len(times), 4)
+}
+
+func TestALongResponseThatBreaksOffBreaksTheClientsConnection(t *testing.T) {
+	g := newTestGateway(t)
+	g.setRoutes(testRoute(route.Repeatable))
+	g.addUpstream(func(c net.Conn, r *http.Request) {
+		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nGenuine: 1\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get(headerID))
+		for range 10 {
+			_, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", 8000, strings.Repeat("x", 8000))
+		}
+	})
+	_, _, err := g.do(t.Context(), http.MethodGet, "/x/", "")
+	require.Error(t, err)
+}
--- a/internal/gateway/proxy/clientconn_test.go
+++ b/internal/gateway/proxy/clientconn_test.go
@@ -15,32 +15,32 @@
 	"cairndock/internal/gateway/route"
 )
 
-// limited puts limits of callers' connections in force.
-func (w *world) limited(header, idle time.Duration) {
-	w.intent("config", intentRow{
-		Version: w.version + 1, Routes: []route.Route{usual(route.Repeatable)},
+// setClientLimits puts limits of clients' connections in force.
+func (g *testGateway) setClientLimits(header, idle time.Duration) {
+	g.putOperatorRow("config", operatorRow{
+		Version: g.version + 1, Routes: []route.Route{testRoute(route.Repeatable)},
 		Limits: route.Limits{HeaderTimeout: header, IdleTimeout: idle},
 	})
 }
 
-// connect opens a caller's connection to a server of the gateway.
-func (w *world) connect() net.Conn {
-	w.t.Helper()
-	s := proxy.NewServer(w.gateway)
-	w.t.Cleanup(s.Close)
-	require.NoError(w.t, s.ListenClients("127.0.0.1:0"))
+// connect opens a client's connection to a server of the gateway.
+func (g *testGateway) connect() net.Conn {
+	g.t.Helper()
+	s := proxy.NewServer(g.proxy)
+	g.t.Cleanup(s.Close)
+	require.NoError(g.t, s.ListenClients("127.0.0.1:0"))
 	c, err := net.Dial("tcp", s.ClientAddress())
-	require.NoError(w.t, err)
-	w.t.Cleanup(func() { _ = c.Close() })
+	require.NoError(g.t, err)
+	g.t.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
-const callersRequest = "GET /x/1 HTTP/1.1\r\nHost: a.example\r\nId: id-1\r\n\r\n"
+const rawRequest = "GET /x/1 HTTP/1.1\r\nHost: a.example\r\nId: id-1\r\n\r\n"
 
-// exchangeOn sends a request on a connection and reads the answer.
-func exchangeOn(t *testing.T, c net.Conn) {
+// sendOn sends a request on a connection and reads the response.
+func sendOn(t *testing.T, c net.Conn) {
 	t.Helper()
-	_, err := io.WriteString(c, callersRequest)
+	_, err := io.WriteString(c, rawRequest)
 	require.NoError(t, err)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
@@ -59,54 +59,54 @@
 	return time.Since(began)
 }
 
-func TestACallersConnectionRestsAsLongAsTheConfigurationSays(t *testing.T) {
-	w := newWorld(t)
-	w.limited(time.Second, 300*time.Millisecond)
-	w.upstream(sound)
-	c := w.connect()
+func TestAClientsConnectionIsIdleAsLongAsTheConfigurationAllows(t *testing.T) {
+	g := newTestGateway(t)
+	g.setClientLimits(time.Second, 300*time.Millisecond)
+	g.addUpstream(healthy)
+	c := g.connect()
 	for range 3 {
 		time.Sleep(200 * time.Millisecond)
-		exchangeOn(t, c)
+		sendOn(t, c)
 	}
 	require.GreaterOrEqual(t, closedAfter(t, c), 290*time.Millisecond)
 }
 
-// A caller that knows the newer configuration may already count on it.
-func TestARestThatBeganUnderAShorterLimitLastsAsLongAsTheNewOne(t *testing.T) {
-	w := newWorld(t)
-	w.limited(time.Second, 300*time.Millisecond)
-	w.upstream(sound)
-	c := w.connect()
-	exchangeOn(t, c)
-	w.limited(time.Second, 900*time.Millisecond)
+// A client that knows the newer configuration may already rely on it.
+func TestAnIdleConnectionFollowsANewerIdleTimeout(t *testing.T) {
+	g := newTestGateway(t)
+	g.setClientLimits(time.Second, 300*time.Millisecond)
+	g.addUpstream(healthy)
+	c := g.connect()
+	sendOn(t, c)
+	g.setClientLimits(time.Second, 900*time.Millisecond)
 	time.Sleep(600 * time.Millisecond)
-	exchangeOn(t, c)
+	sendOn(t, c)
 }
 
 func TestAHeaderThatStallsEndsItsConnection(t *testing.T) {
 	for name, before := range map[string]int{"on a new connection": 0, "after a request": 1} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
-			w.limited(200*time.Millisecond, time.Minute)
-			w.upstream(sound)
-			c := w.connect()
+			g := newTestGateway(t)
+			g.setClientLimits(200*time.Millisecond, time.Minute)
+			g.addUpstream(healthy)
+			c := g.connect()
 			for range before {
-				exchangeOn(t, c)
+				sendOn(t, c)
 			}
-			_, err := fmt.Fprint(c, callersRequest[:20])
+			_, err := fmt.Fprint(c, rawRequest[:20])
 			require.NoError(t, err)
 			require.GreaterOrEqual(t, closedAfter(t, c), 190*time.Millisecond)
 		})
 	}
 }
 
-// What is being served is never cut by the limits of a connection.
-func TestARequestBeingServedOutlastsTheLimits(t *testing.T) {
-	w := newWorld(t)
-	w.limited(50*time.Millisecond, 50*time.Millisecond)
-	w.upstream(func(c net.Conn, r *http.Request) {
+// A request in flight is never cut by the limits of its connection.
+func TestARequestInFlightOutlastsTheConnectionLimits(t *testing.T) {
+	g := newTestGateway(t)
+	g.setClientLimits(50*time.Millisecond, 50*time.Millisecond)
+	g.addUpstream(func(c net.Conn, r *http.Request) {
 		time.Sleep(300 * time.Millisecond)
-		sound(c, r)
+		healthy(c, r)
 	})
-	exchangeOn(t, w.connect())
+	sendOn(t, g.connect())
 }
--- /dev/null
+++ b/internal/gateway/proxy/harness_test.go
@@ -0,0 +1,297 @@
+package proxy_test
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/rotisserie/eris"
+	"github.com/stretchr/testify/require"
+	"go.opentelemetry.io/otel/trace"
+	"go.opentelemetry.io/otel/trace/noop"
+
+	"cairndock/internal/gateway/balance"
+	"cairndock/internal/gateway/eventlog"
+	"cairndock/internal/gateway/exchange"
+	"cairndock/internal/gateway/outlier"
+	"cairndock/internal/gateway/proxy"
+	"cairndock/internal/gateway/retry"
+	"cairndock/internal/gateway/route"
+	"cairndock/internal/gateway/routing"
+	"cairndock/internal/gateway/upstream"
+	"cairndock/internal/gateway/watch"
+	"cairndock/internal/telemetry"
+	"cairndock/internal/verdict"
+)
+
+// This file has the harness of the tests: a proxy with its real parts, a small
+// protocol of its own, and upstreams that respond with raw bytes.
+
+// The headers of the tests' protocol.
+const (
+	headerID     = "Id"
+	headerKey    = "Key"
+	headerWait   = "Wait-Ms"
+	headerSigned = "Genuine"
+	headerNotRun = "Not-Run"
+	headerTo     = "To"
+)
+
+type codec struct{}
+
+func (codec) ParseRequest(h http.Header) proxy.RequestInfo {
+	ms, _ := strconv.Atoi(h.Get(headerWait)) // zero when it is not given
+	return proxy.RequestInfo{ID: h.Get(headerID), Key: h.Get(headerKey), Timeout: time.Duration(ms) * time.Millisecond}
+}
+
+func (codec) WriteError(w http.ResponseWriter, _ proxy.RequestInfo, e *verdict.Error) {
+	w.Header().Set("Verdict", e.Verdict.String())
+	w.Header().Set("Reason", string(e.Reason))
+	w.Header().Set("Retry", e.RetryAfter.String())
+	w.WriteHeader(e.Reason.Status())
+}
+
+type protocol struct{}
+
+func (protocol) SetHeaders(h http.Header, id string, left time.Duration) {
+	h.Set(headerTo, id)
+	h.Set(headerWait, strconv.FormatInt(left.Milliseconds(), 10))
+}
+
+func (protocol) ParseResponse(id string, status int, h http.Header) exchange.ResponseInfo {
+	return exchange.ResponseInfo{
+		WrongRequest: h.Get(headerID) != id, NotExecuted: h.Get(headerNotRun) != "", Misdirected: status == 421,
+		Signed: h.Get(headerSigned) != "",
+	}
+}
+
+// decoder reads the tests' rows: JSON of the product's own types.
+type decoder struct{}
+
+// operatorRow is a configuration, or a zone to evacuate.
+type operatorRow struct {
+	Version  int64
+	Routes   []route.Route
+	Evacuate string
+	// Limits bound clients' connections; the sizes are always the same.
+	Limits route.Limits
+}
+
+func (decoder) OperatorRow(_ string, value []byte) (routing.OperatorRow, error) {
+	var r operatorRow
+	if err := json.Unmarshal(value, &r); err != nil {
+		return routing.OperatorRow{}, eris.Wrap(err, "parse")
+	}
+	if r.Evacuate != "" {
+		return routing.OperatorRow{Evacuate: r.Evacuate}, nil
+	}
+	services := []route.Service{{Name: "s", WarmUp: time.Second, WarmUpRate: 5}}
+	r.Limits.BodyBytes, r.Limits.HeaderBytes = 1000, 2000
+	return routing.OperatorRow{Table: route.NewTable(r.Version, r.Routes, services, r.Limits)}, nil
+}
+
+func (decoder) Upstream(_ string, value []byte) (upstream.Registration, error) {
+	var in upstream.Registration
+	return in, eris.Wrap(json.Unmarshal(value, &in), "parse")
+}
+
+// logBuffer is a log that can be read while it is written.
+type logBuffer struct {
+	mu sync.Mutex
+	b  bytes.Buffer
+}
+
+func (l *logBuffer) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.b.Write(p)
+}
+
+func (l *logBuffer) String() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.b.String()
+}
+
+// reporter logs ejections and has no other hosts.
+type reporter struct{ *eventlog.Log }
+
+func (reporter) FailureSeen() {}
+
+// oneHost is a fleet of one host.
+type oneHost struct{}
+
+func (oneHost) Hosts() int                              { return 1 }
+func (oneHost) WarmUpQuota(string, string, float64) int { return 100 }
+
+// testGateway is a proxy with its server, its state and its log.
+type testGateway struct {
+	t         *testing.T
+	proxy     *proxy.Proxy
+	state     *routing.State
+	server    *httptest.Server
+	log       *logBuffer
+	version   int64
+	upstreams int
+}
+
+func newTestGateway(t *testing.T) *testGateway {
+	return newTracedGateway(t, noop.NewTracerProvider())
+}
+
+func newTracedGateway(t *testing.T, traces trace.TracerProvider) *testGateway {
+	t.Helper()
+	g := &testGateway{t: t, log: &logBuffer{}}
+	m := telemetry.NewMetrics()
+	log := eventlog.New(g.log, "h", m)
+	t.Cleanup(log.Close)
+	g.state = routing.New(decoder{}, log, m)
+	dial := exchange.Dialer{Timeout: 200 * time.Millisecond, Unacknowledged: time.Second}
+	age := func() time.Duration { return 0 }
+	detector := outlier.New(reporter{log})
+	g.proxy = proxy.New(proxy.Options{
+		State: g.state, Detector: detector,
+		Balancer: balance.New(balance.Location{Zone: "z", Region: "r", Regions: 1}, balance.DefaultWeights, oneHost{}, detector),
+		Budget:   retry.NewBudget(retry.Limits{Ratio: 1, Window: time.Second, Slack: 100}),
+		Client:   exchange.NewClient(exchange.NewPool(dial.DialContext), protocol{}),
+		Codec:    codec{}, Hosts: oneHost{}, Ages: proxy.Ages{Config: age, Upstreams: age}, Log: log, Metrics: m,
+		Tracer: telemetry.Tracer(traces),
+	})
+	g.server = httptest.NewServer(g.proxy)
+	t.Cleanup(g.server.Close)
+	return g
+}
+
+// putOperatorRow writes a row of the operators' table.
+func (g *testGateway) putOperatorRow(key string, r operatorRow) {
+	g.version++
+	value, err := json.Marshal(r)
+	require.NoError(g.t, err)
+	g.applyOperatorRow(watch.Row{Key: key, Value: value, Version: g.version})
+}
+
+func (g *testGateway) applyOperatorRow(row watch.Row) {
+	routing.OperatorSink{State: g.state}.Apply(watch.Update{Rows: []watch.Row{row}})
+}
+
+// setRoutes puts a configuration of routes in force.
+func (g *testGateway) setRoutes(rs ...route.Route) {
+	g.putOperatorRow("config", operatorRow{Version: g.version + 1, Routes: rs})
+}
+
+// testRoute is the route that most tests use.
+func testRoute(repeat route.Repeat) route.Route {
+	return route.Route{Name: "r", Host: "a.example", Prefix: "/x/", Repeat: repeat, Attempts: 2, Timeout: 500 * time.Millisecond, Backends: []route.Backend{{Service: "s", Weight: 1}}}
+}
+
+// addUpstream adds an upstream that responds to one request on each connection,
+// and returns the number of requests that it received.
+func (g *testGateway) addUpstream(respond func(c net.Conn, r *http.Request)) *atomic.Int64 {
+	g.t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(g.t, err)
+	g.t.Cleanup(func() { _ = l.Close() })
+	var count atomic.Int64
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer func() { _ = c.Close() }()
+				r, err := http.ReadRequest(bufio.NewReader(c))
+				if err != nil {
+					return
+				}
+				_, _ = io.Copy(io.Discard, r.Body)
+				count.Add(1)
+				respond(c, r)
+			}()
+		}
+	}()
+	g.upstreams++
+	id := fmt.Sprint("i-", g.upstreams)
+	value, err := json.Marshal(upstream.Registration{ID: id, Service: "s", Address: l.Addr().String(), Zone: "z", Region: "r", Capacity: 2})
+	require.NoError(g.t, err)
+	g.version++
+	routing.UpstreamSink{State: g.state}.Apply(watch.Update{Rows: []watch.Row{{Key: id, Value: value, Version: g.version}}, Full: true})
+	return &count
+}
+
+func reply(c net.Conn, r *http.Request, status int, header, body string) {
+	_, _ = fmt.Fprintf(c, "HTTP/1.1 %d X\r\nId: %s\r\nConnection: close\r\nContent-Length: %d\r\n%s\r\n%s", status, r.Header.Get(headerID), len(body), header, body)
+}
+
+// The upstreams of the tests, by how they respond.
+
+func healthy(c net.Conn, r *http.Request) { reply(c, r, 200, "Genuine: 1\r\n", "whole") }
+
+func resetting(c net.Conn, _ *http.Request) { _ = c.(*net.TCPConn).SetLinger(0) }
+
+func shedding(c net.Conn, r *http.Request) { reply(c, r, 503, "Not-Run: 1\r\n", "") }
+
+func silent(net.Conn, *http.Request) { time.Sleep(3 * time.Second) }
+
+func truncating(c net.Conn, r *http.Request) {
+	_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nGenuine: 1\r\nContent-Length: 50\r\n\r\nhalf", r.Header.Get(headerID))
+}
+
+// do sends a request without a key and reads the whole response.
+func (g *testGateway) do(ctx context.Context, method, path, body string) (*http.Response, string, error) {
+	g.t.Helper()
+	r, err := http.NewRequestWithContext(ctx, method, g.server.URL+path, strings.NewReader(body))
+	require.NoError(g.t, err)
+	r.Host = "a.example"
+	r.Header.Set(headerID, "id-1")
+	resp, err := http.DefaultClient.Do(r)
+	if err != nil {
+		return nil, "", err
+	}
+	defer func() { _ = resp.Body.Close() }()
+	text, err := io.ReadAll(resp.Body)
+	return resp, string(text), err
+}
+
+// get sends a request without a key that must have a response.
+func (g *testGateway) get() (*http.Response, string) {
+	g.t.Helper()
+	resp, body, err := g.do(g.t.Context(), http.MethodGet, "/x/1?q=%2F", "")
+	require.NoError(g.t, err)
+	return resp, body
+}
+
+// getWithKey sends a request with an id and a key, and returns the status of
+// its response.
+func (g *testGateway) getWithKey(id, key string) int {
+	g.t.Helper()
+	r, err := http.NewRequestWithContext(g.t.Context(), http.MethodGet, g.server.URL+"/x/", nil)
+	require.NoError(g.t, err)
+	r.Host = "a.example"
+	r.Header.Set(headerID, id)
+	if key != "" {
+		r.Header.Set(headerKey, key)
+	}
+	resp, err := http.DefaultClient.Do(r)
+	require.NoError(g.t, err)
+	require.NoError(g.t, resp.Body.Close())
+	return resp.StatusCode
+}
+
+// getKey sends a request with one of many keys.
+func (g *testGateway) getKey(key int) int {
+	g.t.Helper()
+	return g.getWithKey(strconv.Itoa(key), strconv.Itoa(key))
+}
--- /dev/null
+++ b/internal/gateway/proxy/lifetime_test.go
@@ -0,0 +1,64 @@
+package proxy_test
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"cairndock/internal/gateway/route"
+)
+
+func TestTheRoutesTimeoutEndsARequest(t *testing.T) {
+	for _, repeat := range []route.Repeat{route.Repeatable, route.Once} {
+		g := newTestGateway(t)
+		g.setRoutes(testRoute(repeat))
+		g.addUpstream(func(net.Conn, *http.Request) { time.Sleep(2 * time.Second) })
+		began := time.Now()
+		resp, _ := g.get()
+		require.Equal(t, 504, resp.StatusCode)
+		require.Equal(t, "may-have-run", resp.Header.Get("Verdict"))
+		require.InDelta(t, 0.5, time.Since(began).Seconds(), 0.2)
+	}
+}
+
+// A request that may run again is canceled at its upstream. Any other is left to
+// its end, but is never sent again.
+func TestAClientThatLeavesCancelsOnlyWhatMayRunAgain(t *testing.T) {
+	t.Run("repeatable", func(t *testing.T) {
+		g := newTestGateway(t)
+		g.setRoutes(testRoute(route.Repeatable))
+		gone := make(chan struct{})
+		g.addUpstream(func(c net.Conn, _ *http.Request) {
+			_, _ = c.Read(make([]byte, 1))
+			close(gone)
+		})
+		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
+		defer cancel()
+		_, _, err := g.do(ctx, http.MethodGet, "/x/", "")
+		require.Error(t, err)
+		select {
+		case <-gone:
+		case <-time.After(300 * time.Millisecond):
+			t.Fatal("the upstream works on")
+		}
+	})
+	t.Run("once", func(t *testing.T) {
+		g := newTestGateway(t)
+		g.setRoutes(testRoute(route.Once))
+		slowShed := func(c net.Conn, r *http.Request) {
+			time.Sleep(250 * time.Millisecond)
+			shedding(c, r)
+		}
+		a, b := g.addUpstream(slowShed), g.addUpstream(slowShed)
+		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
+		defer cancel()
+		_, _, err := g.do(ctx, http.MethodPost, "/x/", "body")
+		require.Error(t, err)
+		time.Sleep(500 * time.Millisecond)
+		require.EqualValues(t, 1, a.Load()+b.Load())
+	})
+}
--- a/internal/gateway/proxy/span_test.go
+++ b/internal/gateway/proxy/span_test.go
@@ -13,37 +13,37 @@
 	"cairndock/internal/telemetry"
 )
 
-const callersTrace = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
+const clientTrace = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
 
-// traced sends a request of a caller's trace and gives what the last upstream
-// was told of it.
+// traced sends a request of a client's trace and returns the trace context that
+// the last upstream received.
 func traced(t *testing.T, sampler sdktrace.Sampler, recorder *tracetest.SpanRecorder) string {
 	t.Helper()
 	telemetry.UseW3C()
-	w := newTracedWorld(t, sdktrace.NewTracerProvider(sdktrace.WithSampler(sampler), sdktrace.WithSpanProcessor(recorder)))
-	w.routes(usual(route.Repeatable))
-	var told string
-	w.upstream(shed)
-	w.upstream(func(c net.Conn, r *http.Request) {
-		told = r.Header.Get("Traceparent")
-		sound(c, r)
+	g := newTracedGateway(t, sdktrace.NewTracerProvider(sdktrace.WithSampler(sampler), sdktrace.WithSpanProcessor(recorder)))
+	g.setRoutes(testRoute(route.Repeatable))
+	var received string
+	g.addUpstream(shedding)
+	g.addUpstream(func(c net.Conn, r *http.Request) {
+		received = r.Header.Get("Traceparent")
+		healthy(c, r)
 	})
-	for told == "" { // until one goes to the second upstream
-		r, err := http.NewRequest(http.MethodGet, w.server.URL+"/x/1", nil)
+	for received == "" { // until one goes to the second upstream
+		r, err := http.NewRequest(http.MethodGet, g.server.URL+"/x/1", nil)
 		require.NoError(t, err)
 		r.Host = "a.example"
 		r.Header.Set(headerID, "id-1")
-		r.Header.Set("Traceparent", callersTrace)
+		r.Header.Set("Traceparent", clientTrace)
 		resp, err := http.DefaultClient.Do(r)
 		require.NoError(t, err)
 		require.NoError(t, resp.Body.Close())
 	}
-	return told
+	return received
 }
 
-func TestEachHopIsASpanOfTheCallersTrace(t *testing.T) {
+func TestEachHopIsASpanOfTheClientsTrace(t *testing.T) {
 	recorder := tracetest.NewSpanRecorder()
-	told := traced(t, sdktrace.AlwaysSample(), recorder)
+	received := traced(t, sdktrace.AlwaysSample(), recorder)
 	spans := recorder.Ended()
 	require.GreaterOrEqual(t, len(spans), 2)
 	request, attempt := spans[len(spans)-1], spans[len(spans)-2]
@@ -51,9 +51,9 @@
 	require.Equal(t, "attempt", attempt.Name())
 	require.Equal(t, "0af7651916cd43dd8448eb211c80319c", request.SpanContext().TraceID().String())
 	require.Equal(t, request.SpanContext().SpanID(), attempt.Parent().SpanID())
-	require.Contains(t, told, attempt.SpanContext().SpanID().String())
+	require.Contains(t, received, attempt.SpanContext().SpanID().String())
 }
 
-func TestATraceThatIsNotKeptChangesNoHeader(t *testing.T) {
-	require.Equal(t, callersTrace, traced(t, sdktrace.NeverSample(), tracetest.NewSpanRecorder()))
+func TestATraceThatIsNotSampledChangesNoHeader(t *testing.T) {
+	require.Equal(t, clientTrace, traced(t, sdktrace.NeverSample(), tracetest.NewSpanRecorder()))
 }
--- /dev/null
+++ b/internal/gateway/proxy/stop_test.go
@@ -0,0 +1,79 @@
+package proxy_test
+
+import (
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"cairndock/internal/gateway/proxy"
+	"cairndock/internal/gateway/route"
+	"cairndock/internal/verdict"
+)
+
+// A planned stop: the host is not ready, requests that still come are served, and
+// those in flight end well.
+func TestAPlannedStopCutsNothing(t *testing.T) {
+	g := newTestGateway(t)
+	g.setRoutes(testRoute(route.Once))
+	g.addUpstream(func(c net.Conn, r *http.Request) {
+		time.Sleep(300 * time.Millisecond)
+		healthy(c, r)
+	})
+	s := proxy.NewServer(g.proxy)
+	require.NoError(t, s.ListenClients("127.0.0.1:0"))
+	address := s.ClientAddress()
+	g.server.URL = "http://" + address
+	type result struct {
+		resp *http.Response
+		body string
+		err  error
+	}
+	results := make(chan result, 2)
+	post := func() {
+		resp, body, err := g.do(t.Context(), http.MethodPost, "/x/", "b")
+		results <- result{resp, body, err}
+	}
+	go post()
+	time.Sleep(50 * time.Millisecond)
+	cut := make(chan int64, 1)
+	go func() { cut <- s.Stop(t.Context(), 2*time.Second) }()
+	time.Sleep(50 * time.Millisecond)
+	require.False(t, g.proxy.Ready())
+	go post()
+	for range 2 {
+		r := <-results
+		require.NoError(t, r.err)
+		require.Equal(t, "whole", r.body)
+	}
+	require.Zero(t, <-cut)
+	_, err := net.DialTimeout("tcp", address, 100*time.Millisecond)
+	require.Error(t, err)
+}
+
+// A request that a stopping host can't finish gets a response, not a connection
+// that closes.
+func TestAStopRespondsToWhatItAborts(t *testing.T) {
+	g := newTestGateway(t)
+	long := testRoute(route.Once)
+	long.Timeout = time.Minute
+	g.setRoutes(long)
+	g.addUpstream(func(c net.Conn, r *http.Request) {
+		time.Sleep(3 * time.Second)
+		healthy(c, r)
+	})
+	s := proxy.NewServer(g.proxy)
+	t.Cleanup(s.Close)
+	require.NoError(t, s.ListenClients("127.0.0.1:0"))
+	g.server.URL = "http://" + s.ClientAddress()
+	cut := make(chan int64, 1)
+	time.AfterFunc(50*time.Millisecond, func() { cut <- s.Stop(t.Context(), time.Second) })
+	resp, _, err := g.do(t.Context(), http.MethodPost, "/x/", "b")
+	require.NoError(t, err)
+	require.Equal(t, http.StatusGatewayTimeout, resp.StatusCode)
+	require.Equal(t, verdict.MayHaveRun.String(), resp.Header.Get("Verdict"))
+	require.Equal(t, string(verdict.Interrupted), resp.Header.Get("Reason"))
+	require.EqualValues(t, 1, <-cut)
+}
