--- a/internal/gateway/exchange/exchange_test.go
+++ b/internal/gateway/exchange/exchange_test.go
@@ -18,11 +18,11 @@
 	"cairndock/internal/verdict"
 )
 
-// protocol is a small one for tests.
+// protocol is a small protocol for tests.
 type protocol struct{}
 
-func (protocol) SetHeaders(h http.Header, instance string, left time.Duration) {
-	h.Set("To", instance)
+func (protocol) SetHeaders(h http.Header, upstream string, left time.Duration) {
+	h.Set("To", upstream)
 	h.Set("Left", left.Round(time.Second).String())
 }
 
@@ -30,8 +30,8 @@
 	return exchange.ResponseInfo{WrongRequest: h.Get("Id") != id, NotExecuted: h.Get("Not-Run") != "", Signed: true}
 }
 
-// upstream is a scripted upstream: each request is answered by its script,
-// which writes raw bytes and says whether the connection stays open.
+// upstream is a scripted upstream: its script writes the raw bytes of each
+// response and says whether the connection stays open.
 type upstream struct {
 	address string
 	conns   atomic.Int64
@@ -103,7 +103,7 @@
 	return a.Status, string(body), err
 }
 
-func TestARequestArrivesAsItIsAndItsAnswerToo(t *testing.T) {
+func TestARequestAndItsResponseArriveUnchanged(t *testing.T) {
 	u := start(t, func(c net.Conn, r *http.Request, _ int) bool {
 		write(c, ok(r.Header.Get("Id"), r.Method+" "+r.RequestURI+" "+r.Host+" "+r.Header.Get("To")+" "+r.Header.Get("Left")))
 		return true
@@ -118,9 +118,9 @@
 	require.EqualValues(t, 1, u.conns.Load(), "one connection serves one request after the other")
 }
 
-// An extra answer that comes late takes the place of the next one; its id
-// shows that it belongs to another request.
-func TestAnAnswerToAnotherRequestIsNeverTaken(t *testing.T) {
+// An extra response that arrives late stands before the next one; its id shows
+// that it belongs to another request.
+func TestAResponseToAnotherRequestIsNeverReturned(t *testing.T) {
 	u := start(t, func(c net.Conn, r *http.Request, n int) bool {
 		if n == 2 {
 			write(c, ok("r1", "late and wrong"))
@@ -164,7 +164,7 @@
 	}
 }
 
-func TestKeepAliveBoundsTheRestOfAConnection(t *testing.T) {
+func TestKeepAliveBoundsTheIdleTimeOfAConnection(t *testing.T) {
 	u := start(t, func(c net.Conn, r *http.Request, _ int) bool {
 		write(c, "HTTP/1.1 200 OK\r\nId: "+r.Header.Get("Id")+"\r\nKeep-Alive: max=9, timeout=0\r\nContent-Length: 0\r\n\r\n")
 		return true
@@ -178,13 +178,13 @@
 	require.EqualValues(t, 2, u.conns.Load())
 }
 
-func TestWhatIsNotAWholeAnswerIsAFailureThatMayHaveRun(t *testing.T) {
+func TestWithoutAWholeResponseARequestMayHaveRun(t *testing.T) {
 	cases := map[string]script{
 		"reset":         func(c net.Conn, _ *http.Request, _ int) bool { reset(c); return false },
 		"closed":        func(net.Conn, *http.Request, int) bool { return false },
 		"no protocol":   func(c net.Conn, _ *http.Request, _ int) bool { write(c, "\x00\x01 rubbish\r\n\r\n"); return false },
 		"half a header": func(c net.Conn, _ *http.Request, _ int) bool { write(c, "HTTP/1.1 200 OK\r\nId: r"); return false },
-		"no answer":     func(net.Conn, *http.Request, int) bool { time.Sleep(1500 * time.Millisecond); return false },
+		"no response":   func(net.Conn, *http.Request, int) bool { time.Sleep(1500 * time.Millisecond); return false },
 		"only another's": func(c net.Conn, _ *http.Request, _ int) bool {
 			write(c, ok("another", "x"))
 			return false
@@ -200,7 +200,7 @@
 	}
 }
 
-func TestABodyThatBreaksOffIsNoEnd(t *testing.T) {
+func TestABodyThatBreaksOffNeverLooksComplete(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nId: r\r\n"
 	cases := map[string]script{
 		"length": func(c net.Conn, _ *http.Request, _ int) bool {
@@ -227,7 +227,7 @@
 	}
 }
 
-func TestAnAnswerWithoutALengthEndsWithItsConnection(t *testing.T) {
+func TestAResponseWithoutALengthEndsWithItsConnection(t *testing.T) {
 	u := start(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		write(c, "HTTP/1.1 200 OK\r\nId: r\r\n\r\nwhole")
 		return false
@@ -251,7 +251,7 @@
 	require.Equal(t, verdict.Unreachable, verdict.From(err).Reason)
 }
 
-// A caller that leaves closes the connection, so that the upstream stops.
+// A client that leaves closes the connection, so that the upstream stops.
 func TestAContextThatEndsClosesTheConnection(t *testing.T) {
 	closed := make(chan struct{})
 	u := start(t, func(c net.Conn, _ *http.Request, _ int) bool {
@@ -271,7 +271,7 @@
 	}
 }
 
-func TestForgetClosesWhatIsGone(t *testing.T) {
+func TestRetainClosesConnectionsToRemovedUpstreams(t *testing.T) {
 	u := start(t, func(c net.Conn, r *http.Request, _ int) bool {
 		write(c, ok(r.Header.Get("Id"), strings.Repeat("x", 9000)))
 		return true
