--- a/internal/gateway/proxy/refuse_test.go
+++ b/internal/gateway/proxy/refuse_test.go
@@ -54,7 +54,7 @@
 		{bodyIncomplete(io.ErrUnexpectedEOF), verdict.BadRequest},
 		{notChosen(balance.Overloaded, "s", first), verdict.Full},
 		{notChosen(balance.WarmUpLimited, "s", first), verdict.Warming},
-		{notChosen(balance.NoCandidates, "s", balance.Choice{}), verdict.NoUpstream},
+		{notChosen(balance.NoUpstream, "s", balance.Choice{}), verdict.NoUpstream},
 	} {
 		t.Run(string(c.reason), func(t *testing.T) {
 			e := verdict.From(c.err)
