--- a/internal/gateway/exchange/pool.go
+++ b/internal/gateway/exchange/pool.go
@@ -26,7 +26,8 @@
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 // Pool keeps idle connections by the upstream that they lead to. Addresses pass
-// from one upstream to another, ids do not.
+// from one upstream to another, ids do not. Errors of closing a connection are
+// dropped: no request is in flight on it.
 type Pool struct {
 	dial Dial
 
--- a/internal/gateway/exchange/roundtrip.go
+++ b/internal/gateway/exchange/roundtrip.go
@@ -109,7 +109,7 @@
 // may have reached the upstream.
 func (x *roundTrip) fail(ctx context.Context, err error, sent bool) error {
 	x.stop()
-	_ = x.conn.Close()
+	_ = x.conn.Close() // err says what went wrong first
 	return responseError(ctx, x.target, err, sent)
 }
 
--- a/internal/gateway/proxy/attempt.go
+++ b/internal/gateway/proxy/attempt.go
@@ -57,7 +57,8 @@
 	if state != replaced {
 		return resp, err
 	}
-	if err == nil { // it arrived at the moment it was canceled
+	if err == nil {
+		// It arrived at the moment it was canceled, and is not used.
 		_ = resp.Body.Close()
 	}
 	f.retryGranted = true
@@ -78,7 +79,7 @@
 	if _, err := io.CopyN(io.Discard, resp.Body, maxRefusal); err != nil && !errors.Is(err, io.EOF) {
 		e.Detail += ", and the response broke off"
 	}
-	_ = resp.Body.Close()
+	_ = resp.Body.Close() // the attempt has failed already
 	return nil, e
 }
 
--- a/internal/gateway/proxy/proxy.go
+++ b/internal/gateway/proxy/proxy.go
@@ -53,16 +53,26 @@
 
 // Options are the parts of a Proxy. All are required.
 type Options struct {
-	State    *routing.State
+	// State has the configuration and the upstreams.
+	State *routing.State
+	// Balancer chooses an upstream for each attempt.
 	Balancer *balance.Balancer
+	// Detector judges upstreams by how attempts end.
 	Detector *outlier.Detector
-	Budget   *retry.Budget
-	Client   *exchange.Client
-	Codec    Codec
-	Hosts    Hosts
-	Ages     Ages
-	Log      *eventlog.Log
-	Metrics  *telemetry.Metrics
+	// Budget bounds the requests sent more than once.
+	Budget *retry.Budget
+	// Client sends attempts to upstreams.
+	Client *exchange.Client
+	// Codec reads requests' headers and writes error responses.
+	Codec Codec
+	// Hosts counts the hosts that share the retry budget.
+	Hosts Hosts
+	// Ages are logged with each request.
+	Ages Ages
+	// Log is the decision log.
+	Log *eventlog.Log
+	// Metrics counts refusals and failures, and the time of requests.
+	Metrics *telemetry.Metrics
 	// Tracer makes a span for each request and each attempt.
 	Tracer trace.Tracer
 }
--- a/internal/gateway/proxy/response.go
+++ b/internal/gateway/proxy/response.go
@@ -120,6 +120,6 @@
 
 // close returns or closes the upstream's connection and reports the end.
 func (r *response) close() {
-	_ = r.rest.Close()
+	_ = r.rest.Close() // r.failed says whether the body was read whole
 	r.done(r.failed)
 }
--- a/internal/gateway/proxy/retryafter.go
+++ b/internal/gateway/proxy/retryafter.go
@@ -10,11 +10,12 @@
 const (
 	// overloadPause is the least time after which a client that was refused for
 	// load should return: an upstream that is full needs about as long to work
-	// its queue off. Fixed pauses of 150, 300 and 600 ms left more requests
-	// refused for good than 350 to 750 ms: 0.010, now 0.007 on cacf-ruteo
-	// scale-1; 0.042, now 0.034 on renkoda-mix scale-1 (docs/design/platform.md).
+	// its queue off. Against a fixed 150 ms, 350 to 750 ms lowered the share of
+	// requests refused for good from 0.010 to 0.007 (cacf-ruteo scale-1) and from
+	// 0.042 to 0.034 (renkoda-mix scale-1); a fixed 300 and 600 ms did less
+	// (docs/design/platform.md).
 	overloadPause = 350 * time.Millisecond
-	// overloadJitter is the most that is added to overloadPause by chance, so
+	// overloadJitter is the most that is added to overloadPause at random, so
 	// that clients refused together do not return together. Measured with it.
 	overloadJitter = 400 * time.Millisecond
 	// failurePause is when a client should return whose request did not run for
@@ -28,7 +29,7 @@
 	startPause = 200 * time.Millisecond
 )
 
-// pauseRange is a time to wait: least, and up to jitter more by chance.
+// pauseRange is a time to wait: least, and up to jitter more at random.
 type pauseRange struct {
 	least  time.Duration
 	jitter time.Duration
@@ -36,9 +37,10 @@
 
 // retryAfter is the rule for the Retry-After of an error response, by the final
 // verdict and its reason. Only a request that did not run has one: the client is
-// not asked to repeat what may have run. A request that breaks a limit or has no
-// route has none either, as it would be refused again. The platform's clients
-// wait as asked, but no longer than a third of the time that they have left.
+// not asked to repeat what may have run. A request that breaks a limit, has no
+// route or was not received whole has none either: returning as it is, it would
+// be refused again. The platform's clients wait as asked, but no longer than a
+// third of the time that they have left.
 func retryAfter(v verdict.Verdict, r verdict.Reason) pauseRange {
 	if v != verdict.NotRun {
 		return pauseRange{}
@@ -55,7 +57,7 @@
 	}
 }
 
-// draw gives a time of the range by chance.
+// draw picks a time of the range at random.
 func (p pauseRange) draw() time.Duration {
 	if p.jitter == 0 {
 		return p.least
--- a/internal/gateway/proxy/server.go
+++ b/internal/gateway/proxy/server.go
@@ -75,7 +75,8 @@
 // Failed gives the errors of listeners that ended by themselves.
 func (s *Server) Failed() <-chan error { return s.failed }
 
-// Close closes all listeners and connections at once.
+// Close closes all listeners and connections at once. Errors are dropped, as the
+// process ends after it.
 func (s *Server) Close() {
 	_ = s.clients.Close()
 	for _, other := range s.others {
