--- a/cmd/gateway.go
+++ b/cmd/gateway.go
@@ -15,6 +15,7 @@
 
 	"github.com/google/subcommands"
 	"github.com/oklog/ulid/v2"
+	"github.com/rs/zerolog"
 	"go.opentelemetry.io/otel/trace"
 
 	"cairndock/internal/gateway/balance"
@@ -113,7 +114,7 @@
 func newGatewayNode(set settings.Gateway, out io.Writer, tracer trace.Tracer) *gatewayNode {
 	n := &gatewayNode{settings: set, metrics: telemetry.NewMetrics(), tracer: tracer}
 	n.timing = watch.TimingFor(set.Limits.Staleness())
-	n.log = eventlog.New(out, set.Host.Name, n.metrics)
+	n.log = eventlog.New(out, set.Host.Name, zerolog.InfoLevel, n.metrics)
 	n.judge = outlier.New(n)
 	n.knowledge = routing.New(platform.Decoder{Zones: set.Zones}, n.log, n.metrics)
 	store := platform.NewStore(set.Store.Address, dialer(storeDialTimeout).DialContext)
--- a/internal/gateway/eventlog/log.go
+++ b/internal/gateway/eventlog/log.go
@@ -45,15 +45,17 @@
 	dropped      atomic.Int64
 }
 
-// New makes a log that writes JSON lines to w until Close.
-func New(w io.Writer, host string, m *telemetry.Metrics) *Log {
+// New makes a log that writes JSON lines to w until Close. Lines below the
+// least level are not written and not counted as left out: decisions and state
+// changes are of level info, the report of lines left out is a warning.
+func New(w io.Writer, host string, least zerolog.Level, m *telemetry.Metrics) *Log {
 	l := &Log{
 		queue: make(chan []byte, queued), done: make(chan struct{}), stopped: make(chan struct{}), metrics: m,
 		stateChanges: rate.NewLimiter(stateChangesPerSecond, 2*stateChangesPerSecond),
 		failures:     rate.NewLimiter(failuresPerSecond, 2*failuresPerSecond),
 		sampled:      rate.NewLimiter(sampledPerSecond, 2*sampledPerSecond),
 	}
-	l.out = zerolog.New(enqueuer{l}).With().Str("host", host).Logger().Hook(stamp{})
+	l.out = zerolog.New(enqueuer{l}).Level(least).With().Str("host", host).Logger().Hook(stamp{})
 	go l.write(w)
 	return l
 }
@@ -134,8 +136,15 @@
 // Sampled reports whether a request's lines are all written, on every host.
 func Sampled(requestID string) bool { return xxhash.Sum64String(requestID)%sampleOne == 0 }
 
+// writesInfo reports whether lines of level info are written. It is asked
+// before the rate limits, so that a line below the level is no line left out.
+func (l *Log) writesInfo() bool { return l.out.GetLevel() <= zerolog.InfoLevel }
+
 // belief gives a line on what the process believes; nil when it is left out.
 func (l *Log) stateChange(name string) *zerolog.Event {
+	if !l.writesInfo() {
+		return nil
+	}
 	if !l.stateChanges.Allow() {
 		l.drop()
 		return nil
@@ -145,6 +154,9 @@
 
 // request gives a line on a request; nil when it is not written.
 func (l *Log) request(name, id string, failed bool) *zerolog.Event {
+	if !l.writesInfo() {
+		return nil
+	}
 	limiter := l.sampled
 	if failed {
 		limiter = l.failures
--- a/internal/gateway/eventlog/log_test.go
+++ b/internal/gateway/eventlog/log_test.go
@@ -7,8 +7,10 @@
 	"strings"
 	"sync"
 	"testing"
+	"testing/synctest"
 	"time"
 
+	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
 	"cairndock/internal/gateway/eventlog"
@@ -61,7 +63,7 @@
 
 func TestAFailedRequestIsToldWithWhatDecidedIt(t *testing.T) {
 	var b buffer
-	l := eventlog.New(&b, "host-1", telemetry.NewMetrics())
+	l := eventlog.New(&b, "host-1", zerolog.InfoLevel, telemetry.NewMetrics())
 	l.Attempt(eventlog.Attempt{Request: "r1", Route: "route", Service: "s", Upstream: "i-1", Number: 1, Config: 7, Load: 0.5, LoadAge: 20 * time.Millisecond, Outcome: "upstream-failed", Failed: true, Took: time.Second, Detail: "reset"})
 	l.Final(eventlog.Final{Request: "r1", Config: 7, Status: 502, Verdict: "may-have-run", Reason: "upstream-failed", Failed: true})
 	l.Close()
@@ -76,7 +78,7 @@
 
 func TestOnlySampledSuccessesAreTold(t *testing.T) {
 	var b buffer
-	l := eventlog.New(&b, "h", telemetry.NewMetrics())
+	l := eventlog.New(&b, "h", zerolog.InfoLevel, telemetry.NewMetrics())
 	id := sampledID(t)
 	l.Final(eventlog.Final{Request: id})
 	l.Final(eventlog.Final{Request: id + "-unlikely-1"})
@@ -89,7 +91,7 @@
 func TestAReaderThatStopsReadingDelaysNothing(t *testing.T) {
 	s := stuck{release: make(chan struct{})}
 	m := telemetry.NewMetrics()
-	l := eventlog.New(s, "h", m)
+	l := eventlog.New(s, "h", zerolog.InfoLevel, m)
 	began := time.Now()
 	for i := range 20_000 {
 		l.Final(eventlog.Final{Request: strconv.Itoa(i), Failed: true})
@@ -105,7 +107,7 @@
 
 func TestAFloodOfFailuresLeavesRoomForBeliefs(t *testing.T) {
 	var b buffer
-	l := eventlog.New(&b, "h", telemetry.NewMetrics())
+	l := eventlog.New(&b, "h", zerolog.InfoLevel, telemetry.NewMetrics())
 	for i := range 5_000 {
 		l.Final(eventlog.Final{Request: strconv.Itoa(i), Failed: true})
 	}
@@ -115,3 +117,41 @@
 	require.Less(t, len(lines), 400)
 	require.Equal(t, "lost", lines[len(lines)-1]["event"])
 }
+
+func TestTheLeastLevelLeavesOutInfoWithoutCountingIt(t *testing.T) {
+	for _, c := range []struct {
+		least zerolog.Level
+		lines int
+	}{{zerolog.DebugLevel, 2}, {zerolog.InfoLevel, 2}, {zerolog.WarnLevel, 0}, {zerolog.ErrorLevel, 0}} {
+		t.Run(c.least.String(), func(t *testing.T) {
+			var b buffer
+			m := telemetry.NewMetrics()
+			l := eventlog.New(&b, "h", c.least, m)
+			l.Final(eventlog.Final{Request: "r", Failed: true})
+			l.Config(1, 1)
+			l.Close()
+			require.Len(t, b.lines(t), c.lines)
+			var text bytes.Buffer
+			m.Write(&text)
+			require.NotContains(t, text.String(), "cairndock_log_lines_left_out_total")
+		})
+	}
+}
+
+func TestLinesLeftOutAreReportedAsAWarning(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		var b buffer
+		l := eventlog.New(&b, "h", zerolog.InfoLevel, telemetry.NewMetrics())
+		const calls = 5_000
+		for i := range calls {
+			l.Final(eventlog.Final{Request: strconv.Itoa(i), Failed: true})
+		}
+		time.Sleep(6 * time.Second) // past the next report
+		l.Close()
+		lines := b.lines(t)
+		last := lines[len(lines)-1]
+		require.Equal(t, "warn", last["level"])
+		require.Equal(t, "log-lines-left-out", last["event"])
+		require.EqualValues(t, calls-(len(lines)-1), last["lines"])
+	})
+}
--- a/internal/gateway/proxy/proxy_test.go
+++ b/internal/gateway/proxy/proxy_test.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"github.com/rotisserie/eris"
+	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 	"go.opentelemetry.io/otel/trace"
 	"go.opentelemetry.io/otel/trace/noop"
@@ -148,7 +149,7 @@
 	t.Helper()
 	w := &world{t: t, log: &lines{}}
 	m := telemetry.NewMetrics()
-	log := eventlog.New(w.log, "h", m)
+	log := eventlog.New(w.log, "h", zerolog.InfoLevel, m)
 	t.Cleanup(log.Close)
 	w.knowledge = routing.New(decoder{}, log, m)
 	dial := exchange.Dialer{Timeout: 200 * time.Millisecond, Unacknowledged: time.Second}
