--- /dev/null
+++ b/internal/gateway/eventlog/events.go
@@ -0,0 +1,180 @@
+package eventlog
+
+import (
+	"time"
+
+	"cairndock/internal/gateway/outlier"
+	"cairndock/internal/gateway/upstream"
+)
+
+// Values of the field "event" that a reader of the log looks for.
+const (
+	// EventAttempt is one attempt of a request at one upstream.
+	EventAttempt = "attempt"
+	// EventFinal is the response that the client got, one for each request.
+	EventFinal = "final"
+	// EventUpstream is a changed state of one upstream.
+	EventUpstream = "upstream"
+	// EventEjected is an upstream that is ejected for a time.
+	EventEjected = "ejected"
+	// EventLost is a dependency that stopped responding.
+	EventLost = "lost"
+)
+
+// OutcomeAnswered is the outcome of an attempt whose response was accepted. A
+// failed attempt has the reason of its failure instead (verdict.Reason).
+const OutcomeAnswered = "answered"
+
+// Attempt describes one attempt of a request at one upstream.
+type Attempt struct {
+	// Request is the id that the client gave the request.
+	Request  string
+	Route    string
+	Service  string
+	Upstream string
+	Zone     string
+	// Key is the request's affinity key, or empty.
+	Key string
+	// Number counts the request's attempts from 1.
+	Number int
+	// Config is the version of the operator configuration that applied.
+	Config int64
+	// Load is the upstream's load in multiples of its capacity, as this host
+	// estimated it when it chose the upstream.
+	Load float64
+	// LoadAge is the age of the upstream's last load report; negative if it
+	// never sent one.
+	LoadAge time.Duration
+	// Rank is the upstream's place in the key's preference list, from 0.
+	Rank int
+	// Cold is set if the upstream was warming up.
+	Cold bool
+	// Outcome is OutcomeAnswered or the reason of the failure.
+	Outcome string
+	// Status is the upstream's HTTP status; 0 without a response.
+	Status int
+	// Failed is set unless the response was accepted.
+	Failed bool
+	Took   time.Duration
+	// Detail is one sentence on a failure.
+	Detail string
+}
+
+// Attempt logs how an attempt ended.
+func (l *Log) Attempt(a Attempt) {
+	e := l.requestEvent(EventAttempt, a.Request, a.Failed)
+	if e == nil {
+		return
+	}
+	e.Str("route", a.Route).Str("service", a.Service).Str("upstream", a.Upstream).Str("zone", a.Zone).
+		Str("key", a.Key).Int("attempt", a.Number).Int64("config", a.Config).Float64("load", a.Load).Float64("load_age_ms", ms(a.LoadAge)).
+		Int("rank", a.Rank).Bool("cold", a.Cold).Str("outcome", a.Outcome).Int("status", a.Status).
+		Float64("took_ms", ms(a.Took)).Str("detail", a.Detail).Msg("request: attempt ended")
+}
+
+// Final describes the response that the client got.
+type Final struct {
+	// Request is the id that the client gave the request.
+	Request string
+	// Route and Service are empty if no route matched.
+	Route   string
+	Service string
+	// Attempts is how many upstreams the request was sent to.
+	Attempts int
+	// Config is the version of the operator configuration that applied; 0 if
+	// the host had none.
+	Config int64
+	// ConfigAge and UpstreamsAge are the ages of the two watched tables: how
+	// long ago a source last confirmed them.
+	ConfigAge    time.Duration
+	UpstreamsAge time.Duration
+	// Status is the HTTP status that the client got.
+	Status int
+	// Verdict says whether the request may have run (verdict.Verdict).
+	Verdict string
+	// Reason is the reason of a response that the gateway generated
+	// (verdict.Reason); empty if an upstream's response was forwarded.
+	Reason string
+	// Failed is set if the gateway generated the response.
+	Failed bool
+	// Took runs from the request's arrival.
+	Took time.Duration
+	// Detail is one sentence on a failure.
+	Detail string
+}
+
+// Final logs the response that the client got.
+func (l *Log) Final(f Final) {
+	e := l.requestEvent(EventFinal, f.Request, f.Failed)
+	if e == nil {
+		return
+	}
+	e.Str("route", f.Route).Str("service", f.Service).Int("attempts", f.Attempts).Int64("config", f.Config).
+		Float64("config_age_ms", ms(f.ConfigAge)).Float64("upstreams_age_ms", ms(f.UpstreamsAge)).
+		Int("status", f.Status).Str("verdict", f.Verdict).Str("reason", f.Reason).
+		Float64("took_ms", ms(f.Took)).Str("detail", f.Detail).Msg("request: final response")
+}
+
+// Config logs that a version of the operator configuration was applied.
+func (l *Log) Config(version int64, routes int) {
+	if e := l.stateEvent("config"); e != nil {
+		e.Int64("version", version).Int("routes", routes).Msg("config: applied")
+	}
+}
+
+// BadRow logs a table's row that could not be decoded and was not applied.
+func (l *Log) BadRow(table, key string, version int64, err error) {
+	if e := l.stateEvent("bad-row"); e != nil {
+		e.Str("table", table).Str("key", key).Int64("version", version).Err(err).Msg("row: can't be decoded, not applied")
+	}
+}
+
+// Ejected logs that an upstream is ejected for a time, with the observations
+// that led to it, and counts the ejection.
+func (l *Log) Ejected(o outlier.Ejection) {
+	l.metrics.Count("cairndock_ejections_total")
+	if e := l.stateEvent(EventEjected); e != nil {
+		e.Str("upstream", o.Upstream).Int("bad", o.Failures).Int("good", o.Successes).Int("hosts", o.Hosts).
+			Float64("for_ms", ms(o.For)).Msg("upstream: ejected, avoided for a time")
+	}
+}
+
+// Upstream logs an upstream's new state, as of a version of the table.
+func (l *Log) Upstream(id string, r upstream.Registration, state string, version int64) {
+	if e := l.stateEvent(EventUpstream); e != nil {
+		e.Str("upstream", id).Str("service", r.Service).Str("zone", r.Zone).Str("state", state).
+			Int64("version", version).Float64("cold_ms", ms(r.ColdLeft)).Msg("upstream: state changed")
+	}
+}
+
+// Evacuated logs the zones that get no requests.
+func (l *Log) Evacuated(zones []string, version int64) {
+	if e := l.stateEvent("evacuated"); e != nil {
+		e.Strs("zones", zones).Int64("version", version).Msg("evacuation: zones changed")
+	}
+}
+
+// Lost logs that a dependency stopped responding.
+func (l *Log) Lost(kind, name string, err error) {
+	if e := l.stateEvent(EventLost); e != nil {
+		e.Str("dependency", kind).Str("name", name).Err(err).Msg("dependency: lost")
+	}
+}
+
+// Regained logs that a dependency responds again, after an outage of the
+// given length.
+func (l *Log) Regained(kind, name string, after time.Duration) {
+	if e := l.stateEvent("regained"); e != nil {
+		e.Str("dependency", kind).Str("name", name).Float64("after_ms", ms(after)).Msg("dependency: regained")
+	}
+}
+
+// Process logs a step in the process's life: start, reload, stop or stopped.
+func (l *Log) Process(step, detail string) {
+	if e := l.stateEvent(step); e != nil {
+		e.Str("detail", detail).Msg("process: " + step)
+	}
+}
+
+// ms converts a duration to milliseconds, the unit of all logged durations.
+func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/internal/gateway/eventlog/log_test.go
+++ b/internal/gateway/eventlog/log_test.go
@@ -17,7 +17,7 @@
 	"cairndock/internal/telemetry"
 )
 
-// buffer is a writer that can be read while it is written.
+// buffer is a writer that may be read while the log writes.
 type buffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -42,7 +42,7 @@
 	return out
 }
 
-// stuck is a reader that stopped reading.
+// stuck is a writer whose far end does not read until release is closed.
 type stuck struct{ release chan struct{} }
 
 func (s stuck) Write(p []byte) (int, error) {
@@ -61,7 +61,7 @@
 	return ""
 }
 
-func TestAFailedRequestIsToldWithWhatDecidedIt(t *testing.T) {
+func TestAFailedRequestIsLoggedWithItsDecision(t *testing.T) {
 	var b buffer
 	l := eventlog.New(&b, "host-1", zerolog.InfoLevel, telemetry.NewMetrics())
 	l.Attempt(eventlog.Attempt{Request: "r1", Route: "route", Service: "s", Upstream: "i-1", Number: 1, Config: 7, Load: 0.5, LoadAge: 20 * time.Millisecond, Outcome: "upstream-failed", Failed: true, Took: time.Second, Detail: "reset"})
@@ -76,7 +76,7 @@
 	require.Equal(t, "may-have-run", lines[1]["verdict"])
 }
 
-func TestOnlySampledSuccessesAreTold(t *testing.T) {
+func TestOnlySampledSuccessesAreLogged(t *testing.T) {
 	var b buffer
 	l := eventlog.New(&b, "h", zerolog.InfoLevel, telemetry.NewMetrics())
 	id := sampledID(t)
@@ -105,7 +105,7 @@
 	close(s.release)
 }
 
-func TestAFloodOfFailuresLeavesRoomForBeliefs(t *testing.T) {
+func TestAFloodOfFailuresHidesNoStateChange(t *testing.T) {
 	var b buffer
 	l := eventlog.New(&b, "h", zerolog.InfoLevel, telemetry.NewMetrics())
 	for i := range 5_000 {
