--- a/internal/gateway/eventlog/events.go
+++ b/internal/gateway/eventlog/events.go
@@ -42,8 +42,8 @@
 	// Load is the upstream's load in multiples of its capacity, as this host
 	// estimated it when it chose the upstream.
 	Load float64
-	// LoadAge is the age of the upstream's last load report; negative if it
-	// never sent one.
+	// LoadAge is the age of the upstream's last load report; -1 if it never
+	// sent one, which is written as 0 ms.
 	LoadAge time.Duration
 	// Rank is the upstream's place in the key's preference list, from 0.
 	Rank int
--- a/internal/gateway/reqtrace/cause.go
+++ b/internal/gateway/reqtrace/cause.go
@@ -1,70 +1,79 @@
 package reqtrace
 
-import "fmt"
+import (
+	"fmt"
+	"strconv"
+	"strings"
 
-// staleFrom is the age, in milliseconds, from which on what a host knows may
-// itself be a cause.
-const staleAbove = 4000
+	"cairndock/internal/gateway/eventlog"
+	"cairndock/internal/verdict"
+)
 
-// Cause says in words why the request ended as it did.
+// staleAboveMS is the age of a host's tables, in milliseconds, from which on it
+// may be a cause itself. Chosen, not measured: twice the 2 s within which a
+// change must be applied by default.
+const staleAboveMS = 4000
+
+// causes gives the cause of each reason that the gateway itself responds with.
+// {upstream} is the upstream of the attempt that decided, {service}, {config}
+// and {detail} are those of the final response.
+var causes = map[verdict.Reason]string{
+	verdict.Full:            "overload: every upstream that may serve the request was full; it did not run",
+	verdict.Warming:         "every upstream with capacity was warming up and this host had used its warm-up quota; the request did not run",
+	verdict.NoUpstream:      "no eligible upstream of {service}: all are draining, evacuated or outside the allowed regions",
+	verdict.NotReady:        "the host had just started and had no configuration yet",
+	verdict.UnknownRoute:    "no route matches the request in configuration {config}",
+	verdict.UpstreamShed:    "load shed by the upstreams, last by {upstream}: they were full",
+	verdict.Unreachable:     "could not connect to upstream {upstream}: it is gone, cut off or overloaded",
+	verdict.Misdirected:     "the address of upstream {upstream} belongs to another upstream now: {upstream} has ended",
+	verdict.DeadlineLapsed:  "deadline exceeded waiting for upstream {upstream} (no response received)",
+	verdict.Stopping:        "the host was stopping and the request had not been sent to an upstream; it did not run",
+	verdict.Interrupted:     "the host was stopping and the response did not arrive within its grace period",
+	verdict.CallerLeft:      "the client disconnected before there was a response",
+	verdict.UpstreamFailed:  "upstream {upstream} failed: {detail}",
+	verdict.AnswerTruncated: "the response of upstream {upstream} broke off: {detail}",
+}
+
+// Cause says in one sentence why the request ended as it did.
 func (t Trace) Cause() string {
-	last := t.Lines[len(t.Lines)-1]
-	if last.Event != "final" {
-		return "unknown: the final answer's line is missing, the host may have ended before it"
+	final, ok := t.final()
+	if !ok {
+		return "unknown: the line of the final response is missing (left out, or the host ended before it)"
 	}
-	cause := t.cause(last)
-	if stale := max(last.ConfigAge, last.StateAge); stale > staleAbove {
-		cause += fmt.Sprintf("; the host's knowledge was %.1f s old", stale/1000)
+	cause := t.causeOf(final)
+	if age := max(final.ConfigAgeMS, final.UpstreamsAgeMS); age > staleAboveMS {
+		cause += fmt.Sprintf("; the host's tables were last confirmed %.1f s earlier", age/1000)
 	}
 	return cause
 }
 
-func (t Trace) cause(final Line) string {
+func (t Trace) causeOf(final line) string {
 	if final.Reason == "" {
-		if n := len(t.Lines) - 1; n > 1 {
-			return fmt.Sprintf("served, after %d attempts: %s first", n, t.Lines[0].Outcome)
-		}
-		return "served"
+		return t.servedText(final)
 	}
-	failed := t.lastFailure()
-	switch final.Reason {
-	case "full":
-		return "refused for overload: every upstream that it may go to was full, nothing ran"
-	case "warming":
-		return "refused: the homes of its key were cold and had their share of requests, nothing ran"
-	case "no-upstream":
-		return "refused: no upstream of " + final.Service + " may serve it (all drain, are evacuated or are in regions not allowed)"
-	case "not-ready":
-		return "refused: the host had just started and knew no configuration"
-	case "unknown-route":
-		return fmt.Sprintf("no route matches it in configuration %d", final.Config)
-	case "upstream-shed":
-		return "refused by the upstreams themselves, " + failed.Upstream + " last: they were full"
-	case "unreachable":
-		return "no connection to upstream " + failed.Upstream + ": it is gone, cut off or overloaded"
-	case "misdirected":
-		return "another instance has the address of upstream " + failed.Upstream + ", which is gone"
-	case "deadline-lapsed":
-		return fmt.Sprintf("time ran out waiting for upstream %s: it was slow, was lost, or its answer was", failed.Upstream)
-	case "stopping":
-		return "the host had to end before the request was sent anywhere, nothing ran"
-	case "interrupted":
-		return "the host had to end before the answer came: the request takes longer than the grace of a planned stop"
-	case "caller-left":
-		return "its caller left before there was an answer"
-	case "upstream-failed", "answer-truncated":
-		return "upstream " + failed.Upstream + " failed: " + failed.Detail
-	default:
-		return final.Reason + ": " + final.Detail
+	cause, ok := causes[final.Reason]
+	if !ok {
+		return string(final.Reason) + ": " + final.Detail
 	}
+	upstream := "(its attempt is not in the logs)"
+	if attempt, ok := t.decisive(final); ok {
+		upstream = attempt.Upstream
+	}
+	return strings.NewReplacer(
+		"{upstream}", upstream,
+		"{service}", final.Service,
+		"{config}", strconv.FormatInt(final.Config, 10),
+		"{detail}", final.Detail,
+	).Replace(cause)
 }
 
-// lastFailure gives the last attempt that failed, or an empty line.
-func (t Trace) lastFailure() Line {
-	for i := len(t.Lines) - 1; i >= 0; i-- {
-		if l := t.Lines[i]; l.Event == "attempt" && l.Outcome != "answered" {
-			return l
-		}
+func (t Trace) servedText(final line) string {
+	if final.Attempts <= 1 {
+		return "served"
+	}
+	text := fmt.Sprintf("served after %d attempts", final.Attempts)
+	if first := t.lines[0]; first.Event == eventlog.EventAttempt {
+		text += fmt.Sprintf(" (attempt %d: %s)", first.Attempt, first.Outcome)
 	}
-	return Line{Upstream: "(none)"}
+	return text
 }
--- /dev/null
+++ b/internal/gateway/reqtrace/print.go
@@ -0,0 +1,56 @@
+package reqtrace
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"cairndock/internal/gateway/eventlog"
+)
+
+// String gives a line for each step, and the cause.
+func (t Trace) String() string {
+	var b strings.Builder
+	for _, l := range t.stateChanges {
+		fmt.Fprintf(&b, "%s %s before: %s\n", l.Time.Format(time.TimeOnly), l.Host, stateChangeText(l))
+	}
+	for _, l := range t.lines {
+		fmt.Fprintf(&b, "%s %s %s\n", l.Time.Format(time.TimeOnly), l.Host, stepText(l))
+	}
+	fmt.Fprintf(&b, "cause: %s\n", t.Cause())
+	return b.String()
+}
+
+func stateChangeText(l line) string {
+	switch l.Event {
+	case eventlog.EventLost:
+		return fmt.Sprintf("lost %s %s: %s", l.Dependency, l.Name, l.Error)
+	case eventlog.EventEjected:
+		return fmt.Sprintf("ejected upstream %s for %.0f ms: %d failures and %d successes, failures seen by %d hosts",
+			l.Upstream, l.ForMS, l.Failures, l.Successes, l.Hosts)
+	default:
+		return fmt.Sprintf("upstream %s is %s", l.Upstream, l.State)
+	}
+}
+
+func stepText(l line) string {
+	text := fmt.Sprintf("final response %d after %.0f ms and %d attempts: %s %s (configuration %d confirmed %.0f ms earlier, upstreams %.0f ms)",
+		l.Status, l.TookMS, l.Attempts, l.Verdict, l.Reason, l.Config, l.ConfigAgeMS, l.UpstreamsAgeMS)
+	if l.Event == eventlog.EventAttempt {
+		text = fmt.Sprintf("attempt %d to %s in %s (preference %d of its key, %s, cold %t, configuration %d): %s after %.0f ms",
+			l.Attempt, l.Upstream, l.Zone, l.Rank+1, loadText(l), l.Cold, l.Config, l.Outcome, l.TookMS)
+	}
+	if l.Detail == "" {
+		return text
+	}
+	return text + ": " + l.Detail
+}
+
+// loadText gives the load and how old the report was that it is based on. A
+// report's age is 0 if there was none.
+func loadText(l line) string {
+	if l.LoadAgeMS == 0 {
+		return fmt.Sprintf("load %.2f, never reported", l.Load)
+	}
+	return fmt.Sprintf("load %.2f reported %.0f ms earlier", l.Load, max(0, l.LoadAgeMS))
+}
--- a/internal/gateway/reqtrace/trace.go
+++ b/internal/gateway/reqtrace/trace.go
@@ -1,139 +1,83 @@
-// Package trail reads structured logs and follows one request through them,
-// over all hosts, to the cause of its failure.
+// Package reqtrace follows one request through the logs of all hosts and states
+// the cause of its end. It reads the lines that internal/gateway/eventlog writes,
+// in any order, and needs nothing else; `cairndock trace` prints its result.
+// docs/OPERATIONS.md shows it on three failures.
 package reqtrace
 
 import (
 	"bufio"
-	"bytes"
-	"cmp"
-	"encoding/json"
-	"fmt"
 	"io"
 	"slices"
-	"strings"
 	"time"
 
 	"github.com/rotisserie/eris"
-)
 
-// maxLine bounds a line of a log, in bytes.
-const maxLine = 1 << 20
+	"cairndock/internal/gateway/eventlog"
+)
 
-// Line is one line of a structured log.
-type Line struct {
-	Host      string    `json:"host"`
-	Event     string    `json:"event"`
-	Time      time.Time `json:"time"`
-	Request   string    `json:"request"`
-	Route     string    `json:"route"`
-	Service   string    `json:"service"`
-	Upstream  string    `json:"upstream"`
-	Zone      string    `json:"zone"`
-	Attempt   int       `json:"attempt"`
-	Attempts  int       `json:"attempts"`
-	Config    int64     `json:"config"`
-	Load      float64   `json:"load"`
-	LoadAge   float64   `json:"load_age_ms"`
-	Rank      int       `json:"rank"`
-	Cold      bool      `json:"cold"`
-	Outcome   string    `json:"outcome"`
-	Status    int       `json:"status"`
-	Verdict   string    `json:"verdict"`
-	Reason    string    `json:"reason"`
-	Took      float64   `json:"took_ms"`
-	ConfigAge float64   `json:"config_age_ms"`
-	StateAge  float64   `json:"upstreams_age_ms"`
-	Detail    string    `json:"detail"`
-	// Dependency, Name and Error are those of a dependency that was lost.
-	Dependency string `json:"dependency"`
-	Name       string `json:"name"`
-	Error      string `json:"error"`
-	State      string `json:"state"`
-	// Bad, Good, Hosts and For are those of an upstream that is avoided.
-	Bad   int     `json:"bad"`
-	Good  int     `json:"good"`
-	Hosts int     `json:"hosts"`
-	For   float64 `json:"for_ms"`
-}
+const (
+	// maxLine is the longest line that is read, in bytes; a longer one is an
+	// error. Chosen, not measured: far above any line of the log.
+	maxLine = 1 << 20
+	// firstBuffer is the reader's buffer to begin with, in bytes.
+	firstBuffer = 64 << 10
+	// lookBack is how long before a request's end a state change may have
+	// decided it. Chosen, not measured.
+	lookBack = 15 * time.Second
+)
 
-// Trail is what logs tell of one request.
+// Trace is what the logs say about one request.
 type Trace struct {
-	// Lines are the request's own, in the order of time.
-	Lines []Line
-	// Around are what the same hosts came to believe shortly before: lost
-	// dependencies, and the states and ejections of the upstreams it was
-	// sent to.
-	StateChanges []Line
+	// lines are the request's own, in order of time; there is at least one.
+	lines []line
+	// stateChanges are what the request's hosts logged in the lookBack before
+	// its end: lost dependencies, and states and ejections of the upstreams
+	// that it was sent to.
+	stateChanges []line
 }
 
-// before is how long before a request's end a change of belief may have
-// decided it.
-const lookBack = 15 * time.Second
-
-// Follow reads logs and gives the trail of a request. Lines that are no JSON
-// are passed over; what stands before the first brace, such as a container's
-// prefix, too.
-func Follow(logs io.Reader, request string) (Trace, error) {
+// Follow reads logs and gives the trace of a request. It is an error if they
+// have no line of it, or can't be read.
+func Follow(logs io.Reader, requestID string) (Trace, error) {
 	var t Trace
-	var beliefs []Line
+	var changes []line
 	scanner := bufio.NewScanner(logs)
-	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
+	scanner.Buffer(make([]byte, 0, firstBuffer), maxLine)
 	for scanner.Scan() {
-		line, ok := parse(scanner.Bytes())
+		l, ok := parse(scanner.Bytes())
 		switch {
 		case !ok:
-		case line.Request == request:
-			t.Lines = append(t.Lines, line)
-		case line.Event == "lost" || line.Event == "upstream" || line.Event == "ejected":
-			beliefs = append(beliefs, line)
+		case l.Request == requestID:
+			t.lines = append(t.lines, l)
+		case l.isStateChange():
+			changes = append(changes, l)
 		}
 	}
 	if err := scanner.Err(); err != nil {
 		return t, eris.Wrap(err, "read logs")
 	}
-	if len(t.Lines) == 0 {
-		return t, eris.Errorf("no line of request %q: it was not sampled, was left out, or never came", request)
+	if len(t.lines) == 0 {
+		return t, eris.Errorf("no line of request %q: it was not sampled, was left out, or never arrived", requestID)
 	}
-	slices.SortStableFunc(t.Lines, byTime)
-	t.StateChanges = t.relevant(beliefs)
+	slices.SortStableFunc(t.lines, byTime)
+	t.stateChanges = t.relevant(changes)
 	return t, nil
 }
 
-func byTime(a, b Line) int {
-	return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(order(a), order(b)))
-}
-
-// order puts a request's final answer behind its attempts of the same second.
-func order(l Line) int {
-	if l.Event == "final" {
-		return 1 << 20
-	}
-	return l.Attempt
-}
-
-func parse(text []byte) (Line, bool) {
-	var l Line
-	i := bytes.IndexByte(text, '{')
-	if i < 0 || json.Unmarshal(text[i:], &l) != nil {
-		return l, false
-	}
-	return l, true
-}
-
-// around keeps the beliefs that may have decided the request.
-func (t Trace) relevant(beliefs []Line) []Line {
+// relevant keeps the state changes that may have decided the request.
+func (t Trace) relevant(changes []line) []line {
 	hosts, upstreams := map[string]bool{}, map[string]bool{}
-	end := t.Lines[len(t.Lines)-1].Time
-	for _, l := range t.Lines {
+	for _, l := range t.lines {
 		hosts[l.Host] = true
 		upstreams[l.Upstream] = true
 	}
-	var out []Line
-	for _, l := range beliefs {
+	end := t.lines[len(t.lines)-1].Time
+	var out []line
+	for _, l := range changes {
 		if !hosts[l.Host] || l.Time.After(end) || end.Sub(l.Time) > lookBack {
 			continue
 		}
-		if l.Event == "lost" || upstreams[l.Upstream] {
+		if l.Event == eventlog.EventLost || upstreams[l.Upstream] {
 			out = append(out, l)
 		}
 	}
@@ -141,34 +85,29 @@
 	return out
 }
 
-// String tells the trail, a line for each step, and the cause in words.
-func (t Trace) String() string {
-	var b strings.Builder
-	for _, l := range t.StateChanges {
-		fmt.Fprintf(&b, "%s %s before: %s\n", l.Time.Format(time.TimeOnly), l.Host, stateChange(l))
-	}
-	for _, l := range t.Lines {
-		fmt.Fprintf(&b, "%s %s %s\n", l.Time.Format(time.TimeOnly), l.Host, step(l))
-	}
-	fmt.Fprintf(&b, "cause: %s\n", t.Cause())
-	return b.String()
+// final gives the line of the final response; false if there is none.
+func (t Trace) final() (line, bool) {
+	last := t.lines[len(t.lines)-1]
+	return last, last.isFinal()
 }
 
-func stateChange(l Line) string {
-	switch l.Event {
-	case "lost":
-		return fmt.Sprintf("lost %s %s: %s", l.Dependency, l.Name, l.Error)
-	case "ejected":
-		return fmt.Sprintf("avoids upstream %s for %.0f ms: %d ends bad and %d good, bad ones seen by %d hosts", l.Upstream, l.For, l.Bad, l.Good, l.Hosts)
+// decisive gives the attempt that the final response comes from: the last one
+// with its reason as outcome, or else the last one. It gives false if the logs
+// have no attempt.
+func (t Trace) decisive(final line) (line, bool) {
+	var attempts []line
+	for _, l := range t.lines {
+		if l.Event == eventlog.EventAttempt {
+			attempts = append(attempts, l)
+		}
 	}
-	return fmt.Sprintf("upstream %s is %s", l.Upstream, l.State)
-}
-
-func step(l Line) string {
-	if l.Event == "attempt" {
-		return fmt.Sprintf("attempt %d to %s in %s (choice %d of its key, load %.2f as told %.0f ms before, cold %t, configuration %d): %s after %.0f ms %s",
-			l.Attempt, l.Upstream, l.Zone, l.Rank+1, l.Load, max(0, l.LoadAge), l.Cold, l.Config, l.Outcome, l.Took, l.Detail)
+	if len(attempts) == 0 {
+		return line{}, false
+	}
+	for _, l := range slices.Backward(attempts) {
+		if l.Outcome == string(final.Reason) {
+			return l, true
+		}
 	}
-	return fmt.Sprintf("final answer %d after %.0f ms and %d attempts, %s %s (configuration %d confirmed %.0f ms before, upstreams %.0f ms) %s",
-		l.Status, l.Took, l.Attempts, l.Verdict, l.Reason, l.Config, l.ConfigAge, l.StateAge, l.Detail)
+	return attempts[len(attempts)-1], true
 }
