--- a/internal/gateway/eventlog/log.go
+++ b/internal/gateway/eventlog/log.go
@@ -1,10 +1,9 @@
 // Package eventlog is a gateway host's structured log: a JSON line for each
 // attempt and final response of a request, and for each change of the state
-// that decisions are based on (configuration, upstreams, dependencies). What
-// each event means on call is told in docs/OPERATIONS.md; internal/gateway/reqtrace
-// reads the lines back.
+// that decisions are based on (configuration, upstreams, dependencies).
+// docs/OPERATIONS.md lists the events; internal/gateway/reqtrace reads them back.
 //
-// The log is bounded and never blocks the caller: lines beyond a rate, and
+// The log is bounded and never blocks its users: lines beyond a rate, and
 // lines that the writer can't take in time, are left out and counted
 // (cairndock_log_lines_left_out_total). It owns the sampling of requests that
 // went well.
