--- a/internal/gateway/eventlog/log_test.go
+++ b/internal/gateway/eventlog/log_test.go
@@ -7,15 +7,17 @@
 	"strings"
 	"sync"
 	"testing"
+	"testing/synctest"
 	"time"
 
+	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
 	"cairndock/internal/gateway/eventlog"
 	"cairndock/internal/telemetry"
 )
 
-// buffer is a writer that can be read while it is written.
+// buffer is a writer that may be read while the log writes.
 type buffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -40,7 +42,7 @@
 	return out
 }
 
-// stuck is a reader that stopped reading.
+// stuck is a writer whose far end does not read until release is closed.
 type stuck struct{ release chan struct{} }
 
 func (s stuck) Write(p []byte) (int, error) {
@@ -59,9 +61,9 @@
 	return ""
 }
 
-func TestAFailedRequestIsToldWithWhatDecidedIt(t *testing.T) {
+func TestAFailedRequestIsLoggedWithItsDecision(t *testing.T) {
 	var b buffer
-	l := eventlog.New(&b, "host-1", telemetry.NewMetrics())
+	l := eventlog.New(&b, "host-1", zerolog.InfoLevel, telemetry.NewMetrics())
 	l.Attempt(eventlog.Attempt{Request: "r1", Route: "route", Service: "s", Upstream: "i-1", Number: 1, Config: 7, Load: 0.5, LoadAge: 20 * time.Millisecond, Outcome: "upstream-failed", Failed: true, Took: time.Second, Detail: "reset"})
 	l.Final(eventlog.Final{Request: "r1", Config: 7, Status: 502, Verdict: "may-have-run", Reason: "upstream-failed", Failed: true})
 	l.Close()
@@ -74,9 +76,9 @@
 	require.Equal(t, "may-have-run", lines[1]["verdict"])
 }
 
-func TestOnlySampledSuccessesAreTold(t *testing.T) {
+func TestOnlySampledSuccessesAreLogged(t *testing.T) {
 	var b buffer
-	l := eventlog.New(&b, "h", telemetry.NewMetrics())
+	l := eventlog.New(&b, "h", zerolog.InfoLevel, telemetry.NewMetrics())
 	id := sampledID(t)
 	l.Final(eventlog.Final{Request: id})
 	l.Final(eventlog.Final{Request: id + "-unlikely-1"})
@@ -89,7 +91,7 @@
 func TestAReaderThatStopsReadingDelaysNothing(t *testing.T) {
 	s := stuck{release: make(chan struct{})}
 	m := telemetry.NewMetrics()
-	l := eventlog.New(s, "h", m)
+	l := eventlog.New(s, "h", zerolog.InfoLevel, m)
 	began := time.Now()
 	for i := range 20_000 {
 		l.Final(eventlog.Final{Request: strconv.Itoa(i), Failed: true})
@@ -103,9 +105,9 @@
 	close(s.release)
 }
 
-func TestAFloodOfFailuresLeavesRoomForBeliefs(t *testing.T) {
+func TestAFloodOfFailuresHidesNoStateChange(t *testing.T) {
 	var b buffer
-	l := eventlog.New(&b, "h", telemetry.NewMetrics())
+	l := eventlog.New(&b, "h", zerolog.InfoLevel, telemetry.NewMetrics())
 	for i := range 5_000 {
 		l.Final(eventlog.Final{Request: strconv.Itoa(i), Failed: true})
 	}
@@ -115,3 +117,41 @@
 	require.Less(t, len(lines), 400)
 	require.Equal(t, "lost", lines[len(lines)-1]["event"])
 }
+
+func TestTheLeastLevelLeavesOutInfoWithoutCountingIt(t *testing.T) {
+	for _, c := range []struct {
+		least zerolog.Level
+		lines int
+	}{{zerolog.DebugLevel, 2}, {zerolog.InfoLevel, 2}, {zerolog.WarnLevel, 0}, {zerolog.ErrorLevel, 0}} {
+		t.Run(c.least.String(), func(t *testing.T) {
+			var b buffer
+			m := telemetry.NewMetrics()
+			l := eventlog.New(&b, "h", c.least, m)
+			l.Final(eventlog.Final{Request: "r", Failed: true})
+			l.Config(1, 1)
+			l.Close()
+			require.Len(t, b.lines(t), c.lines)
+			var text bytes.Buffer
+			m.Write(&text)
+			require.NotContains(t, text.String(), "cairndock_log_lines_left_out_total")
+		})
+	}
+}
+
+func TestLinesLeftOutAreReportedAsAWarning(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		var b buffer
+		l := eventlog.New(&b, "h", zerolog.InfoLevel, telemetry.NewMetrics())
+		const calls = 5_000
+		for i := range calls {
+			l.Final(eventlog.Final{Request: strconv.Itoa(i), Failed: true})
+		}
+		time.Sleep(6 * time.Second) // past the next report
+		l.Close()
+		lines := b.lines(t)
+		last := lines[len(lines)-1]
+		require.Equal(t, "warn", last["level"])
+		require.Equal(t, "log-lines-left-out", last["event"])
+		require.EqualValues(t, calls-(len(lines)-1), last["lines"])
+	})
+}
--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"github.com/rotisserie/eris"
+	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 	"go.opentelemetry.io/otel/trace"
 	"go.opentelemetry.io/otel/trace/noop"
@@ -155,7 +156,7 @@
 	t.Helper()
 	g := &testGateway{t: t, log: &logBuffer{}}
 	m := telemetry.NewMetrics()
-	log := eventlog.New(g.log, "h", m)
+	log := eventlog.New(g.log, "h", zerolog.InfoLevel, m)
 	t.Cleanup(log.Close)
 	g.state = routing.New(decoder{}, log, m)
 	dial := exchange.Dialer{Timeout: 200 * time.Millisecond, Unacknowledged: time.Second}
--- a/internal/gateway/routing/routing_test.go
+++ b/internal/gateway/routing/routing_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/rotisserie/eris"
+	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
 	"cairndock/internal/gateway/eventlog"
@@ -56,7 +57,7 @@
 func newHost() host {
 	lines := &bytes.Buffer{}
 	m := telemetry.NewMetrics()
-	log := eventlog.New(lines, "h", m)
+	log := eventlog.New(lines, "h", zerolog.InfoLevel, m)
 	return host{state: routing.New(decoder{}, log, m), log: log, lines: lines}
 }
 
--- a/internal/gateway/wiring.go
+++ b/internal/gateway/wiring.go
@@ -44,7 +44,7 @@
 
 func (g *Gateway) newFleet(store *platform.Store) *fleet.Fleet {
 	return fleet.New(fleet.Options{
-		Self: g.self(), Registry: platform.Registry{Store: store}, Report: g.log, Observations: g.detector,
+		Self: g.self(), Registry: platform.Registry{Store: store, Log: g.log}, Report: g.log, Observations: g.detector,
 		Status: g.status, Seeds: g.settings.peerSeeds(), Transport: fleet.TCP{Dialer: dialer(storeDialTimeout)},
 		Tables: g.tables[:], MaxAge: g.timing.MaxAge,
 	})
@@ -67,8 +67,8 @@
 		Balancer: balance.New(location, quotas, g.detector),
 		Detector: g.detector,
 		Budget:   retry.NewBudget(retry.Limits{Ratio: limits.RetryRatio, Window: time.Duration(limits.RetryWindow), Slack: limits.RetrySlack}),
-		Client:   exchange.NewClient(pool, platform.Protocol{}),
-		Codec:    platform.Codec{},
+		Client:   exchange.NewClient(pool, platform.Protocol{Metrics: g.metrics}),
+		Codec:    platform.Codec{Metrics: g.metrics},
 		Hosts:    g.fleet,
 		Ages:     proxy.Ages{Config: g.tables[operatorTable].Replica.Age, Upstreams: g.tables[upstreamTable].Replica.Age},
 		Log:      g.log,
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -43,13 +43,19 @@
 	f.Require(s.TraceShare >= 0 && s.TraceShare <= 1, "telemetry.trace_share", "must be from 0 to 1")
 }
 
-// NewLogger makes a logger that writes JSON lines.
-func NewLogger(w io.Writer, level string) zerolog.Logger {
-	lvl, err := zerolog.ParseLevel(level)
+// Level gives the least level that is logged: info for a name that Check
+// rejects.
+func Level(name string) zerolog.Level {
+	level, err := zerolog.ParseLevel(name)
 	if err != nil {
-		lvl = zerolog.InfoLevel
+		return zerolog.InfoLevel
 	}
-	return zerolog.New(w).Level(lvl).With().Timestamp().Logger()
+	return level
+}
+
+// NewLogger makes a logger that writes JSON lines.
+func NewLogger(w io.Writer, level string) zerolog.Logger {
+	return zerolog.New(w).Level(Level(level)).With().Timestamp().Logger()
 }
 
 // NewProvider makes a trace provider. Its shutdown must be called.
