--- a/internal/gateway/proxy/decisionlog.go
+++ b/internal/gateway/proxy/decisionlog.go
@@ -8,17 +8,13 @@
 	"cairndock/internal/verdict"
 )
 
-// outcomeAnswered is the log's outcome of an attempt whose response is
-// forwarded; any other outcome is the reason of the failure.
-const outcomeAnswered = "answered"
-
 // logAttempt writes why an attempt went to its upstream and how it ended. e is
 // nil when its response is forwarded; status is zero when there was none.
 func (f *inflight) logAttempt(c balance.Choice, began time.Time, status int, e *verdict.Error) {
 	ev := eventlog.Attempt{
 		Request: f.info.ID, Route: f.route.Name, Service: f.service, Upstream: c.Upstream.ID, Zone: c.Upstream.Zone,
 		Key: f.info.Key, Number: len(f.tried), Config: f.table.Version, Load: c.Load, LoadAge: c.LoadAge, Rank: c.Rank, Cold: c.Cold,
-		Outcome: outcomeAnswered, Status: status, Took: time.Since(began),
+		Outcome: eventlog.OutcomeAnswered, Status: status, Took: time.Since(began),
 	}
 	if e != nil {
 		ev.Outcome, ev.Failed, ev.Detail = string(e.Reason), true, e.Detail
