--- a/internal/gateway/exchange/conn.go
+++ b/internal/gateway/exchange/conn.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"context"
 	"io"
 	"net"
 	"syscall"
@@ -12,55 +11,9 @@
 	"golang.org/x/sys/unix"
 )
 
-const (
-	// readBuffer is the size of a connection's read buffer, in bytes. 4 KiB is
-	// the default of bufio; chosen, not measured here.
-	readBuffer = 4 << 10
-	// keepAliveIdle is how long a connection is silent before the kernel probes
-	// it. With the two constants below a link that is cut without a reset is
-	// found within keepAliveIdle + keepAliveCount*keepAliveInterval, 2.5 s. All
-	// three were chosen, not measured.
-	keepAliveIdle = time.Second
-	// keepAliveInterval is the time between two probes.
-	keepAliveInterval = 500 * time.Millisecond
-	// keepAliveCount is the number of unanswered probes after which the
-	// connection is closed.
-	keepAliveCount = 3
-)
-
-// Dialer makes TCP connections that notice a silent cut.
-type Dialer struct {
-	// Timeout bounds the making of a connection, and Unacknowledged how
-	// long sent data may go without an acknowledgement.
-	Timeout        time.Duration
-	Unacknowledged time.Duration
-}
-
-// DialContext connects to an address.
-func (d Dialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	dialer := net.Dialer{
-		Timeout: d.Timeout,
-		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
-		},
-		Control: func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, d.Unacknowledged) },
-	}
-	return dialer.DialContext(ctx, network, address)
-}
-
-func setUserTimeout(raw syscall.RawConn, d time.Duration) error {
-	if d <= 0 {
-		return nil
-	}
-	var failed error
-	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
-	})
-	if err != nil {
-		return err
-	}
-	return failed
-}
+// readBuffer is the size of a connection's read buffer, in bytes. 4 KiB is the
+// default of bufio; chosen, not measured here.
+const readBuffer = 4 << 10
 
 // conn is a connection to an upstream. It carries one request at a time.
 type conn struct {
--- a/internal/gateway/exchange/exchange_test.go
+++ b/internal/gateway/exchange/exchange_test.go
@@ -14,6 +14,7 @@
 
 	"github.com/stretchr/testify/require"
 
+	"cairndock/internal/gateway/dial"
 	"cairndock/internal/gateway/exchange"
 	"cairndock/internal/verdict"
 )
@@ -84,7 +85,7 @@
 }
 
 func client() *exchange.Client {
-	d := exchange.Dialer{Timeout: 300 * time.Millisecond, Unacknowledged: time.Second}
+	d := dial.Dialer{Timeout: 300 * time.Millisecond, Unacknowledged: time.Second}
 	return exchange.NewClient(exchange.NewPool(d.DialContext), protocol{})
 }
 
--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -24,6 +24,7 @@
 	"go.opentelemetry.io/otel/trace/noop"
 
 	"cairndock/internal/gateway/balance"
+	"cairndock/internal/gateway/dial"
 	"cairndock/internal/gateway/eventlog"
 	"cairndock/internal/gateway/exchange"
 	"cairndock/internal/gateway/outlier"
@@ -159,14 +160,14 @@
 	log := eventlog.New(g.log, "h", zerolog.InfoLevel, m)
 	t.Cleanup(log.Close)
 	g.state = routing.New(decoder{}, log, m)
-	dial := exchange.Dialer{Timeout: 200 * time.Millisecond, Unacknowledged: time.Second}
+	dialer := dial.Dialer{Timeout: 200 * time.Millisecond, Unacknowledged: time.Second}
 	age := func() time.Duration { return 0 }
 	detector := outlier.New(reporter{log})
 	g.proxy = proxy.New(proxy.Options{
 		State: g.state, Detector: detector,
 		Balancer: balance.New(balance.Location{Zone: "z", Region: "r", Regions: 1}, oneHost{}, detector),
 		Budget:   retry.NewBudget(retry.Limits{Ratio: 1, Window: time.Second, Slack: 100}),
-		Client:   exchange.NewClient(exchange.NewPool(dial.DialContext), protocol{}),
+		Client:   exchange.NewClient(exchange.NewPool(dialer.DialContext), protocol{}),
 		Codec:    codec{}, Hosts: oneHost{}, Ages: proxy.Ages{Config: age, Upstreams: age}, Log: log, Metrics: m,
 		Tracer: telemetry.Tracer(traces),
 	})
--- a/internal/gateway/wiring.go
+++ b/internal/gateway/wiring.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"cairndock/internal/gateway/balance"
+	"cairndock/internal/gateway/dial"
 	"cairndock/internal/gateway/exchange"
 	"cairndock/internal/gateway/fleet"
 	"cairndock/internal/gateway/proxy"
@@ -38,8 +39,8 @@
 	maxUnacknowledged = 1200 * time.Millisecond
 )
 
-func dialer(timeout time.Duration) exchange.Dialer {
-	return exchange.Dialer{Timeout: timeout, Unacknowledged: maxUnacknowledged}
+func dialer(timeout time.Duration) dial.Dialer {
+	return dial.Dialer{Timeout: timeout, Unacknowledged: maxUnacknowledged}
 }
 
 func (g *Gateway) newFleet(store *platform.Store) *fleet.Fleet {
