--- a/internal/gateway/watch/main_test.go
+++ b/internal/gateway/watch/main_test.go
@@ -1,14 +1,9 @@
 package watch
 
 import (
-	"os"
-	"runtime"
 	"testing"
+
+	"cairndock/internal/testmain"
 )
 
-// TestMain runs the tests on one processor: Go 1.26.8's race detector crashes
-// on bubbles of fake time with several threads.
-func TestMain(m *testing.M) {
-	runtime.GOMAXPROCS(1)
-	os.Exit(m.Run())
-}
+func TestMain(m *testing.M) { testmain.OneProcessor(m) }
--- a/internal/selector/entry/main_test.go
+++ b/internal/selector/entry/main_test.go
@@ -1,21 +1,13 @@
 package entry_test
 
 import (
-	"os"
-	"runtime"
 	"testing"
 
 	"cairndock/internal/selector/entry/entrytest"
+	"cairndock/internal/testmain"
 )
 
-// TestMain keeps the tests on one processor. Time in a synctest bubble is
-// then the same in every run, and the race detector's own state for a
-// bubble's timers is not used from two threads at once, which crashed it
-// (Go 1.26.8).
-func TestMain(m *testing.M) {
-	runtime.GOMAXPROCS(1)
-	os.Exit(m.Run())
-}
+func TestMain(m *testing.M) { testmain.OneProcessor(m) }
 
 // cluster is a system under test, with what these tests do to it.
 type cluster struct{ *entrytest.Cluster }
--- a/internal/selector/link/main_test.go
+++ b/internal/selector/link/main_test.go
@@ -1,17 +1,9 @@
 package link
 
 import (
-	"flag"
-	"os"
 	"testing"
+
+	"cairndock/internal/testmain"
 )
 
-// TestMain fixes the seed of the property tests, for the same verdict in
-// every run.
-func TestMain(m *testing.M) {
-	flag.Parse()
-	if err := flag.Set("rapid.seed", "20261202"); err != nil {
-		panic(err)
-	}
-	os.Exit(m.Run())
-}
+func TestMain(m *testing.M) { testmain.FixedSeed(m) }
