--- a/internal/selector/store/contract_test.go
+++ b/internal/selector/store/contract_test.go
@@ -13,7 +13,7 @@
 	"cairndock/internal/settings"
 )
 
-// table, objects and hosts are what the contracts are about.
+// table, objects and hosts are the interfaces under contract.
 type table interface {
 	Get(ctx context.Context, key store.Key) (store.Row, error)
 	Transact(ctx context.Context, writes []store.Write) error
@@ -29,14 +29,14 @@
 	Hosts(ctx context.Context) ([]store.HostState, error)
 }
 
-// both runs a contract against the fake and, through its published
-// protocols, the real adapters.
+// both runs a contract against Memory itself and against the clients, which
+// reach a Memory through their wire protocols.
 func both(t *testing.T, contract func(t *testing.T, m *store.Memory, tb table, ob objects, hs hosts)) {
-	t.Run("fake", func(t *testing.T) {
+	t.Run("memory", func(t *testing.T) {
 		m := store.NewMemory()
 		contract(t, m, m, m, m)
 	})
-	t.Run("adapter", func(t *testing.T) {
+	t.Run("client", func(t *testing.T) {
 		m := store.NewMemory()
 		p := standin.Platform{Memory: m}
 		tables, objs, list := httptest.NewServer(p.TableHandler()), httptest.NewServer(p.ObjectHandler()), httptest.NewServer(p.HostsHandler())
--- a/internal/selector/store/remote.go
+++ b/internal/selector/store/dynamodb.go
@@ -1,38 +1,34 @@
 package store
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
-	"io"
-	"net/http"
 	"strconv"
-	"time"
 
 	"github.com/aws/aws-sdk-go-v2/aws"
 	"github.com/aws/aws-sdk-go-v2/service/dynamodb"
 	"github.com/aws/aws-sdk-go-v2/service/dynamodb/types"
-	"github.com/aws/aws-sdk-go-v2/service/s3"
-	s3types "github.com/aws/aws-sdk-go-v2/service/s3/types"
 	"github.com/aws/smithy-go"
 	"github.com/rotisserie/eris"
 
 	"cairndock/internal/settings"
 )
 
-// The attributes of a row.
+// The attributes of an item. They are the table's schema
+// (docs/operations/settings.md) and stored data.
 const (
+	// attrPartition is the partition key, a string.
 	attrPartition = "pk"
-	attrSort      = "sk"
-	attrVersion   = "ver"
-	attrBody      = "body"
-	// hostsTimeout bounds a read of the host list.
-	hostsTimeout = 3 * time.Second
-	maxHostsBody = 8 << 20
+	// attrSort is the sort key, a string.
+	attrSort = "sk"
+	// attrVersion is Row.Version, a number.
+	attrVersion = "ver"
+	// attrBody is Row.Body, binary.
+	attrBody = "body"
 )
 
-// staticCredentials gives the keys of the settings and looks nowhere else.
+// staticCredentials provides the keys of the settings, and never those of the
+// environment or of a metadata service.
 type staticCredentials struct{ id, secret string }
 
 // Retrieve implements aws.CredentialsProvider.
@@ -40,23 +36,13 @@
 	return aws.Credentials{AccessKeyID: c.id, SecretAccessKey: c.secret, Source: "settings"}, nil
 }
 
-// Check notes the section's faults.
-func Check(s settings.Platform, f *settings.Faults) {
-	f.Require(s.TableEndpoint != "", "platform.table_endpoint", "must be set")
-	f.Require(s.ObjectEndpoint != "", "platform.object_endpoint", "must be set")
-	f.Require(s.HostsURL != "", "platform.hosts_url", "must be set")
-	f.Require(s.AccessKey != "", "platform.access_key", "must be set")
-	f.Require(s.SecretKey != "", "platform.secret_key", "must be set")
-}
-
-// Table is the platform's table, by the DynamoDB protocol.
+// Table is a client of one table, by the DynamoDB protocol.
 type Table struct {
 	client *dynamodb.Client
 	name   string
 }
 
-// NewTable makes an adapter. It never retries by itself: its callers know
-// what a lost answer means to them.
+// NewTable makes a client of the table in the settings.
 func NewTable(s settings.Platform) *Table {
 	return &Table{name: s.Table, client: dynamodb.New(dynamodb.Options{
 		BaseEndpoint: aws.String(s.TableEndpoint), Region: s.Region,
@@ -64,7 +50,8 @@
 	})}
 }
 
-// Get reads a row, never an old one.
+// Get reads a row by a strongly consistent read. Its errors are ErrNotFound,
+// ErrThrottled and those of the network.
 func (t *Table) Get(ctx context.Context, key Key) (Row, error) {
 	out, err := t.client.GetItem(ctx, &dynamodb.GetItemInput{
 		TableName: &t.name, ConsistentRead: aws.Bool(true),
@@ -79,7 +66,8 @@
 	return rowOf(out.Item)
 }
 
-// Transact writes all rows or none.
+// Transact writes all rows or none. ErrConflict and ErrThrottled mean that
+// nothing was written; after any other error the outcome is unknown.
 func (t *Table) Transact(ctx context.Context, writes []Write) error {
 	items := make([]types.TransactWriteItem, 0, len(writes))
 	for _, w := range writes {
@@ -105,7 +93,8 @@
 	return p
 }
 
-// List reads up to limit rows of a partition whose sort key is above after.
+// List reads up to limit rows of a partition whose sort key is above after, in
+// the order of the sort key, by a strongly consistent read.
 func (t *Table) List(ctx context.Context, partition, after string, limit int) ([]Row, error) {
 	out, err := t.client.Query(ctx, &dynamodb.QueryInput{
 		TableName: &t.name, ConsistentRead: aws.Bool(true), Limit: aws.Int32(int32(limit)),
@@ -134,6 +123,8 @@
 	return &types.AttributeValueMemberN{Value: strconv.FormatInt(n, 10)}
 }
 
+// rowOf decodes an item. Keys and body are typed by the table's schema and by
+// put; the version is checked, as a missing one would pass for a new row.
 func rowOf(item map[string]types.AttributeValue) (Row, error) {
 	var row Row
 	if v, ok := item[attrPartition].(*types.AttributeValueMemberS); ok {
@@ -165,6 +156,7 @@
 	var api smithy.APIError
 	if errors.As(err, &api) {
 		switch api.ErrorCode() {
+		// The three codes by which DynamoDB reports a rate limit.
 		case "ProvisionedThroughputExceededException", "ThrottlingException", "RequestLimitExceeded":
 			return eris.Wrap(ErrThrottled, "call table")
 		}
@@ -172,91 +164,13 @@
 	return eris.Wrap(err, "call table")
 }
 
-// canceledError tells a failed condition from a transaction that met another
-// one or the rate limit and may be tried again.
+// canceledError distinguishes a failed condition from a transaction that
+// collided with another one or with the rate limit and may be tried again.
 func canceledError(canceled *types.TransactionCanceledException) error {
 	for _, r := range canceled.CancellationReasons {
 		if aws.ToString(r.Code) == "ConditionalCheckFailed" {
 			return ErrConflict
 		}
 	}
-	return eris.Wrap(ErrThrottled, "transaction was cancelled")
-}
-
-// Objects is the platform's object store, by the S3 protocol.
-type Objects struct {
-	client *s3.Client
-	bucket string
-}
-
-// NewObjects makes an adapter.
-func NewObjects(s settings.Platform) *Objects {
-	return &Objects{bucket: s.Bucket, client: s3.New(s3.Options{
-		BaseEndpoint: aws.String(s.ObjectEndpoint), Region: s.Region, UsePathStyle: true,
-		Credentials: staticCredentials{s.AccessKey, s.SecretKey}, Retryer: aws.NopRetryer{},
-		RequestChecksumCalculation: aws.RequestChecksumCalculationWhenRequired,
-		ResponseChecksumValidation: aws.ResponseChecksumValidationWhenRequired,
-	})}
-}
-
-// PutObject stores an object.
-func (o *Objects) PutObject(ctx context.Context, name string, body []byte) error {
-	_, err := o.client.PutObject(ctx, &s3.PutObjectInput{Bucket: &o.bucket, Key: &name, Body: bytes.NewReader(body)})
-	return objectError(err)
-}
-
-// GetObject reads an object.
-func (o *Objects) GetObject(ctx context.Context, name string) ([]byte, error) {
-	out, err := o.client.GetObject(ctx, &s3.GetObjectInput{Bucket: &o.bucket, Key: &name})
-	if err != nil {
-		return nil, objectError(err)
-	}
-	defer out.Body.Close()
-	body, err := io.ReadAll(out.Body)
-	return body, eris.Wrap(err, "read object")
-}
-
-func objectError(err error) error {
-	if err == nil {
-		return nil
-	}
-	var missing *s3types.NoSuchKey
-	if errors.As(err, &missing) {
-		return ErrNotFound
-	}
-	var api smithy.APIError
-	if errors.As(err, &api) && api.ErrorCode() == "SlowDown" {
-		return eris.Wrap(ErrThrottled, "call object store")
-	}
-	return eris.Wrap(err, "call object store")
-}
-
-// HostList is the platform's list of hosts, read as JSON.
-type HostList struct {
-	client *http.Client
-	url    string
-}
-
-// NewHostList makes an adapter.
-func NewHostList(s settings.Platform) *HostList {
-	return &HostList{client: &http.Client{Timeout: hostsTimeout}, url: s.HostsURL}
-}
-
-// Hosts reads the list.
-func (l *HostList) Hosts(ctx context.Context) ([]HostState, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, l.url, nil)
-	if err != nil {
-		return nil, eris.Wrap(err, "make request")
-	}
-	resp, err := l.client.Do(req)
-	if err != nil {
-		return nil, eris.Wrap(err, "read host list")
-	}
-	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusOK {
-		return nil, eris.Errorf("host list answered %d", resp.StatusCode)
-	}
-	var hosts []HostState
-	err = json.NewDecoder(io.LimitReader(resp.Body, maxHostsBody)).Decode(&hosts)
-	return hosts, eris.Wrap(err, "decode host list")
+	return eris.Wrap(ErrThrottled, "transaction was canceled")
 }
--- a/internal/selector/store/memory.go
+++ b/internal/selector/store/memory.go
@@ -7,19 +7,21 @@
 	"sync"
 )
 
-// Memory is a whole platform in memory, for tests and stand-ins. Its fault
-// hook makes it fail the way the real one may.
+// Memory holds the table, the objects and the host list in memory, for the
+// quick start, `cairndock standin` and tests. Its fault hook makes it fail as
+// the real services may.
 type Memory struct {
 	mu      sync.Mutex
 	rows    map[Key]Row
 	objects map[string][]byte
 	hosts   map[string]State
-	calls   map[string]int
-	// fault is asked before each call and, by after, after it.
+	calls   map[string]int // by operation
+	// fault is called before each operation and again, with after set, once
+	// it succeeded.
 	fault func(op string, after bool) error
 }
 
-// NewMemory makes an empty platform.
+// NewMemory makes an empty one.
 func NewMemory() *Memory {
 	return &Memory{
 		rows:    map[Key]Row{},
@@ -29,21 +31,23 @@
 	}
 }
 
-// SetFault installs a hook that is asked before and after every call. An
-// error given after a write is a lost answer: the write took effect.
+// SetFault installs a hook that is called before and after every operation;
+// nil removes it. An error returned with after set is a lost response: the
+// write took effect.
 func (m *Memory) SetFault(f func(op string, after bool) error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.fault = f
 }
 
-// Calls gives how often an operation was called.
+// Calls returns how often an operation was called.
 func (m *Memory) Calls(op string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.calls[op]
 }
 
+// run executes an operation between the two calls of the fault hook.
 func (m *Memory) run(ctx context.Context, op string, do func() error) error {
 	if err := ctx.Err(); err != nil {
 		return err
@@ -66,7 +70,7 @@
 	return err
 }
 
-// Get reads a row.
+// Get is Table.Get.
 func (m *Memory) Get(ctx context.Context, key Key) (row Row, err error) {
 	err = m.run(ctx, "get", func() error {
 		r, ok := m.rows[key]
@@ -80,7 +84,7 @@
 	return row, err
 }
 
-// Transact writes all rows or none.
+// Transact is Table.Transact.
 func (m *Memory) Transact(ctx context.Context, writes []Write) error {
 	return m.run(ctx, "transact", func() error {
 		for _, w := range writes {
@@ -95,7 +99,7 @@
 	})
 }
 
-// List reads up to limit rows of a partition whose sort key is above after.
+// List is Table.List.
 func (m *Memory) List(ctx context.Context, partition, after string, limit int) (rows []Row, err error) {
 	err = m.run(ctx, "list", func() error {
 		for key, row := range m.rows {
@@ -112,7 +116,7 @@
 	return rows, err
 }
 
-// PutObject stores an object.
+// PutObject is Objects.PutObject.
 func (m *Memory) PutObject(ctx context.Context, name string, body []byte) error {
 	return m.run(ctx, "put-object", func() error {
 		m.objects[name] = slices.Clone(body)
@@ -120,7 +124,7 @@
 	})
 }
 
-// GetObject reads an object.
+// GetObject is Objects.GetObject.
 func (m *Memory) GetObject(ctx context.Context, name string) (body []byte, err error) {
 	err = m.run(ctx, "get-object", func() error {
 		b, ok := m.objects[name]
@@ -133,7 +137,7 @@
 	return body, err
 }
 
-// SetHost sets a line of the host list.
+// SetHost adds or replaces a line of the host list.
 func (m *Memory) SetHost(name string, state State) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -147,7 +151,7 @@
 	delete(m.hosts, name)
 }
 
-// Hosts reads the host list.
+// Hosts is HostList.Hosts.
 func (m *Memory) Hosts(ctx context.Context) (hosts []HostState, err error) {
 	err = m.run(ctx, "hosts", func() error {
 		for name, state := range m.hosts {
--- /dev/null
+++ b/internal/selector/store/s3.go
@@ -0,0 +1,64 @@
+package store
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+
+	"github.com/aws/aws-sdk-go-v2/aws"
+	"github.com/aws/aws-sdk-go-v2/service/s3"
+	"github.com/aws/aws-sdk-go-v2/service/s3/types"
+	"github.com/aws/smithy-go"
+	"github.com/rotisserie/eris"
+
+	"cairndock/internal/settings"
+)
+
+// Objects is a client of one bucket, by the S3 protocol.
+type Objects struct {
+	client *s3.Client
+	bucket string
+}
+
+// NewObjects makes a client of the bucket in the settings.
+func NewObjects(s settings.Platform) *Objects {
+	return &Objects{bucket: s.Bucket, client: s3.New(s3.Options{
+		BaseEndpoint: aws.String(s.ObjectEndpoint), Region: s.Region, UsePathStyle: true,
+		Credentials: staticCredentials{s.AccessKey, s.SecretKey}, Retryer: aws.NopRetryer{},
+		RequestChecksumCalculation: aws.RequestChecksumCalculationWhenRequired,
+		ResponseChecksumValidation: aws.ResponseChecksumValidationWhenRequired,
+	})}
+}
+
+// PutObject creates or replaces an object.
+func (o *Objects) PutObject(ctx context.Context, name string, body []byte) error {
+	_, err := o.client.PutObject(ctx, &s3.PutObjectInput{Bucket: &o.bucket, Key: &name, Body: bytes.NewReader(body)})
+	return objectError(err)
+}
+
+// GetObject reads a whole object, or returns ErrNotFound.
+func (o *Objects) GetObject(ctx context.Context, name string) ([]byte, error) {
+	out, err := o.client.GetObject(ctx, &s3.GetObjectInput{Bucket: &o.bucket, Key: &name})
+	if err != nil {
+		return nil, objectError(err)
+	}
+	defer out.Body.Close()
+	body, err := io.ReadAll(out.Body)
+	return body, eris.Wrap(err, "read object")
+}
+
+func objectError(err error) error {
+	if err == nil {
+		return nil
+	}
+	var missing *types.NoSuchKey
+	if errors.As(err, &missing) {
+		return ErrNotFound
+	}
+	var api smithy.APIError
+	if errors.As(err, &api) && api.ErrorCode() == "SlowDown" {
+		return eris.Wrap(ErrThrottled, "call object store")
+	}
+	return eris.Wrap(err, "call object store")
+}
