--- a/internal/selector/upstream/client.go
+++ b/internal/selector/upstream/client.go
@@ -1,19 +1,25 @@
-// Package upstream sends requests to upstreams and proves, or doubts,
-// whether they ran.
+// Package upstream sends requests to the upstreams of one zone and determines
+// for each whether it has run, and when the upstream is no longer busy with
+// it, which frees the request's slot. It owns the connections to upstreams and
+// relies on slot for who may send.
+//
+// internal/gateway/exchange does the same duty for the gateway. Both exist
+// because they must control different ends of a connection: this package
+// half-closes it to learn when a cancelled request has ended (net/http's
+// Transport allows that by a net.Conn of its own), exchange checks that each
+// response belongs to its request and that an idle connection is silent (which
+// the Transport hides), and needs no notice of the end.
 package upstream
 
 import (
 	"bytes"
 	"context"
-	"errors"
 	"io"
 	"net"
 	"net/http"
 	"net/http/httptrace"
 	"net/url"
 	"strconv"
-	"strings"
-	"sync"
 	"time"
 
 	"github.com/rotisserie/eris"
@@ -26,59 +32,62 @@
 )
 
 const (
-	// cancelGrace is how long after a request's deadline an upstream may
-	// still be busy with it. Upstreams accept deadlines.
-	cancelGrace = 500 * time.Millisecond
-	// dialTimeout bounds the making of a connection.
+	// dialTimeout limits connecting. Chosen, not measured: far above a round
+	// trip within a zone, and half of a service's default timeout of 2 s.
 	dialTimeout = time.Second
-	// idleTimeout closes connections that are not used.
+	// idleTimeout closes connections without a request. Chosen, not measured.
 	idleTimeout = 30 * time.Second
-	// maxHeader bounds an answer's header, in bytes.
-	maxHeader = 64 << 10
-	// headerLoad carries an upstream's own view of its load, 0 to 1.
+	// maxHeaderBytes limits a response's header, and what is read of the body
+	// of a refusal or probe. Chosen, not measured.
+	maxHeaderBytes = 64 << 10
+	// headerLoad is the header with an upstream's own view of its load, 0 to
+	// 1.
 	headerLoad = "Cairndock-Load"
 )
 
-// DialFunc makes a connection to an upstream.
+// DialFunc connects to an upstream.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Word is what an upstream says of itself with an answer.
+// Word is the status that an upstream reports of itself in the headers of a
+// response or probe.
 type Word struct {
-	// Instance is the upstream's incarnation.
+	// Instance is the upstream's incarnation; another one is another process.
 	Instance string
-	// Leaving says that it wants no new work.
+	// Leaving means that it asks for no new requests.
 	Leaving bool
-	// Load is its own view of its load, negative when it said none.
+	// Load is its own view of its load, 0 to 1; negative if it reports none.
 	Load float64
 }
 
-// Target names the upstream of a request.
+// Target is the upstream of a request.
 type Target struct {
 	Name string
 	Zone string
+	// Addr is "address:port".
 	Addr string
 }
 
-// Done is told once when a request's slot is free again: the upstream has
-// answered, has refused, or is certainly no longer busy with it.
+// Done is called exactly once, when a request's slot is free again: the
+// upstream has responded in full, has refused, or is no longer busy with the
+// request. latency runs from Send.
 type Done func(outcome slot.Outcome, latency time.Duration)
 
 // Client sends requests to the upstreams of one zone.
 type Client struct {
 	transport *http.Transport
-	// Hear is told each upstream's word on itself.
-	hear func(name string, w Word)
+	// onStatus is called with the status in each response's headers.
+	onStatus func(name string, w Word)
 }
 
-// New makes a client. hear may be nil.
-func New(dial DialFunc, hear func(name string, w Word)) *Client {
+// New makes a client. A nil dial is TCP; onStatus may be nil.
+func New(dial DialFunc, onStatus func(name string, w Word)) *Client {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
 	}
-	if hear == nil {
-		hear = func(string, Word) {}
+	if onStatus == nil {
+		onStatus = func(string, Word) {}
 	}
-	c := &Client{hear: hear}
+	c := &Client{onStatus: onStatus}
 	c.transport = &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			nc, err := dial(ctx, network, addr)
@@ -88,59 +97,26 @@
 			return &conn{Conn: nc}, nil
 		},
 		DisableCompression:     true,
-		MaxIdleConns:           0,
+		MaxIdleConns:           0, // no limit over all upstreams
 		MaxIdleConnsPerHost:    slot.MaxIdle,
 		IdleConnTimeout:        idleTimeout,
-		MaxResponseHeaderBytes: maxHeader,
+		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
 	return c
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// attempt is one request on its way.
-type attempt struct {
-	client *Client
-	target Target
-	began  time.Time
-	once   sync.Once
-	done   Done
-
-	mu      sync.Mutex
-	conn    *conn
-	request uint64
-}
-
-func (a *attempt) finish(outcome slot.Outcome) {
-	a.once.Do(func() { a.done(outcome, time.Since(a.began)) })
-}
-
-func (a *attempt) gotConn(info httptrace.GotConnInfo, deadline time.Time) {
-	c, ok := info.Conn.(*conn)
-	if !ok {
-		return
-	}
-	request := c.begin(deadline)
-	a.mu.Lock()
-	a.conn, a.request = c, request
-	a.mu.Unlock()
-}
-
-func (a *attempt) current() *conn {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.conn
-}
-
-// Send sends a request once. Its error is a *verdict.Error: NotRun when no
-// byte was written or the upstream itself refused, else MayHaveRun. done is
-// called once in every case.
+// Send sends a request once and returns the response's header with its body
+// still to be read. Its error is a *verdict.Error: NotRun when no byte was
+// written or the upstream itself refused, else MayHaveRun. done is called once
+// in every case.
 func (c *Client) Send(ctx context.Context, t Target, req *call.Request, done Done) (*call.Answer, error) {
-	a := &attempt{client: c, target: t, began: time.Now(), done: done}
+	a := &attempt{target: t, began: time.Now(), done: done}
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	trace := &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { a.gotConn(i, req.Deadline) }}
-	out, err := c.request(httptrace.WithClientTrace(ctx, trace), t, req)
+	out, err := newRequest(httptrace.WithClientTrace(ctx, trace), t, req)
 	if err != nil {
 		cancel()
 		a.finish(slot.Unused)
@@ -148,19 +124,20 @@
 	}
 	resp, err := c.transport.RoundTrip(out)
 	if err != nil {
-		failure := a.failed(ctx, err) // before cancel, which changes ctx
+		failure := a.fail(ctx, err) // before cancel, which changes ctx.Err
 		cancel()
 		return nil, failure
 	}
-	c.hear(t.Name, wordOf(resp.Header))
-	if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(call.HeaderShed) == verdict.NotRun.String() {
+	c.onStatus(t.Name, parseStatus(resp.Header))
+	if isRefusal(resp) {
 		defer cancel()
-		return nil, a.shed(resp)
+		return nil, a.refused(resp)
 	}
-	return a.answer(resp, cancel), nil
+	return a.response(resp, cancel), nil
 }
 
-func (c *Client) request(ctx context.Context, t Target, req *call.Request) (*http.Request, error) {
+// newRequest makes the HTTP request for an upstream.
+func newRequest(ctx context.Context, t Target, req *call.Request) (*http.Request, error) {
 	u, err := url.ParseRequestURI(req.Target)
 	if err != nil {
 		return nil, eris.Wrap(err, "parse target")
@@ -169,8 +146,8 @@
 	out := (&http.Request{
 		Method: req.Method, URL: u, Host: t.Addr, Header: req.Header.Clone(),
 		ProtoMajor: 1, ProtoMinor: 1, ContentLength: int64(len(req.Body)),
-		// A body of its own keeps the transport from sending the request
-		// a second time by itself.
+		// A Body without GetBody keeps the Transport from sending the
+		// request a second time by itself.
 		Body: io.NopCloser(bytes.NewReader(req.Body)),
 	}).WithContext(ctx)
 	if out.Header == nil {
@@ -184,7 +161,15 @@
 	return out, nil
 }
 
-func wordOf(h http.Header) Word {
+// isRefusal reports whether the upstream states that it did not run the
+// request: by 503 and its own header. A bare 503 may come after a run.
+func isRefusal(resp *http.Response) bool {
+	return resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(call.HeaderShed) == verdict.NotRun.String()
+}
+
+// parseStatus reads an upstream's status. A load that is no number counts as
+// not reported.
+func parseStatus(h http.Header) Word {
 	w := Word{Instance: h.Get(call.HeaderInstance), Leaving: h.Get(call.HeaderState) == call.StateLeaving, Load: -1}
 	if load, err := strconv.ParseFloat(h.Get(headerLoad), 64); err == nil {
 		w.Load = load
@@ -192,125 +177,8 @@
 	return w
 }
 
-// end says that the whole answer was read.
-func (a *attempt) end() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.conn != nil {
-		a.conn.end(a.request)
-	}
-}
-
-// failed decides the verdict on a request that got no answer.
-func (a *attempt) failed(ctx context.Context, err error) error {
-	c := a.current()
-	if c == nil || !c.seal() {
-		a.finish(a.unsentOutcome(ctx))
-		if ctx.Err() != nil {
-			return verdict.New(verdict.NotRun, verdict.DeadlineLapsed, "no connection in time").WithUpstream(a.name())
-		}
-		return verdict.New(verdict.NotRun, verdict.UpstreamFailed, "not sent: %v", err).WithUpstream(a.name())
-	}
-	_ = c.Close()
-	c.whenClosed(func() { a.finish(slot.Failure) })
-	reason := verdict.UpstreamFailed
-	switch {
-	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		reason = verdict.DeadlineLapsed
-	case ctx.Err() != nil:
-		reason = verdict.CallerLeft
-	}
-	return verdict.New(verdict.MayHaveRun, reason, "no answer: %v", err).WithUpstream(a.name())
-}
-
-// unsentOutcome blames the upstream for a connection that was not made,
-// unless the caller left.
-func (a *attempt) unsentOutcome(ctx context.Context) slot.Outcome {
-	if errors.Is(ctx.Err(), context.Canceled) {
-		return slot.Unused
-	}
-	return slot.Failure
-}
-
-func (a *attempt) name() string { return a.target.Zone + "/" + a.target.Name }
-
-// shed reads an upstream's refusal, which proves that it did not run.
-func (a *attempt) shed(resp *http.Response) error {
-	_, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxHeader))
-	if err == nil {
-		a.end()
-	}
-	_ = resp.Body.Close()
-	a.finish(slot.Shed)
-	return verdict.New(verdict.NotRun, verdict.UpstreamShed, "upstream refused").WithUpstream(a.name())
-}
-
-func (a *attempt) answer(resp *http.Response, cancel context.CancelFunc) *call.Answer {
-	chunked := len(resp.TransferEncoding) > 0 && strings.EqualFold(resp.TransferEncoding[0], "chunked")
-	b := &body{attempt: a, inner: resp.Body, cancel: cancel}
-	// Without a length the end can't be told from a broken connection.
-	b.endless = resp.ContentLength < 0 && !chunked && resp.Request.Method != http.MethodHead
-	return &call.Answer{
-		Status:   resp.StatusCode,
-		Header:   call.EndToEnd(resp.Header),
-		Body:     b,
-		Length:   resp.ContentLength,
-		Upstream: a.name(),
-		Verdict:  verdict.Ran,
-	}
-}
-
-// body is an answer's body that frees the slot at its end.
-type body struct {
-	attempt *attempt
-	inner   io.ReadCloser
-	cancel  context.CancelFunc
-	endless bool
-	whole   bool
-}
-
-// Read gives io.EOF only when the whole answer was read.
-func (b *body) Read(p []byte) (int, error) {
-	n, err := b.inner.Read(p)
-	if err == io.EOF {
-		if b.endless {
-			return n, io.ErrUnexpectedEOF
-		}
-		b.ended()
-	}
-	return n, err
-}
-
-func (b *body) ended() {
-	if b.whole {
-		return
-	}
-	b.whole = true
-	b.attempt.end()
-	b.attempt.finish(slot.Success)
-}
-
-// Close gives the answer up if it was not read whole; the slot is free once
-// the upstream has closed its side.
-func (b *body) Close() error {
-	if b.whole {
-		err := b.inner.Close()
-		b.cancel()
-		return err
-	}
-	c := b.attempt.current()
-	if c == nil {
-		b.cancel()
-		b.attempt.finish(slot.Failure)
-		return b.inner.Close()
-	}
-	c.whenClosed(func() { b.attempt.finish(slot.Failure) })
-	b.cancel()
-	_ = c.Close()
-	return b.inner.Close()
-}
-
-// Probe asks an upstream for its own word. Its health may lag or mislead.
+// Probe requests an upstream's status from its health path. Its HTTP status
+// does not count, and the report may be late or wrong.
 func (c *Client) Probe(ctx context.Context, t Target) (Word, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.Addr+"/healthz", nil)
 	if err != nil {
@@ -321,6 +189,7 @@
 		return Word{}, eris.Wrap(err, "probe upstream")
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxHeader))
-	return wordOf(resp.Header), nil
+	// The body is read only so that the connection can be used again.
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxHeaderBytes))
+	return parseStatus(resp.Header), nil
 }
--- a/internal/selector/upstream/client_test.go
+++ b/internal/selector/upstream/client_test.go
@@ -18,8 +18,8 @@
 	"cairndock/internal/verdict"
 )
 
-// handled is a server whose handler says when it began and has ended.
-type handled struct {
+// heldServer is a server whose handler signals its begin and its end.
+type heldServer struct {
 	server *httptest.Server
 	began  chan struct{}
 	finish chan struct{}
@@ -28,12 +28,12 @@
 }
 
 // letFinish lets the handler end.
-func (h *handled) letFinish() { h.once.Do(func() { close(h.finish) }) }
+func (h *heldServer) letFinish() { h.once.Do(func() { close(h.finish) }) }
 
-// newHandled serves requests that go on until told to finish, whatever the
-// client does.
-func newHandled(t *testing.T) *handled {
-	h := &handled{began: make(chan struct{}, 1), finish: make(chan struct{}), ended: make(chan struct{})}
+// newHeldServer serves requests that run until letFinish, whatever the client
+// does.
+func newHeldServer(t *testing.T) *heldServer {
+	h := &heldServer{began: make(chan struct{}, 1), finish: make(chan struct{}), ended: make(chan struct{})}
 	h.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		h.began <- struct{}{}
 		<-h.finish
@@ -54,9 +54,9 @@
 }
 
 // TestSlotIsHeldUntilTheUpstreamIsDone cancels a request that the upstream
-// runs on with: its slot must not be free before.
+// keeps running: its slot must not be free before that ends.
 func TestSlotIsHeldUntilTheUpstreamIsDone(t *testing.T) {
-	h := newHandled(t)
+	h := newHeldServer(t)
 	c := New(nil, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	free := make(chan slot.Outcome, 1)
@@ -96,11 +96,11 @@
 				w.Header().Set(call.HeaderShed, "not-run")
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}},
-		{name: "closed without an answer", want: verdict.MayHaveRun, reason: verdict.UpstreamFailed, outcome: slot.Failure,
+		{name: "closed without a response", want: verdict.MayHaveRun, reason: verdict.UpstreamFailed, outcome: slot.Failure,
 			handler: func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }},
-		{name: "no answer in time", timeout: time.Second, want: verdict.MayHaveRun, reason: verdict.DeadlineLapsed, outcome: slot.Failure,
-			// It must not answer even when the connection closes, as the
-			// answer may come before the client has noticed its deadline.
+		{name: "no response in time", timeout: time.Second, want: verdict.MayHaveRun, reason: verdict.DeadlineLapsed, outcome: slot.Failure,
+			// It must not respond even when the connection closes, as the
+			// response may come before the client has noticed its deadline.
 			handler: func(_ http.ResponseWriter, r *http.Request) {
 				<-r.Context().Done()
 				panic(http.ErrAbortHandler)
@@ -134,7 +134,34 @@
 	}
 }
 
-// TestBodies reads answers that are whole and that are not.
+// TestClassify is the rule for attempts without a response.
+func TestClassify(t *testing.T) {
+	cases := []struct {
+		name    string
+		written bool
+		ctxErr  error
+		verdict verdict.Verdict
+		reason  verdict.Reason
+		outcome slot.Outcome
+	}{
+		{"not sent, upstream failed", false, nil, verdict.NotRun, verdict.UpstreamFailed, slot.Failure},
+		{"not sent in time", false, context.DeadlineExceeded, verdict.NotRun, verdict.DeadlineLapsed, slot.Failure},
+		{"not sent, client left", false, context.Canceled, verdict.NotRun, verdict.DeadlineLapsed, slot.Unused},
+		{"sent, upstream failed", true, nil, verdict.MayHaveRun, verdict.UpstreamFailed, slot.Failure},
+		{"sent, no response in time", true, context.DeadlineExceeded, verdict.MayHaveRun, verdict.DeadlineLapsed, slot.Failure},
+		{"sent, client left", true, context.Canceled, verdict.MayHaveRun, verdict.CallerLeft, slot.Failure},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			f := classify(tc.written, tc.ctxErr)
+			require.Equal(t, tc.verdict, f.verdict)
+			require.Equal(t, tc.reason, f.reason)
+			require.Equal(t, tc.outcome, f.outcome)
+		})
+	}
+}
+
+// TestBodies: only a response whose end is certain reads to io.EOF.
 func TestBodies(t *testing.T) {
 	const whole = "0123456789"
 	cases := []struct {
--- a/internal/selector/upstream/conn.go
+++ b/internal/selector/upstream/conn.go
@@ -7,27 +7,37 @@
 	"time"
 )
 
-// errFenced says that a write came after its request was given up.
-var errFenced = errors.New("request was given up before this write")
+// cancelGrace is how long after a request's deadline an upstream that neither
+// responds nor closes may still be busy with it; then its slot counts as free.
+// Upstreams stop at the deadline they are sent (docs/design/request.md); the
+// margin for clocks and the network was chosen, not measured.
+const cancelGrace = 500 * time.Millisecond
+
+// errFenced is the error of a write after the request was abandoned or its
+// deadline has passed.
+var errFenced = errors.New("request was abandoned before this write")
 
 // halfCloser is a connection whose sending side can be closed alone.
 type halfCloser interface{ CloseWrite() error }
 
-// conn is a connection to an upstream that knows whether its request may
-// have reached the upstream, and when the upstream is done with it.
+// conn is a connection to an upstream that records whether any byte of its
+// request was written, and when the upstream is done with the request. readMu
+// is taken before writeMu or mu; those two are never held together.
 type conn struct {
 	net.Conn
 
+	// writeMu guards what Write decides by.
 	writeMu  sync.Mutex
-	written  bool
-	fenced   bool
+	written  bool // a byte of the current request was written
+	fenced   bool // nothing more may be written
 	deadline time.Time
 
+	// readMu keeps linger from reading beside the Transport.
 	readMu sync.Mutex
 
 	mu sync.Mutex
 	// request numbers the requests on the connection; busy is the one whose
-	// answer is not whole yet, or 0.
+	// response is not whole yet, or 0.
 	request uint64
 	busy    uint64
 	closing bool
@@ -36,7 +46,7 @@
 }
 
 // begin starts a request that must not be written after its deadline, and
-// gives its number.
+// returns its number.
 func (c *conn) begin(deadline time.Time) uint64 {
 	c.writeMu.Lock()
 	c.written, c.deadline = false, deadline
@@ -48,8 +58,8 @@
 	return c.request
 }
 
-// end says that a request's whole answer was read. The connection may carry
-// the next request already.
+// end records that a request's whole response was read. The connection may
+// carry the next request already.
 func (c *conn) end(request uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,8 +68,8 @@
 	}
 }
 
-// seal stops all further writing and reports whether any byte of the
-// request was written. Its answer "no" is proof.
+// seal prevents all further writes and reports whether any byte of the request
+// was written. If not, the request certainly did not run.
 func (c *conn) seal() bool {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -67,8 +77,8 @@
 	return c.written
 }
 
-// Write refuses a request whose deadline has passed, so that a host which
-// slept sends nothing late.
+// Write fails once the request's deadline has passed, so that a host that was
+// paused sends nothing late.
 func (c *conn) Write(p []byte) (int, error) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -79,7 +89,7 @@
 	return c.Conn.Write(p)
 }
 
-// Read reads, unless the connection is being closed.
+// Read reads for the Transport, until the connection is being closed.
 func (c *conn) Read(p []byte) (int, error) {
 	if c.isClosing() {
 		return 0, net.ErrClosed
@@ -98,9 +108,10 @@
 	return c.closing
 }
 
-// Close cancels the request, if there is one: it closes the sending side
-// and waits, in the background, for the upstream to close its own, which
-// confirms that the request is over there.
+// Close cancels the request, if there is one: it closes the sending side and
+// waits, in the background, for the upstream to close its own, which confirms
+// that the request has ended there. Closing both sides at once would free the
+// slot while the request still runs.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	if c.closing {
@@ -113,25 +124,26 @@
 	half, ok := c.Conn.(halfCloser)
 	if !busy || !ok {
 		err := c.Conn.Close()
-		c.finish()
+		c.markClosed()
 		return err
 	}
 	c.seal()
+	// An error of these two means a broken connection, which linger meets.
 	_ = half.CloseWrite()
 	_ = c.SetReadDeadline(time.Now()) // wakes a reader
 	go c.linger()
 	return nil
 }
 
-// linger reads what still comes until the upstream closes, or until the
-// upstream must have stopped by the request's deadline.
+// linger discards what still arrives until the upstream closes its side, or
+// until it must have stopped: cancelGrace after the request's deadline.
 func (c *conn) linger() {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	c.writeMu.Lock()
 	deadline := c.deadline
 	c.writeMu.Unlock()
-	_ = c.SetReadDeadline(deadline.Add(cancelGrace))
+	_ = c.SetReadDeadline(deadline.Add(cancelGrace)) // fails only if closed
 	buf := make([]byte, 4<<10)
 	for {
 		if _, err := c.Conn.Read(buf); err != nil {
@@ -139,10 +151,11 @@
 		}
 	}
 	_ = c.Conn.Close()
-	c.finish()
+	c.markClosed()
 }
 
-func (c *conn) finish() {
+// markClosed runs what waits for the connection's end.
+func (c *conn) markClosed() {
 	c.mu.Lock()
 	c.closed = true
 	fns := c.onClose
@@ -153,7 +166,8 @@
 	}
 }
 
-// whenClosed runs f once the upstream is done with the connection.
+// whenClosed runs f once the upstream is done with the connection, at once if
+// it already is.
 func (c *conn) whenClosed(f func()) {
 	c.mu.Lock()
 	if !c.closed {
