--- a/internal/selector/caller/caller_test.go
+++ b/internal/selector/caller/caller_test.go
@@ -14,7 +14,6 @@
 	"testing"
 	"time"
 
-	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 	"go.opentelemetry.io/otel/trace/noop"
 
@@ -26,7 +25,7 @@
 	"cairndock/internal/verdict"
 )
 
-// fakeHost answers as told and keeps the last request.
+// fakeHost returns a fixed response or error and keeps the last request.
 type fakeHost struct {
 	view   *config.View
 	answer *call.Answer
@@ -67,7 +66,7 @@
 	if change != nil {
 		change(&set)
 	}
-	srv := New(set, h, zerolog.Nop(), noop.NewTracerProvider(), telemetry.NewMetrics())
+	srv := New(set, h, noop.NewTracerProvider(), telemetry.NewMetrics())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	go func() { _ = srv.Serve(l) }()
@@ -82,8 +81,8 @@
 	}
 }
 
-// TestRefusals: whatever is wrong with a request, it was not run, and the
-// answer says what.
+// TestRefusals: a request with a fault was not run, and the response names the
+// fault.
 func TestRefusals(t *testing.T) {
 	cases := []struct {
 		name, method, path string
@@ -101,7 +100,7 @@
 		{name: "large header", path: "/s/s/x", header: map[string]string{"X-Big": strings.Repeat("x", 2001)}, status: 431, verdict: "not-run", detail: "2000 bytes"},
 		{name: "shed", path: "/s/s/x", err: verdict.New(verdict.NotRun, verdict.Full, "full").WithRetryAfter(1500 * time.Millisecond), status: 503, verdict: "not-run", detail: "full"},
 		{name: "deadline", path: "/s/s/x", err: verdict.New(verdict.MayHaveRun, verdict.DeadlineLapsed, "late"), status: 504, verdict: "may-have-run", detail: "late"},
-		{name: "any other error is a doubt", path: "/s/s/x", err: errors.New("odd"), status: 502, verdict: "may-have-run", detail: "odd"},
+		{name: "any other error may have run", path: "/s/s/x", err: errors.New("odd"), status: 502, verdict: "may-have-run", detail: "odd"},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -136,6 +135,14 @@
 	}
 }
 
+func TestRetryAfterIsInWholeSecondsRoundedUp(t *testing.T) {
+	for pause, want := range map[time.Duration]string{
+		time.Millisecond: "1", time.Second: "1", 1001 * time.Millisecond: "2", 3 * time.Second: "3",
+	} {
+		require.Equal(t, want, retryAfter(pause), pause)
+	}
+}
+
 func TestStalledBodyIsCutByTheDeadline(t *testing.T) {
 	h := &fakeHost{answer: ok("x")}
 	addr := newServer(t, h, nil)
--- /dev/null
+++ b/internal/selector/caller/response.go
@@ -0,0 +1,91 @@
+package caller
+
+import (
+	"encoding/json"
+	"io"
+	"net/http"
+	"strings"
+	"sync"
+
+	"github.com/labstack/echo/v4"
+
+	"cairndock/internal/call"
+	"cairndock/internal/verdict"
+)
+
+// copyBuffer is the buffer for copying a response's body, in bytes: the size
+// that io.Copy uses.
+const copyBuffer = 32 << 10
+
+// problem is the body of an error response of this host (RFC 9457).
+type problem struct {
+	Type    string `json:"type"`
+	Title   string `json:"title"`
+	Status  int    `json:"status"`
+	Detail  string `json:"detail"`
+	Verdict string `json:"verdict"`
+}
+
+// writeProblem writes an error response: the verdict in its header and the
+// reason in its body.
+func writeProblem(w http.ResponseWriter, e *verdict.Error, status int) {
+	h := w.Header()
+	h.Set("Content-Type", "application/problem+json")
+	h.Set(verdict.Header, e.Verdict.String())
+	if e.Upstream != "" {
+		h.Set(call.HeaderUpstream, e.Upstream)
+	}
+	if e.RetryAfter > 0 {
+		h.Set("Retry-After", retryAfter(e.RetryAfter))
+	}
+	w.WriteHeader(status)
+	// An error means that the client has left.
+	_ = json.NewEncoder(w).Encode(problem{
+		Type: "urn:cairndock:" + string(e.Reason), Title: string(e.Reason),
+		Status: status, Detail: e.Detail, Verdict: e.Verdict.String(),
+	})
+}
+
+// writeResponse writes an upstream's response. If its body breaks off, the
+// client's connection is closed, so that the response can't look complete.
+func (s *Server) writeResponse(w *echo.Response, resp *call.Answer) {
+	for name, values := range resp.Header {
+		if !strings.HasPrefix(name, reservedPrefix) {
+			w.Header()[name] = values
+		}
+	}
+	w.Header().Set(call.HeaderUpstream, resp.Upstream)
+	w.WriteHeader(resp.Status)
+	if err := copyBody(w, resp); err != nil {
+		s.metrics.Count("cairndock_answers_broken_total")
+		panic(http.ErrAbortHandler)
+	}
+}
+
+// buffers are the copy buffers, used again from response to response.
+var buffers = sync.Pool{New: func() any { return new([copyBuffer]byte) }}
+
+// copyBody copies a body. One of unknown length may be a stream, and is flushed
+// after each part.
+func copyBody(w *echo.Response, resp *call.Answer) error {
+	pooled := buffers.Get().(*[copyBuffer]byte)
+	defer buffers.Put(pooled)
+	buf := pooled[:]
+	for {
+		n, err := resp.Body.Read(buf)
+		if n > 0 {
+			if _, werr := w.Write(buf[:n]); werr != nil {
+				return werr
+			}
+			if resp.Length < 0 {
+				w.Flush()
+			}
+		}
+		if err == io.EOF {
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+	}
+}
--- a/internal/selector/server/server.go
+++ b/internal/selector/server/server.go
@@ -86,7 +86,7 @@
 		return nil, eris.Wrap(err, "listen for operators")
 	}
 	s.callerAddr, s.operatorAddr = callers.Addr().String(), operators.Addr().String()
-	s.callers = caller.New(o.Settings.Callers, h, o.Log, o.Traces, h.Metrics())
+	s.callers = caller.New(o.Settings.Callers, h, o.Traces, h.Metrics())
 	s.operators = operator.New(o.Settings.Operators, h, o.Log, h.Metrics())
 	if err := h.Start(ctx, s.callerAddr); err != nil {
 		_ = callers.Close()
