--- /dev/null
+++ b/internal/selector/operator/config.go
@@ -0,0 +1,156 @@
+package operator
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/labstack/echo/v4"
+	"github.com/oklog/ulid/v2"
+	"github.com/pelletier/go-toml/v2"
+
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry"
+	"cairndock/internal/tomlfile"
+)
+
+const (
+	// HeaderChange is the header with the submitter's own id of a change. A
+	// change sent again with the same id is accepted once.
+	HeaderChange = "Cairndock-Change"
+	// maxDocument limits a configuration document, in bytes. Chosen, three times
+	// the 20.1 MB of TOML of the planned size (standin.PlannedSize).
+	maxDocument = 64 << 20
+	// defaultWait is how long a change waits to be in force everywhere unless
+	// the request sets it: one second above the 5 s after which a zone that
+	// can't be reached no longer counts (docs/design/configuration.md).
+	defaultWait = 6 * time.Second
+	// longestWait limits the wait that a request may set. Chosen, not measured.
+	longestWait = time.Minute
+)
+
+// rejection is the response to a change that was not accepted.
+type rejection struct {
+	status int
+	Errors []string `json:"errors"`
+}
+
+func rejected(status int, problems ...string) *rejection {
+	return &rejection{status: status, Errors: problems}
+}
+
+// faulty rejects a change for the faults joined in err, one line each.
+func faulty(err error) *rejection {
+	return rejected(http.StatusBadRequest, strings.Split(err.Error(), "\n")...)
+}
+
+func (r *rejection) write(c echo.Context) error { return c.JSON(r.status, r) }
+
+func (s *Server) getConfig(c echo.Context) error {
+	view := s.host.View()
+	body, err := toml.Marshal(view.State().Document())
+	if err != nil {
+		return err
+	}
+	c.Response().Header().Set("ETag", strconv.Quote(strconv.FormatUint(view.Revision(), 10)))
+	return c.Blob(http.StatusOK, "application/toml", body)
+}
+
+func (s *Server) putConfig(c echo.Context) error {
+	change, refused := readChange(c.Request())
+	if refused != nil {
+		return refused.write(c)
+	}
+	wait, err := waitOf(c.QueryParam("wait"))
+	if err != nil {
+		return rejected(http.StatusBadRequest, "wait: must be a duration").write(c)
+	}
+	applied, err := s.host.Apply(c.Request().Context(), change, wait)
+	var conflict *config.Conflict
+	var fault tomlfile.KeyError
+	switch {
+	case errors.As(err, &conflict):
+		return c.JSON(http.StatusConflict, conflict)
+	case errors.As(err, &fault):
+		return faulty(err).write(c)
+	case err != nil:
+		s.log.Warn().Err(err).Str("change", change.ID).Msg("operator: outcome of a change is unknown")
+		return rejected(http.StatusServiceUnavailable, "the platform can't be reached; "+
+			"whether the change was accepted is not known; send it again with the same id: "+change.ID).write(c)
+	}
+	s.log.Info().Str("change", change.ID).Uint64("revision", applied.Revision).Str("state", applied.State).
+		Msg("operator: change accepted")
+	status := http.StatusOK
+	if applied.State == entry.StatePending {
+		status = http.StatusAccepted
+	}
+	return c.JSON(status, applied)
+}
+
+// waitOf is how long a change waits to be in force: the request's duration
+// within 0 and longestWait, or defaultWait without one.
+func waitOf(text string) (time.Duration, error) {
+	if text == "" {
+		return defaultWait, nil
+	}
+	d, err := time.ParseDuration(text)
+	return max(0, min(d, longestWait)), err
+}
+
+// readChange reads a document and the versions that it is based on.
+func readChange(r *http.Request) (config.Change, *rejection) {
+	var none config.Change
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxDocument+1))
+	if err != nil || len(body) > maxDocument {
+		return none, rejected(http.StatusRequestEntityTooLarge, "the document can't be read or is too large")
+	}
+	doc, err := config.ParseDocument(body)
+	if err != nil {
+		return none, faulty(err)
+	}
+	base, hasBase, err := ifMatch(r.Header.Get("If-Match"))
+	if err != nil {
+		return none, rejected(http.StatusBadRequest, "If-Match: must be a revision")
+	}
+	if !hasBase && len(doc.Versions) == 0 {
+		return none, rejected(http.StatusPreconditionRequired,
+			"If-Match: must name the revision that the document is based on, or versions each object's")
+	}
+	id := r.Header.Get(HeaderChange)
+	if id == "" {
+		id = ulid.Make().String()
+	}
+	change, err := doc.Change(id, base)
+	if err != nil {
+		return none, faulty(err)
+	}
+	if len(change.Edits) == 0 {
+		return none, rejected(http.StatusBadRequest, "the document names no object")
+	}
+	return change, nil
+}
+
+// ifMatch reads the revision in an If-Match header, and whether there is one.
+func ifMatch(header string) (uint64, bool, error) {
+	if header == "" {
+		return 0, false, nil
+	}
+	rev, err := strconv.ParseUint(strings.Trim(header, `"`), 10, 64)
+	return rev, true, err
+}
+
+func (s *Server) changeProgress(c echo.Context) error {
+	id := c.Param("id")
+	applied, found, err := s.host.ChangeProgress(c.Request().Context(), id)
+	if err != nil {
+		s.log.Warn().Err(err).Str("change", id).Msg("operator: progress of a change is unknown")
+		return echo.NewHTTPError(http.StatusServiceUnavailable, "the platform can't be reached")
+	}
+	if !found {
+		return echo.NewHTTPError(http.StatusNotFound, "no change with this id was accepted")
+	}
+	return c.JSON(http.StatusOK, applied)
+}
--- a/internal/selector/operator/operator_test.go
+++ b/internal/selector/operator/operator_test.go
@@ -25,7 +25,7 @@
 	goodDoc   = "[[zone]]\nname = \"a\"\nregion = \"r\"\n"
 )
 
-// fakeHost answers changes as told and keeps the last one.
+// fakeHost returns a fixed result of a change and keeps the last change.
 type fakeHost struct {
 	applied entry.Applied
 	err     error
@@ -82,7 +82,7 @@
 		{name: "pending", auth: auth, match: "1", doc: goodDoc, host: fakeHost{applied: entry.Applied{State: entry.StatePending}}, status: 202, want: "pending", reached: true},
 		{name: "versions in place of a base", auth: auth, doc: goodDoc + "[versions]\n\"zone/a\" = 3\n", host: fakeHost{applied: entry.Applied{State: entry.StateAccepted}}, status: 200, reached: true},
 		{name: "conflict", auth: auth, match: "1", doc: goodDoc, host: fakeHost{err: conflict}, status: 409, want: `"winner_change":"theirs"`, reached: true},
-		{name: "outcome not known", auth: auth, match: "1", doc: goodDoc, host: fakeHost{err: errors.New("lost")}, status: 503, want: "same id: mine", reached: true},
+		{name: "outcome unknown", auth: auth, match: "1", doc: goodDoc, host: fakeHost{err: errors.New("lost")}, status: 503, want: "same id: mine", reached: true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
