--- a/internal/selector/quickstart/path_bench_test.go
+++ b/internal/selector/quickstart/path_bench_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkPath is one call straight to a stand-in upstream, through one
+// BenchmarkPath is one request straight to a stand-in upstream, through one
 // host to an upstream of its zone, and through two hosts over a peer hop.
 func BenchmarkPath(b *testing.B) {
 	system, err := Start(context.Background(), Options{Log: zerolog.Nop()})
--- a/internal/selector/quickstart/quickstart.go
+++ b/internal/selector/quickstart/quickstart.go
@@ -1,14 +1,13 @@
-// Package quickstart runs a whole small system in one process: the platform
-// stand-in, upstreams and nine entry hosts, on loopback.
+// Package quickstart runs a whole small system in one process, on loopback: the
+// platform stand-in, 36 upstreams of two services and nine entry hosts in three
+// regions, with a configuration. It is for trying the commands, and the
+// end-to-end test of `cairndock serve` is its session (session_test.go).
 package quickstart
 
 import (
 	"context"
 	"crypto/rand"
 	"fmt"
-	"net"
-	"net/http"
-	"strings"
 	"time"
 
 	"github.com/rotisserie/eris"
@@ -29,43 +28,62 @@
 
 // The services of the quick start.
 const (
-	Planning  = "planning"
-	Documents = "documents"
+	// planning has short requests.
+	planning = "planning"
+	// documents has downloads, as bulk traffic.
+	documents = "documents"
+)
 
-	planningPerZone  = 4
+// The size and speed of the quick start. All are chosen, not measured: small
+// enough for one laptop, large enough that hosts share upstreams.
+const (
+	// planningPerZone is the planning service's upstreams in each zone.
+	planningPerZone = 4
+	// documentsPerZone is the documents service's upstreams in each zone.
 	documentsPerZone = 2
+	// slotsPerUpstream is how many requests an upstream runs at a time.
 	slotsPerUpstream = 6
-	loopback         = "127.0.0.1:0"
-
-	// PlanningLatency is how long an upstream of the planning service takes
-	// unless the options say otherwise, and documentsLatency one of the other.
-	PlanningLatency  = 5 * time.Millisecond
+	// PlanningLatency is the time of a request at an upstream of the planning
+	// service, unless Options.Latency is set.
+	PlanningLatency = 5 * time.Millisecond
+	// documentsLatency is the time of a request at an upstream of the documents
+	// service, before its bytes.
 	documentsLatency = 10 * time.Millisecond
+	// readyTimeout limits the start of all hosts.
+	readyTimeout = 30 * time.Second
+	// readyPoll is how often hosts are checked while they start.
+	readyPoll = 20 * time.Millisecond
+	// loopback is any free port of the own machine.
+	loopback = "127.0.0.1:0"
 )
 
-// Options say where the first host listens.
+// Options are the options of Start.
 type Options struct {
+	// CallerAddr and OperatorAddr are where the first host listens; any free
+	// port if empty.
 	CallerAddr   string
 	OperatorAddr string
-	// Latency is how long an upstream of the planning service takes; zero is
-	// PlanningLatency.
+	// Latency is the time of a request at an upstream of the planning service;
+	// zero is PlanningLatency.
 	Latency time.Duration
 	Log     zerolog.Logger
-	Traces  *sdktrace.TracerProvider
+	// Traces receives the hosts' spans; nil drops them.
+	Traces *sdktrace.TracerProvider
 }
 
 // System is a running quick start.
 type System struct {
-	// Memory is the platform's state, Token what operators' writes bear.
-	Memory    *store.Memory
-	Token     string
-	Servers   []*server.Server
-	Upstreams []*standin.Upstream
-	// Platform says how further hosts reach the platform stand-in.
-	Platform settings.Platform
-	// UpstreamAddrs are the addresses of Upstreams, in the same order.
+	// Token is the operators' token, for changes of the configuration.
+	Token   string
+	Servers []*server.Server
+	// Upstreams are the upstreams, UpstreamAddrs their addresses in the same
+	// order.
+	Upstreams     []*standin.Upstream
 	UpstreamAddrs []string
+	// Platform are a host's settings to reach the platform stand-in.
+	Platform settings.Platform
 
+	memory  *store.Memory // the platform's state
 	options Options
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -82,7 +100,7 @@
 		o.Traces = tp
 	}
 	o.Latency = settings.Default(o.Latency, PlanningLatency)
-	s := &System{Memory: store.NewMemory(), Token: rand.Text(), options: o}
+	s := &System{memory: store.NewMemory(), Token: rand.Text(), options: o}
 	s.ctx, s.cancel = context.WithCancel(ctx)
 	for _, step := range []func() error{s.startPlatform, s.startUpstreams, s.writeConfig, s.startHosts, s.waitReady} {
 		if err := step(); err != nil {
@@ -93,51 +111,29 @@
 	return s, nil
 }
 
-// serve serves a handler at a new loopback address.
-func (s *System) serve(h http.Handler) (string, error) {
-	l, err := net.Listen("tcp", loopback)
-	if err != nil {
-		return "", eris.Wrap(err, "listen")
-	}
-	srv := &http.Server{Handler: h, ReadHeaderTimeout: time.Second}
-	go func() { _ = srv.Serve(l) }()
-	s.closers = append(s.closers, func() { _ = srv.Close() })
-	return "http://" + l.Addr().String(), nil
-}
-
 func (s *System) startPlatform() error {
-	p := standin.Platform{Memory: s.Memory}
-	table, err := s.serve(p.TableHandler())
-	if err != nil {
-		return err
-	}
-	objects, err := s.serve(p.ObjectHandler())
+	p, err := standin.Platform{Memory: s.memory}.Start()
 	if err != nil {
 		return err
 	}
-	hosts, err := s.serve(p.HostsHandler())
-	if err != nil {
-		return err
-	}
-	s.Platform = settings.Platform{
-		TableEndpoint: table, ObjectEndpoint: objects, HostsURL: hosts,
-		Table: "cairndock", Bucket: "cairndock", Region: "local", AccessKey: "stand-in", SecretKey: "stand-in",
-	}
+	s.Platform = p.Settings
+	s.closers = append(s.closers, p.Close)
 	return nil
 }
 
+// zonesOf are the zones of a region.
 func zonesOf(region string) []string { return []string{region + "-a", region + "-b"} }
 
 func (s *System) startUpstreams() error {
 	for _, region := range regions {
 		for _, zone := range zonesOf(region) {
 			for i := range planningPerZone {
-				if err := s.startUpstream(Planning, zone, i, s.options.Latency); err != nil {
+				if err := s.startUpstream(planning, zone, i, s.options.Latency); err != nil {
 					return err
 				}
 			}
 			for i := range documentsPerZone {
-				if err := s.startUpstream(Documents, zone, i, documentsLatency); err != nil {
+				if err := s.startUpstream(documents, zone, i, documentsLatency); err != nil {
 					return err
 				}
 			}
@@ -147,54 +143,23 @@
 }
 
 func (s *System) startUpstream(service, zone string, i int, latency time.Duration) error {
-	l, err := net.Listen("tcp", loopback)
-	if err != nil {
-		return eris.Wrap(err, "listen")
-	}
 	u := &standin.Upstream{
 		Name: fmt.Sprintf("%s-%s-%d", service, zone, i+1), Instance: "1", Slots: slotsPerUpstream, Latency: latency,
 	}
-	go func() { _ = u.Serve(l) }()
+	addr, err := u.Start()
+	if err != nil {
+		return err
+	}
 	s.Upstreams = append(s.Upstreams, u)
-	s.UpstreamAddrs = append(s.UpstreamAddrs, l.Addr().String())
+	s.UpstreamAddrs = append(s.UpstreamAddrs, addr)
 	s.closers = append(s.closers, func() { _ = u.Close() })
-	s.Memory.SetHost(u.Name, store.Live)
+	s.memory.SetHost(u.Name, store.Live)
 	return nil
 }
 
-// Document is the configuration that the quick start begins with.
-func (s *System) Document() string {
-	var b strings.Builder
-	for _, region := range regions {
-		for _, zone := range zonesOf(region) {
-			fmt.Fprintf(&b, "[[zone]]\nname = %q\nregion = %q\n", zone, region)
-		}
-	}
-	fmt.Fprintf(&b, "[[service]]\nname = %q\nclass = \"interactive\"\nrepeat = \"safe\"\nprefer = \"headroom\"\ntimeout = \"2s\"\nmax_timeout = \"5s\"\n", Planning)
-	fmt.Fprintf(&b, "[[service]]\nname = %q\nclass = \"bulk\"\nrepeat = \"safe\"\nprefer = \"headroom\"\ntimeout = \"20s\"\nmax_timeout = \"60s\"\n", Documents)
-	for i, u := range s.Upstreams {
-		service, rest, _ := strings.Cut(u.Name, "-")
-		zone := rest[:strings.LastIndex(rest, "-")]
-		fmt.Fprintf(&b, "[[upstream]]\nname = %q\nservice = %q\nzone = %q\naddr = %q\nslots = %d\nlabels = { tier = \"main\" }\n",
-			u.Name, service, zone, s.UpstreamAddrs[i], u.Slots)
-	}
-	fmt.Fprintf(&b, "[[rule]]\nname = \"planning-costa\"\nservice = %q\nselector = \"region=costa\"\nshare = 0.5\ncap = 0.6\n", Planning)
-	fmt.Fprintf(&b, "[[rule]]\nname = \"planning-rest\"\nservice = %q\nselector = \"region!=costa\"\nshare = 0.5\n", Planning)
-	fmt.Fprintf(&b, "[[rule]]\nname = \"documents-all\"\nservice = %q\nselector = \"tier=main\"\nshare = 1.0\n", Documents)
-	b.WriteString("[[block]]\ncidr = \"127.0.0.0/8\"\nzone = \"costa-a\"\n")
-	b.WriteString("[[block]]\ncidr = \"10.2.0.0/16\"\nzone = \"sierra-a\"\n")
-	for _, from := range regions {
-		for _, to := range regions {
-			if from != to {
-				fmt.Fprintf(&b, "[[link]]\nfrom = %q\nto = %q\nbytes_per_second = 20_000_000\n", from, to)
-			}
-		}
-	}
-	return b.String()
-}
-
+// writeConfig appends the configuration to the log, before any host starts.
 func (s *System) writeConfig() error {
-	doc, err := config.ParseDocument([]byte(s.Document()))
+	doc, err := config.ParseDocument([]byte(s.document()))
 	if err != nil {
 		return err
 	}
@@ -212,7 +177,7 @@
 		for i, zone := range zonesOf(region) {
 			hosts := 2 - i // two in the first zone of each region
 			for n := range hosts {
-				if err := s.StartHost(fmt.Sprintf("%s-%d", zone, n+1), zone, region); err != nil {
+				if err := s.startHost(fmt.Sprintf("%s-%d", zone, n+1), zone, region); err != nil {
 					return err
 				}
 			}
@@ -221,8 +186,8 @@
 	return nil
 }
 
-// StartHost starts one more entry host.
-func (s *System) StartHost(name, zone, region string) error {
+// startHost starts one more entry host; the first one at the options' addresses.
+func (s *System) startHost(name, zone, region string) error {
 	set := settings.Settings{
 		Host:      settings.Host{Name: name, Zone: zone, Region: region},
 		Callers:   settings.Callers{Listen: loopback},
@@ -247,22 +212,19 @@
 		return err
 	}
 	s.Servers = append(s.Servers, srv)
-	s.Memory.SetHost(name, store.Live)
+	s.memory.SetHost(name, store.Live)
 	return nil
 }
 
-// readyTimeout bounds the start of all hosts.
-const readyTimeout = 30 * time.Second
-
-// waitReady waits until every host serves, has settled its zone's roster
-// and hears from every other.
+// waitReady waits until every host is ready, has settled its zone's roster and
+// has heartbeats of every other.
 func (s *System) waitReady() error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
 		if s.settled() {
 			return nil
 		}
-		time.Sleep(20 * time.Millisecond)
+		time.Sleep(readyPoll)
 	}
 	return eris.New("hosts were not ready in time")
 }
@@ -281,7 +243,7 @@
 	return true
 }
 
-// Stop stops every host as planned and then everything else.
+// Stop takes every host out of service, all at a time, and ends everything else.
 func (s *System) Stop(ctx context.Context) {
 	done := make(chan struct{})
 	for _, srv := range s.Servers {
@@ -297,7 +259,7 @@
 	s.Close()
 }
 
-// Close ends everything at once.
+// Close ends everything at once, as a crash would.
 func (s *System) Close() {
 	for _, srv := range s.Servers {
 		srv.Close()
--- a/internal/selector/quickstart/session_test.go
+++ b/internal/selector/quickstart/session_test.go
@@ -27,7 +27,7 @@
 	"cairndock/internal/telemetry"
 )
 
-// session writes down what one caller and one operator see.
+// session records what one client and one operator receive.
 type session struct {
 	t      *testing.T
 	system *System
@@ -51,15 +51,15 @@
 
 func (s *session) say(format string, args ...any) { fmt.Fprintf(&s.out, format+"\n", args...) }
 
-// waitForAll waits until a host names every host to callers: one that was
-// slow to answer a heartbeat is left out for a moment.
+// waitForAll waits until a host names every host to clients: one whose heartbeat
+// was late is left out for a moment.
 func (s *session) waitForAll(host string) {
 	require.Eventually(s.t, func() bool {
 		for _, srv := range s.system.Servers {
 			if srv.Host().Self().Host != host {
 				continue
 			}
-			body, err := srv.Host().EntriesFor(Planning, netip.MustParseAddr("127.0.0.1"))
+			body, err := srv.Host().EntriesFor(planning, netip.MustParseAddr("127.0.0.1"))
 			var e entry.Entries
 			return err == nil && json.Unmarshal(body, &e) == nil && len(e.Entries) == len(s.system.Servers)
 		}
@@ -77,7 +77,7 @@
 	return ""
 }
 
-// ask sends a request and writes down what does not depend on chance.
+// ask sends a request and records what does not depend on chance.
 func (s *session) ask(host, method, path string, header map[string]string, body string) []byte {
 	req, err := http.NewRequest(method, "http://"+s.server(host)+path, strings.NewReader(body))
 	require.NoError(s.t, err)
@@ -126,8 +126,7 @@
 	return n
 }
 
-// trace writes down the spans that belong to a caller's trace, in the order
-// of the hops.
+// trace records the spans of a client's trace, in the order of the hops.
 func (s *session) trace(id string) {
 	var parts []string
 	require.Eventually(s.t, func() bool {
@@ -184,7 +183,7 @@
 `
 )
 
-// TestSession is a whole session over real sockets, by its golden file.
+// TestSession compares a whole session over real sockets with its golden file.
 func TestSession(t *testing.T) {
 	s := newSession(t)
 
--- a/internal/selector/server/server.go
+++ b/internal/selector/server/server.go
@@ -1,4 +1,7 @@
-// Package server runs one entry host with its listeners.
+// Package server joins the parts of one entry host of `cairndock serve`: it
+// checks the settings of all sections, makes the host with its clients of the
+// platform, and runs it with the listeners for clients (package caller) and for
+// operators (package operator).
 package server
 
 import (
@@ -20,7 +23,7 @@
 	"cairndock/internal/tlsfiles"
 )
 
-// Prepare fills the defaults of all sections and gives every fault at once.
+// Prepare applies the defaults of all sections. Its error joins every fault.
 func Prepare(s *settings.Settings) error {
 	entry.Prepare(s)
 	caller.Default(&s.Callers)
@@ -40,19 +43,19 @@
 	host      *entry.Host
 	callers   *caller.Server
 	operators *operator.Server
-	log       zerolog.Logger
 
 	callerAddr   string
 	operatorAddr string
 	failed       chan error
 }
 
-// Listeners make the host's own listeners; TCP but for tests.
+// Listeners makes the host's own listeners.
 type Listeners interface {
 	Listen(addr string) (net.Listener, error)
 }
 
-// Remote gives options that reach the platform of the settings.
+// Remote returns the options of a host that uses the platform of the settings,
+// and mutual TLS between hosts if they have it.
 func Remote(s settings.Settings, log zerolog.Logger, tp *sdktrace.TracerProvider) (entry.Options, error) {
 	o := entry.Options{
 		Settings: s, Log: log, Traces: tp, Transport: entry.TCP{},
@@ -69,13 +72,14 @@
 	return o, nil
 }
 
-// Start starts a host and its listeners.
+// Start starts a host and its listeners. The host serves until Stop or Close; ctx
+// ends its background work too.
 func Start(ctx context.Context, o entry.Options, ls Listeners) (*Server, error) {
 	h, err := entry.New(o)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{host: h, log: o.Log, failed: make(chan error, 2)}
+	s := &Server{host: h, failed: make(chan error, 2)} // one for each listener
 	callers, err := ls.Listen(o.Settings.Callers.Listen)
 	if err != nil {
 		return nil, eris.Wrap(err, "listen for callers")
@@ -101,29 +105,32 @@
 // Host is the host that the server runs.
 func (s *Server) Host() *entry.Host { return s.host }
 
-// CallerAddr is where callers are served, and OperatorAddr operators.
+// CallerAddr is the address at which clients are served.
 func (s *Server) CallerAddr() string { return s.callerAddr }
 
-// OperatorAddr is where operators are served.
+// OperatorAddr is the address at which operators are served.
 func (s *Server) OperatorAddr() string { return s.operatorAddr }
 
-// Failed gives the error that ended a listener.
+// Failed receives the error that ended a listener, or nil after Close.
 func (s *Server) Failed() <-chan error { return s.failed }
 
-// closeTimeout bounds the last wait for callers' connections.
+// closeTimeout limits the last wait for clients' connections, when the host has
+// already waited for its requests in flight. Chosen, not measured.
 const closeTimeout = time.Second
 
-// Stop takes the host out of service and then closes it.
+// Stop takes the host out of service as the settings' section [stop] says, and
+// closes it. ctx ends the wait early.
 func (s *Server) Stop(ctx context.Context) entry.StopReport {
 	report := s.host.Stop(ctx)
 	closeCtx, cancel := context.WithTimeout(ctx, closeTimeout)
 	defer cancel()
+	// Its error is the timeout; Close ends what is left.
 	_ = s.callers.Shutdown(closeCtx)
 	s.Close()
 	return report
 }
 
-// Close ends the server at once, as a crash would.
+// Close ends the server at once, as a crash would: requests in flight are cut.
 func (s *Server) Close() {
 	_ = s.callers.Close()
 	_ = s.operators.Close()
--- a/internal/selector/standin/full.go
+++ b/internal/selector/standin/generated.go
@@ -11,11 +11,12 @@
 
 // Size is the size of a generated system.
 type Size struct {
+	// Blocks is how many blocks of client addresses there are.
 	Blocks   int
 	Services int
 	Zones    int
 	Regions  int
-	// Hosts is how many hosts each zone's roster holds.
+	// Hosts is how many hosts each zone's roster has.
 	Hosts int
 	// PerSite is how many upstreams a service has in a zone.
 	PerSite int
@@ -27,17 +28,17 @@
 	return Size{Blocks: 260_000, Services: 22, Zones: 80, Regions: 23, Hosts: 74, PerSite: 24}
 }
 
-// ZoneName names a generated zone, and RegionName its region.
+// ZoneName is the name of zone z.
 func ZoneName(z int) string { return fmt.Sprintf("zone-%02d", z) }
 
-// RegionName names the region of a generated zone.
-func (s Size) RegionName(z int) string { return fmt.Sprintf("region-%02d", z%s.Regions) }
+// regionName is the name of zone z's region.
+func (s Size) regionName(z int) string { return fmt.Sprintf("region-%02d", z%s.Regions) }
 
-// Objects generates zones, services, rules and upstreams.
+// Objects generates zones, and services with a rule and their upstreams.
 func (s Size) Objects() config.Document {
 	var doc config.Document
 	for z := range s.Zones {
-		doc.Zones = append(doc.Zones, config.Zone{Name: ZoneName(z), Region: s.RegionName(z)})
+		doc.Zones = append(doc.Zones, config.Zone{Name: ZoneName(z), Region: s.regionName(z)})
 	}
 	for i := range s.Services {
 		s.addService(&doc, fmt.Sprintf("service-%d", i))
@@ -54,7 +55,7 @@
 	for z := range s.Zones {
 		for u := range s.PerSite {
 			n := fmt.Sprintf("%s-%02d-%02d", name, z, u)
-			// Each has a loopback address of its own, where nobody listens.
+			// Each has a loopback address of its own, where nothing listens.
 			i := len(doc.Upstreams)
 			addr := netip.AddrFrom4([4]byte{127, byte(1 + i>>16), byte(i >> 8), byte(i)})
 			doc.Upstreams = append(doc.Upstreams, config.Upstream{
@@ -65,7 +66,7 @@
 	}
 }
 
-// BlocksDocument generates the blocks of callers.
+// BlocksDocument generates the blocks of client addresses, one /24 each.
 func (s Size) BlocksDocument() config.Document {
 	var doc config.Document
 	for b := range s.Blocks {
@@ -74,12 +75,12 @@
 	return doc
 }
 
-// BlockAddr gives an address of a generated block.
+// BlockAddr is the address in a block that ends in last.
 func (s Size) BlockAddr(block int, last byte) netip.Addr {
 	return netip.AddrFrom4([4]byte{byte(1 + block>>16), byte(block >> 8), byte(block), last})
 }
 
-// Roster generates a zone's roster at an epoch.
+// Roster generates the roster of zone z at an epoch.
 func (s Size) Roster(z, hosts int, epoch uint64) roster.Roster {
 	r := roster.Roster{Zone: ZoneName(z), Epoch: epoch}
 	for i := range hosts {
--- a/internal/selector/standin/platform.go
+++ b/internal/selector/standin/platform.go
@@ -11,22 +11,35 @@
 	"strings"
 
 	"cairndock/internal/selector/store"
+	"cairndock/internal/settings"
 )
 
-// Platform serves a platform in memory by the published protocols that the
-// real adapters speak: the table in the DynamoDB JSON protocol, objects in
-// the S3 protocol and the host list as JSON. It knows only the calls that
-// the adapters make.
+// Platform serves a store.Memory by the protocols that the store package's
+// clients speak: the table by DynamoDB's JSON protocol, objects by the S3
+// protocol and the host list as JSON. It knows only the operations that they
+// use, and only the conditions that they set.
 type Platform struct{ Memory *store.Memory }
 
 const (
+	// targetPrefix starts the header that names a DynamoDB operation.
 	targetPrefix = "DynamoDB_20120810."
-	// maxRequest bounds what is read of a request, in bytes.
+	// errorPrefix starts the names of DynamoDB's errors.
+	errorPrefix = "com.amazonaws.dynamodb.v20120810#"
+	// maxRequest limits what is read of a request to the table, in bytes.
+	// Chosen, not measured.
 	maxRequest = 16 << 20
-	attrKey    = "pk"
-	attrSort   = "sk"
-	attrRev    = "ver"
-	attrBody   = "body"
+)
+
+// The attributes of an item, as in the store package.
+const (
+	// attrPartition is the partition key.
+	attrPartition = "pk"
+	// attrSort is the sort key.
+	attrSort = "sk"
+	// attrVersion is the row's version.
+	attrVersion = "ver"
+	// attrBody is the row's body.
+	attrBody = "body"
 )
 
 // attr is a DynamoDB attribute value of one of the types in use.
@@ -36,14 +49,49 @@
 	B *string `json:"B,omitempty"`
 }
 
+// item is a row by its attributes.
 type item map[string]attr
 
+// PlatformServers are the running servers of a Platform.
+type PlatformServers struct {
+	// Settings are a host's settings to reach them.
+	Settings settings.Platform
+	servers  []*Server
+}
+
+// Start serves the three services on loopback until Close.
+func (p Platform) Start() (*PlatformServers, error) {
+	var out PlatformServers
+	var urls []string
+	for _, h := range []http.Handler{p.TableHandler(), p.ObjectHandler(), p.HostsHandler()} {
+		s, err := Listen(h)
+		if err != nil {
+			out.Close()
+			return nil, err
+		}
+		out.servers = append(out.servers, s)
+		urls = append(urls, "http://"+s.Addr)
+	}
+	out.Settings = settings.Platform{
+		TableEndpoint: urls[0], ObjectEndpoint: urls[1], HostsURL: urls[2],
+		Table: "cairndock", Bucket: "cairndock", Region: "local", AccessKey: "stand-in", SecretKey: "stand-in",
+	}
+	return &out, nil
+}
+
+// Close ends the servers at once.
+func (s *PlatformServers) Close() {
+	for _, srv := range s.servers {
+		srv.Close()
+	}
+}
+
 // TableHandler serves the table.
 func (p Platform) TableHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(io.LimitReader(r.Body, maxRequest))
 		if err != nil {
-			return
+			return // the client has left
 		}
 		var out any
 		switch strings.TrimPrefix(r.Header.Get("X-Amz-Target"), targetPrefix) {
@@ -65,6 +113,7 @@
 	})
 }
 
+// tableError is the body of an error response of DynamoDB.
 type tableError struct {
 	Type    string   `json:"__type"`
 	Message string   `json:"message"`
@@ -76,15 +125,15 @@
 }
 
 func writeTableError(w http.ResponseWriter, err error) {
-	e := tableError{Type: "com.amazonaws.dynamodb.v20120810#InternalServerError", Message: err.Error()}
+	e := tableError{Type: errorPrefix + "InternalServerError", Message: err.Error()}
 	status := http.StatusInternalServerError
 	switch {
 	case errors.Is(err, store.ErrConflict):
-		e.Type = "com.amazonaws.dynamodb.v20120810#TransactionCanceledException"
+		e.Type = errorPrefix + "TransactionCanceledException"
 		e.Reasons = []reason{{"ConditionalCheckFailed"}}
 		status = http.StatusBadRequest
 	case errors.Is(err, store.ErrThrottled):
-		e.Type = "com.amazonaws.dynamodb.v20120810#ProvisionedThroughputExceededException"
+		e.Type = errorPrefix + "ProvisionedThroughputExceededException"
 		status = http.StatusBadRequest
 	}
 	w.WriteHeader(status)
@@ -146,12 +195,14 @@
 		if err != nil {
 			return nil, err
 		}
+		// Without a version the condition is that the row does not exist.
 		version, _ := strconv.ParseInt(text(t.Put.ExpressionAttributeValues[":v"].N), 10, 64)
 		writes = append(writes, store.Write{Key: keyOf(t.Put.Item), IfVersion: version, Body: raw})
 	}
 	return struct{}{}, p.Memory.Transact(r.Context(), writes)
 }
 
+// text is an attribute's value, or "" without one.
 func text(s *string) string {
 	if s == nil {
 		return ""
@@ -160,15 +211,15 @@
 }
 
 func keyOf(i item) store.Key {
-	return store.Key{Partition: text(i[attrKey].S), Sort: text(i[attrSort].S)}
+	return store.Key{Partition: text(i[attrPartition].S), Sort: text(i[attrSort].S)}
 }
 
 func itemOf(row store.Row) item {
 	version := strconv.FormatInt(row.Version, 10)
 	body := base64.StdEncoding.EncodeToString(row.Body)
 	return item{
-		attrKey: {S: &row.Key.Partition}, attrSort: {S: &row.Key.Sort},
-		attrRev: {N: &version}, attrBody: {B: &body},
+		attrPartition: {S: &row.Key.Partition}, attrSort: {S: &row.Key.Sort},
+		attrVersion: {N: &version}, attrBody: {B: &body},
 	}
 }
 
@@ -186,7 +237,7 @@
 	})
 }
 
-// objectName gives the key of a path-style request: /bucket/key.
+// objectName is the object's name in a path-style request: /bucket/name.
 func objectName(r *http.Request) string {
 	_, name, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	return name
--- /dev/null
+++ b/internal/selector/standin/respond.go
@@ -0,0 +1,92 @@
+package standin
+
+import (
+	"encoding/json"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"cairndock/internal/call"
+)
+
+// expired reports whether the request arrived after its deadline.
+func expired(r *http.Request) bool {
+	ms, err := strconv.ParseInt(r.Header.Get(call.HeaderDeadline), 10, 64)
+	return err == nil && time.Now().UnixMilli() > ms
+}
+
+// sleep waits for d, and reports whether the request is still wanted then: an
+// upstream stops when the request is cancelled and at its deadline.
+func sleep(r *http.Request, d time.Duration) bool {
+	if ms, err := strconv.ParseInt(r.Header.Get(call.HeaderDeadline), 10, 64); err == nil {
+		left := time.Until(time.UnixMilli(ms))
+		if left < d {
+			wait(r, left)
+			return false
+		}
+	}
+	return wait(r, d)
+}
+
+// wait waits for d, and reports whether the request was not cancelled before.
+func wait(r *http.Request, d time.Duration) bool {
+	if d <= 0 {
+		return true
+	}
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return true
+	case <-r.Context().Done():
+		return false
+	}
+}
+
+// respond sends N bytes for /bytes/N, and an echo of any other request.
+func (u *Upstream) respond(w http.ResponseWriter, r *http.Request, body []byte, f Faults) {
+	if n, ok := strings.CutPrefix(r.URL.Path, "/bytes/"); ok {
+		size, _ := strconv.ParseInt(n, 10, 64) // no number is no bytes
+		u.sendBytes(w, r, size, f)
+		return
+	}
+	// Strings can't fail to encode.
+	out, _ := json.Marshal(struct {
+		Upstream string `json:"upstream"`
+		Method   string `json:"method"`
+		Path     string `json:"path"`
+		Body     string `json:"body,omitempty"`
+	}{u.Name, r.Method, r.URL.RequestURI(), string(body)})
+	w.Header().Set("Content-Type", "application/json")
+	w.Header().Set("Content-Length", strconv.Itoa(len(out)))
+	if f.Truncate {
+		_, _ = w.Write(out[:len(out)/2])
+		_ = http.NewResponseController(w).Flush() // the panic cuts the connection anyway
+		panic(http.ErrAbortHandler)
+	}
+	_, _ = w.Write(out)
+}
+
+// sendBytes sends size bytes, until the request is cancelled.
+func (u *Upstream) sendBytes(w http.ResponseWriter, r *http.Request, size int64, f Faults) {
+	w.Header().Set("Content-Type", "application/octet-stream")
+	w.Header().Set("Content-Length", strconv.FormatInt(size, 10))
+	if f.Truncate {
+		size /= 2
+	}
+	chunk := make([]byte, 16<<10)
+	for i := range chunk {
+		chunk[i] = byte('a' + i%26)
+	}
+	for size > 0 && r.Context().Err() == nil {
+		n, err := w.Write(chunk[:min(size, int64(len(chunk)))])
+		if err != nil {
+			return
+		}
+		size -= int64(n)
+	}
+	if f.Truncate {
+		panic(http.ErrAbortHandler)
+	}
+}
--- a/internal/selector/standin/upstream.go
+++ b/internal/selector/standin/upstream.go
@@ -1,5 +1,3 @@
-// Package standin holds small stand-ins for what surrounds the system: the
-// upstreams and the platform. They serve the quick start and the tests.
 package standin
 
 import (
@@ -8,37 +6,40 @@
 	"net"
 	"net/http"
 	"strconv"
-	"strings"
 	"sync"
 	"time"
 
+	"github.com/rotisserie/eris"
+
 	"cairndock/internal/call"
 )
 
-// Faults are what a stand-in upstream does wrong.
+// Faults are what an Upstream does wrong.
 type Faults struct {
 	// Shed refuses every request without running it.
 	Shed bool
-	// Truncate breaks off the answer half-way.
+	// Truncate breaks off the response half-way.
 	Truncate bool
 	// DropBefore closes the connection before the request runs, DropAfter
-	// after it ran and before any answer.
+	// after it ran and before any response.
 	DropBefore bool
 	DropAfter  bool
-	// Delay is added to every answer.
+	// Delay is added to every response.
 	Delay time.Duration
-	// ReportLoad, when not nil, is what the load report claims.
+	// ReportLoad, if not nil, is the load that it reports instead of its own.
 	ReportLoad *float64
 }
 
-// Upstream is a stand-in upstream that counts what it ran.
+// Upstream is an upstream that counts what it runs.
 type Upstream struct {
-	// Name and Instance identify it; Slots is what it can carry.
-	Name     string
+	Name string
+	// Instance is its incarnation.
 	Instance string
-	Slots    int
-	// Latency is a warm request's time; the first ColdRuns requests take
-	// ColdFactor times as long.
+	// Slots is how many requests it can run at a time. More are run too, and
+	// counted in Ledger.Over.
+	Slots int
+	// Latency is the time of a request once the first ColdRuns requests have
+	// run; those take ColdFactor times as long.
 	Latency    time.Duration
 	ColdRuns   int
 	ColdFactor int
@@ -55,16 +56,27 @@
 	server   *http.Server
 }
 
-// Serve serves on a listener until Close.
+// Start serves at a free port of loopback until Close, and returns the address.
+func (u *Upstream) Start() (addr string, err error) {
+	l, err := net.Listen("tcp", loopback)
+	if err != nil {
+		return "", eris.Wrap(err, "listen")
+	}
+	// Serve ends with Close; a loopback listener does not fail before.
+	go func() { _ = u.Serve(l) }()
+	return l.Addr().String(), nil
+}
+
+// Serve serves a listener until Close.
 func (u *Upstream) Serve(l net.Listener) error {
 	u.mu.Lock()
-	u.server = &http.Server{Handler: u, ReadHeaderTimeout: 10 * time.Second}
+	u.server = &http.Server{Handler: u, ReadHeaderTimeout: upstreamHeaderTimeout}
 	s := u.server
 	u.mu.Unlock()
 	return s.Serve(l)
 }
 
-// Close stops it at once, as a crash would.
+// Close ends it at once, as a crash would.
 func (u *Upstream) Close() error {
 	u.mu.Lock()
 	s := u.server
@@ -75,42 +87,43 @@
 	return s.Close()
 }
 
-// SetFaults changes what goes wrong.
+// SetFaults replaces what goes wrong.
 func (u *Upstream) SetFaults(f Faults) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.faults = f
 }
 
-// Drain makes the upstream say that it is leaving.
+// Drain makes the upstream report that it is leaving.
 func (u *Upstream) Drain() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.leaving = true
 }
 
-// Ledger is what an upstream has seen.
+// Ledger is the record of an upstream, also as JSON at /ledger.
 type Ledger struct {
 	Name string `json:"name"`
 	// Runs counts requests that began to run.
 	Runs int `json:"runs"`
-	// Outstanding is how many run now, MaxOutstanding the most ever.
-	Outstanding    int `json:"outstanding"`
+	// Outstanding is how many run now.
+	Outstanding int `json:"outstanding"`
+	// MaxOutstanding is the most that ever ran at a time.
 	MaxOutstanding int `json:"max_outstanding"`
-	// Over counts requests that began when all slots were in use.
+	// Over counts requests that began while all slots were in use.
 	Over int `json:"over"`
-	// LastNew is when the last request began.
+	// LastNew is when the last request began to run.
 	LastNew time.Time `json:"last_new"`
 }
 
-// Ledger gives what the upstream has seen.
+// Ledger returns the record until now.
 func (u *Upstream) Ledger() Ledger {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return Ledger{Name: u.Name, Runs: u.runs, Outstanding: u.out, MaxOutstanding: u.maxOut, Over: u.over, LastNew: u.lastNew}
 }
 
-// Runs gives how often a ticket's request ran.
+// Runs returns how often a ticket's request ran.
 func (u *Upstream) Runs(ticket string) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -123,7 +136,7 @@
 	case "/ledger":
 		u.serveLedger(w, r)
 	case "/healthz":
-		u.setWord(w)
+		u.setStatus(w)
 	default:
 		u.serve(w, r)
 	}
@@ -147,7 +160,8 @@
 	}{u.Runs(ticket)})
 }
 
-func (u *Upstream) setWord(w http.ResponseWriter) {
+// setStatus sets the headers in which an upstream reports its status.
+func (u *Upstream) setStatus(w http.ResponseWriter) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	load := float64(u.out) / float64(max(1, u.Slots))
@@ -161,7 +175,7 @@
 	}
 }
 
-// begin counts a run and gives the faults and latency it meets.
+// begin counts a run, and returns the faults and the latency that apply to it.
 func (u *Upstream) begin(ticket string) (Faults, time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -198,7 +212,7 @@
 	if f.DropBefore {
 		panic(http.ErrAbortHandler)
 	}
-	u.setWord(w)
+	u.setStatus(w)
 	if f.Shed || expired(r) {
 		w.Header().Set(call.HeaderShed, "not-run")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -216,83 +230,5 @@
 	if f.DropAfter {
 		panic(http.ErrAbortHandler)
 	}
-	u.answer(w, r, body, f)
-}
-
-// expired reports whether the request came after its deadline.
-func expired(r *http.Request) bool {
-	ms, err := strconv.ParseInt(r.Header.Get(call.HeaderDeadline), 10, 64)
-	return err == nil && time.Now().UnixMilli() > ms
-}
-
-// sleep waits, or reports that the request was cancelled or its deadline
-// passed: an upstream accepts both.
-func sleep(r *http.Request, d time.Duration) bool {
-	if ms, err := strconv.ParseInt(r.Header.Get(call.HeaderDeadline), 10, 64); err == nil {
-		left := time.Until(time.UnixMilli(ms))
-		if left < d {
-			_ = wait(r, left)
-			return false
-		}
-	}
-	return wait(r, d)
-}
-
-func wait(r *http.Request, d time.Duration) bool {
-	if d <= 0 {
-		return true
-	}
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return true
-	case <-r.Context().Done():
-		return false
-	}
-}
-
-// answer sends /bytes/N as N bytes, and an echo of anything else.
-func (u *Upstream) answer(w http.ResponseWriter, r *http.Request, body []byte, f Faults) {
-	if n, ok := strings.CutPrefix(r.URL.Path, "/bytes/"); ok {
-		size, _ := strconv.ParseInt(n, 10, 64)
-		u.sendBytes(w, r, size, f)
-		return
-	}
-	out, _ := json.Marshal(struct {
-		Upstream string `json:"upstream"`
-		Method   string `json:"method"`
-		Path     string `json:"path"`
-		Body     string `json:"body,omitempty"`
-	}{u.Name, r.Method, r.URL.RequestURI(), string(body)})
-	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set("Content-Length", strconv.Itoa(len(out)))
-	if f.Truncate {
-		_, _ = w.Write(out[:len(out)/2])
-		_ = http.NewResponseController(w).Flush()
-		panic(http.ErrAbortHandler)
-	}
-	_, _ = w.Write(out)
-}
-
-func (u *Upstream) sendBytes(w http.ResponseWriter, r *http.Request, size int64, f Faults) {
-	w.Header().Set("Content-Type", "application/octet-stream")
-	w.Header().Set("Content-Length", strconv.FormatInt(size, 10))
-	if f.Truncate {
-		size /= 2
-	}
-	chunk := make([]byte, 16<<10)
-	for i := range chunk {
-		chunk[i] = byte('a' + i%26)
-	}
-	for size > 0 && r.Context().Err() == nil {
-		n, err := w.Write(chunk[:min(size, int64(len(chunk)))])
-		if err != nil {
-			return
-		}
-		size -= int64(n)
-	}
-	if f.Truncate {
-		panic(http.ErrAbortHandler)
-	}
+	u.respond(w, r, body, f)
 }
--- a/internal/selector/store/contract_test.go
+++ b/internal/selector/store/contract_test.go
@@ -3,14 +3,12 @@
 import (
 	"context"
 	"fmt"
-	"net/http/httptest"
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
 	"cairndock/internal/selector/standin"
 	"cairndock/internal/selector/store"
-	"cairndock/internal/settings"
 )
 
 // table, objects and hosts are the interfaces under contract.
@@ -38,16 +36,10 @@
 	})
 	t.Run("client", func(t *testing.T) {
 		m := store.NewMemory()
-		p := standin.Platform{Memory: m}
-		tables, objs, list := httptest.NewServer(p.TableHandler()), httptest.NewServer(p.ObjectHandler()), httptest.NewServer(p.HostsHandler())
-		t.Cleanup(tables.Close)
-		t.Cleanup(objs.Close)
-		t.Cleanup(list.Close)
-		s := settings.Platform{
-			TableEndpoint: tables.URL, Table: "t", ObjectEndpoint: objs.URL, Bucket: "b", HostsURL: list.URL,
-			Region: "local", AccessKey: "a", SecretKey: "s",
-		}
-		contract(t, m, store.NewTable(s), store.NewObjects(s), store.NewHostList(s))
+		p, err := standin.Platform{Memory: m}.Start()
+		require.NoError(t, err)
+		t.Cleanup(p.Close)
+		contract(t, m, store.NewTable(p.Settings), store.NewObjects(p.Settings), store.NewHostList(p.Settings))
 	})
 }
 
