--- a/internal/selector/load/changes.go
+++ b/internal/selector/load/changes.go
@@ -8,13 +8,21 @@
 	"strings"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/rotisserie/eris"
 )
 
+const (
+	// maxChangeRate is the highest rate of changes, per second. Chosen, not
+	// measured: hundreds of times the planned 0.22 a second.
+	maxChangeRate = 100
+	// everywhereWait is how long a change may take to be in force everywhere:
+	// the default of the operator API.
+	everywhereWait = "6s"
+)
+
 // Changes are configuration changes sent beside a load, one after another.
 type Changes struct {
-	// Operator is the operator address of a host, and Token its token.
+	// Operator is the address for operators of a host, and Token its token.
 	Operator string
 	Token    string
 	// Rate is the changes per second.
@@ -26,26 +34,28 @@
 	Rule    string
 }
 
-// ChangeResult is what the changes got.
+// ChangeResult is the outcome of the changes.
 type ChangeResult struct {
 	Accepted int `json:"accepted"`
 	Failed   int `json:"failed"`
-	// P50 and P99 are from sending to being in force in every zone, or only
-	// to acceptance in the log where zones can't be asked, in microseconds.
+	// P50 and P99 are the times, in microseconds, from sending a change until
+	// it is in force in every zone that can be reached, or without
+	// Changes.Everywhere until it is in the log.
 	P50 int64 `json:"p50_us"`
 	P99 int64 `json:"p99_us"`
 }
 
-// RunChanges sends changes until ctx ends.
+// RunChanges sends changes until ctx ends. A change that fails is counted and not
+// sent again.
 func RunChanges(ctx context.Context, c Changes) (ChangeResult, error) {
-	if err := loopback(c.Operator); err != nil {
+	if err := checkLoopback(c.Operator); err != nil {
 		return ChangeResult{}, err
 	}
-	if c.Rate <= 0 || c.Rate > 100 {
-		return ChangeResult{}, eris.New("changes must be above 0 and at most 100 a second")
+	if c.Rate <= 0 || c.Rate > maxChangeRate {
+		return ChangeResult{}, eris.Errorf("changes must be above 0 and at most %d a second", maxChangeRate)
 	}
 	var out ChangeResult
-	latencies := hdrhistogram.New(1, highest, digits)
+	latencies := newLatencies()
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / c.Rate))
 	defer ticker.Stop()
 	for i := 0; ; i++ {
@@ -63,13 +73,15 @@
 			continue
 		}
 		out.Accepted++
+		// A time above longestLatency is counted but not recorded.
 		_ = latencies.RecordValue(time.Since(began).Microseconds())
 	}
 }
 
+// wait is the time that a host waits before it responds to a change.
 func (c Changes) wait() string {
 	if c.Everywhere {
-		return "6s"
+		return everywhereWait
 	}
 	return "0s"
 }
@@ -79,11 +91,15 @@
 	status := struct {
 		Revision uint64 `json:"revision"`
 	}{}
-	if err := c.do(ctx, http.MethodGet, "/v1/status", "", &status); err != nil {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.Operator+"/v1/status", nil)
+	if err != nil {
+		return eris.Wrap(err, "make request")
+	}
+	if err := c.roundTrip(req, &status); err != nil {
 		return err
 	}
 	doc := fmt.Sprintf("[[rule]]\nname = %q\nservice = %q\nselector = \"tier=main\"\nshare = 1.0\nramp = %d.0\n", c.Rule, c.Service, 1+i%2)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+c.Operator+"/v1/config?wait="+c.wait(), strings.NewReader(doc))
+	req, err = http.NewRequestWithContext(ctx, http.MethodPut, "http://"+c.Operator+"/v1/config?wait="+c.wait(), strings.NewReader(doc))
 	if err != nil {
 		return eris.Wrap(err, "make request")
 	}
@@ -91,26 +107,20 @@
 	return c.roundTrip(req, nil)
 }
 
-func (c Changes) do(ctx context.Context, method, path, body string, out any) error {
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.Operator+path, strings.NewReader(body))
-	if err != nil {
-		return eris.Wrap(err, "make request")
-	}
-	return c.roundTrip(req, out)
-}
-
+// roundTrip sends a request to the host and decodes its response into out, unless
+// that is nil.
 func (c Changes) roundTrip(req *http.Request, out any) error {
 	req.Header.Set("Authorization", "Bearer "+c.Token)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return eris.Wrap(err, "ask host")
+		return eris.Wrap(err, "send request")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode >= http.StatusMultipleChoices {
-		return eris.Errorf("host answered %d", resp.StatusCode)
+		return eris.Errorf("host responded with status %d", resp.StatusCode)
 	}
 	if out == nil {
 		return nil
 	}
-	return eris.Wrap(json.NewDecoder(resp.Body).Decode(out), "read answer")
+	return eris.Wrap(json.NewDecoder(resp.Body).Decode(out), "decode response")
 }
--- /dev/null
+++ b/internal/selector/load/hosts.go
@@ -0,0 +1,63 @@
+package load
+
+import (
+	"context"
+	"encoding/json"
+	"net/http"
+	"time"
+
+	"github.com/rotisserie/eris"
+)
+
+// discover requests the hosts to use from the nearest known one, as clients do.
+func (r *run) discover(ctx context.Context) error {
+	host := r.options.Entry
+	if known := r.hosts.Load(); known != nil {
+		host = (*known)[0]
+	}
+	var out struct {
+		Entries []struct {
+			Addr string `json:"addr"`
+		} `json:"entries"`
+	}
+	if err := r.getJSON(ctx, "http://"+host+"/v1/entries?service="+r.options.Classes[0].Service, &out); err != nil {
+		return err
+	}
+	var hosts []string
+	for _, e := range out.Entries {
+		if checkLoopback(e.Addr) == nil {
+			hosts = append(hosts, e.Addr)
+		}
+	}
+	if len(hosts) == 0 {
+		return eris.New("no host on loopback was named")
+	}
+	r.hosts.Store(&hosts)
+	return nil
+}
+
+func (r *run) getJSON(ctx context.Context, url string, out any) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		return eris.Wrap(err, "make request")
+	}
+	resp, err := r.client.Do(req)
+	if err != nil {
+		return eris.Wrap(err, "send request")
+	}
+	defer resp.Body.Close()
+	return eris.Wrap(json.NewDecoder(resp.Body).Decode(out), "decode response")
+}
+
+func (r *run) keepDiscovering(ctx context.Context) {
+	ticker := time.NewTicker(refreshInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+			_ = r.discover(ctx) // on an error the hosts known so far stay in use
+		}
+	}
+}
--- /dev/null
+++ b/internal/selector/load/ledger.go
@@ -0,0 +1,38 @@
+package load
+
+import (
+	"context"
+
+	"cairndock/internal/verdict"
+)
+
+// readLedgers compares the verdicts that clients got with what the upstreams
+// ran, and counts the violations in report.
+func (r *run) readLedgers(ctx context.Context, report *Report) error {
+	runs := map[string]int{}
+	for _, addr := range r.options.Upstreams {
+		var ledger struct {
+			Over int `json:"over"`
+		}
+		if err := r.getJSON(ctx, "http://"+addr+"/ledger", &ledger); err != nil {
+			return err
+		}
+		report.Over += ledger.Over
+		var byTicket map[string]int
+		if err := r.getJSON(ctx, "http://"+addr+"/ledger?tickets=all", &byTicket); err != nil {
+			return err
+		}
+		for ticket, n := range byTicket {
+			runs[ticket] += n
+		}
+	}
+	for ticket, v := range r.verdicts {
+		if runs[ticket] > 1 {
+			report.RanTwice++
+		}
+		if runs[ticket] > 0 && v == verdict.NotRun.String() {
+			report.RanDespiteNotRun++
+		}
+	}
+	return nil
+}
--- a/internal/selector/load/load_test.go
+++ b/internal/selector/load/load_test.go
@@ -18,9 +18,9 @@
 		"not loopback":          func(o *Options) { o.Entry = "10.0.0.1:80" },
 		"name":                  func(o *Options) { o.Entry = "example.test:80" },
 		"upstream not loopback": func(o *Options) { o.Upstreams = []string{"192.0.2.1:80"} },
-		"too long":              func(o *Options) { o.Duration = MaxDuration + 1 },
+		"too long":              func(o *Options) { o.Duration = maxDuration + 1 },
 		"endless":               func(o *Options) { o.Duration = 0 },
-		"too fast":              func(o *Options) { o.Classes = []Class{{Rate: MaxRate + 1}} },
+		"too fast":              func(o *Options) { o.Classes = []Class{{Rate: maxRate + 1}} },
 		"nothing":               func(o *Options) { o.Classes = nil },
 	}
 	for name, change := range cases {
@@ -49,8 +49,8 @@
 	return mux, addr
 }
 
-// TestBrokenPromisesAreFound runs against a system that lies.
-func TestBrokenPromisesAreFound(t *testing.T) {
+// TestViolationsAreFound runs against a system whose verdicts are false.
+func TestViolationsAreFound(t *testing.T) {
 	mux, addr := fakeSystem(t)
 	mux.HandleFunc("/v1/tickets", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{"ticket":"t"}`)) })
 	mux.HandleFunc("/s/", func(w http.ResponseWriter, _ *http.Request) {
@@ -72,12 +72,12 @@
 	require.True(t, report.Broken())
 	require.Zero(t, report.Wrong)
 	require.Equal(t, 1, report.RanTwice)
-	require.Equal(t, 1, report.ToldNotRun)
+	require.Equal(t, 1, report.RanDespiteNotRun)
 	require.Equal(t, 3, report.Over)
 }
 
-// TestWrongAnswersAreFound runs against a system that mixes answers up.
-func TestWrongAnswersAreFound(t *testing.T) {
+// TestWrongResponsesAreFound runs against a system that mixes responses up.
+func TestWrongResponsesAreFound(t *testing.T) {
 	mux, addr := fakeSystem(t)
 	mux.HandleFunc("/s/", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{"path":"/tracks/1"}`)) })
 	report, err := Run(context.Background(), Options{
--- a/internal/selector/load/report.go
+++ b/internal/selector/load/report.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"io"
+	"maps"
 	"slices"
 	"time"
 )
@@ -14,43 +15,49 @@
 	Verdicts map[string]int `json:"verdicts"`
 	Zones    map[string]int `json:"zones"`
 	Bytes    int64          `json:"bytes"`
-	// Latencies run from when a request was due, in microseconds.
+	// P50 to Max are latencies of responses of upstreams, from when a request
+	// was due, in microseconds.
 	P50  int64 `json:"p50_us"`
 	P99  int64 `json:"p99_us"`
 	P999 int64 `json:"p999_us"`
 	Max  int64 `json:"max_us"`
-	// RefusedP99 is the same for refusals alone.
+	// RefusedP99 is the 99th percentile of all other outcomes.
 	RefusedP99 int64 `json:"refused_p99_us"`
 }
 
-// Report is what a load showed.
+// Report is the outcome of a load, also as JSON.
 type Report struct {
 	Seconds float64  `json:"seconds"`
 	Results []Result `json:"results"`
-	// Skipped counts arrivals that this program could not send in time.
+	// Skipped counts arrivals that were not sent, as maxOutstanding requests
+	// were outstanding.
 	Skipped int `json:"skipped"`
-	// Wrong counts answers to another request; a resend's answer that
-	// differs from the first counts too.
+	// Wrong counts responses to another request, and responses to a resend
+	// that differ from the first.
 	Wrong int `json:"wrong_answers"`
-	// RanTwice, ToldNotRun and Over count broken promises by the ledgers.
-	RanTwice   int `json:"ran_twice"`
-	ToldNotRun int `json:"told_not_run_but_ran"`
-	Over       int `json:"beyond_slots"`
-	// Changes is what configuration changes beside the load got, if any.
+	// RanTwice counts tickets whose request ran more than once.
+	RanTwice int `json:"ran_twice"`
+	// RanDespiteNotRun counts tickets whose request ran although its last
+	// verdict was not-run.
+	RanDespiteNotRun int `json:"told_not_run_but_ran"`
+	// Over counts requests that began while all slots of their upstream were in
+	// use.
+	Over int `json:"beyond_slots"`
+	// Changes are the configuration changes sent beside the load, if any.
 	Changes *ChangeResult `json:"changes,omitempty"`
 }
 
-// Broken reports whether a promise was broken.
-func (r Report) Broken() bool { return r.Wrong+r.RanTwice+r.ToldNotRun+r.Over > 0 }
+// Broken reports whether there was any violation.
+func (r Report) Broken() bool { return r.Wrong+r.RanTwice+r.RanDespiteNotRun+r.Over > 0 }
 
 // Print writes the report as a table.
 func (r Report) Print(w io.Writer) {
 	for _, c := range r.Results {
 		fmt.Fprintf(w, "%s: offered %d (%.0f/s), %.1f MB/s\n", c.Class, c.Offered, float64(c.Offered)/r.Seconds, float64(c.Bytes)/1e6/r.Seconds)
-		for _, name := range sorted(c.Verdicts) {
+		for _, name := range slices.Sorted(maps.Keys(c.Verdicts)) {
 			fmt.Fprintf(w, "  %-18s %d (%.2f%%)\n", name, c.Verdicts[name], 100*float64(c.Verdicts[name])/float64(max(1, c.Offered)))
 		}
-		for _, name := range sorted(c.Zones) {
+		for _, name := range slices.Sorted(maps.Keys(c.Zones)) {
 			fmt.Fprintf(w, "  zone %-13s %.1f%%\n", name, 100*float64(c.Zones[name])/float64(max(1, c.Offered)))
 		}
 		fmt.Fprintf(w, "  p50 %s  p99 %s  p99.9 %s  max %s  refused p99 %s\n", micros(c.P50), micros(c.P99), micros(c.P999), micros(c.Max), micros(c.RefusedP99))
@@ -58,16 +65,7 @@
 	if c := r.Changes; c != nil {
 		fmt.Fprintf(w, "changes: accepted %d, failed %d, p50 %s  p99 %s\n", c.Accepted, c.Failed, micros(c.P50), micros(c.P99))
 	}
-	fmt.Fprintf(w, "not sent in time %d; wrong answers %d, ran twice %d, told not-run but ran %d, beyond a slot %d\n", r.Skipped, r.Wrong, r.RanTwice, r.ToldNotRun, r.Over)
+	fmt.Fprintf(w, "not sent in time %d; wrong answers %d, ran twice %d, told not-run but ran %d, beyond a slot %d\n", r.Skipped, r.Wrong, r.RanTwice, r.RanDespiteNotRun, r.Over)
 }
 
 func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
-
-func sorted(m map[string]int) []string {
-	names := make([]string, 0, len(m))
-	for name := range m {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	return names
-}
--- a/internal/selector/load/request.go
+++ b/internal/selector/load/request.go
@@ -14,6 +14,12 @@
 	"cairndock/internal/verdict"
 )
 
+// maxKeptBody is how much of a response is kept to compare it, in bytes: the
+// stand-ins' echoes are far shorter. Chosen, not measured.
+const maxKeptBody = 4 << 10
+
+// ticket takes a ticket from a host. On any error it is "", and the request is
+// sent without one: what it gets is counted, and its ticket is not checked.
 func (r *run) ticket(ctx context.Context, host, service string) string {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+host+"/v1/tickets?service="+service, nil)
 	if err != nil {
@@ -27,19 +33,24 @@
 	var out struct {
 		Ticket string `json:"ticket"`
 	}
+	// A refusal has no ticket.
 	_ = json.NewDecoder(resp.Body).Decode(&out)
 	return out.Ticket
 }
 
 // reply is what one request got.
 type reply struct {
+	// verdict is a host's verdict, answered or broken.
 	verdict string
-	zone    string
-	bytes   int64
-	// body is the beginning of the answer.
+	// zone is the zone of the upstream, if known.
+	zone string
+	// bytes is the length of the body.
+	bytes int64
+	// body is the beginning of the body, at most maxKeptBody.
 	body []byte
 }
 
+// send sends request i of a class through a host.
 func (r *run) send(ctx context.Context, host string, c Class, i int, ticket string) reply {
 	path := c.Path
 	if strings.Contains(path, "%d") {
@@ -67,14 +78,15 @@
 	return out
 }
 
+// readReply reads the whole response, and keeps the beginning of its body.
 func readReply(resp *http.Response) reply {
 	out := reply{verdict: answered}
 	out.zone, _, _ = strings.Cut(resp.Header.Get(call.HeaderUpstream), "/")
-	if told := resp.Header.Get(verdict.Header); told != "" {
-		out.verdict = told
+	if v := resp.Header.Get(verdict.Header); v != "" {
+		out.verdict = v
 	}
 	var err error
-	if out.body, err = io.ReadAll(io.LimitReader(resp.Body, maxBody)); err == nil {
+	if out.body, err = io.ReadAll(io.LimitReader(resp.Body, maxKeptBody)); err == nil {
 		out.bytes, err = io.Copy(io.Discard, resp.Body)
 	}
 	out.bytes += int64(len(out.body))
--- a/internal/selector/store/contract_test.go
+++ b/internal/selector/store/contract_test.go
@@ -7,29 +7,20 @@
 
 	"github.com/stretchr/testify/require"
 
+	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/standin"
 	"cairndock/internal/selector/store"
 )
 
-// table, objects and hosts are the interfaces under contract.
-type table interface {
-	Get(ctx context.Context, key store.Key) (store.Row, error)
-	Transact(ctx context.Context, writes []store.Write) error
-	List(ctx context.Context, partition, after string, limit int) ([]store.Row, error)
-}
-
-type objects interface {
-	PutObject(ctx context.Context, name string, body []byte) error
-	GetObject(ctx context.Context, name string) ([]byte, error)
-}
-
+// hosts is the part of the host list under contract; config.Table and
+// config.Objects are those of the table and the objects.
 type hosts interface {
 	Hosts(ctx context.Context) ([]store.HostState, error)
 }
 
 // both runs a contract against Memory itself and against the clients, which
 // reach a Memory through their wire protocols.
-func both(t *testing.T, contract func(t *testing.T, m *store.Memory, tb table, ob objects, hs hosts)) {
+func both(t *testing.T, contract func(t *testing.T, m *store.Memory, tb config.Table, ob config.Objects, hs hosts)) {
 	t.Run("memory", func(t *testing.T) {
 		m := store.NewMemory()
 		contract(t, m, m, m, m)
@@ -48,7 +39,7 @@
 }
 
 func TestTableContract(t *testing.T) {
-	both(t, func(t *testing.T, m *store.Memory, tb table, _ objects, _ hosts) {
+	both(t, func(t *testing.T, m *store.Memory, tb config.Table, _ config.Objects, _ hosts) {
 		ctx := context.Background()
 		_, err := tb.Get(ctx, key("p", "a"))
 		require.ErrorIs(t, err, store.ErrNotFound)
@@ -91,7 +82,7 @@
 }
 
 func TestObjectContract(t *testing.T) {
-	both(t, func(t *testing.T, m *store.Memory, _ table, ob objects, _ hosts) {
+	both(t, func(t *testing.T, m *store.Memory, _ config.Table, ob config.Objects, _ hosts) {
 		ctx := context.Background()
 		_, err := ob.GetObject(ctx, "a/b")
 		require.ErrorIs(t, err, store.ErrNotFound)
@@ -108,7 +99,7 @@
 }
 
 func TestHostListContract(t *testing.T) {
-	both(t, func(t *testing.T, m *store.Memory, _ table, _ objects, hs hosts) {
+	both(t, func(t *testing.T, m *store.Memory, _ config.Table, _ config.Objects, hs hosts) {
 		m.SetHost("b", store.Leaving)
 		m.SetHost("a", store.Live)
 		got, err := hs.Hosts(context.Background())
