--- a/internal/selector/caller/caller_test.go
+++ b/internal/selector/caller/caller_test.go
@@ -27,10 +27,10 @@
 
 // fakeHost returns a fixed response or error and keeps the last request.
 type fakeHost struct {
-	view   *config.View
-	answer *call.Answer
-	err    error
-	got    *call.Request
+	view *config.View
+	resp *call.Answer
+	err  error
+	got  *call.Request
 }
 
 func (h *fakeHost) Serving() bool      { return h.view.Revision() > 0 }
@@ -39,7 +39,7 @@
 
 func (h *fakeHost) Do(_ context.Context, req *call.Request) (*call.Answer, error) {
 	h.got = req
-	return h.answer, h.err
+	return h.resp, h.err
 }
 
 func (h *fakeHost) EntriesFor(service string, caller netip.Addr) ([]byte, error) {
@@ -104,7 +104,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			h := &fakeHost{answer: ok("x"), err: tc.err}
+			h := &fakeHost{resp: ok("x"), err: tc.err}
 			addr := newServer(t, h, nil)
 			method := tc.method
 			if method == "" {
@@ -144,7 +144,7 @@
 }
 
 func TestStalledBodyIsCutByTheDeadline(t *testing.T) {
-	h := &fakeHost{answer: ok("x")}
+	h := &fakeHost{resp: ok("x")}
 	addr := newServer(t, h, nil)
 	c, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
@@ -160,7 +160,7 @@
 }
 
 func TestForwarding(t *testing.T) {
-	h := &fakeHost{answer: ok("the answer")}
+	h := &fakeHost{resp: ok("the response")}
 	addr := newServer(t, h, nil)
 	req, err := http.NewRequest(http.MethodPut, "http://"+addr+"/s/s/a%2Fb/c?x=1&y=%20", strings.NewReader("body"))
 	require.NoError(t, err)
@@ -174,7 +174,7 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
-	require.Equal(t, "the answer", string(body))
+	require.Equal(t, "the response", string(body))
 	require.Equal(t, "z/up", resp.Header.Get("Cairndock-Upstream"))
 	require.Equal(t, "1", resp.Header.Get("X-Mine"))
 	require.Empty(t, resp.Header.Get("Cairndock-Verdict"), "an upstream can't speak for the system")
@@ -193,10 +193,10 @@
 
 func TestShortAnswerNeverLooksWhole(t *testing.T) {
 	for name, length := range map[string]int64{"known length": 100, "unknown length": -1} {
-		answer := ok("")
-		answer.Length = length
-		answer.Body = brokenBody{io.MultiReader(strings.NewReader("half"), errReader{})}
-		addr := newServer(t, &fakeHost{answer: answer}, nil)
+		short := ok("")
+		short.Length = length
+		short.Body = brokenBody{io.MultiReader(strings.NewReader("half"), errReader{})}
+		addr := newServer(t, &fakeHost{resp: short}, nil)
 		resp, err := http.Get("http://" + addr + "/s/s/x")
 		if err == nil {
 			_, err = io.ReadAll(resp.Body)
--- a/internal/selector/quickstart/document.go
+++ b/internal/selector/quickstart/document.go
@@ -1,37 +1,54 @@
 package quickstart
 
 import (
-	"fmt"
-	"strings"
+	"time"
+
+	"cairndock/internal/selector/config"
 )
 
-// document is the configuration that the quick start begins with, as TOML.
-func (s *System) document() string {
-	var b strings.Builder
-	for _, region := range regions {
-		for _, zone := range zonesOf(region) {
-			fmt.Fprintf(&b, "[[zone]]\nname = %q\nregion = %q\n", zone, region)
-		}
-	}
-	fmt.Fprintf(&b, "[[service]]\nname = %q\nclass = \"interactive\"\nrepeat = \"safe\"\nprefer = \"headroom\"\ntimeout = \"2s\"\nmax_timeout = \"5s\"\n", planning)
-	fmt.Fprintf(&b, "[[service]]\nname = %q\nclass = \"bulk\"\nrepeat = \"safe\"\nprefer = \"headroom\"\ntimeout = \"20s\"\nmax_timeout = \"60s\"\n", documents)
-	for i, u := range s.Upstreams {
-		service, rest, _ := strings.Cut(u.Name, "-")
-		zone := rest[:strings.LastIndex(rest, "-")]
-		fmt.Fprintf(&b, "[[upstream]]\nname = %q\nservice = %q\nzone = %q\naddr = %q\nslots = %d\nlabels = { tier = \"main\" }\n",
-			u.Name, service, zone, s.UpstreamAddrs[i], u.Slots)
+// The figures of the configuration. All are chosen, not measured: with them a
+// share, its limit and a link can be seen at work.
+const (
+	// planningShare is the target share of each of the planning service's rules.
+	planningShare = 0.5
+	// costaCap is the share that costa never exceeds.
+	costaCap = 0.6
+	// linkRate is the limit of each link between two regions, in bytes per
+	// second.
+	linkRate = 20_000_000
+)
+
+// document is the configuration that the quick start begins with.
+func (s *System) document() config.Document {
+	limit := costaCap
+	doc := config.Document{
+		Services: []config.Service{
+			{
+				Name: planning, Class: config.Interactive, Repeat: config.RepeatSafe, Prefer: config.PreferHeadroom,
+				Timeout: config.Duration(2 * time.Second), MaxTimeout: config.Duration(5 * time.Second),
+			},
+			{
+				Name: documents, Class: config.Bulk, Repeat: config.RepeatSafe, Prefer: config.PreferHeadroom,
+				Timeout: config.Duration(20 * time.Second), MaxTimeout: config.Duration(time.Minute),
+			},
+		},
+		Upstreams: s.configured,
+		Rules: []config.Rule{
+			{Name: "planning-costa", Service: planning, Selector: "region=costa", Share: planningShare, Cap: &limit},
+			{Name: "planning-rest", Service: planning, Selector: "region!=costa", Share: planningShare},
+			{Name: "documents-all", Service: documents, Selector: "tier=main", Share: 1},
+		},
+		Blocks: []config.Block{{CIDR: "127.0.0.0/8", Zone: "costa-a"}, {CIDR: "10.2.0.0/16", Zone: "sierra-a"}},
 	}
-	fmt.Fprintf(&b, "[[rule]]\nname = \"planning-costa\"\nservice = %q\nselector = \"region=costa\"\nshare = 0.5\ncap = 0.6\n", planning)
-	fmt.Fprintf(&b, "[[rule]]\nname = \"planning-rest\"\nservice = %q\nselector = \"region!=costa\"\nshare = 0.5\n", planning)
-	fmt.Fprintf(&b, "[[rule]]\nname = \"documents-all\"\nservice = %q\nselector = \"tier=main\"\nshare = 1.0\n", documents)
-	b.WriteString("[[block]]\ncidr = \"127.0.0.0/8\"\nzone = \"costa-a\"\n")
-	b.WriteString("[[block]]\ncidr = \"10.2.0.0/16\"\nzone = \"sierra-a\"\n")
 	for _, from := range regions {
+		for _, zone := range zonesOf(from) {
+			doc.Zones = append(doc.Zones, config.Zone{Name: zone, Region: from})
+		}
 		for _, to := range regions {
 			if from != to {
-				fmt.Fprintf(&b, "[[link]]\nfrom = %q\nto = %q\nbytes_per_second = 20_000_000\n", from, to)
+				doc.Links = append(doc.Links, config.Link{From: from, To: to, BytesPerSecond: linkRate})
 			}
 		}
 	}
-	return b.String()
+	return doc
 }
--- a/internal/selector/quickstart/quickstart.go
+++ b/internal/selector/quickstart/quickstart.go
@@ -85,9 +85,11 @@
 
 	memory  *store.Memory // the platform's state
 	options Options
-	ctx     context.Context
-	cancel  context.CancelFunc
-	closers []func()
+	// configured are Upstreams as objects of the configuration.
+	configured []config.Upstream
+	ctx        context.Context
+	cancel     context.CancelFunc
+	closers    []func()
 }
 
 // Start starts everything and waits until every host is ready.
@@ -152,6 +154,10 @@
 	}
 	s.Upstreams = append(s.Upstreams, u)
 	s.UpstreamAddrs = append(s.UpstreamAddrs, addr)
+	s.configured = append(s.configured, config.Upstream{
+		Name: u.Name, Service: service, Zone: zone, Addr: addr, Slots: u.Slots,
+		Labels: map[string]string{"tier": "main"}, State: config.StateLive,
+	})
 	s.closers = append(s.closers, func() { _ = u.Close() })
 	s.memory.SetHost(u.Name, store.Live)
 	return nil
@@ -159,10 +165,7 @@
 
 // writeConfig appends the configuration to the log, before any host starts.
 func (s *System) writeConfig() error {
-	doc, err := config.ParseDocument([]byte(s.document()))
-	if err != nil {
-		return err
-	}
+	doc := s.document()
 	change, err := doc.Change("quickstart", 0)
 	if err != nil {
 		return err
