--- a/internal/selector/config/append.go
+++ b/internal/selector/config/append.go
@@ -8,6 +8,7 @@
 	"github.com/cenkalti/backoff/v5"
 	"github.com/rotisserie/eris"
 
+	"cairndock/internal/pause"
 	"cairndock/internal/selector/store"
 	"cairndock/internal/tomlfile"
 )
@@ -92,21 +93,14 @@
 // retryThrottled calls f until it is not throttled or ctx ends; then it returns
 // the last error. f must be safe to repeat.
 func retryThrottled[T any](ctx context.Context, f func() (T, error)) (T, error) {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = firstThrottlePause
-	pause.MaxInterval = maxThrottlePause
+	pauses := backoff.NewExponentialBackOff()
+	pauses.InitialInterval = firstThrottlePause
+	pauses.MaxInterval = maxThrottlePause
 	for {
 		v, err := f()
-		if !errors.Is(err, store.ErrThrottled) {
+		if !errors.Is(err, store.ErrThrottled) || !pause.For(ctx, pauses.NextBackOff()) {
 			return v, err
 		}
-		timer := time.NewTimer(pause.NextBackOff())
-		select {
-		case <-ctx.Done():
-			timer.Stop()
-			return v, err
-		case <-timer.C:
-		}
 	}
 }
 
--- a/internal/selector/standin/respond.go
+++ b/internal/selector/standin/respond.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"cairndock/internal/call"
+	"cairndock/internal/pause"
 )
 
 // expired reports whether the request arrived after its deadline.
@@ -22,26 +23,11 @@
 	if ms, err := strconv.ParseInt(r.Header.Get(call.HeaderDeadline), 10, 64); err == nil {
 		left := time.Until(time.UnixMilli(ms))
 		if left < d {
-			wait(r, left)
+			pause.For(r.Context(), left)
 			return false
 		}
 	}
-	return wait(r, d)
-}
-
-// wait waits for d, and reports whether the request was not cancelled before.
-func wait(r *http.Request, d time.Duration) bool {
-	if d <= 0 {
-		return true
-	}
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return true
-	case <-r.Context().Done():
-		return false
-	}
+	return d <= 0 || pause.For(r.Context(), d)
 }
 
 // respond sends N bytes for /bytes/N, and an echo of any other request.
