--- a/internal/selector/config/document.go
+++ b/internal/selector/config/document.go
@@ -140,15 +140,11 @@
 		c.share(l.ReservedShare(), "reserved")
 	}
 	for _, r := range d.Removals {
-		at(r.Kind, r.Name).require(knownKind(r.Kind), "kind", "unknown kind %q", r.Kind)
+		at(r.Kind, r.Name).require(slices.Contains(kinds, r.Kind), "kind", "unknown kind %q", r.Kind)
 	}
 	return errors.Join(faults...)
 }
 
-func knownKind(k Kind) bool {
-	return slices.Contains([]Kind{KindZone, KindService, KindUpstream, KindRule, KindBlock, KindLink}, k)
-}
-
 func checkService(c checker, s Service) {
 	c.require(!strings.Contains(s.Name, "/"), "name", "must hold no slash")
 	c.require(s.Class == Interactive || s.Class == Bulk, "class", "must be interactive or bulk, is %q", s.Class)
@@ -200,15 +196,15 @@
 	d.Upstreams = collect(s.upstreams, KindUpstream, d.Versions)
 	d.Rules = collect(s.rules, KindRule, d.Versions)
 	d.Links = collect(s.links, KindLink, d.Versions)
-	for prefix, b := range s.blocks.AllSorted() {
+	for prefix, b := range s.blocks.table.AllSorted() {
 		d.Versions[Ref{KindBlock, prefix.String()}.String()] = b.version
-		d.Blocks = append(d.Blocks, Block{CIDR: prefix.String(), Zone: s.zoneNames[b.zone]})
+		d.Blocks = append(d.Blocks, Block{CIDR: prefix.String(), Zone: s.blocks.zone(b)})
 	}
 	return d
 }
 
 // collect returns the objects of one kind by name, and adds their versions.
-func collect[T any](m map[string]entry[T], kind Kind, versions map[string]uint64) []T {
+func collect[T any](m objects[T], kind Kind, versions map[string]uint64) []T {
 	names := slices.Sorted(maps.Keys(m))
 	out := make([]T, 0, len(names))
 	for _, name := range names {
--- a/internal/selector/config/object.go
+++ b/internal/selector/config/object.go
@@ -24,6 +24,9 @@
 	KindLink     Kind = "link"
 )
 
+// kinds are all kinds, in the order of a snapshot.
+var kinds = []Kind{KindZone, KindService, KindUpstream, KindRule, KindLink, KindBlock}
+
 // Class is how a service's traffic is treated on shared links.
 type Class string
 
--- a/internal/selector/config/references.go
+++ b/internal/selector/config/references.go
@@ -138,8 +138,8 @@
 			c.add(KindUpstream, u, "zone", "unknown zone %q", name)
 		}
 	}
-	for prefix, b := range c.after.blocks.All() {
-		if c.after.zoneNames[b.zone] == name {
+	for prefix, b := range c.after.blocks.table.All() {
+		if c.after.blocks.zone(b) == name {
 			c.add(KindBlock, prefix.String(), "zone", "unknown zone %q", name)
 		}
 	}
--- a/internal/selector/config/snapshot.go
+++ b/internal/selector/config/snapshot.go
@@ -32,7 +32,9 @@
 // snapshotWriter encodes values until the first error, which it keeps.
 type snapshotWriter struct {
 	enc *msgpack.Encoder
-	err error
+	// kind is the kind of the objects that are being written.
+	kind Kind
+	err  error
 }
 
 func (w *snapshotWriter) write(v any) {
@@ -41,17 +43,24 @@
 	}
 }
 
-func (w *snapshotWriter) object(kind Kind, name string, version uint64, v any) {
+func (w *snapshotWriter) object(name string, version uint64, v any) {
 	body, err := encode(v)
 	if w.err == nil {
 		w.err = err
 	}
-	w.write(snapshotObject{Ref{kind, name}, version, body})
+	w.write(snapshotObject{Ref{w.kind, name}, version, body})
 }
 
-func writeAll[T any](w *snapshotWriter, kind Kind, m map[string]entry[T]) {
-	for name, e := range m {
-		w.object(kind, name, e.version, e.value)
+func (o *objects[T]) write(w *snapshotWriter) {
+	for name, e := range *o {
+		w.object(name, e.version, e.value)
+	}
+}
+
+func (b *blocks) write(w *snapshotWriter) {
+	for prefix, e := range b.table.All() {
+		name := prefix.String()
+		w.object(name, e.version, Block{CIDR: name, Zone: b.zone(e)})
 	}
 }
 
@@ -60,15 +69,13 @@
 	zip := gzip.NewWriter(out)
 	w := &snapshotWriter{enc: msgpack.NewEncoder(zip)}
 	w.enc.UseCompactInts(true)
-	count := len(s.zones) + len(s.services) + len(s.upstreams) + len(s.rules) + len(s.links) + s.blocks.Size()
+	count := 0
+	for _, kind := range kinds {
+		count += s.collection(kind).size()
+	}
 	w.write(snapshotHeader{Revision: s.revision, Objects: count})
-	writeAll(w, KindZone, s.zones)
-	writeAll(w, KindService, s.services)
-	writeAll(w, KindUpstream, s.upstreams)
-	writeAll(w, KindRule, s.rules)
-	writeAll(w, KindLink, s.links)
-	for prefix, b := range s.blocks.All() {
-		w.object(KindBlock, prefix.String(), b.version, Block{CIDR: prefix.String(), Zone: s.zoneNames[b.zone]})
+	for _, w.kind = range kinds {
+		s.collection(w.kind).write(w)
 	}
 	if w.err != nil {
 		return eris.Wrap(w.err, "write snapshot")
@@ -89,7 +96,7 @@
 		return nil, eris.Wrap(err, "read snapshot header")
 	}
 	s := NewState()
-	s.ownBlocks = true
+	s.blocks.owned = true
 	for range header.Objects {
 		var o snapshotObject
 		if err := dec.Decode(&o); err != nil {
@@ -104,7 +111,7 @@
 		return nil, eris.Wrap(err, "read snapshot")
 	}
 	s.revision = header.Revision
-	s.ownBlocks = false
+	s.blocks.owned = false
 	return s, nil
 }
 
--- a/internal/selector/config/state.go
+++ b/internal/selector/config/state.go
@@ -2,96 +2,86 @@
 
 import (
 	"maps"
-	"net/netip"
 	"strconv"
 
 	"github.com/cespare/xxhash/v2"
-	"github.com/gaissmai/bart"
 	"github.com/rotisserie/eris"
 )
 
-// entry is an object and the revision that last changed it.
-type entry[T any] struct {
-	version uint64
-	value   T
-}
-
-// blockEntry is a block in the prefix table. zone indexes State.zoneNames, so
-// that 260,000 blocks do not hold as many strings.
-type blockEntry struct {
-	version uint64
-	zone    uint32
-}
-
 // State is the whole configuration at one revision. It is immutable: With
 // returns the next one, which shares what did not change.
 type State struct {
 	revision uint64
 	digest   uint64
 
-	zones     map[string]entry[Zone]
-	services  map[string]entry[Service]
-	upstreams map[string]entry[Upstream]
-	rules     map[string]entry[Rule]
-	links     map[string]entry[Link]
-	blocks    *bart.Table[blockEntry]
-
-	// zoneNames are the zones of all blocks ever set, and zoneIndex their
-	// indexes.
-	zoneNames []string
-	zoneIndex map[string]uint32
-	// ownBlocks means that no other state shares blocks yet, so that it may be
-	// changed in place.
-	ownBlocks bool
+	zones     objects[Zone]
+	services  objects[Service]
+	upstreams objects[Upstream]
+	rules     objects[Rule]
+	links     objects[Link]
+	blocks    blocks
+}
+
+// collection is what State does with the objects of any kind.
+type collection interface {
+	// size is how many objects there are.
+	size() int
+	// version returns the revision that last changed an object, 0 if there is
+	// none.
+	version(name string) uint64
+	// unshare makes a copy that a change with so many edits may write to.
+	unshare(edits int)
+	// set writes an edit that is accepted at a revision.
+	set(e Edit, rev uint64) error
+	// write adds every object to a snapshot.
+	write(w *snapshotWriter)
 }
 
 // NewState is the empty configuration at revision 0.
 func NewState() *State {
 	return &State{
-		zones:     map[string]entry[Zone]{},
-		services:  map[string]entry[Service]{},
-		upstreams: map[string]entry[Upstream]{},
-		rules:     map[string]entry[Rule]{},
-		links:     map[string]entry[Link]{},
-		blocks:    &bart.Table[blockEntry]{},
-		zoneIndex: map[string]uint32{},
+		zones:     objects[Zone]{},
+		services:  objects[Service]{},
+		upstreams: objects[Upstream]{},
+		rules:     objects[Rule]{},
+		links:     objects[Link]{},
+		blocks:    newBlocks(),
 	}
 }
 
-// Revision is the number of the last change in the state, 0 for none.
-func (s *State) Revision() uint64 { return s.revision }
-
-// Digest is a hash of every object's name and version. If two hosts at the same
-// revision have different digests, one of them has missed a change.
-func (s *State) Digest() uint64 { return s.digest }
-
-// version returns the revision that last changed the object, 0 if there is none.
-func (s *State) version(ref Ref) uint64 {
-	switch ref.Kind {
+// collection returns the objects of a kind, or nil if there is no such kind.
+func (s *State) collection(kind Kind) collection {
+	switch kind {
 	case KindZone:
-		return s.zones[ref.Name].version
+		return &s.zones
 	case KindService:
-		return s.services[ref.Name].version
+		return &s.services
 	case KindUpstream:
-		return s.upstreams[ref.Name].version
+		return &s.upstreams
 	case KindRule:
-		return s.rules[ref.Name].version
+		return &s.rules
 	case KindLink:
-		return s.links[ref.Name].version
+		return &s.links
 	case KindBlock:
-		return s.blockVersion(ref.Name)
+		return &s.blocks
 	}
-	return 0
+	return nil
 }
 
-// blockVersion is version for a block. No block has a name that is no prefix.
-func (s *State) blockVersion(name string) uint64 {
-	prefix, err := netip.ParsePrefix(name)
-	if err != nil {
+// Revision is the number of the last change in the state, 0 for none.
+func (s *State) Revision() uint64 { return s.revision }
+
+// Digest is a hash of every object's name and version. If two hosts at the same
+// revision have different digests, one of them has missed a change.
+func (s *State) Digest() uint64 { return s.digest }
+
+// version returns the revision that last changed the object, 0 if there is none.
+func (s *State) version(ref Ref) uint64 {
+	c := s.collection(ref.Kind)
+	if c == nil {
 		return 0
 	}
-	b, _ := s.blocks.Get(prefix)
-	return b.version
+	return c.version(ref.Name)
 }
 
 // check returns a conflict for the first edit whose object is not at the version
@@ -115,74 +105,70 @@
 	}
 	next := *s
 	next.revision = c.Revision
-	next.copyTouched(c)
+	next.unshareTouched(c)
 	for _, e := range c.Edits {
 		if err := next.apply(e, c.Revision); err != nil {
 			return nil, eris.Wrapf(err, "apply %s", e.Ref)
 		}
 	}
-	next.ownBlocks = false
+	next.blocks.owned = false
 	return &next, nil
 }
 
-// copyTouched copies what a change will write, so that the state before stays as
-// it is.
-func (s *State) copyTouched(c Change) {
+// unshareTouched copies the collections that a change will write to, so that the
+// state before stays as it is.
+func (s *State) unshareTouched(c Change) {
 	touched := map[Kind]bool{}
 	for _, e := range c.Edits {
 		touched[e.Ref.Kind] = true
 	}
-	if touched[KindZone] {
-		s.zones = maps.Clone(s.zones)
-	}
-	if touched[KindService] {
-		s.services = maps.Clone(s.services)
-	}
-	if touched[KindUpstream] {
-		s.upstreams = maps.Clone(s.upstreams)
-	}
-	if touched[KindRule] {
-		s.rules = maps.Clone(s.rules)
-	}
-	if touched[KindLink] {
-		s.links = maps.Clone(s.links)
-	}
-	if s.ownBlocks = len(c.Edits) >= manyEdits; s.ownBlocks {
-		s.blocks = s.blocks.Clone()
+	for kind := range touched {
+		if objects := s.collection(kind); objects != nil {
+			objects.unshare(len(c.Edits))
+		}
 	}
 }
 
-// manyEdits is the number of edits from which on a change copies the whole prefix
-// table once, instead of one path of it for each block. Chosen, not measured.
-const manyEdits = 1000
-
-// apply writes one edit into a state that is not shared yet.
+// apply writes one edit into collections that are not shared.
 func (s *State) apply(e Edit, rev uint64) error {
-	s.digest ^= objectHash(e.Ref, s.version(e.Ref))
+	c := s.collection(e.Ref.Kind)
+	if c == nil {
+		return eris.Errorf("unknown kind %q", e.Ref.Kind)
+	}
+	s.digest ^= objectHash(e.Ref, c.version(e.Ref.Name))
 	if len(e.Body) > 0 {
 		s.digest ^= objectHash(e.Ref, rev)
 	}
-	switch e.Ref.Kind {
-	case KindZone:
-		return set(s.zones, e, rev)
-	case KindService:
-		return set(s.services, e, rev)
-	case KindUpstream:
-		return set(s.upstreams, e, rev)
-	case KindRule:
-		return set(s.rules, e, rev)
-	case KindLink:
-		return set(s.links, e, rev)
-	case KindBlock:
-		return s.setBlock(e, rev)
+	return c.set(e, rev)
+}
+
+// objectHash is an object's part of the digest: 0 if it does not exist. The digest
+// is compared between hosts, so that this text must stay as it is.
+func objectHash(ref Ref, version uint64) uint64 {
+	if version == 0 {
+		return 0
 	}
-	return eris.Errorf("unknown kind %q", e.Ref.Kind)
+	return xxhash.Sum64String(string(ref.Kind) + "/" + ref.Name + "@" + strconv.FormatUint(version, 10))
 }
 
-// set writes an edit into the objects of its kind.
-func set[T any](m map[string]entry[T], e Edit, rev uint64) error {
+// entry is an object and the revision that last changed it.
+type entry[T any] struct {
+	version uint64
+	value   T
+}
+
+// objects are the objects of one kind, by name.
+type objects[T any] map[string]entry[T]
+
+func (o *objects[T]) size() int { return len(*o) }
+
+func (o *objects[T]) version(name string) uint64 { return (*o)[name].version }
+
+func (o *objects[T]) unshare(int) { *o = maps.Clone(*o) }
+
+func (o *objects[T]) set(e Edit, rev uint64) error {
 	if len(e.Body) == 0 {
-		delete(m, e.Ref.Name)
+		delete(*o, e.Ref.Name)
 		return nil
 	}
 	v, err := decode[T](e.Body)
@@ -192,62 +178,6 @@
 	if u, ok := any(&v).(*Upstream); ok {
 		u.intern()
 	}
-	m[e.Ref.Name] = entry[T]{version: rev, value: v}
+	(*o)[e.Ref.Name] = entry[T]{version: rev, value: v}
 	return nil
 }
-
-func (s *State) setBlock(e Edit, rev uint64) error {
-	prefix, err := netip.ParsePrefix(e.Ref.Name)
-	if err != nil {
-		return eris.Wrap(err, "parse block")
-	}
-	if len(e.Body) == 0 {
-		if s.ownBlocks {
-			s.blocks.Delete(prefix)
-		} else {
-			s.blocks = s.blocks.DeletePersist(prefix)
-		}
-		return nil
-	}
-	b, err := decode[Block](e.Body)
-	if err != nil {
-		return err
-	}
-	entry := blockEntry{version: rev, zone: s.zoneNumber(b.Zone)}
-	if s.ownBlocks {
-		s.blocks.Insert(prefix, entry)
-	} else {
-		s.blocks = s.blocks.InsertPersist(prefix, entry)
-	}
-	return nil
-}
-
-// zoneNumber returns the zone's index in zoneNames, adding it if it is new.
-func (s *State) zoneNumber(name string) uint32 {
-	if n, ok := s.zoneIndex[name]; ok {
-		return n
-	}
-	s.zoneIndex = maps.Clone(s.zoneIndex)
-	n := uint32(len(s.zoneNames))
-	s.zoneIndex[name] = n
-	s.zoneNames = append(s.zoneNames[:n:n], name)
-	return n
-}
-
-// clientZone returns the zone of the longest block that contains addr, or "".
-func (s *State) clientZone(addr netip.Addr) string {
-	b, ok := s.blocks.Lookup(addr.Unmap())
-	if !ok {
-		return ""
-	}
-	return s.zoneNames[b.zone]
-}
-
-// objectHash is an object's part of the digest: 0 if it does not exist. The digest
-// is compared between hosts, so that this text must stay as it is.
-func objectHash(ref Ref, version uint64) uint64 {
-	if version == 0 {
-		return 0
-	}
-	return xxhash.Sum64String(string(ref.Kind) + "/" + ref.Name + "@" + strconv.FormatUint(version, 10))
-}
--- a/internal/selector/config/view.go
+++ b/internal/selector/config/view.go
@@ -290,4 +290,4 @@
 
 // CallerZone returns the zone of the longest block that contains a client's
 // address, or "".
-func (v *View) CallerZone(addr netip.Addr) string { return v.state.clientZone(addr) }
+func (v *View) CallerZone(addr netip.Addr) string { return v.state.blocks.zoneOf(addr) }
