--- a/internal/selector/operator/operator.go
+++ b/internal/selector/operator/operator.go
@@ -53,7 +53,8 @@
 	// ChangeProgress returns how far an accepted change is, and whether there
 	// is one with this id.
 	ChangeProgress(ctx context.Context, id string) (entry.Applied, bool, error)
-	// DrainProgress returns what the named upstreams still run.
+	// DrainProgress returns what all hosts together still have at the named
+	// upstreams.
 	DrainProgress(ctx context.Context, names []string) entry.Drained
 }
 
--- /dev/null
+++ b/internal/selector/standin/table.go
@@ -0,0 +1,182 @@
+package standin
+
+import (
+	"encoding/base64"
+	"encoding/json"
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+
+	"cairndock/internal/selector/store"
+)
+
+const (
+	// targetPrefix starts the header that names a DynamoDB operation.
+	targetPrefix = "DynamoDB_20120810."
+	// errorPrefix starts the names of DynamoDB's errors.
+	errorPrefix = "com.amazonaws.dynamodb.v20120810#"
+	// maxRequest limits what is read of a request to the table, in bytes.
+	// Chosen, not measured.
+	maxRequest = 16 << 20
+)
+
+// The attributes of an item, as in the store package.
+const (
+	// attrPartition is the partition key.
+	attrPartition = "pk"
+	// attrSort is the sort key.
+	attrSort = "sk"
+	// attrVersion is the row's version.
+	attrVersion = "ver"
+	// attrBody is the row's body.
+	attrBody = "body"
+)
+
+// attr is a DynamoDB attribute value of one of the types in use.
+type attr struct {
+	S *string `json:"S,omitempty"`
+	N *string `json:"N,omitempty"`
+	B *string `json:"B,omitempty"`
+}
+
+// item is a row by its attributes.
+type item map[string]attr
+
+// TableHandler serves the table.
+func (p Platform) TableHandler() http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		body, err := io.ReadAll(io.LimitReader(r.Body, maxRequest))
+		if err != nil {
+			return // the client has left
+		}
+		var out any
+		switch strings.TrimPrefix(r.Header.Get("X-Amz-Target"), targetPrefix) {
+		case "GetItem":
+			out, err = p.getItem(r, body)
+		case "Query":
+			out, err = p.query(r, body)
+		case "TransactWriteItems":
+			out, err = p.transact(r, body)
+		default:
+			err = errors.New("unknown operation")
+		}
+		w.Header().Set("Content-Type", "application/x-amz-json-1.0")
+		if err != nil {
+			writeTableError(w, err)
+			return
+		}
+		_ = json.NewEncoder(w).Encode(out)
+	})
+}
+
+// tableError is the body of an error response of DynamoDB.
+type tableError struct {
+	Type    string   `json:"__type"`
+	Message string   `json:"message"`
+	Reasons []reason `json:"CancellationReasons,omitempty"`
+}
+
+type reason struct {
+	Code string `json:"Code"`
+}
+
+func writeTableError(w http.ResponseWriter, err error) {
+	e := tableError{Type: errorPrefix + "InternalServerError", Message: err.Error()}
+	status := http.StatusInternalServerError
+	switch {
+	case errors.Is(err, store.ErrConflict):
+		e.Type = errorPrefix + "TransactionCanceledException"
+		e.Reasons = []reason{{"ConditionalCheckFailed"}}
+		status = http.StatusBadRequest
+	case errors.Is(err, store.ErrThrottled):
+		e.Type = errorPrefix + "ProvisionedThroughputExceededException"
+		status = http.StatusBadRequest
+	}
+	w.WriteHeader(status)
+	_ = json.NewEncoder(w).Encode(e)
+}
+
+func (p Platform) getItem(r *http.Request, body []byte) (any, error) {
+	var in struct{ Key item }
+	if err := json.Unmarshal(body, &in); err != nil {
+		return nil, err
+	}
+	row, err := p.Memory.Get(r.Context(), keyOf(in.Key))
+	if errors.Is(err, store.ErrNotFound) {
+		return struct{}{}, nil
+	}
+	if err != nil {
+		return nil, err
+	}
+	return struct{ Item item }{itemOf(row)}, nil
+}
+
+func (p Platform) query(r *http.Request, body []byte) (any, error) {
+	var in struct {
+		Limit                     int
+		ExpressionAttributeValues item
+	}
+	if err := json.Unmarshal(body, &in); err != nil {
+		return nil, err
+	}
+	rows, err := p.Memory.List(r.Context(), text(in.ExpressionAttributeValues[":p"].S), text(in.ExpressionAttributeValues[":a"].S), in.Limit)
+	if err != nil {
+		return nil, err
+	}
+	out := struct {
+		Items []item
+		Count int
+	}{Items: []item{}, Count: len(rows)}
+	for _, row := range rows {
+		out.Items = append(out.Items, itemOf(row))
+	}
+	return out, nil
+}
+
+func (p Platform) transact(r *http.Request, body []byte) (any, error) {
+	var in struct {
+		TransactItems []struct {
+			Put struct {
+				Item                      item
+				ExpressionAttributeValues item
+			}
+		}
+	}
+	if err := json.Unmarshal(body, &in); err != nil {
+		return nil, err
+	}
+	var writes []store.Write
+	for _, t := range in.TransactItems {
+		raw, err := base64.StdEncoding.DecodeString(text(t.Put.Item[attrBody].B))
+		if err != nil {
+			return nil, err
+		}
+		// Without a version the condition is that the row does not exist.
+		version, _ := strconv.ParseInt(text(t.Put.ExpressionAttributeValues[":v"].N), 10, 64)
+		writes = append(writes, store.Write{Key: keyOf(t.Put.Item), IfVersion: version, Body: raw})
+	}
+	return struct{}{}, p.Memory.Transact(r.Context(), writes)
+}
+
+// text is an attribute's value, or "" without one.
+func text(s *string) string {
+	if s == nil {
+		return ""
+	}
+	return *s
+}
+
+func keyOf(i item) store.Key {
+	return store.Key{Partition: text(i[attrPartition].S), Sort: text(i[attrSort].S)}
+}
+
+func itemOf(row store.Row) item {
+	version := strconv.FormatInt(row.Version, 10)
+	body := base64.StdEncoding.EncodeToString(row.Body)
+	return item{
+		attrPartition: {S: &row.Key.Partition}, attrSort: {S: &row.Key.Sort},
+		attrVersion: {N: &version}, attrBody: {B: &body},
+	}
+}
