--- /dev/null
+++ b/internal/selector/config/append_test.go
@@ -0,0 +1,35 @@
+package config
+
+import (
+	"testing"
+
+	"github.com/rotisserie/eris"
+	"github.com/stretchr/testify/require"
+
+	"cairndock/internal/selector/store"
+	"cairndock/internal/tomlfile"
+)
+
+// TestAppendRetryRule: a change that is at fault is never appended again, one of
+// which certainly nothing was written is, and any other outcome is left to the
+// submitter.
+func TestAppendRetryRule(t *testing.T) {
+	cases := []struct {
+		name         string
+		err          error
+		refusal      bool
+		wroteNothing bool
+	}{
+		{"object was changed", &Conflict{Winner: 3}, true, false},
+		{"references do not hold", tomlfile.KeyError{Key: "k", Problem: "p"}, true, false},
+		{"head moved", store.ErrConflict, false, true},
+		{"throttled", eris.Wrap(store.ErrThrottled, "call table"), false, true},
+		{"response lost", eris.New("connection reset"), false, false},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			require.Equal(t, tc.refusal, isRefusal(tc.err))
+			require.Equal(t, tc.wroteNothing, wroteNothing(tc.err))
+		})
+	}
+}
--- a/internal/selector/operator/operator_test.go
+++ b/internal/selector/operator/operator_test.go
@@ -109,7 +109,19 @@
 	}
 }
 
-func TestLooking(t *testing.T) {
+func TestWaitOfAChange(t *testing.T) {
+	for text, want := range map[string]time.Duration{
+		"": defaultWait, "0s": 0, "2s": 2 * time.Second, "-1s": 0, "2h": longestWait,
+	} {
+		got, err := waitOf(text)
+		require.NoError(t, err, text)
+		require.Equal(t, want, got, text)
+	}
+	_, err := waitOf("soon")
+	require.Error(t, err)
+}
+
+func TestReadsNeedNoToken(t *testing.T) {
 	addr := newServer(t, &fakeHost{})
 	for path, status := range map[string]int{
 		"/healthz": 200, "/readyz": 503, "/metrics": 200, "/v1/status": 200, "/v1/config": 200,
--- a/internal/selector/upstream/conn.go
+++ b/internal/selector/upstream/conn.go
@@ -1,10 +1,11 @@
 package upstream
 
 import (
-	"errors"
 	"net"
 	"sync"
 	"time"
+
+	"github.com/rotisserie/eris"
 )
 
 // cancelGrace is how long after a request's deadline an upstream that neither
@@ -15,7 +16,7 @@
 
 // errFenced is the error of a write after the request was abandoned or its
 // deadline has passed.
-var errFenced = errors.New("request was abandoned before this write")
+var errFenced = eris.New("request was abandoned before this write")
 
 // halfCloser is a connection whose sending side can be closed alone.
 type halfCloser interface{ CloseWrite() error }
