--- a/internal/selector/caller/caller_test.go
+++ b/internal/selector/caller/caller_test.go
@@ -14,7 +14,6 @@
 	"testing"
 	"time"
 
-	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 	"go.opentelemetry.io/otel/trace/noop"
 
@@ -26,12 +25,12 @@
 	"cairndock/internal/verdict"
 )
 
-// fakeHost answers as told and keeps the last request.
+// fakeHost returns a fixed response or error and keeps the last request.
 type fakeHost struct {
-	view   *config.View
-	answer *call.Answer
-	err    error
-	got    *call.Request
+	view *config.View
+	resp *call.Answer
+	err  error
+	got  *call.Request
 }
 
 func (h *fakeHost) Serving() bool      { return h.view.Revision() > 0 }
@@ -40,7 +39,7 @@
 
 func (h *fakeHost) Do(_ context.Context, req *call.Request) (*call.Answer, error) {
 	h.got = req
-	return h.answer, h.err
+	return h.resp, h.err
 }
 
 func (h *fakeHost) EntriesFor(service string, caller netip.Addr) ([]byte, error) {
@@ -67,7 +66,7 @@
 	if change != nil {
 		change(&set)
 	}
-	srv := New(set, h, zerolog.Nop(), noop.NewTracerProvider(), telemetry.NewMetrics())
+	srv := New(set, h, noop.NewTracerProvider(), telemetry.NewMetrics())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	go func() { _ = srv.Serve(l) }()
@@ -82,8 +81,8 @@
 	}
 }
 
-// TestRefusals: whatever is wrong with a request, it was not run, and the
-// answer says what.
+// TestRefusals: a request with a fault was not run, and the response names the
+// fault.
 func TestRefusals(t *testing.T) {
 	cases := []struct {
 		name, method, path string
@@ -101,11 +100,11 @@
 		{name: "large header", path: "/s/s/x", header: map[string]string{"X-Big": strings.Repeat("x", 2001)}, status: 431, verdict: "not-run", detail: "2000 bytes"},
 		{name: "shed", path: "/s/s/x", err: verdict.New(verdict.NotRun, verdict.Full, "full").WithRetryAfter(1500 * time.Millisecond), status: 503, verdict: "not-run", detail: "full"},
 		{name: "deadline", path: "/s/s/x", err: verdict.New(verdict.MayHaveRun, verdict.DeadlineLapsed, "late"), status: 504, verdict: "may-have-run", detail: "late"},
-		{name: "any other error is a doubt", path: "/s/s/x", err: errors.New("odd"), status: 502, verdict: "may-have-run", detail: "odd"},
+		{name: "any other error may have run", path: "/s/s/x", err: errors.New("odd"), status: 502, verdict: "may-have-run", detail: "odd"},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			h := &fakeHost{answer: ok("x"), err: tc.err}
+			h := &fakeHost{resp: ok("x"), err: tc.err}
 			addr := newServer(t, h, nil)
 			method := tc.method
 			if method == "" {
@@ -136,8 +135,16 @@
 	}
 }
 
+func TestRetryAfterIsInWholeSecondsRoundedUp(t *testing.T) {
+	for pause, want := range map[time.Duration]string{
+		time.Millisecond: "1", time.Second: "1", 1001 * time.Millisecond: "2", 3 * time.Second: "3",
+	} {
+		require.Equal(t, want, retryAfter(pause), pause)
+	}
+}
+
 func TestStalledBodyIsCutByTheDeadline(t *testing.T) {
-	h := &fakeHost{answer: ok("x")}
+	h := &fakeHost{resp: ok("x")}
 	addr := newServer(t, h, nil)
 	c, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
@@ -153,7 +160,7 @@
 }
 
 func TestForwarding(t *testing.T) {
-	h := &fakeHost{answer: ok("the answer")}
+	h := &fakeHost{resp: ok("the response")}
 	addr := newServer(t, h, nil)
 	req, err := http.NewRequest(http.MethodPut, "http://"+addr+"/s/s/a%2Fb/c?x=1&y=%20", strings.NewReader("body"))
 	require.NoError(t, err)
@@ -167,7 +174,7 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
-	require.Equal(t, "the answer", string(body))
+	require.Equal(t, "the response", string(body))
 	require.Equal(t, "z/up", resp.Header.Get("Cairndock-Upstream"))
 	require.Equal(t, "1", resp.Header.Get("X-Mine"))
 	require.Empty(t, resp.Header.Get("Cairndock-Verdict"), "an upstream can't speak for the system")
@@ -186,10 +193,10 @@
 
 func TestShortAnswerNeverLooksWhole(t *testing.T) {
 	for name, length := range map[string]int64{"known length": 100, "unknown length": -1} {
-		answer := ok("")
-		answer.Length = length
-		answer.Body = brokenBody{io.MultiReader(strings.NewReader("half"), errReader{})}
-		addr := newServer(t, &fakeHost{answer: answer}, nil)
+		short := ok("")
+		short.Length = length
+		short.Body = brokenBody{io.MultiReader(strings.NewReader("half"), errReader{})}
+		addr := newServer(t, &fakeHost{resp: short}, nil)
 		resp, err := http.Get("http://" + addr + "/s/s/x")
 		if err == nil {
 			_, err = io.ReadAll(resp.Body)
