--- a/internal/selector/standin/table.go
+++ b/internal/selector/standin/table.go
@@ -113,25 +113,42 @@
 	return struct{ Item item }{itemOf(row)}, nil
 }
 
+// pageBytes ends a page of a query, in bytes of its rows' bodies. DynamoDB ends
+// one at 1 MB of items.
+const pageBytes = 1 << 20
+
 func (p Platform) query(r *http.Request, body []byte) (any, error) {
 	var in struct {
 		Limit                     int
 		ExpressionAttributeValues item
+		ExclusiveStartKey         item
 	}
 	if err := json.Unmarshal(body, &in); err != nil {
 		return nil, err
 	}
-	rows, err := p.Memory.List(r.Context(), text(in.ExpressionAttributeValues[":p"].S), text(in.ExpressionAttributeValues[":a"].S), in.Limit)
+	after := in.ExpressionAttributeValues[":a"]
+	if start, ok := in.ExclusiveStartKey[attrSort]; ok {
+		after = start
+	}
+	rows, err := p.Memory.List(r.Context(), text(in.ExpressionAttributeValues[":p"].S), text(after.S), in.Limit)
 	if err != nil {
 		return nil, err
 	}
 	out := struct {
-		Items []item
-		Count int
-	}{Items: []item{}, Count: len(rows)}
+		Items            []item
+		Count            int
+		LastEvaluatedKey item `json:",omitempty"`
+	}{Items: []item{}}
+	size := 0
 	for _, row := range rows {
-		out.Items = append(out.Items, itemOf(row))
+		it := itemOf(row)
+		out.Items = append(out.Items, it)
+		if size += len(row.Body); size >= pageBytes {
+			out.LastEvaluatedKey = item{attrPartition: it[attrPartition], attrSort: it[attrSort]}
+			break
+		}
 	}
+	out.Count = len(out.Items)
 	return out, nil
 }
 
--- a/internal/selector/store/contract_test.go
+++ b/internal/selector/store/contract_test.go
@@ -71,6 +71,17 @@
 		require.Equal(t, "002", rows[0].Key.Sort)
 		require.Equal(t, "003", rows[1].Key.Sort)
 
+		// A service may end a page before the limit, by its size; a list does not.
+		large := make([]byte, 200<<10)
+		for i := range 8 {
+			require.NoError(t, tb.Transact(ctx, []store.Write{{Key: key("large", fmt.Sprintf("%03d", i)), Body: large}}))
+		}
+		for limit, want := range map[int]int{100: 8, 7: 7} {
+			rows, err = tb.List(ctx, "large", "", limit)
+			require.NoError(t, err)
+			require.Equal(t, want, len(rows)) // not Len, which would print the bodies
+		}
+
 		m.SetFault(func(string, bool) error { return store.ErrThrottled })
 		_, err = tb.Get(ctx, key("p", "a"))
 		require.ErrorIs(t, err, store.ErrThrottled)
--- a/internal/selector/store/dynamodb.go
+++ b/internal/selector/store/dynamodb.go
@@ -94,27 +94,40 @@
 }
 
 // List reads up to limit rows of a partition whose sort key is above after, in
-// the order of the sort key, by a strongly consistent read.
+// the order of the sort key, by strongly consistent reads. It gives fewer only
+// when there are no more: DynamoDB ends a page at 1 MB, below the limit where
+// rows are large, so List reads on.
 func (t *Table) List(ctx context.Context, partition, after string, limit int) ([]Row, error) {
-	out, err := t.client.Query(ctx, &dynamodb.QueryInput{
-		TableName: &t.name, ConsistentRead: aws.Bool(true), Limit: aws.Int32(int32(limit)),
+	var rows []Row
+	var from map[string]types.AttributeValue
+	for {
+		out, err := t.query(ctx, partition, after, limit-len(rows), from)
+		if err != nil {
+			return nil, tableError(err)
+		}
+		for _, item := range out.Items {
+			row, err := rowOf(item)
+			if err != nil {
+				return nil, err
+			}
+			rows = append(rows, row)
+		}
+		from = out.LastEvaluatedKey
+		if len(from) == 0 || len(rows) >= limit {
+			return rows, nil
+		}
+	}
+}
+
+// query reads a page of at most limit rows, which starts after the key from.
+func (t *Table) query(ctx context.Context, partition, after string, limit int, from map[string]types.AttributeValue) (*dynamodb.QueryOutput, error) {
+	return t.client.Query(ctx, &dynamodb.QueryInput{
+		TableName: &t.name, ConsistentRead: aws.Bool(true), Limit: aws.Int32(int32(limit)), ExclusiveStartKey: from,
 		KeyConditionExpression: aws.String(attrPartition + " = :p AND " + attrSort + " > :a"),
 		ExpressionAttributeValues: map[string]types.AttributeValue{
 			":p": stringAttr(partition), ":a": stringAttr(after),
 		},
 	})
-	if err != nil {
-		return nil, tableError(err)
-	}
-	rows := make([]Row, 0, len(out.Items))
-	for _, item := range out.Items {
-		row, err := rowOf(item)
-		if err != nil {
-			return nil, err
-		}
-		rows = append(rows, row)
-	}
-	return rows, nil
 }
 
 func stringAttr(s string) types.AttributeValue { return &types.AttributeValueMemberS{Value: s} }
