--- a/cmd/standin.go
+++ b/cmd/standin.go
@@ -3,16 +3,12 @@
 import (
 	"context"
 	"flag"
-	"net"
 	"net/http"
 	"os"
 	"os/signal"
 	"syscall"
-	"time"
 
 	"github.com/google/subcommands"
-	"github.com/rotisserie/eris"
-	"github.com/rs/zerolog"
 
 	"cairndock/internal/peer"
 	"cairndock/internal/selector/config"
@@ -52,25 +48,17 @@
 	for role, handler := range map[string]http.Handler{
 		"table": p.TableHandler(), "objects": p.ObjectHandler(), "hosts": p.HostsHandler(),
 	} {
-		if err := serveRole(log, role, handler); err != nil {
+		server, err := standin.Listen(handler)
+		if err != nil {
 			return fail(err)
 		}
+		defer server.Close()
+		log.Info().Str("role", role).Str("addr", server.Addr).Msg("standin: listening")
 	}
 	<-signals
 	return subcommands.ExitSuccess
 }
 
-func serveRole(log zerolog.Logger, role string, h http.Handler) error {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return eris.Wrap(err, "listen")
-	}
-	srv := &http.Server{Handler: h, ReadHeaderTimeout: time.Second}
-	go func() { _ = srv.Serve(l) }()
-	log.Info().Str("role", role).Str("addr", l.Addr().String()).Msg("standin: listening")
-	return nil
-}
-
 // fill writes the configuration, a snapshot of it and the rosters.
 func (c *standinCmd) fill(ctx context.Context, m *store.Memory) error {
 	log := config.NewLog(m, m)
