--- /dev/null
+++ b/internal/selector/slot/gate_test.go
@@ -0,0 +1,248 @@
+package slot_test
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"cairndock/internal/selector/slot"
+)
+
+// result is how a request that asked a gate for a slot came out.
+type result struct {
+	name    string
+	lease   slot.Lease
+	refusal slot.Refusal
+	after   time.Duration
+}
+
+// queue is a gate in fake time, and the requests that ask it for slots.
+type queue struct {
+	gate    *slot.Gate
+	results chan result
+}
+
+// newQueue makes a gate whose one upstream's slots are all trusted and taken.
+// It gives the leases of those slots.
+func newQueue(t *testing.T, held int, rules ...slot.RuleSpec) (queue, []slot.Lease) {
+	t.Helper()
+	q := queue{gate: slot.NewGate(), results: make(chan result, 100)}
+	q.gate.Configure([]slot.Spec{{Name: "a", Held: held}}, append(rules, unlimited("r", 0)))
+	q.gate.Do(func(p *slot.Pool) { warm(t, p, "r", time.Millisecond) })
+	var leases []slot.Lease
+	for range held {
+		leases = append(leases, q.takeNow(t, "r"))
+	}
+	return q, leases
+}
+
+// takeNow takes a slot that must be there, without waiting.
+func (q queue) takeNow(t *testing.T, rule string) slot.Lease {
+	t.Helper()
+	lease, refusal := q.gate.Acquire(context.Background(), rule, time.Time{})
+	require.Equal(t, slot.Granted, refusal)
+	return lease
+}
+
+// ask lets a request wait for a slot, beside the test, until it is in the
+// queue or has a result.
+func (q queue) ask(ctx context.Context, name, rule string, wait time.Duration) {
+	began := time.Now()
+	go func() {
+		lease, refusal := q.gate.Acquire(ctx, rule, began.Add(wait))
+		q.results <- result{name, lease, refusal, time.Since(began)}
+	}()
+	synctest.Wait()
+}
+
+// next gives the next request that has a result.
+func (q queue) next(t *testing.T) result {
+	t.Helper()
+	synctest.Wait()
+	select {
+	case r := <-q.results:
+		return r
+	default:
+		require.Fail(t, "no request has a result")
+		return result{}
+	}
+}
+
+func (q queue) release(l slot.Lease) { q.gate.Release(l, slot.Success, time.Millisecond) }
+
+func TestTheLongestWaitingRequestGetsTheSlot(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		q, leases := newQueue(t, 3)
+		for _, name := range []string{"first", "second", "third"} {
+			q.ask(t.Context(), name, "r", time.Minute)
+			time.Sleep(time.Second)
+		}
+		require.Equal(t, 3, q.gate.Waiting())
+		for i, want := range []string{"first", "second", "third"} {
+			q.release(leases[i])
+			got := q.next(t)
+			require.Equal(t, want, got.name)
+			require.Equal(t, slot.Granted, got.refusal)
+			require.Equal(t, "a", got.lease.Upstream())
+			require.Equal(t, 2-i, q.gate.Waiting())
+		}
+		require.Equal(t, 3, q.gate.Load().Out, "each slot went from one request to the next")
+	})
+}
+
+// TestARequestThatArrivesDoesNotOvertake: a slot that is free at once goes to
+// the queue first.
+func TestARequestThatArrivesDoesNotOvertake(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		q, leases := newQueue(t, 1)
+		q.ask(t.Context(), "waiting", "r", time.Minute)
+		q.release(leases[0])
+		_, refusal := q.gate.Acquire(t.Context(), "r", time.Time{})
+		require.Equal(t, slot.Full, refusal)
+		require.Equal(t, "waiting", q.next(t).name)
+	})
+}
+
+func TestWhoWaitsAndHowLong(t *testing.T) {
+	cases := []struct {
+		name    string
+		held    int
+		waiting int // requests in the queue before
+		rule    string
+		wait    time.Duration
+		cancel  time.Duration // when the request's context ends; zero is never
+		refusal slot.Refusal
+		after   time.Duration
+	}{
+		{"until its time is over", 1, 0, "r", 5 * time.Second, 0, slot.Full, 5 * time.Second},
+		{"until its context ends", 1, 0, "r", 5 * time.Second, 2 * time.Second, slot.Full, 2 * time.Second},
+		{"not at all without time", 1, 0, "r", 0, 0, slot.Full, 0},
+		{"not at all with a time in the past", 1, 0, "r", -time.Second, 0, slot.Full, 0},
+		{"as long as the queue is shorter than the slots held", 3, 2, "r", time.Second, 0, slot.Full, time.Second},
+		{"not at all when the queue is as long as the slots held", 3, 3, "r", time.Second, 0, slot.Full, 0},
+		{"not at all without a slot held", 0, 0, "r", time.Second, 0, slot.Full, 0},
+		{"not at all for a cap", 1, 0, "capped", time.Second, 0, slot.Capped, 0},
+		{"not at all for a rule that is not there", 1, 0, "gone", time.Second, 0, slot.NoRule, 0},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				capped := slot.RuleSpec{Name: "capped", Members: []int32{0}, InFlight: 0, Rate: -1}
+				q := queue{gate: slot.NewGate(), results: make(chan result, 100)}
+				if tc.held > 0 {
+					q, _ = newQueue(t, tc.held, capped)
+				} else {
+					q.gate.Configure([]slot.Spec{{Name: "a"}}, []slot.RuleSpec{unlimited("r", 0)})
+				}
+				ctx, cancel := context.WithCancel(t.Context())
+				defer cancel()
+				for range tc.waiting {
+					q.ask(ctx, "before", "r", time.Hour)
+				}
+				require.Equal(t, tc.waiting, q.gate.Waiting())
+				own, cancelOwn := context.WithCancel(ctx)
+				defer cancelOwn()
+				if tc.cancel > 0 {
+					time.AfterFunc(tc.cancel, cancelOwn)
+				}
+				q.ask(own, "asked", tc.rule, tc.wait)
+				got := <-q.results
+				require.Equal(t, "asked", got.name)
+				require.Equal(t, tc.refusal, got.refusal)
+				require.Equal(t, tc.after, got.after)
+				require.Equal(t, tc.waiting, q.gate.Waiting(), "it left the queue")
+				cancel()
+				synctest.Wait()
+			})
+		})
+	}
+}
+
+// TestADeadHostsSlotsGoToTheQueue: slots that this host gets from a dead one
+// serve the waiting requests at once.
+func TestADeadHostsSlotsGoToTheQueue(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		q, leases := newQueue(t, 2)
+		q.ask(t.Context(), "first", "r", time.Minute)
+		q.ask(t.Context(), "second", "r", time.Minute)
+		q.gate.Configure([]slot.Spec{{Name: "a", Held: 2}, {Name: "b", Held: 1}}, []slot.RuleSpec{unlimited("r", 0, 1)})
+		got := q.next(t)
+		require.Equal(t, "first", got.name)
+		require.Equal(t, "b", got.lease.Upstream())
+		require.Equal(t, 1, q.gate.Waiting())
+		q.release(leases[0])
+		require.Equal(t, "second", q.next(t).name)
+	})
+}
+
+// TestTheQueueIsServedInOrder: a request whose rule is at its cap, or gone,
+// keeps its place and is passed over; one that finds no slot holds back those
+// behind it.
+func TestTheQueueIsServedInOrder(t *testing.T) {
+	specs := []slot.Spec{{Name: "a", Held: 3}, {Name: "b", Held: 3}}
+	limited := func(inFlight int) slot.RuleSpec {
+		return slot.RuleSpec{Name: "limited", Members: []int32{0}, InFlight: inFlight, Rate: -1}
+	}
+	t.Run("a cap is passed over", func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
+			q, leases := newQueue(t, 3, limited(1))
+			q.ask(t.Context(), "limited", "limited", time.Minute)
+			q.ask(t.Context(), "behind", "r", time.Minute)
+			q.gate.Configure(specs[:1], []slot.RuleSpec{limited(0), unlimited("r", 0)})
+			q.release(leases[0])
+			require.Equal(t, "behind", q.next(t).name)
+			q.gate.Configure(specs[:1], []slot.RuleSpec{limited(1), unlimited("r", 0)})
+			q.release(leases[1])
+			require.Equal(t, "limited", q.next(t).name)
+		})
+	})
+	t.Run("a rule that is gone is passed over", func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
+			q, leases := newQueue(t, 3, limited(1))
+			q.ask(t.Context(), "limited", "limited", time.Second)
+			q.ask(t.Context(), "behind", "r", time.Minute)
+			q.gate.Configure(specs[:1], []slot.RuleSpec{unlimited("r", 0)})
+			q.release(leases[0])
+			require.Equal(t, "behind", q.next(t).name)
+			require.Equal(t, slot.Full, (<-q.results).refusal)
+		})
+	})
+	t.Run("one that finds no slot holds back those behind it", func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
+			q, leases := newQueue(t, 3)
+			q.gate.Configure(specs, []slot.RuleSpec{unlimited("r", 0), unlimited("b", 1)})
+			atB := q.takeNow(t, "b")
+			q.ask(t.Context(), "waits for a", "r", time.Minute)
+			q.ask(t.Context(), "waits for b", "b", time.Minute)
+			q.release(atB)
+			require.Equal(t, 2, q.gate.Waiting(), "b is free, but a's request came first")
+			q.release(leases[0])
+			served := []string{q.next(t).lease.Upstream(), q.next(t).lease.Upstream()}
+			require.ElementsMatch(t, []string{"a", "b"}, served)
+		})
+	})
+}
+
+// TestGateReportsAndLoad: the gate adds its own clock to what the pool does.
+func TestGateReportsAndLoad(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		gate := slot.NewGate()
+		gate.Configure([]slot.Spec{{Name: "a", Held: 6}, {Name: "b", Held: 6}}, []slot.RuleSpec{unlimited("r", 0, 1), unlimited("a", 0)})
+		gate.Report("a", 1)
+		lease, refusal := gate.Acquire(t.Context(), "r", time.Time{})
+		require.Equal(t, slot.Granted, refusal)
+		require.Equal(t, "b", lease.Upstream(), "a reported a full load just now")
+		gate.Release(lease, slot.Unused, 0)
+		time.Sleep(5 * time.Second)
+		lease, _ = gate.Acquire(t.Context(), "r", time.Time{})
+		require.Equal(t, "a", lease.Upstream(), "the report has aged")
+
+		gate.Release(lease, slot.Failure, 0)
+		require.Equal(t, 1, gate.Load().Free, "a rests")
+		time.Sleep(200 * time.Millisecond)
+		require.Equal(t, 2, gate.Load().Free)
+	})
+}
