--- /dev/null
+++ b/internal/selector/slot/choose.go
@@ -0,0 +1,56 @@
+package slot
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	// reportAge is the age at which an upstream's report of its load no longer
+	// counts. Chosen, not measured.
+	reportAge = 5 * time.Second
+	// reportWeight is how much a fresh report of full load worsens an
+	// upstream's score: it doubles it at most, so that a wrong report can't
+	// outweigh what the host sees itself. Chosen, not measured.
+	reportWeight = 1.0
+	// unknownLatency stands for an upstream's latency, in seconds, before its
+	// first success. It is below what upstreams take, so that a new one is
+	// tried. Chosen, not measured.
+	unknownLatency = 1e-3
+)
+
+// choose gives the upstream of a rule that a request goes to, nil when none has
+// a slot that may be used: the one with the lowest score. All upstreams may be
+// ejected at once: when half of a failing rule's upstreams were used all the
+// same, they used up the budget of retries and the service's other rule stayed
+// below its cap (commit "Hedge slow lookups, and let all failing upstreams
+// rest").
+func choose(upstreams []*upstream, now int64) *upstream {
+	var best *upstream
+	bestScore := math.MaxFloat64
+	for _, u := range upstreams {
+		if !u.available(now) {
+			continue
+		}
+		if score := u.score(now); score < bestScore {
+			best, bestScore = u, score
+		}
+	}
+	return best
+}
+
+// score ranks an upstream for one request more; lower is better. latency is its
+// average in seconds, 0 when unknown; limit its concurrency limit in slots;
+// outstanding the host's requests there. reported is the load, 0 to 1, that the
+// upstream reported at an age; it counts less as it ages.
+func score(latency, limit float64, outstanding int, reported float64, age time.Duration) float64 {
+	if latency == 0 {
+		latency = unknownLatency
+	}
+	score := latency * float64(outstanding+1) / limit
+	if reported > 0 && age < reportAge {
+		fresh := 1 - float64(age)/float64(reportAge)
+		score *= 1 + reportWeight*reported*fresh
+	}
+	return score
+}
--- a/internal/selector/slot/gate.go
+++ b/internal/selector/slot/gate.go
@@ -7,24 +7,25 @@
 	"time"
 )
 
-// queueFactor bounds the waiting requests as a multiple of held slots.
+// queueFactor bounds the waiting requests as a multiple of the slots held.
+// Chosen, not measured.
 const queueFactor = 1
 
-// clockStart is what a gate's clock reads when the gate is made; above zero,
-// so that zero is always long ago.
+// clockStart is what a gate's clock reads when the gate is made, in
+// nanoseconds. It is above zero, so that zero is always long ago.
 const clockStart = int64(time.Hour)
 
-// Gate is a pool that many goroutines share, with a short bounded queue.
+// Gate is a pool that many goroutines share, with a short bounded queue. The
+// queue is looked at when a slot is released and when the pool is configured;
+// the end of an ejection alone wakes no waiting request.
 type Gate struct {
 	mu      sync.Mutex
 	pool    *Pool
-	waiting list.List // of *waiter
+	waiting list.List // of *waiter, the longest waiting first
 	made    time.Time
 }
 
-// now reads the gate's monotonic clock, in nanoseconds.
-func (g *Gate) now() int64 { return clockStart + int64(time.Since(g.made)) }
-
+// waiter is a request that waits for a slot; lease is set before ready closes.
 type waiter struct {
 	rule  string
 	lease Lease
@@ -34,6 +35,9 @@
 // NewGate makes a gate on an empty pool.
 func NewGate() *Gate { return &Gate{pool: NewPool(), made: time.Now()} }
 
+// now reads the gate's monotonic clock, in nanoseconds.
+func (g *Gate) now() int64 { return clockStart + int64(time.Since(g.made)) }
+
 // Configure sets what the gate's pool holds.
 func (g *Gate) Configure(specs []Spec, rules []RuleSpec) {
 	g.mu.Lock()
@@ -42,8 +46,9 @@
 	g.serveWaiting()
 }
 
-// Acquire takes a slot, waiting until the given time at most. Only a full
-// pool is waited for: a reached cap refuses at once.
+// Acquire takes a slot for a rule, waiting until a time at most, or until ctx
+// ends. It waits only when no slot is free and the queue has room: a rule that
+// has reached its limits is refused at once.
 func (g *Gate) Acquire(ctx context.Context, rule string, until time.Time) (Lease, Refusal) {
 	g.mu.Lock()
 	wait := time.Until(until)
@@ -58,6 +63,7 @@
 	return g.wait(ctx, w, place, wait)
 }
 
+// hasRoom reports whether one more request may wait.
 func (g *Gate) hasRoom() bool {
 	held, _ := g.pool.Usage()
 	return g.waiting.Len() < queueFactor*held
@@ -76,7 +82,7 @@
 	defer g.mu.Unlock()
 	select {
 	case <-w.ready:
-		// The slot came at the last moment; the request may still use it.
+		// The slot came while the lock was waited for.
 		return w.lease, Granted
 	default:
 		g.waiting.Remove(place)
@@ -84,7 +90,7 @@
 	}
 }
 
-// Release gives a slot back and passes it to the longest waiting request.
+// Release gives a slot back and serves the queue.
 func (g *Gate) Release(l Lease, outcome Outcome, latency time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -92,6 +98,9 @@
 	g.serveWaiting()
 }
 
+// serveWaiting grants slots to the waiting requests in the order in which they
+// came, up to the first that finds none; it passes over those whose rule has
+// reached its limits or is gone. g.mu is held.
 func (g *Gate) serveWaiting() {
 	now := g.now()
 	for e := g.waiting.Front(); e != nil; {
@@ -117,7 +126,7 @@
 	f(g.pool)
 }
 
-// Report notes an upstream's own word on its load, as of now.
+// Report notes the load that an upstream reported just now, 0 to 1.
 func (g *Gate) Report(upstream string, load float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/selector/slot/gate_test.go
+++ b/internal/selector/slot/gate_test.go
@@ -25,7 +25,7 @@
 	results chan result
 }
 
-// newQueue makes a gate whose one upstream's slots are all trusted and taken.
+// newQueue makes a gate whose one upstream is warm, with all slots taken.
 // It gives the leases of those slots.
 func newQueue(t *testing.T, held int, rules ...slot.RuleSpec) (queue, []slot.Lease) {
 	t.Helper()
@@ -241,7 +241,7 @@
 		require.Equal(t, "a", lease.Upstream(), "the report has aged")
 
 		gate.Release(lease, slot.Failure, 0)
-		require.Equal(t, 1, gate.Load().Free, "a rests")
+		require.Equal(t, 1, gate.Load().Free, "a is ejected")
 		time.Sleep(200 * time.Millisecond)
 		require.Equal(t, 2, gate.Load().Free)
 	})
--- a/internal/selector/slot/pool.go
+++ b/internal/selector/slot/pool.go
@@ -1,150 +1,82 @@
 package slot
 
-import (
-	"math"
-	"time"
-)
-
-// Outcome is how a request at an upstream ended.
-type Outcome uint8
+import "time"
 
-const (
-	// Success is a whole answer.
-	Success Outcome = iota
-	// Shed is the upstream's own refusal.
-	Shed
-	// Failure is a broken or missing answer.
-	Failure
-	// Unused is a slot given back before anything was sent.
-	Unused
-)
+// Refusal says why a pool gave no slot.
+type Refusal uint8
 
-// How a pool learns from outcomes.
 const (
-	// latencyWeight is the weight of a new latency in the moving average.
-	latencyWeight = 0.2
-	// backoffFactor shrinks an upstream's limit when it sheds.
-	backoffFactor = 0.5
-	// backoffWindow is the least time between two such steps: the sheds of
-	// one burst count once.
-	backoffWindow = 100 * time.Millisecond
-	// failPause is how long an upstream rests after its first failure in a
-	// row; each further one doubles it, up to failPauseMax.
-	failPause    = 200 * time.Millisecond
-	failPauseMax = 5 * time.Second
-	// shedPause and shedPauseMax are the same for one that sheds even when
-	// it is sent one request at a time.
-	shedPause    = 100 * time.Millisecond
-	shedPauseMax = 2 * time.Second
-	// reportAge is the age at which a load report no longer counts.
-	reportAge = 5 * time.Second
-	// reportWeight is how much a fresh report of full load can worsen an
-	// upstream's score: it may double it, and no more.
-	reportWeight = 1.0
+	// Granted is no refusal.
+	Granted Refusal = iota
+	// NoRule says that the pool knows no such rule.
+	NoRule
+	// Capped says that the rule's rate or in-flight limit is reached.
+	Capped
+	// Full says that each slot of the rule's upstreams is in use, above its
+	// upstream's concurrency limit, or at one that is ejected or leaving.
+	Full
 )
 
-// Spec describes an upstream to a pool.
-type Spec struct {
-	Name string
-	// Held is how many of its slots this host may use.
-	Held int
-	// Leaving says that no new work may go there.
-	Leaving bool
-}
-
-// RuleSpec describes a rule to a pool.
-type RuleSpec struct {
-	Name string
-	// Members are indexes into the pool's specs.
-	Members []int32
-	// InFlight bounds the rule's outstanding requests here; negative is none.
-	InFlight int
-	// Rate bounds the rule's requests per second here; negative is none.
-	Rate float64
-}
-
-// Member is one upstream's state in a pool.
-type Member struct {
-	name    string
-	held    int
-	leaving bool
-	out     int
-	// limit is what the upstream is trusted with; it starts at one slot,
-	// since its caches may be cold, and grows with success.
-	limit      float64
-	latency    float64 // moving average, in seconds
-	failures   int
-	sheds      int // in a row, while the limit was at its least
-	restUntil  int64
-	backoffAt  int64
-	report     float64 // reported load, 0 to 1
-	reportedAt int64
+// Lease is a slot in use. It must be released exactly once.
+type Lease struct {
+	upstream *upstream
+	rule     *rule
 }
 
-// Name is the upstream's name.
-func (m *Member) Name() string { return m.name }
-
-type rule struct {
-	members  []*Member
-	inFlight int
-	out      int
-	rate     float64
-	credit   float64
-	filledAt int64
-}
+// Upstream names the upstream of the slot.
+func (l Lease) Upstream() string { return l.upstream.name }
 
-// Pool is the slots of one service that one host holds. It is a plain state
-// without locks; now is in nanoseconds of a monotonic clock.
+// Pool is the slots of one service that one host holds. It has no lock; now is
+// in nanoseconds of one monotonic clock, above zero.
 type Pool struct {
-	members map[string]*Member
-	order   []*Member
-	rules   map[string]*rule
-	// held and out are sums over the members.
-	held int
-	out  int
+	// upstreams holds those of the specs, and removed ones that still have
+	// requests outstanding; configured the specs' in their order.
+	upstreams  map[string]*upstream
+	configured []*upstream
+	rules      map[string]*rule
+	// held sums the slots of the upstreams that are not leaving, outstanding
+	// the requests at all.
+	held        int
+	outstanding int
 }
 
 // NewPool makes an empty pool.
 func NewPool() *Pool {
-	return &Pool{members: map[string]*Member{}, rules: map[string]*rule{}}
+	return &Pool{upstreams: map[string]*upstream{}, rules: map[string]*rule{}}
 }
 
-// Configure sets what the pool holds. Requests that are outstanding stay
-// counted, also at upstreams that are no longer there.
+// Configure sets what the pool holds. Outstanding requests stay counted, also
+// at upstreams that are no longer there.
 func (p *Pool) Configure(specs []Spec, rules []RuleSpec) {
-	p.order = p.order[:0]
+	old := p.upstreams
+	p.upstreams = make(map[string]*upstream, len(specs))
+	p.configured = p.configured[:0]
 	p.held = 0
-	for _, m := range p.members {
-		m.held = 0
-		m.leaving = true
-	}
 	for _, s := range specs {
-		m := p.members[s.Name]
-		if m == nil {
-			m = &Member{name: s.Name, limit: 1}
-			p.members[s.Name] = m
+		u := old[s.Name]
+		if u == nil {
+			u = newUpstream(s.Name)
 		}
-		m.held, m.leaving = s.Held, s.Leaving
-		p.order = append(p.order, m)
+		u.held, u.leaving = s.Held, s.Leaving
+		p.upstreams[s.Name] = u
+		p.configured = append(p.configured, u)
 		if !s.Leaving {
 			p.held += s.Held
 		}
 	}
-	for name, m := range p.members {
-		if m.held == 0 && m.leaving && m.out == 0 && !p.configured(m) {
-			delete(p.members, name)
-		}
-	}
+	p.keepRemoved(old)
 	p.configureRules(rules)
 }
 
-func (p *Pool) configured(m *Member) bool {
-	for _, o := range p.order {
-		if o == m {
-			return true
+// keepRemoved keeps the upstreams that are no longer configured for as long as
+// they have requests outstanding.
+func (p *Pool) keepRemoved(old map[string]*upstream) {
+	for name, u := range old {
+		if p.upstreams[name] == nil && u.outstanding > 0 {
+			u.held, u.leaving = 0, true
+			p.upstreams[name] = u
 		}
 	}
-	return false
 }
 
 func (p *Pool) configureRules(specs []RuleSpec) {
@@ -155,41 +87,14 @@
 		if r == nil {
 			r = &rule{}
 		}
-		r.inFlight, r.rate = s.InFlight, s.Rate
-		r.members = make([]*Member, 0, len(s.Members))
-		for _, i := range s.Members {
-			r.members = append(r.members, p.order[i])
-		}
+		r.configure(s, p.configured)
 		p.rules[s.Name] = r
 	}
 }
 
-// Lease is a slot in use. It must be released exactly once.
-type Lease struct {
-	member *Member
-	rule   *rule
-}
-
-// Upstream names the upstream of the slot.
-func (l Lease) Upstream() string { return l.member.name }
-
-// Refusal says why a pool gave no slot.
-type Refusal uint8
-
-const (
-	// Granted is no refusal.
-	Granted Refusal = iota
-	// NoRule says that the pool knows no such rule.
-	NoRule
-	// Capped says that the rule's rate or in-flight limit is reached.
-	Capped
-	// Full says that every slot is in use or resting.
-	Full
-)
-
-// Take picks the best upstream of a rule and takes one of its slots. Own
-// requests outstanding and own latencies decide; a load report only shades
-// the choice, and fades to nothing as it ages.
+// Take takes a slot at the best upstream of a rule. The rule's own limits are
+// looked at first, so that a request is Capped, and does not wait, also when
+// no slot is free.
 func (p *Pool) Take(ruleName string, now int64) (Lease, Refusal) {
 	r := p.rules[ruleName]
 	if r == nil {
@@ -198,147 +103,36 @@
 	if !r.admits(now) {
 		return Lease{}, Capped
 	}
-	m := best(r, now)
-	if m == nil {
+	u := choose(r.upstreams, now)
+	if u == nil {
 		return Lease{}, Full
 	}
-	m.out++
-	r.out++
-	p.out++
-	if r.rate >= 0 {
-		r.credit--
-	}
-	return Lease{member: m, rule: r}, Granted
-}
-
-func best(r *rule, now int64) *Member {
-	var best *Member
-	bestScore := math.MaxFloat64
-	for _, m := range r.members {
-		if m.leaving || m.out >= m.allowed() {
-			continue
-		}
-		// Rest comes of own failures alone, never of a health report, so that
-		// all may rest at once; after it one request at a time is tried.
-		if m.restUntil > now {
-			continue
-		}
-		if score := m.score(now); score < bestScore {
-			best, bestScore = m, score
-		}
-	}
-	return best
-}
-
-// allowed is how many of the held slots may be used now.
-func (m *Member) allowed() int {
-	n := int(m.limit)
-	if n > m.held {
-		return m.held
-	}
-	return n
-}
-
-func (m *Member) score(now int64) float64 {
-	latency := m.latency
-	if latency == 0 {
-		latency = 1e-3
-	}
-	score := latency * float64(m.out+1) / m.limit
-	age := now - m.reportedAt
-	if m.report > 0 && age < int64(reportAge) {
-		fresh := 1 - float64(age)/float64(reportAge)
-		score *= 1 + reportWeight*m.report*fresh
-	}
-	return score
-}
-
-// admits refills the rule's rate and says whether its limits leave room.
-func (r *rule) admits(now int64) bool {
-	if r.inFlight >= 0 && r.out >= r.inFlight {
-		return false
-	}
-	if r.rate < 0 {
-		return true
-	}
-	elapsed := float64(now-r.filledAt) / float64(time.Second)
-	r.filledAt = now
-	// One request of credit at most, so that idle time buys no burst.
-	r.credit = math.Min(1, r.credit+elapsed*r.rate)
-	return r.credit >= 1
+	u.outstanding++
+	r.took()
+	p.outstanding++
+	return Lease{upstream: u, rule: r}, Granted
 }
 
-// Release gives a slot back and learns from how its request ended.
+// Release gives a slot back and learns from how its request ended. latency is
+// read for a Success only.
 func (p *Pool) Release(l Lease, outcome Outcome, latency time.Duration, now int64) {
-	m := l.member
-	m.out--
-	l.rule.out--
-	p.out--
-	switch outcome {
-	case Success:
-		m.succeeded(latency)
-	case Shed:
-		m.backOff(now)
-	case Failure:
-		m.failed(now)
-	case Unused:
-	}
-}
-
-func (m *Member) succeeded(latency time.Duration) {
-	m.wake()
-	seconds := latency.Seconds()
-	if m.latency == 0 {
-		m.latency = seconds
-	}
-	m.latency += latencyWeight * (seconds - m.latency)
-	if m.limit < float64(m.held) {
-		m.limit += 1 / m.limit
-	}
-}
-
-// wake ends an upstream's rest after a success.
-func (m *Member) wake() {
-	m.failures = 0
-	m.sheds = 0
-	m.restUntil = 0
-}
-
-func (m *Member) failed(now int64) {
-	m.failures++
-	pause := failPause << min(m.failures-1, 8)
-	m.restUntil = now + int64(min(pause, failPauseMax))
-	m.limit = 1
+	l.upstream.outstanding--
+	l.rule.outstanding--
+	p.outstanding--
+	l.upstream.record(outcome, latency, now)
 }
 
-func (m *Member) backOff(now int64) {
-	if now-m.backoffAt < int64(backoffWindow) {
-		return
-	}
-	m.backoffAt = now
-	if m.limit <= 1 {
-		// One at a time is too much: it rests.
-		pause := shedPause << min(m.sheds, 8)
-		m.sheds++
-		m.restUntil = now + int64(min(pause, shedPauseMax))
-	}
-	m.limit = math.Max(1, m.limit*backoffFactor)
-}
-
-// Report notes an upstream's own word on its load, 0 to 1, measured at a
-// time that the reporter can't move into the future.
+// Report notes the load that an upstream reported, 0 to 1, at a time.
 func (p *Pool) Report(upstream string, load float64, at int64) {
-	if m := p.members[upstream]; m != nil {
-		m.report = math.Max(0, math.Min(1, load))
-		m.reportedAt = at
+	if u := p.upstreams[upstream]; u != nil {
+		u.report(load, at)
 	}
 }
 
 // Restarted makes an upstream start cold again.
 func (p *Pool) Restarted(upstream string) {
-	if m := p.members[upstream]; m != nil {
-		m.wake()
-		m.limit = 1
+	if u := p.upstreams[upstream]; u != nil {
+		u.restarted()
 	}
 }
 
@@ -346,10 +140,9 @@
 type Load struct {
 	// Free is how many slots could be taken now.
 	Free int
-	// Held is how many slots this host may use.
+	// Held is how many slots this host holds at upstreams that are not leaving.
 	Held int
-	// Warm is how many of them are trusted to cold or shedding upstreams
-	// now.
+	// Warm is how many of them the upstreams' concurrency limits allow now.
 	Warm int
 	// Out is how many requests are outstanding.
 	Out int
@@ -357,32 +150,28 @@
 
 // Load sums the pool up.
 func (p *Pool) Load(now int64) Load {
-	var l Load
-	for _, m := range p.members {
-		l.Out += m.out
-		if m.leaving {
+	l := Load{Held: p.held, Out: p.outstanding}
+	for _, u := range p.configured {
+		if u.leaving || u.ejected(now) {
 			continue
 		}
-		l.Held += m.held
-		if m.restUntil <= now {
-			l.Warm += m.allowed()
-			l.Free += max(0, m.allowed()-m.out)
-		}
+		l.Warm += u.usable()
+		l.Free += max(0, u.usable()-u.outstanding)
 	}
 	return l
 }
 
-// Usage gives the held slots and the outstanding requests, without looking
-// at each upstream.
-func (p *Pool) Usage() (held, out int) { return p.held, p.out }
+// Usage gives the held slots and the outstanding requests, without looking at
+// each upstream.
+func (p *Pool) Usage() (held, out int) { return p.held, p.outstanding }
 
 // Latency is the mean latency over the pool's upstreams, 0 when not known.
 func (p *Pool) Latency() time.Duration {
 	var sum float64
 	var n int
-	for _, m := range p.order {
-		if m.latency > 0 {
-			sum += m.latency
+	for _, u := range p.configured {
+		if u.latency > 0 {
+			sum += u.latency
 			n++
 		}
 	}
@@ -395,8 +184,8 @@
 // Within reports whether no upstream has more requests outstanding than the
 // host holds slots of it: the condition for acknowledging a roster epoch.
 func (p *Pool) Within() bool {
-	for _, m := range p.members {
-		if m.out > m.held {
+	for _, u := range p.upstreams {
+		if u.outstanding > u.held {
 			return false
 		}
 	}
@@ -405,8 +194,8 @@
 
 // Outstanding gives an upstream's outstanding requests.
 func (p *Pool) Outstanding(upstream string) int {
-	if m := p.members[upstream]; m != nil {
-		return m.out
+	if u := p.upstreams[upstream]; u != nil {
+		return u.outstanding
 	}
 	return 0
 }
--- a/internal/selector/slot/set.go
+++ b/internal/selector/slot/set.go
@@ -1,15 +1,13 @@
-// Package slot hands out the right to have a request outstanding at an
-// upstream. A host only ever uses the slots it holds, so that no upstream
-// sees more requests than it has slots.
 package slot
 
 import "math/bits"
 
-// MaxIdle is how many idle connections to one upstream are worth keeping:
-// never more than it can have slots.
+// MaxIdle is how many idle connections to one upstream are worth keeping, the
+// most slots that an upstream can have (config.MaxSlots).
 const MaxIdle = 64
 
-// Set is a set of an upstream's slot numbers, 0 to 63.
+// Set is a set of an upstream's slot numbers, 0 to 63: one bit for each slot
+// that the configuration allows (config.MaxSlots).
 type Set uint64
 
 // Count is how many slots are in the set.
