--- a/internal/selector/shift/meter.go
+++ b/internal/selector/shift/meter.go
@@ -1,5 +1,9 @@
-// Package shift moves a service's traffic between its rules and keeps every
-// rule's share under its cap.
+// Package shift moves a service's traffic between its rules and keeps each
+// rule's share of it under its cap. Meter counts one service's requests on one
+// host: each host counts for itself, so that no message is needed and caps hold
+// also while hosts are cut off from each other (docs/design/shares.md). Package
+// steer asks it which rule a request goes to, and package entry moves its ramps
+// on.
 package shift
 
 import (
@@ -8,21 +12,18 @@
 	"time"
 )
 
-// How a ramp answers trouble at the receiving end.
 const (
-	// slowFactor shrinks the pace of a ramp for each refusal.
-	slowFactor = 0.5
-	// slowest is the least pace, as a part of the rule's ramp.
-	slowest = 1.0 / 64
-	// recovery is how fast the pace returns, in parts per second.
-	recovery = 0.1
-	// maxCredit bounds what a rule carries from one request to the next, so
-	// that idle time buys no burst.
+	// maxCredit is how many requests a cap carries from one arrival to the next,
+	// so that idle time buys no burst. The bound that Meter states needs 1.
 	maxCredit = 1.0
+	// maxDeficit bounds, in requests, how long a rule that could not be served,
+	// or was served instead of others, is made up for. Chosen, not measured.
+	maxDeficit = 16
 )
 
 // Rule is what a meter needs of a rule.
 type Rule struct {
+	// Name is the rule's name.
 	Name string
 	// Share is the target share, 0 to 1.
 	Share float64
@@ -32,39 +33,43 @@
 	Ramp float64
 }
 
+// ruleState is a rule and where it stands.
 type ruleState struct {
 	Rule
+	// current is the share now, on its way to Share.
 	current float64
 	// credit is how many requests the cap leaves room for now.
 	credit float64
 	// deficit is how far the rule is behind its share, in requests.
 	deficit float64
-	pace    float64
+	// pace is the part of Ramp that refusals leave, slowest to 1.
+	pace float64
 }
 
-// Meter counts one service's requests on one host. It is a plain state; the
-// caller brings locks and time.
+// Meter counts one service's requests on one host. It has no lock; the caller
+// passes in the time.
 //
 // In every window of n requests that arrive here, at most floor(cap*n)+1
 // are sent to a rule: credit is at most 1 when the window opens, each
-// arrival adds cap, and each sending, retries and hedges too, takes one. So
-// a fleet of h hosts sends at most cap*N+h of any N requests.
+// arrival adds cap, and each request sent, retries and hedges too, takes one.
+// So h hosts together send at most cap*N+h of any N requests.
 type Meter struct {
 	rules   []ruleState
 	movedAt time.Time
-	// first is the credit a new rule starts with, below one: hosts draw it
-	// at random, so that many hosts with small caps start unbiased.
+	// first gives the credit of a new rule, below one: hosts draw it at random,
+	// so that the sum over many hosts with small caps is unbiased.
 	first func() float64
 }
 
-// NewMeter makes a meter. first gives a starting credit from 0 up to 1.
+// NewMeter makes a meter. first gives the credit that a new rule starts with,
+// from 0 to below 1.
 func NewMeter(first func() float64, now time.Time) *Meter {
 	return &Meter{first: first, movedAt: now}
 }
 
-// Configure sets the rules. A rule that stays keeps its share, credit and
-// pace; a new one with a ramp starts at nothing while others carry the
-// traffic, else at its target.
+// Configure sets the rules. A rule that stays keeps its current share, credit,
+// deficit and pace. A new one with a ramp starts at no share when there were
+// rules before, which carry the traffic; else it starts at its target.
 func (m *Meter) Configure(rules []Rule, now time.Time) {
 	m.move(now)
 	old := m.rules
@@ -77,11 +82,7 @@
 func (m *Meter) stateFor(r Rule, old []ruleState) ruleState {
 	i := slices.IndexFunc(old, func(o ruleState) bool { return o.Name == r.Name })
 	if i < 0 {
-		s := ruleState{Rule: r, credit: m.first(), current: r.Share, pace: 1}
-		if r.Ramp > 0 && len(old) > 0 {
-			s.current = 0
-		}
-		return s
+		return m.newRule(r, len(old) > 0)
 	}
 	s := old[i]
 	s.Rule = r
@@ -92,61 +93,19 @@
 	return s
 }
 
-// Adopt takes over the shares that another host of the zone has reached, so
-// that a starting host joins a ramp where it stands.
-func (m *Meter) Adopt(shares map[string]float64) {
-	for i := range m.rules {
-		r := &m.rules[i]
-		if v, ok := shares[r.Name]; ok && r.Ramp > 0 {
-			r.current = math.Min(math.Max(0, v), r.Cap)
-		}
-	}
-}
-
-// Shares gives each rule's share as it stands now.
-func (m *Meter) Shares() map[string]float64 {
-	out := make(map[string]float64, len(m.rules))
-	for _, r := range m.rules {
-		out[r.Name] = r.current
-	}
-	return out
-}
-
-// Advance moves the ramps on, unless the host's configuration is stale.
-func (m *Meter) Advance(now time.Time, frozen bool) {
-	if frozen {
-		m.movedAt = now
-		return
-	}
-	m.move(now)
-}
-
-func (m *Meter) move(now time.Time) {
-	elapsed := now.Sub(m.movedAt).Seconds()
-	m.movedAt = now
-	for i := range m.rules {
-		r := &m.rules[i]
-		step := r.Ramp * r.pace * elapsed
-		r.pace = math.Min(1, r.pace+recovery*elapsed)
-		if r.Ramp == 0 {
-			continue
-		}
-		r.current += math.Max(-step, math.Min(step, r.Share-r.current))
-	}
-}
-
-// Slow shrinks the pace of a rule's ramp after a refusal or a rise in
-// latency at its upstreams.
-func (m *Meter) Slow(rule string) {
-	for i := range m.rules {
-		if m.rules[i].Name == rule {
-			m.rules[i].pace = math.Max(slowest, m.rules[i].pace*slowFactor)
-		}
+// newRule gives the state of a new rule; others says whether the traffic has
+// rules to go to already.
+func (m *Meter) newRule(r Rule, others bool) ruleState {
+	s := ruleState{Rule: r, credit: m.first(), current: r.Share, pace: 1}
+	if r.Ramp > 0 && others {
+		s.current = 0
 	}
+	return s
 }
 
-// Arrive counts a request and gives its rules, the one furthest behind its
-// share first. It appends to order, so that a caller's buffer is reused.
+// Arrive counts a request that arrived and gives the places of the rules in the
+// order in which to try them. It appends to order, so that a caller's buffer is
+// reused.
 func (m *Meter) Arrive(order []int32) []int32 {
 	sum := 0.0
 	for i := range m.rules {
@@ -174,6 +133,8 @@
 	}
 }
 
+// before reports whether rule a is tried before rule b: rules with a share
+// before those without, and then the one furthest behind its share.
 func (m *Meter) before(a, b int32) bool {
 	ra, rb := &m.rules[a], &m.rules[b]
 	if (ra.current > 0) != (rb.current > 0) {
@@ -193,8 +154,8 @@
 	return -1
 }
 
-// Has reports whether there is a rule at a place and its cap leaves room for
-// a request.
+// Has reports whether there is a rule at a place whose cap leaves room for a
+// request. A cap of 1 always does.
 func (m *Meter) Has(i int32) bool {
 	if i < 0 || int(i) >= len(m.rules) {
 		return false
@@ -204,8 +165,8 @@
 }
 
 // Take counts a request to a rule, or reports that its cap leaves no room.
-// Nothing gives it back: a request that was refused after all has used the
-// room, so that no window can ever hold more.
+// Nothing is given back for a request that is refused after all: credit from
+// before a window could let the window hold more than its bound.
 func (m *Meter) Take(i int32) bool {
 	if !m.Has(i) {
 		return false
@@ -219,30 +180,25 @@
 	return true
 }
 
-// maxDeficit bounds how long a rule that could not be served is made up for.
-const maxDeficit = 16
-
+// bound keeps rules that can't be served from gathering more than maxDeficit.
 func (m *Meter) bound() {
 	for i := range m.rules {
 		m.rules[i].deficit = math.Min(maxDeficit, m.rules[i].deficit)
 	}
 }
 
-// Name gives the name of rule i.
-func (m *Meter) Name(i int32) string { return m.rules[i].Name }
-
-// Status is one rule's standing for people.
+// Status is where one rule stands, for the status page.
 type Status struct {
 	Rule string `json:"rule"`
-	// Share is the share now, Target where it moves, Cap its bound.
+	// Share is the current share, Target where it moves to, Cap its bound.
 	Share  float64 `json:"share"`
 	Target float64 `json:"target"`
 	Cap    float64 `json:"cap"`
-	// Pace is the part of the ramp's speed that trouble leaves, 0 to 1.
+	// Pace is the part of the ramp's speed that refusals leave, 0 to 1.
 	Pace float64 `json:"pace"`
 }
 
-// Status gives every rule's standing.
+// Status gives where each rule stands.
 func (m *Meter) Status() []Status {
 	out := make([]Status, 0, len(m.rules))
 	for _, r := range m.rules {
--- a/internal/selector/shift/meter_test.go
+++ b/internal/selector/shift/meter_test.go
@@ -60,7 +60,7 @@
 	for range 1000 {
 		for _, i := range m.Arrive(nil) {
 			if m.Take(i) {
-				counts[m.Name(i)]++
+				counts[m.rules[i].Name]++
 				break
 			}
 		}
