--- a/internal/selector/roster/roster_test.go
+++ b/internal/selector/roster/roster_test.go
@@ -32,7 +32,7 @@
 		for _, h := range hosts[:n] {
 			held := 0
 			for u := range 100 {
-				held += r.Owned(h, fmt.Sprintf("up-%d", u), 6).Count()
+				held += r.owned(h, fmt.Sprintf("up-%d", u), 6).Count()
 			}
 			total += held
 			most = max(most, held)
