--- a/internal/selector/ticket/ticket_test.go
+++ b/internal/selector/ticket/ticket_test.go
@@ -35,7 +35,7 @@
 	}{
 		{name: "first use", digest: digestA, dispatch: true, phase: Running},
 		{name: "resend while it runs", prepare: use, digest: digestA, phase: Running},
-		{name: "resend after the answer", prepare: func(s *Store, t *Ticket) { use(s, t); s.Finish(*t, Outcome{Status: 200}) }, digest: digestA, phase: Answered},
+		{name: "resend after the answer", prepare: func(s *Store, t *Ticket) { use(s, t); s.Finish(*t, Outcome{Status: 200}) }, digest: digestA, phase: Completed},
 		{name: "resend after a doubt", prepare: func(s *Store, t *Ticket) { use(s, t); s.Abandon(*t, false) }, digest: digestA, phase: Doubtful},
 		{name: "resend after it was not run", prepare: func(s *Store, t *Ticket) { use(s, t); s.Abandon(*t, true) }, digest: digestA, dispatch: true, phase: Running},
 		{name: "another request", prepare: use, digest: digestB, err: ErrOther},
@@ -46,7 +46,7 @@
 		{name: "forged expiry", prepare: func(_ *Store, t *Ticket) { t.Expiry++ }, digest: digestA, err: ErrForged},
 		{name: "another incarnation", prepare: func(_ *Store, t *Ticket) { t.Incarnation = "2" }, digest: digestA, err: ErrForged},
 		{name: "unused at a sealed store", prepare: func(s *Store, _ *Ticket) { s.Seal() }, digest: digestA, err: ErrSealed},
-		{name: "answered at a sealed store", prepare: func(s *Store, t *Ticket) { use(s, t); s.Finish(*t, Outcome{Status: 200}); s.Seal() }, digest: digestA, phase: Answered},
+		{name: "answered at a sealed store", prepare: func(s *Store, t *Ticket) { use(s, t); s.Finish(*t, Outcome{Status: 200}); s.Seal() }, digest: digestA, phase: Completed},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -100,7 +100,7 @@
 	s := NewStore("h", "z", "1", NewKey())
 	minted := newTicket(t, s)
 	use(s, &minted)
-	s.Finish(minted, Outcome{Status: 200, Body: make([]byte, MaxKept+1)})
+	s.Finish(minted, Outcome{Status: 200, Body: make([]byte, maxKept+1)})
 	rec, _, err := s.Begin(minted, digestA, start)
 	require.NoError(t, err)
 	require.True(t, rec.Outcome.Partial)
@@ -119,7 +119,7 @@
 
 func FuzzParse(f *testing.F) {
 	good, _ := NewStore("h", "z", "1", NewKey()).Mint(start)
-	for _, seed := range []string{"", "none", good.String(), strings.Repeat("A", MaxLength+1)} {
+	for _, seed := range []string{"", "none", good.String(), strings.Repeat("A", maxLength+1)} {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
