--- a/internal/selector/member/pace.go
+++ b/internal/selector/member/pace.go
@@ -6,23 +6,53 @@
 	"cairndock/internal/selector/roster"
 )
 
+const (
+	// nearInterval is the least time between two heartbeats to a host of the own
+	// zone. Chosen, not measured.
+	nearInterval = 500 * time.Millisecond
+	// farInterval is the same for a host of another zone. Chosen, not measured.
+	farInterval = time.Second
+	// bytesPerSecond is what one host may spend on heartbeats, asking and
+	// responding, both ways: the users' 4 KB a second for control
+	// (docs/CAPACITY.md). With more hosts each is asked less often.
+	bytesPerSecond = 4000
+	// nearPart is the part of that for the own zone. Chosen, not measured.
+	nearPart = 0.3
+	// firstExchange stands for the size of an exchange, in bytes, until one is
+	// known: it was 208 at 2 services and 332 at 22 (docs/design/heartbeats.md).
+	firstExchange = 300
+	// exchangeSamples is how many exchanges the average of their size goes back.
+	// Chosen, not measured.
+	exchangeSamples = 16
+	// zoneFanout bounds the hosts of the own zone that a host asks, so that its
+	// cost does not grow with the zone: a full mesh of 74 hosts cost over 70 KB a
+	// second (docs/design/heartbeats.md).
+	zoneFanout = 4
+	// farFanout is the same for each other zone.
+	farFanout = 2
+)
+
 // Spent notes the size of an exchange in bytes.
-func (p *Peers) Spent(bytes int) { p.exchange += (float64(bytes) - p.exchange) / 16 }
+func (p *Peers) Spent(bytes int) { p.exchange += (float64(bytes) - p.exchange) / exchangeSamples }
 
-// intervals gives how often hosts of the own zone and of the others may be
-// asked, so that asking and being asked stay within the budget.
-func (p *Peers) intervals(near, far int) (nearEvery, farEvery time.Duration) {
-	perSecond := BytesPerSecond / (2 * p.exchange)
+// intervals gives how often to ask near and far hosts, as many as given, so that
+// asking them and being asked stay within the budget. exchange is the size of
+// an exchange in bytes; half of the budget is for asking.
+func intervals(near, far int, exchange float64) (nearEvery, farEvery time.Duration) {
+	perSecond := bytesPerSecond / (2 * exchange)
 	nearEvery = time.Duration(float64(near) / (perSecond * nearPart) * float64(time.Second))
 	farEvery = time.Duration(float64(far) / (perSecond * (1 - nearPart)) * float64(time.Second))
-	return max(Interval, nearEvery), max(FarInterval, farEvery)
+	return max(nearInterval, nearEvery), max(farInterval, farEvery)
 }
 
 // Asking notes that a heartbeat goes out to a host.
 func (p *Peers) Asking(host string, now time.Time) {
 	if peer, ok := p.peers[host]; ok {
 		peer.AskedAt = now
-		peer.Every = p.every[peer.Contact.Zone == p.self.Zone]
+		peer.Every = p.farEvery
+		if peer.Contact.Zone == p.self.Zone {
+			peer.Every = p.nearEvery
+		}
 		p.peers[host] = peer
 	}
 }
@@ -30,19 +60,19 @@
 // Due gives the hosts to send a heartbeat to now: a bounded number of the
 // own zone and of each other zone, within the budget.
 func (p *Peers) Due(now time.Time) []Contact {
-	near := p.nearest(p.self.Zone, zoneFanout)
+	near := p.watched(p.self.Zone, zoneFanout)
 	var far []Peer
 	for _, zone := range p.zones {
 		if zone != p.self.Zone {
-			far = append(far, p.nearest(zone, farFanout)...)
+			far = append(far, p.watched(zone, farFanout)...)
 		}
 	}
-	nearEvery, farEvery := p.intervals(len(near), len(far))
-	p.every[true], p.every[false] = nearEvery, farEvery
-	out := due(near, now, nearEvery)
-	return append(out, due(far, now, farEvery)...)
+	p.nearEvery, p.farEvery = intervals(len(near), len(far), p.exchange)
+	out := due(near, now, p.nearEvery)
+	return append(out, due(far, now, p.farEvery)...)
 }
 
+// due gives the peers that were not asked for an interval.
 func due(peers []Peer, now time.Time, every time.Duration) []Contact {
 	var out []Contact
 	for _, peer := range peers {
@@ -53,9 +83,9 @@
 	return out
 }
 
-// nearest gives the hosts of a zone that this host watches: those first in
-// its own rendezvous order, so that every host is watched by several.
-func (p *Peers) nearest(zone string, n int) []Peer {
+// watched gives the hosts of a zone that this host asks, at most n: the first in
+// its own rendezvous order, so that each host is asked by several.
+func (p *Peers) watched(zone string, n int) []Peer {
 	all := p.Zone(zone)
 	if len(all) <= n {
 		return all
--- a/internal/selector/member/member_test.go
+++ b/internal/selector/member/peers_test.go
@@ -45,7 +45,7 @@
 		}
 		// The first turn asks everybody, once; asking is half of the budget.
 		first := zoneFanout + farFanout*tc.zones
-		require.LessOrEqual(t, (asked-first)*tc.exchange, 60*BytesPerSecond/2+zoneFanout*tc.exchange, "%+v", tc)
+		require.LessOrEqual(t, (asked-first)*tc.exchange, 60*bytesPerSecond/2+zoneFanout*tc.exchange, "%+v", tc)
 		require.Greater(t, asked, first, "%+v", tc)
 	}
 }
@@ -78,7 +78,7 @@
 	}{
 		{"known only", func(*Peers) {}, 0, false},
 		{"heard", heard, time.Second, true},
-		{"silent", heard, DownAfter + time.Second, false},
+		{"silent", heard, downAfter + time.Second, false},
 		{"failed", func(p *Peers) { heard(p); p.Failed(c.Host, now) }, 0, false},
 		{"heard again", func(p *Peers) { heard(p); p.Failed(c.Host, now); heard(p) }, 0, true},
 		{"leaving", func(p *Peers) { p.Heard(Heartbeat{Contact: c, Leaving: true}, now, 0) }, 0, false},
