--- a/internal/selector/link/loans_test.go
+++ b/internal/selector/link/loans_test.go
@@ -24,16 +24,16 @@
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			lender := rapid.IntRange(0, 1).Draw(t, "lender")
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
-			case 0: // the other asks; its question may have been long on its way
+			case 0: // the other asks; its request may have been long on its way
 				asked := now.Add(-time.Duration(rapid.IntRange(0, 3000).Draw(t, "late")) * time.Millisecond)
 				used := rapid.Float64Range(0, part).Draw(t, "used")
 				spare := hosts[lender].Spare(part, used, now)
 				if rate := hosts[lender].Lend(names[1-lender], spare, now); rate > 0 {
 					onTheWay = append(onTheWay, message{lender, rate, asked})
 				}
-			case 1: // an answer comes, at any time, or never
+			case 1: // a response comes, at any time, or never
 				if len(onTheWay) > 0 {
-					i := rapid.IntRange(0, len(onTheWay)-1).Draw(t, "answer")
+					i := rapid.IntRange(0, len(onTheWay)-1).Draw(t, "response")
 					m := onTheWay[i]
 					hosts[1-m.lender].Borrowed(names[m.lender], m.rate, m.asked)
 					onTheWay = append(onTheWay[:i], onTheWay[i+1:]...)
--- a/internal/selector/member/peers_test.go
+++ b/internal/selector/member/peers_test.go
@@ -58,7 +58,7 @@
 	p.Failed(failed, time.Now())
 	p.Learn(contact("zone-01", 73))
 	_, known := p.Get(failed)
-	require.False(t, known, "one that fails makes room")
+	require.False(t, known, "one that does not respond makes room")
 	require.Len(t, p.Zone("zone-01"), maxFarHosts)
 	for _, peer := range p.Zone("zone-02") {
 		p.Forget(peer.Contact.Host)
@@ -82,7 +82,7 @@
 		{"failed", func(p *Peers) { heard(p); p.Failed(c.Host, now) }, 0, false},
 		{"heard again", func(p *Peers) { heard(p); p.Failed(c.Host, now); heard(p) }, 0, true},
 		{"leaving", func(p *Peers) { p.Heard(Heartbeat{Contact: c, Leaving: true}, now, 0) }, 0, false},
-		{"an old word after a new one", func(p *Peers) {
+		{"an old heartbeat after a newer one", func(p *Peers) {
 			p.Heard(Heartbeat{Contact: c, Leaving: true}, now, 0)
 			p.Heard(Heartbeat{Contact: c}, now.Add(-time.Second), 0)
 		}, 0, false},
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestSlotsTravelPacked(t *testing.T) {
+func TestSlotsAreSentPacked(t *testing.T) {
 	free := []Free{{"a", 1, 2, 3}, {"b", 0, 5, 4}}
 	require.Equal(t, free, Unpack(Pack(free), []string{"a", "b"}))
 	require.Nil(t, Unpack(Pack(free), []string{"a"}), "of another revision")
@@ -107,7 +107,7 @@
 	p.Heard(Heartbeat{Contact: c, Slots: Pack(free), Free: free, ZoneHosts: 3}, now, time.Millisecond)
 	p.Heard(Heartbeat{Contact: c}, now.Add(time.Second), 0)
 	peer, _ := p.Get(c.Host)
-	require.Equal(t, free, peer.Beat.Free, "asking tells no slots and takes none back")
+	require.Equal(t, free, peer.Beat.Free, "a heartbeat that asks has no slots and clears none")
 }
 
 func TestSuccessors(t *testing.T) {
@@ -120,5 +120,82 @@
 	require.Equal(t, "own-01", c.Host)
 	p.NoteSuccessors([]Handover{{Incarnation: "other", Host: "own-01"}}, now.Add(successorAge+time.Second))
 	_, ok = p.Successor("gone")
-	require.False(t, ok, "forgotten when no longer told")
+	require.False(t, ok, "forgotten when no longer named")
+}
+
+// TestContacts holds which hosts of a zone are named to others.
+func TestContacts(t *testing.T) {
+	now := time.Now()
+	hear := func(p *Peers, zone string, hosts ...int) {
+		for _, i := range hosts {
+			p.Heard(Heartbeat{Contact: contact(zone, i)}, now, time.Millisecond)
+		}
+	}
+	cases := []struct {
+		name    string
+		zone    string
+		leaving bool
+		heard   []int
+		want    []int
+	}{
+		{"of the own zone this host first", "own", false, []int{1}, []int{0, 1}},
+		{"not this host when it is leaving", "own", true, []int{1}, []int{1}},
+		{"of another zone those that are up", "far", false, []int{2, 4}, []int{2, 4}},
+		{"a few only", "own", false, []int{1, 2, 3, 4, 5, 6}, []int{0, 1, 2, 3}},
+		{"none that was never heard of", "far", false, nil, nil},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			p := NewPeers(contact("own", 0))
+			for i := 1; i < 7; i++ {
+				p.Learn(contact("own", i))
+				p.Learn(contact("far", i))
+			}
+			hear(p, tc.zone, tc.heard...)
+			var want []Contact
+			for _, i := range tc.want {
+				want = append(want, contact(tc.zone, i))
+			}
+			require.Equal(t, want, p.Contacts(tc.zone, now, tc.leaving))
+		})
+	}
+}
+
+// TestNotesBetweenHeartbeats: what a response says of a host replaces what its
+// last heartbeat said, and never goes back.
+func TestNotesBetweenHeartbeats(t *testing.T) {
+	p, c := NewPeers(contact("own", 0)), contact("far", 1)
+	p.NoteFree(c.Host, Free{Service: "a"})
+	p.NoteRevision(c.Host, 9)
+	_, known := p.Get(c.Host)
+	require.False(t, known, "of an unknown host")
+
+	before := []Free{{"a", 1, 2, 3}, {"b", 4, 5, 6}}
+	p.Heard(Heartbeat{Contact: c, Slots: Pack(before), Free: before, Revision: 5}, time.Now(), time.Millisecond)
+	p.NoteFree(c.Host, Free{"b", 0, 5, 6})
+	p.NoteFree(c.Host, Free{"not in the heartbeat", 1, 1, 1})
+	p.NoteRevision(c.Host, 4)
+	peer, _ := p.Get(c.Host)
+	require.Equal(t, []Free{{"a", 1, 2, 3}, {"b", 0, 5, 6}}, peer.Beat.Free)
+	require.Equal(t, 4, before[1].Free, "the heartbeat's own slots are not changed")
+	require.Equal(t, uint64(5), peer.Beat.Revision)
+	p.NoteRevision(c.Host, 6)
+	peer, _ = p.Get(c.Host)
+	require.Equal(t, uint64(6), peer.Beat.Revision)
+}
+
+// TestAHostThatMovesIsInOneZone: a host that is learnt of in another zone is no
+// longer in the one before.
+func TestAHostThatMovesIsInOneZone(t *testing.T) {
+	p, c := NewPeers(contact("own", 0)), contact("far", 1)
+	p.Learn(c)
+	c.Zone = "other"
+	p.Learn(c)
+	require.Equal(t, []string{"other"}, p.Zones())
+	require.Empty(t, p.Zone("far"))
+	require.Len(t, p.Zone("other"), 1)
+	p.Learn(contact("own", 0))
+	p.Learn(Contact{Host: "without an address", Zone: "other"})
+	require.Equal(t, []string{"other"}, p.Zones(), "not the host itself")
+	require.Len(t, p.Zone("other"), 1, "nor one that can't be reached")
 }
--- a/internal/selector/shift/meter_test.go
+++ b/internal/selector/shift/meter_test.go
@@ -120,3 +120,68 @@
 	m.Adopt(map[string]float64{"a": 0.2, "gone": 1})
 	require.InDelta(t, 0.2, m.Shares()["a"], 1e-9)
 }
+
+// TestShareOfANewRule holds where a rule's share starts.
+func TestShareOfANewRule(t *testing.T) {
+	now := time.Now()
+	first := Rule{Name: "first", Share: 0.5, Cap: 1}
+	cases := []struct {
+		name   string
+		before []Rule
+		rule   Rule
+		want   float64
+	}{
+		{"without a ramp at its target", []Rule{first}, Rule{Name: "new", Share: 0.5, Cap: 1}, 0.5},
+		{"with a ramp at nothing", []Rule{first}, Rule{Name: "new", Share: 0.5, Cap: 1, Ramp: 0.1}, 0},
+		{"with a ramp, and no rule before, at its target", nil, Rule{Name: "new", Share: 0.5, Cap: 1, Ramp: 0.1}, 0.5},
+		{"a rule that stays moves at once without a ramp", []Rule{{Name: "new", Share: 0.1, Cap: 1, Ramp: 0.1}}, Rule{Name: "new", Share: 0.5, Cap: 1}, 0.5},
+		{"and stays where it is with one", []Rule{{Name: "new", Share: 0.1, Cap: 1, Ramp: 0.1}}, Rule{Name: "new", Share: 0.5, Cap: 1, Ramp: 0.1}, 0.1},
+		{"but for a lower cap", []Rule{{Name: "new", Share: 0.5, Cap: 1, Ramp: 0.1}}, Rule{Name: "new", Share: 0.1, Cap: 0.2, Ramp: 0.1}, 0.2},
+	}
+	for _, tc := range cases {
+		m := NewMeter(func() float64 { return 0 }, now)
+		m.Configure(tc.before, now)
+		m.Configure(append([]Rule{first}, tc.rule), now)
+		require.InDelta(t, tc.want, m.Shares()["new"], 1e-9, tc.name)
+	}
+}
+
+// TestPace: refusals slow a ramp down to a sixty-fourth, and it recovers by a
+// tenth of its own pace a second.
+func TestPace(t *testing.T) {
+	now := time.Now()
+	m := NewMeter(func() float64 { return 0 }, now)
+	m.Configure([]Rule{{Name: "a", Share: 0.5, Cap: 1, Ramp: 0.01}, {Name: "b", Share: 0.5, Cap: 1}}, now)
+	pace := func() float64 { return m.Status()[0].Pace }
+	require.InDelta(t, 1, pace(), 0)
+	for _, want := range []float64{1.0 / 2, 1.0 / 4, 1.0 / 8, 1.0 / 16, 1.0 / 32, 1.0 / 64, 1.0 / 64} {
+		m.Slow("a")
+		require.InDelta(t, want, pace(), 1e-9)
+	}
+	m.Slow("unknown")
+	m.Advance(now.Add(time.Second), false)
+	require.InDelta(t, 1.0/64+0.1, pace(), 1e-9)
+	m.Advance(now.Add(time.Minute), false)
+	require.InDelta(t, 1, pace(), 1e-9)
+	require.InDelta(t, 1, m.Status()[1].Pace, 0, "the other rule's ramp is not slowed")
+}
+
+// TestPlacesOfRules: a place is looked up by name, and none is taken at a rule
+// that is gone.
+func TestPlacesOfRules(t *testing.T) {
+	now := time.Now()
+	m := NewMeter(func() float64 { return 0 }, now)
+	m.Configure([]Rule{{Name: "a", Share: 1, Cap: 1}, {Name: "none", Share: 0, Cap: 0}}, now)
+	require.Equal(t, int32(0), m.Index("a"))
+	require.Equal(t, int32(-1), m.Index("gone"))
+	for _, place := range []int32{-1, 2} {
+		require.False(t, m.Has(place))
+		require.False(t, m.Take(place))
+	}
+	m.Arrive(nil)
+	for range 5 {
+		require.True(t, m.Take(0))
+	}
+	require.False(t, m.Take(1), "a cap of nothing")
+	require.Equal(t, []int32{0, 1}, m.Arrive(nil), "a rule without a share comes last, whatever it is owed")
+}
--- /dev/null
+++ b/internal/selector/slot/set_test.go
@@ -0,0 +1,20 @@
+package slot_test
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"cairndock/internal/selector/slot"
+)
+
+func TestSet(t *testing.T) {
+	var none slot.Set
+	first, last := none.With(0), none.With(63)
+	both := first.With(63)
+	require.Zero(t, none.Count())
+	require.Equal(t, 2, both.Count())
+	require.Equal(t, both, both.With(0), "a slot is in a set once")
+	require.Equal(t, last, both.And(last))
+	require.Equal(t, none, first.And(last))
+}
--- a/internal/selector/ticket/ticket_test.go
+++ b/internal/selector/ticket/ticket_test.go
@@ -15,11 +15,11 @@
 )
 
 func newTicket(t *testing.T, s *Store) Ticket {
-	minted, err := s.Mint(start)
+	issued, err := s.Mint(start)
 	require.NoError(t, err)
-	parsed, err := Parse(minted.String())
+	parsed, err := Parse(issued.String())
 	require.NoError(t, err)
-	require.Equal(t, minted, parsed)
+	require.Equal(t, issued, parsed)
 	return parsed
 }
 
@@ -35,27 +35,27 @@
 	}{
 		{name: "first use", digest: digestA, dispatch: true, phase: Running},
 		{name: "resend while it runs", prepare: use, digest: digestA, phase: Running},
-		{name: "resend after the answer", prepare: func(s *Store, t *Ticket) { use(s, t); s.Finish(*t, Outcome{Status: 200}) }, digest: digestA, phase: Completed},
-		{name: "resend after a doubt", prepare: func(s *Store, t *Ticket) { use(s, t); s.Abandon(*t, false) }, digest: digestA, phase: Doubtful},
+		{name: "resend after the response", prepare: func(s *Store, t *Ticket) { use(s, t); s.Finish(*t, Outcome{Status: 200}) }, digest: digestA, phase: Completed},
+		{name: "resend when the outcome is in doubt", prepare: func(s *Store, t *Ticket) { use(s, t); s.Abandon(*t, false) }, digest: digestA, phase: Doubtful},
 		{name: "resend after it was not run", prepare: func(s *Store, t *Ticket) { use(s, t); s.Abandon(*t, true) }, digest: digestA, dispatch: true, phase: Running},
 		{name: "another request", prepare: use, digest: digestB, err: ErrOther},
-		{name: "another request after the answer", prepare: func(s *Store, t *Ticket) { use(s, t); s.Finish(*t, Outcome{Status: 200}) }, digest: digestB, err: ErrOther},
+		{name: "another request after the response", prepare: func(s *Store, t *Ticket) { use(s, t); s.Finish(*t, Outcome{Status: 200}) }, digest: digestB, err: ErrOther},
 		{name: "expired unused", digest: digestA, after: Lifetime, err: ErrExpired},
 		{name: "expired and forgotten", prepare: func(s *Store, t *Ticket) { use(s, t); s.Finish(*t, Outcome{Status: 200}) }, digest: digestA, after: 2 * Lifetime, err: ErrExpired},
 		{name: "forged sequence", prepare: func(_ *Store, t *Ticket) { t.Sequence++ }, digest: digestA, err: ErrForged},
 		{name: "forged expiry", prepare: func(_ *Store, t *Ticket) { t.Expiry++ }, digest: digestA, err: ErrForged},
 		{name: "another incarnation", prepare: func(_ *Store, t *Ticket) { t.Incarnation = "2" }, digest: digestA, err: ErrForged},
 		{name: "unused at a sealed store", prepare: func(s *Store, _ *Ticket) { s.Seal() }, digest: digestA, err: ErrSealed},
-		{name: "answered at a sealed store", prepare: func(s *Store, t *Ticket) { use(s, t); s.Finish(*t, Outcome{Status: 200}); s.Seal() }, digest: digestA, phase: Completed},
+		{name: "completed at a sealed store", prepare: func(s *Store, t *Ticket) { use(s, t); s.Finish(*t, Outcome{Status: 200}); s.Seal() }, digest: digestA, phase: Completed},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			s := NewStore("h", "z", "1", NewKey())
-			minted := newTicket(t, s)
+			issued := newTicket(t, s)
 			if tc.prepare != nil {
-				tc.prepare(s, &minted)
+				tc.prepare(s, &issued)
 			}
-			rec, dispatch, err := s.Begin(minted, tc.digest, start.Add(tc.after))
+			rec, dispatch, err := s.Begin(issued, tc.digest, start.Add(tc.after))
 			require.ErrorIs(t, err, tc.err)
 			require.Equal(t, tc.dispatch, dispatch)
 			require.Equal(t, tc.phase, rec.Phase)
@@ -67,14 +67,14 @@
 
 func TestHandover(t *testing.T) {
 	old := NewStore("h", "z", "1", NewKey())
-	answered, running, unused := newTicket(t, old), newTicket(t, old), newTicket(t, old)
-	use(old, &answered)
-	old.Finish(answered, Outcome{Status: 201, Body: []byte("kept")})
+	completed, running, unused := newTicket(t, old), newTicket(t, old), newTicket(t, old)
+	use(old, &completed)
+	old.Finish(completed, Outcome{Status: 201, Body: []byte("kept")})
 	use(old, &running)
 
 	first, second := FromHandover(old.Handover(true)), FromHandover(old.Handover(false))
 	for name, s := range map[string]*Store{"first": first, "second": second} {
-		rec, dispatch, err := s.Begin(answered, digestA, start)
+		rec, dispatch, err := s.Begin(completed, digestA, start)
 		require.NoError(t, err, name)
 		require.False(t, dispatch, name)
 		require.Equal(t, "kept", string(rec.Outcome.Body), name)
@@ -85,10 +85,10 @@
 	}
 	_, dispatch, err := first.Begin(unused, digestA, start)
 	require.NoError(t, err)
-	require.True(t, dispatch, "the first heir goes on")
+	require.True(t, dispatch, "the first successor goes on")
 	_, dispatch, err = second.Begin(unused, digestA, start)
 	require.ErrorIs(t, err, ErrSealed)
-	require.False(t, dispatch, "two heirs must not both dispatch")
+	require.False(t, dispatch, "two successors must not both dispatch")
 	_, dispatch, err = old.Begin(unused, digestA, start)
 	require.ErrorIs(t, err, ErrSealed)
 	require.False(t, dispatch)
@@ -96,12 +96,12 @@
 	require.ErrorIs(t, err, ErrSealed)
 }
 
-func TestLargeAnswersAreNotKept(t *testing.T) {
+func TestLargeResponsesAreNotKept(t *testing.T) {
 	s := NewStore("h", "z", "1", NewKey())
-	minted := newTicket(t, s)
-	use(s, &minted)
-	s.Finish(minted, Outcome{Status: 200, Body: make([]byte, maxKept+1)})
-	rec, _, err := s.Begin(minted, digestA, start)
+	issued := newTicket(t, s)
+	use(s, &issued)
+	s.Finish(issued, Outcome{Status: 200, Body: make([]byte, maxKept+1)})
+	rec, _, err := s.Begin(issued, digestA, start)
 	require.NoError(t, err)
 	require.True(t, rec.Outcome.Partial)
 	require.Empty(t, rec.Outcome.Body)
@@ -109,9 +109,9 @@
 
 func TestRecordsAreForgotten(t *testing.T) {
 	s := NewStore("h", "z", "1", NewKey())
-	minted := newTicket(t, s)
-	use(s, &minted)
-	s.Finish(minted, Outcome{Status: 200})
+	issued := newTicket(t, s)
+	use(s, &issued)
+	s.Finish(issued, Outcome{Status: 200})
 	later := newTicket(t, s)
 	_, _, _ = s.Begin(later, digestA, start.Add(3*Lifetime))
 	require.Zero(t, s.Len())
