--- a/internal/gateway/exchange/conn.go
+++ b/internal/gateway/exchange/conn.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"context"
 	"io"
 	"net"
 	"syscall"
@@ -12,55 +11,15 @@
 	"golang.org/x/sys/unix"
 )
 
-const (
-	// readBuffer is a connection's buffer for reading, in bytes.
-	readBuffer = 4 << 10
-	// keepAliveIdle, keepAliveInterval and keepAliveCount find a silent
-	// cut on a connection that waits.
-	keepAliveIdle     = time.Second
-	keepAliveInterval = 500 * time.Millisecond
-	keepAliveCount    = 3
-)
-
-// Dialer makes TCP connections that notice a silent cut.
-type Dialer struct {
-	// Timeout bounds the making of a connection, and Unacknowledged how
-	// long sent data may go without an acknowledgement.
-	Timeout        time.Duration
-	Unacknowledged time.Duration
-}
-
-// DialContext connects to an address.
-func (d Dialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	dialer := net.Dialer{
-		Timeout: d.Timeout,
-		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
-		},
-		Control: func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, d.Unacknowledged) },
-	}
-	return dialer.DialContext(ctx, network, address)
-}
-
-func setUserTimeout(raw syscall.RawConn, d time.Duration) error {
-	if d <= 0 {
-		return nil
-	}
-	var failed error
-	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
-	})
-	if err != nil {
-		return err
-	}
-	return failed
-}
+// readBuffer is the size of a connection's read buffer, in bytes. 4 KiB is the
+// default of bufio; chosen, not measured here.
+const readBuffer = 4 << 10
 
-// conn is a connection to an upstream. One request at a time uses it.
+// conn is a connection to an upstream. It carries one request at a time.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// usable is until when it may rest; zero is forever.
+	// idleUntil is when the pool closes the connection; it is set by Pool.put.
 	idleUntil time.Time
 }
 
@@ -68,11 +27,12 @@
 	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBuffer)}
 }
 
-// errUnasked says that bytes came on a connection where nothing was asked.
-var errUnexpectedBytes = eris.New("unasked bytes on an idle connection")
+// errUnexpectedBytes is the error of an idle connection on which bytes arrived:
+// they belong to no request.
+var errUnexpectedBytes = eris.New("unexpected bytes on an idle connection")
 
-// idleError tells what is wrong with a connection that rests: bytes that
-// nobody asked for, or the other side's close. It does not block.
+// idleError reports why an idle connection can't be used: bytes that belong to
+// no request, or the upstream's close. It does not block.
 func (c *conn) idleError() error {
 	if c.reader.Buffered() > 0 {
 		return errUnexpectedBytes
@@ -96,6 +56,7 @@
 	return found
 }
 
+// peek reads one byte of a non-blocking socket; an idle one has none.
 func peek(fd int) error {
 	var one [1]byte
 	n, err := unix.Read(fd, one[:])
--- /dev/null
+++ b/internal/selector/quickstart/document.go
@@ -0,0 +1,54 @@
+package quickstart
+
+import (
+	"time"
+
+	"cairndock/internal/selector/config"
+)
+
+// The figures of the configuration. All are chosen, not measured: with them a
+// share, its limit and a link can be seen at work.
+const (
+	// planningShare is the target share of each of the planning service's rules.
+	planningShare = 0.5
+	// costaCap is the share that costa never exceeds.
+	costaCap = 0.6
+	// linkRate is the limit of each link between two regions, in bytes per
+	// second.
+	linkRate = 20_000_000
+)
+
+// document is the configuration that the quick start begins with.
+func (s *System) document() config.Document {
+	limit := costaCap
+	doc := config.Document{
+		Services: []config.Service{
+			{
+				Name: planning, Class: config.Interactive, Repeat: config.RepeatSafe, Prefer: config.PreferHeadroom,
+				Timeout: config.Duration(2 * time.Second), MaxTimeout: config.Duration(5 * time.Second),
+			},
+			{
+				Name: documents, Class: config.Bulk, Repeat: config.RepeatSafe, Prefer: config.PreferHeadroom,
+				Timeout: config.Duration(20 * time.Second), MaxTimeout: config.Duration(time.Minute),
+			},
+		},
+		Upstreams: s.configured,
+		Rules: []config.Rule{
+			{Name: "planning-costa", Service: planning, Selector: "region=costa", Share: planningShare, Cap: &limit},
+			{Name: "planning-rest", Service: planning, Selector: "region!=costa", Share: planningShare},
+			{Name: "documents-all", Service: documents, Selector: "tier=main", Share: 1},
+		},
+		Blocks: []config.Block{{CIDR: "127.0.0.0/8", Zone: "costa-a"}, {CIDR: "10.2.0.0/16", Zone: "sierra-a"}},
+	}
+	for _, from := range regions {
+		for _, zone := range zonesOf(from) {
+			doc.Zones = append(doc.Zones, config.Zone{Name: zone, Region: from})
+		}
+		for _, to := range regions {
+			if from != to {
+				doc.Links = append(doc.Links, config.Link{From: from, To: to, BytesPerSecond: linkRate})
+			}
+		}
+	}
+	return doc
+}
--- a/internal/selector/standin/platform.go
+++ b/internal/selector/standin/platform.go
@@ -1,230 +1,51 @@
 package standin
 
 import (
-	"encoding/base64"
 	"encoding/json"
-	"errors"
-	"fmt"
-	"io"
 	"net/http"
-	"strconv"
-	"strings"
 
 	"cairndock/internal/selector/store"
+	"cairndock/internal/settings"
 )
 
-// Platform serves a platform in memory by the published protocols that the
-// real adapters speak: the table in the DynamoDB JSON protocol, objects in
-// the S3 protocol and the host list as JSON. It knows only the calls that
-// the adapters make.
+// Platform serves a store.Memory by the protocols that the store package's
+// clients speak: the table by DynamoDB's JSON protocol, objects by the S3
+// protocol and the host list as JSON. It knows only the operations that they
+// use, and only the conditions that they set.
 type Platform struct{ Memory *store.Memory }
 
-const (
-	targetPrefix = "DynamoDB_20120810."
-	// maxRequest bounds what is read of a request, in bytes.
-	maxRequest = 16 << 20
-	attrKey    = "pk"
-	attrSort   = "sk"
-	attrRev    = "ver"
-	attrBody   = "body"
-)
-
-// attr is a DynamoDB attribute value of one of the types in use.
-type attr struct {
-	S *string `json:"S,omitempty"`
-	N *string `json:"N,omitempty"`
-	B *string `json:"B,omitempty"`
-}
-
-type item map[string]attr
-
-// TableHandler serves the table.
-func (p Platform) TableHandler() http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(io.LimitReader(r.Body, maxRequest))
-		if err != nil {
-			return
-		}
-		var out any
-		switch strings.TrimPrefix(r.Header.Get("X-Amz-Target"), targetPrefix) {
-		case "GetItem":
-			out, err = p.getItem(r, body)
-		case "Query":
-			out, err = p.query(r, body)
-		case "TransactWriteItems":
-			out, err = p.transact(r, body)
-		default:
-			err = errors.New("unknown operation")
-		}
-		w.Header().Set("Content-Type", "application/x-amz-json-1.0")
-		if err != nil {
-			writeTableError(w, err)
-			return
-		}
-		_ = json.NewEncoder(w).Encode(out)
-	})
-}
-
-type tableError struct {
-	Type    string   `json:"__type"`
-	Message string   `json:"message"`
-	Reasons []reason `json:"CancellationReasons,omitempty"`
-}
-
-type reason struct {
-	Code string `json:"Code"`
-}
-
-func writeTableError(w http.ResponseWriter, err error) {
-	e := tableError{Type: "com.amazonaws.dynamodb.v20120810#InternalServerError", Message: err.Error()}
-	status := http.StatusInternalServerError
-	switch {
-	case errors.Is(err, store.ErrConflict):
-		e.Type = "com.amazonaws.dynamodb.v20120810#TransactionCanceledException"
-		e.Reasons = []reason{{"ConditionalCheckFailed"}}
-		status = http.StatusBadRequest
-	case errors.Is(err, store.ErrThrottled):
-		e.Type = "com.amazonaws.dynamodb.v20120810#ProvisionedThroughputExceededException"
-		status = http.StatusBadRequest
-	}
-	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(e)
-}
-
-func (p Platform) getItem(r *http.Request, body []byte) (any, error) {
-	var in struct{ Key item }
-	if err := json.Unmarshal(body, &in); err != nil {
-		return nil, err
-	}
-	row, err := p.Memory.Get(r.Context(), keyOf(in.Key))
-	if errors.Is(err, store.ErrNotFound) {
-		return struct{}{}, nil
-	}
-	if err != nil {
-		return nil, err
-	}
-	return struct{ Item item }{itemOf(row)}, nil
-}
-
-func (p Platform) query(r *http.Request, body []byte) (any, error) {
-	var in struct {
-		Limit                     int
-		ExpressionAttributeValues item
-	}
-	if err := json.Unmarshal(body, &in); err != nil {
-		return nil, err
-	}
-	rows, err := p.Memory.List(r.Context(), text(in.ExpressionAttributeValues[":p"].S), text(in.ExpressionAttributeValues[":a"].S), in.Limit)
-	if err != nil {
-		return nil, err
-	}
-	out := struct {
-		Items []item
-		Count int
-	}{Items: []item{}, Count: len(rows)}
-	for _, row := range rows {
-		out.Items = append(out.Items, itemOf(row))
-	}
-	return out, nil
+// PlatformServers are the running servers of a Platform.
+type PlatformServers struct {
+	// Settings are a host's settings to reach them.
+	Settings settings.Platform
+	servers  []*Server
 }
 
-func (p Platform) transact(r *http.Request, body []byte) (any, error) {
-	var in struct {
-		TransactItems []struct {
-			Put struct {
-				Item                      item
-				ExpressionAttributeValues item
-			}
-		}
-	}
-	if err := json.Unmarshal(body, &in); err != nil {
-		return nil, err
-	}
-	var writes []store.Write
-	for _, t := range in.TransactItems {
-		raw, err := base64.StdEncoding.DecodeString(text(t.Put.Item[attrBody].B))
+// Start serves the three services on loopback until Close.
+func (p Platform) Start() (*PlatformServers, error) {
+	var out PlatformServers
+	var urls []string
+	for _, h := range []http.Handler{p.TableHandler(), p.ObjectHandler(), p.HostsHandler()} {
+		s, err := Listen(h)
 		if err != nil {
+			out.Close()
 			return nil, err
 		}
-		version, _ := strconv.ParseInt(text(t.Put.ExpressionAttributeValues[":v"].N), 10, 64)
-		writes = append(writes, store.Write{Key: keyOf(t.Put.Item), IfVersion: version, Body: raw})
-	}
-	return struct{}{}, p.Memory.Transact(r.Context(), writes)
-}
-
-func text(s *string) string {
-	if s == nil {
-		return ""
-	}
-	return *s
-}
-
-func keyOf(i item) store.Key {
-	return store.Key{Partition: text(i[attrKey].S), Sort: text(i[attrSort].S)}
-}
-
-func itemOf(row store.Row) item {
-	version := strconv.FormatInt(row.Version, 10)
-	body := base64.StdEncoding.EncodeToString(row.Body)
-	return item{
-		attrKey: {S: &row.Key.Partition}, attrSort: {S: &row.Key.Sort},
-		attrRev: {N: &version}, attrBody: {B: &body},
-	}
-}
-
-// ObjectHandler serves the object store.
-func (p Platform) ObjectHandler() http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		switch r.Method {
-		case http.MethodPut:
-			p.putObject(w, r)
-		case http.MethodGet:
-			p.getObject(w, r)
-		default:
-			w.WriteHeader(http.StatusMethodNotAllowed)
-		}
-	})
-}
-
-// objectName gives the key of a path-style request: /bucket/key.
-func objectName(r *http.Request) string {
-	_, name, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	return name
-}
-
-func (p Platform) putObject(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(r.Body)
-	if err == nil {
-		err = p.Memory.PutObject(r.Context(), objectName(r), body)
+		out.servers = append(out.servers, s)
+		urls = append(urls, "http://"+s.Addr)
 	}
-	if err != nil {
-		writeObjectError(w, err)
-		return
-	}
-	w.Header().Set("ETag", `"1"`)
-}
-
-func (p Platform) getObject(w http.ResponseWriter, r *http.Request) {
-	body, err := p.Memory.GetObject(r.Context(), objectName(r))
-	if err != nil {
-		writeObjectError(w, err)
-		return
+	out.Settings = settings.Platform{
+		TableEndpoint: urls[0], ObjectEndpoint: urls[1], HostsURL: urls[2],
+		Table: "cairndock", Bucket: "cairndock", Region: "local", AccessKey: "stand-in", SecretKey: "stand-in",
 	}
-	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	_, _ = w.Write(body)
+	return &out, nil
 }
 
-func writeObjectError(w http.ResponseWriter, err error) {
-	status, code := http.StatusInternalServerError, "InternalError"
-	switch {
-	case errors.Is(err, store.ErrNotFound):
-		status, code = http.StatusNotFound, "NoSuchKey"
-	case errors.Is(err, store.ErrThrottled):
-		status, code = http.StatusServiceUnavailable, "SlowDown"
+// Close ends the servers at once.
+func (s *PlatformServers) Close() {
+	for _, srv := range s.servers {
+		srv.Close()
 	}
-	w.Header().Set("Content-Type", "application/xml")
-	w.WriteHeader(status)
-	_, _ = fmt.Fprintf(w, "<Error><Code>%s</Code></Error>", code)
 }
 
 // HostsHandler serves the host list.
--- a/internal/selector/store/contract_test.go
+++ b/internal/selector/store/contract_test.go
@@ -3,51 +3,34 @@
 import (
 	"context"
 	"fmt"
-	"net/http/httptest"
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
+	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/standin"
 	"cairndock/internal/selector/store"
-	"cairndock/internal/settings"
 )
 
-// table, objects and hosts are what the contracts are about.
-type table interface {
-	Get(ctx context.Context, key store.Key) (store.Row, error)
-	Transact(ctx context.Context, writes []store.Write) error
-	List(ctx context.Context, partition, after string, limit int) ([]store.Row, error)
-}
-
-type objects interface {
-	PutObject(ctx context.Context, name string, body []byte) error
-	GetObject(ctx context.Context, name string) ([]byte, error)
-}
-
+// hosts is the part of the host list under contract; config.Table and
+// config.Objects are those of the table and the objects.
 type hosts interface {
 	Hosts(ctx context.Context) ([]store.HostState, error)
 }
 
-// both runs a contract against the fake and, through its published
-// protocols, the real adapters.
-func both(t *testing.T, contract func(t *testing.T, m *store.Memory, tb table, ob objects, hs hosts)) {
-	t.Run("fake", func(t *testing.T) {
+// both runs a contract against Memory itself and against the clients, which
+// reach a Memory through their wire protocols.
+func both(t *testing.T, contract func(t *testing.T, m *store.Memory, tb config.Table, ob config.Objects, hs hosts)) {
+	t.Run("memory", func(t *testing.T) {
 		m := store.NewMemory()
 		contract(t, m, m, m, m)
 	})
-	t.Run("adapter", func(t *testing.T) {
+	t.Run("client", func(t *testing.T) {
 		m := store.NewMemory()
-		p := standin.Platform{Memory: m}
-		tables, objs, list := httptest.NewServer(p.TableHandler()), httptest.NewServer(p.ObjectHandler()), httptest.NewServer(p.HostsHandler())
-		t.Cleanup(tables.Close)
-		t.Cleanup(objs.Close)
-		t.Cleanup(list.Close)
-		s := settings.Platform{
-			TableEndpoint: tables.URL, Table: "t", ObjectEndpoint: objs.URL, Bucket: "b", HostsURL: list.URL,
-			Region: "local", AccessKey: "a", SecretKey: "s",
-		}
-		contract(t, m, store.NewTable(s), store.NewObjects(s), store.NewHostList(s))
+		p, err := standin.Platform{Memory: m}.Start()
+		require.NoError(t, err)
+		t.Cleanup(p.Close)
+		contract(t, m, store.NewTable(p.Settings), store.NewObjects(p.Settings), store.NewHostList(p.Settings))
 	})
 }
 
@@ -56,7 +39,7 @@
 }
 
 func TestTableContract(t *testing.T) {
-	both(t, func(t *testing.T, m *store.Memory, tb table, _ objects, _ hosts) {
+	both(t, func(t *testing.T, m *store.Memory, tb config.Table, _ config.Objects, _ hosts) {
 		ctx := context.Background()
 		_, err := tb.Get(ctx, key("p", "a"))
 		require.ErrorIs(t, err, store.ErrNotFound)
@@ -88,6 +71,17 @@
 		require.Equal(t, "002", rows[0].Key.Sort)
 		require.Equal(t, "003", rows[1].Key.Sort)
 
+		// A service may end a page before the limit, by its size; a list does not.
+		large := make([]byte, 200<<10)
+		for i := range 8 {
+			require.NoError(t, tb.Transact(ctx, []store.Write{{Key: key("large", fmt.Sprintf("%03d", i)), Body: large}}))
+		}
+		for limit, want := range map[int]int{100: 8, 7: 7} {
+			rows, err = tb.List(ctx, "large", "", limit)
+			require.NoError(t, err)
+			require.Equal(t, want, len(rows)) // not Len, which would print the bodies
+		}
+
 		m.SetFault(func(string, bool) error { return store.ErrThrottled })
 		_, err = tb.Get(ctx, key("p", "a"))
 		require.ErrorIs(t, err, store.ErrThrottled)
@@ -99,7 +93,7 @@
 }
 
 func TestObjectContract(t *testing.T) {
-	both(t, func(t *testing.T, m *store.Memory, _ table, ob objects, _ hosts) {
+	both(t, func(t *testing.T, m *store.Memory, _ config.Table, ob config.Objects, _ hosts) {
 		ctx := context.Background()
 		_, err := ob.GetObject(ctx, "a/b")
 		require.ErrorIs(t, err, store.ErrNotFound)
@@ -116,7 +110,7 @@
 }
 
 func TestHostListContract(t *testing.T) {
-	both(t, func(t *testing.T, m *store.Memory, _ table, _ objects, hs hosts) {
+	both(t, func(t *testing.T, m *store.Memory, _ config.Table, _ config.Objects, hs hosts) {
 		m.SetHost("b", store.Leaving)
 		m.SetHost("a", store.Live)
 		got, err := hs.Hosts(context.Background())
