--- a/internal/docscheck/logs_test.go
+++ b/internal/docscheck/logs_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"go/ast"
+	"os"
+	"path/filepath"
 	"strings"
 	"testing"
 
@@ -193,3 +195,31 @@
 	}
 	requireSame(t, "reason", verdictReasons(loadSource(t)), listed)
 }
+
+// traces has the recorded logs of failures and what cairndock trace prints of
+// them.
+const traces = "internal/gateway/reqtrace/testdata"
+
+func TestOperationsPageShowsTracesAsRecorded(t *testing.T) {
+	recorded := map[string]bool{}
+	paths, err := filepath.Glob(filepath.Join(root, traces, "*"))
+	require.NoError(t, err)
+	for _, path := range paths {
+		text, err := os.ReadFile(path)
+		require.NoError(t, err)
+		for line := range strings.Lines(string(text)) {
+			recorded[strings.TrimSpace(line)] = true
+		}
+	}
+	_, block, found := strings.Cut(readPage(t, "docs/OPERATIONS.md").text, "```log\n")
+	require.True(t, found)
+	for found {
+		var rest string
+		block, rest, found = strings.Cut(block, "```")
+		require.True(t, found, "a block of log lines does not end")
+		for line := range strings.Lines(block) {
+			require.True(t, recorded[strings.TrimSpace(line)], "no recorded line: %s", line)
+		}
+		_, block, found = strings.Cut(rest, "```log\n")
+	}
+}
--- a/internal/docscheck/names_test.go
+++ b/internal/docscheck/names_test.go
@@ -171,6 +171,20 @@
 	}
 }
 
+var citedPage = regexp.MustCompile(`docs/[\w/.-]+\.md`)
+
+func TestCommentsCiteOnlyPagesThatExist(t *testing.T) {
+	for _, f := range loadSource(t).files {
+		for _, group := range f.ast.Comments {
+			for _, cited := range citedPage.FindAllString(group.Text(), -1) {
+				if !exists(root, cited) {
+					t.Errorf("a comment of %s cites %s, which isn't there", f.path, cited)
+				}
+			}
+		}
+	}
+}
+
 func TestANameThatIsNotThereIsFound(t *testing.T) {
 	s := loadSource(t)
 	for _, c := range []struct {
--- a/internal/docscheck/source_test.go
+++ b/internal/docscheck/source_test.go
@@ -42,7 +42,7 @@
 	literals map[string]bool
 	// commands and flags are those of the command line.
 	commands, flags map[string]bool
-	// settings has the keys of settings files, without their sections.
+	// settings has the keys of TOML files, without their sections.
 	settings map[string]bool
 	metrics  map[string]*metric
 }
@@ -67,7 +67,7 @@
 		if d.IsDir() || filepath.Ext(path) != ".go" {
 			return nil
 		}
-		file, err := parser.ParseFile(set, path, nil, parser.SkipObjectResolution)
+		file, err := parser.ParseFile(set, path, nil, parser.SkipObjectResolution|parser.ParseComments)
 		if err != nil {
 			return err
 		}
@@ -89,7 +89,6 @@
 func (s *source) add(f sourceFile) {
 	s.files = append(s.files, f)
 	inCommands := strings.HasPrefix(f.path, "cmd/") && !f.isTest()
-	inSettings := strings.HasPrefix(f.path, "internal/settings/")
 	for _, decl := range f.ast.Decls {
 		s.addDecl(f, decl)
 	}
@@ -103,8 +102,8 @@
 			for _, name := range n.Names {
 				s.identifiers[name.Name] = true
 			}
-			if inSettings && n.Tag != nil {
-				s.settings[settingsKey(n.Tag)] = true
+			if key := settingsKey(n.Tag); key != "" && !f.isTest() {
+				s.settings[key] = true
 			}
 		case *ast.CallExpr:
 			if name, ok := flagName(n); inCommands && ok {
@@ -223,9 +222,14 @@
 	return sel.Sel.Name, true
 }
 
+// settingsKey gives the key that a field has in settings files, or nothing.
 func settingsKey(tag *ast.BasicLit) string {
+	if tag == nil {
+		return ""
+	}
 	text, _ := literal(tag) // a tag is always a string
-	return reflect.StructTag(text).Get("toml")
+	key, _, _ := strings.Cut(reflect.StructTag(text).Get("toml"), ",")
+	return key
 }
 
 // exists reports whether a path names a file or folder of the repository.
