--- a/internal/gateway/route/route.go
+++ b/internal/gateway/route/route.go
@@ -10,6 +10,8 @@
 import (
 	"slices"
 	"time"
+
+	"github.com/cespare/xxhash/v2"
 )
 
 // Repeat says whether a request may run more than once.
@@ -62,3 +64,28 @@
 func (r *Route) Allows(region string) bool {
 	return len(r.Regions) == 0 || slices.Contains(r.Regions, region)
 }
+
+// Pick returns the service of the backend that serves a request. It depends on
+// the request's id only, so every host and every attempt picks the same one,
+// and over many requests each backend gets the part that its weight gives it.
+// Without any weight the first backend serves all.
+func (r *Route) Pick(requestID string) string {
+	if len(r.Backends) == 1 {
+		return r.Backends[0].Service
+	}
+	total := 0
+	for _, b := range r.Backends {
+		total += b.Weight
+	}
+	if total <= 0 {
+		return r.Backends[0].Service
+	}
+	point := int(xxhash.Sum64String(requestID) % uint64(total))
+	for _, b := range r.Backends {
+		if point < b.Weight {
+			return b.Service
+		}
+		point -= b.Weight
+	}
+	return r.Backends[0].Service
+}
--- a/internal/gateway/route/table.go
+++ b/internal/gateway/route/table.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 	"strings"
 	"time"
@@ -53,7 +54,9 @@
 		t.byHost[r.Host] = append(t.byHost[r.Host], r)
 	}
 	for _, list := range t.byHost {
-		slices.SortFunc(list, longestFirst)
+		slices.SortFunc(list, func(a, b *Route) int {
+			return cmp.Or(cmp.Compare(len(b.Prefix), len(a.Prefix)), cmp.Compare(a.Prefix, b.Prefix))
+		})
 	}
 	for _, s := range services {
 		t.services[s.Name] = s
@@ -61,10 +64,6 @@
 	return t
 }
 
-func longestFirst(a, b *Route) int {
-	return cmp.Or(cmp.Compare(len(b.Prefix), len(a.Prefix)), cmp.Compare(a.Prefix, b.Prefix))
-}
-
 // mixedServices returns the services that are the main backend, the one with
 // the highest weight, of routes with large responses and of routes with small
 // ones.
@@ -78,11 +77,8 @@
 			small[main.Service] = true
 		}
 	}
-	mixed := map[string]bool{}
-	for service := range large {
-		mixed[service] = small[service]
-	}
-	return mixed
+	maps.DeleteFunc(large, func(service string, _ bool) bool { return !small[service] })
+	return large
 }
 
 // Match returns the route with the longest prefix for a host name and path.
--- a/internal/gateway/upstream/registry.go
+++ b/internal/gateway/upstream/registry.go
@@ -91,7 +91,9 @@
 		r.remove(u, now)
 		return false
 	}
-	r.upstreams[id] = u.withExpiry(storeReturned.Add(LapseGrace))
+	lapsed := *u
+	lapsed.expiresAt = storeReturned.Add(LapseGrace)
+	r.upstreams[id] = &lapsed
 	return true
 }
 
@@ -104,11 +106,7 @@
 
 func (r *Registry) remove(u *Upstream, now time.Time) {
 	delete(r.upstreams, u.ID)
-	for id, past := range r.removed {
-		if now.Sub(past.at) >= rememberFor {
-			delete(r.removed, id)
-		}
-	}
+	maps.DeleteFunc(r.removed, func(_ string, past tombstone) bool { return now.Sub(past.at) >= rememberFor })
 	r.removed[u.ID] = tombstone{at: now, coldUntil: u.ColdUntil}
 }
 
@@ -130,11 +128,17 @@
 func (r *Registry) Evacuate(zones map[string]bool, now time.Time) {
 	for id, u := range r.upstreams {
 		if r.evacuated[u.Zone] && !zones[u.Zone] {
-			r.upstreams[id] = u.withColdUntil(now.Add(r.warmUp(u.Service)))
+			cold := *u
+			cold.ColdUntil = later(u.ColdUntil, now.Add(r.warmUp(u.Service)))
+			r.upstreams[id] = &cold
 		}
 	}
 	r.evacuated = maps.Clone(zones)
 }
 
-// Set returns the upstreams as they are known now.
-func (r *Registry) Set() *Set { return newSet(r.upstreams, r.evacuated) }
+func later(a, b time.Time) time.Time {
+	if b.After(a) {
+		return b
+	}
+	return a
+}
--- a/internal/gateway/upstream/set.go
+++ b/internal/gateway/upstream/set.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 )
 
@@ -12,19 +13,14 @@
 	byService map[string][]*Upstream
 }
 
-// newSet makes a set of the upstreams known; those that are draining or in an
+// Set returns the upstreams known now; those that are draining or in an
 // evacuated zone receive no new work.
-func newSet(upstreams map[string]*Upstream, evacuated map[string]bool) *Set {
-	s := &Set{
-		byID:      make(map[string]*Upstream, len(upstreams)),
-		byService: map[string][]*Upstream{},
-	}
-	for id, u := range upstreams {
-		s.byID[id] = u
-		if u.Draining || evacuated[u.Zone] {
-			continue
+func (r *Registry) Set() *Set {
+	s := &Set{byID: maps.Clone(r.upstreams), byService: map[string][]*Upstream{}}
+	for _, u := range r.upstreams {
+		if !u.Draining && !r.evacuated[u.Zone] {
+			s.byService[u.Service] = append(s.byService[u.Service], u)
 		}
-		s.byService[u.Service] = append(s.byService[u.Service], u)
 	}
 	for _, list := range s.byService {
 		slices.SortFunc(list, func(a, b *Upstream) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/gateway/upstream/upstream.go
+++ b/internal/gateway/upstream/upstream.go
@@ -40,24 +40,3 @@
 
 // Cold reports whether the upstream is warming up: it bears few requests.
 func (u *Upstream) Cold(now time.Time) bool { return now.Before(u.ColdUntil) }
-
-// withColdUntil returns the upstream as cold until a time at least.
-func (u *Upstream) withColdUntil(t time.Time) *Upstream {
-	out := *u
-	out.ColdUntil = later(u.ColdUntil, t)
-	return &out
-}
-
-// withExpiry returns the upstream as one that is gone from a time on.
-func (u *Upstream) withExpiry(t time.Time) *Upstream {
-	out := *u
-	out.expiresAt = t
-	return &out
-}
-
-func later(a, b time.Time) time.Time {
-	if b.After(a) {
-		return b
-	}
-	return a
-}
