--- a/internal/gateway/balance/admission.go
+++ b/internal/gateway/balance/admission.go
@@ -1,6 +1,9 @@
 package balance
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
 const (
 	// rejectAbove is the load, in an upstream's capacities, from which it
@@ -11,14 +14,19 @@
 	// rejectStep; 0.753, 0.548, 0.577 at 3; 0.725, 0.529, 0.575 at 4
 	// (docs/design/platform.md).
 	rejectAbove = 1.85
-	// rejectStep is how much lower, in capacities, the limit is for each rank
-	// of priority, so that the more urgent requests find room. With it,
-	// cacf-ruteo trouble-1 rejected 784 of 18,422 lookups (rank 2) and 175 of
-	// 8,173 bookings (rank 1).
+	// rejectStep is how much lower, in capacities, the limit is for each next
+	// priority, so that the more urgent requests find room. With it,
+	// cacf-ruteo trouble-1 rejected 784 of 18,422 lookups (priority 2) and 175
+	// of 8,173 bookings (priority 1).
 	rejectStep = 0.25
-	// lowestPriority is the rank from which on all requests have the same
+	// lowestPriority is the one from which on all requests have the same
 	// limit, 1.1 capacities. Chosen, not measured.
 	lowestPriority = 3
+	// warmUpWindow is the time over which requests to a cold upstream are
+	// counted against the host's quota. The platform's bound counts what
+	// arrives in any one second; the rest allows for different transit times
+	// (chosen, not measured).
+	warmUpWindow = 1150 * time.Millisecond
 )
 
 // rejectThreshold returns the load, in capacities, from which an upstream
@@ -39,10 +47,6 @@
 	quotas     WarmUpQuotas
 }
 
-func newAdmission(q Query, quotas WarmUpQuotas) admission {
-	return admission{now: q.Now, rejectAbove: rejectThreshold(q.Priority), warmUpRate: q.WarmUpRate, quotas: quotas}
-}
-
 // check returns Chosen when an upstream takes the request: its load is below
 // the limit, in capacities, and it is warm or this host's quota for it is not
 // used up. Otherwise it returns why not.
@@ -53,8 +57,15 @@
 	if !u.upstream.Cold(a.now) {
 		return Chosen
 	}
-	if u.state.warmUp.count(a.now) >= a.quotas.WarmUpQuota(u.upstream.ID, u.upstream.Region, a.warmUpRate) {
+	if u.state.countSentCold(a.now) >= a.quotas.WarmUpQuota(u.upstream.ID, u.upstream.Region, a.warmUpRate) {
 		return WarmUpLimited
 	}
 	return Chosen
 }
+
+// countSentCold returns how many requests were sent to the cold upstream
+// within the last warmUpWindow.
+func (s *state) countSentCold(now time.Time) int {
+	s.sentCold = slices.DeleteFunc(s.sentCold, func(at time.Time) bool { return now.Sub(at) >= warmUpWindow })
+	return len(s.sentCold)
+}
--- a/internal/gateway/balance/balance.go
+++ b/internal/gateway/balance/balance.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 	"sync"
 	"time"
@@ -38,9 +39,11 @@
 // state is what the host knows of one upstream.
 type state struct {
 	// seed is the hash of the upstream's id.
-	seed   uint64
-	load   loadEstimate
-	warmUp warmUpCount
+	seed uint64
+	load loadEstimate
+	// sentCold are the times of the last requests sent there while it was
+	// cold.
+	sentCold []time.Time
 }
 
 // New makes a balancer for a host at a location.
@@ -59,12 +62,17 @@
 	if len(list) == 0 {
 		return Choice{}, NoUpstream
 	}
-	rank, reason := pick(list, q.NoAffinity, newAdmission(q, b.quotas))
+	pick := pickPreferred
+	if q.NoAffinity {
+		pick = pickLeastLoaded
+	}
+	a := admission{now: q.Now, rejectAbove: rejectThreshold(q.Priority), warmUpRate: q.WarmUpRate, quotas: b.quotas}
+	rank, reason := pick(list, a)
 	chosen := &list[rank]
 	if reason == Chosen {
 		chosen.state.load.outstanding++
 		if chosen.upstream.Cold(q.Now) {
-			chosen.state.warmUp.add(q.Now)
+			chosen.state.sentCold = append(chosen.state.sentCold, q.Now)
 		}
 	}
 	return Choice{
@@ -76,15 +84,6 @@
 	}, reason
 }
 
-// pick returns the rank of the upstream that a request goes to, or 0 and why
-// it is rejected.
-func pick(list []scored, noAffinity bool, a admission) (int, Reason) {
-	if noAffinity {
-		return pickLeastLoaded(list, a)
-	}
-	return pickPreferred(list[:min(len(list), preferenceListSize)], a)
-}
-
 // scored is an upstream with what decides whether one request goes there.
 type scored struct {
 	upstream *upstream.Upstream
@@ -100,7 +99,7 @@
 // yet, in the order in which they are tried.
 func (b *Balancer) ordered(q Query) []scored {
 	key := xxhash.Sum64String(q.Key)
-	order := newOrder(b.location, key, q)
+	o := order{location: b.location, noAffinity: q.NoAffinity, ownRegion: prefersOwnRegion(b.location, key, q)}
 	list := make([]scored, 0, len(q.Upstreams))
 	for _, u := range q.Upstreams {
 		if slices.Contains(q.Tried, u.ID) || !q.allows(u.Region) {
@@ -110,7 +109,7 @@
 		list = append(list, scored{
 			upstream: u,
 			state:    s,
-			cost:     order.cost(u, key^s.seed),
+			cost:     o.cost(u, key^s.seed),
 			load:     s.load.inCapacities(q.Now, u.Capacity),
 			ejected:  b.detector.Ejected(u.ID, q.Now),
 		})
@@ -149,9 +148,5 @@
 func (b *Balancer) Retain(keep func(id string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for id, s := range b.states {
-		if s.load.outstanding == 0 && !keep(id) {
-			delete(b.states, id)
-		}
-	}
+	maps.DeleteFunc(b.states, func(id string, s *state) bool { return s.load.outstanding == 0 && !keep(id) })
 }
--- a/internal/gateway/balance/doc.go
+++ b/internal/gateway/balance/doc.go
@@ -12,11 +12,11 @@
 //   - order.go: in which order upstreams are tried, and which keys a region
 //     serves itself;
 //   - ejected.go: when ejected upstreams are tried last;
-//   - admission.go: whether an upstream takes a request;
+//   - admission.go: whether an upstream takes a request, by its load and, while
+//     it is cold, by the host's warm-up quota;
 //   - preferred.go and leastloaded.go: which of the ordered upstreams is
 //     picked, with and without affinity;
-//   - load.go: the estimate of an upstream's load;
-//   - warmup.go: the count of requests sent to a cold upstream.
+//   - load.go: the estimate of an upstream's load.
 //
 // A Balancer owns what one host knows of the load of each upstream. It relies
 // on package upstream for which upstreams run and are cold, on package outlier
--- a/internal/gateway/balance/order.go
+++ b/internal/gateway/balance/order.go
@@ -18,7 +18,7 @@
 	zoneStep = affinitySpread / 2
 	// crossRegionCost is the cost of a region other than the one that serves
 	// the key, for a request with affinity. Chosen together with the rule of
-	// ownRegionPart (quiet-1 of cacf-ruteo-grown: 0.364 before, 0.694 after);
+	// ownKeysPart (quiet-1 of cacf-ruteo-grown: 0.364 before, 0.694 after);
 	// not measured alone.
 	crossRegionCost = 3.0
 	// regionSalt makes the choice of a key's region independent of the order
@@ -36,10 +36,6 @@
 	ownRegion bool
 }
 
-func newOrder(l Location, key uint64, q Query) order {
-	return order{location: l, noAffinity: q.NoAffinity, ownRegion: prefersOwnRegion(l, key, q)}
-}
-
 // cost returns an upstream's cost for a request; hash is that of the
 // request's key and the upstream's id.
 //
@@ -50,9 +46,11 @@
 // in random order.
 func (o order) cost(u *upstream.Upstream, hash uint64) float64 {
 	own := u.Region == o.location.Region
+	// away means that the key is not served in the upstream's region first.
+	away := own != o.ownRegion
 	if !o.noAffinity {
 		cost := unit(mix(hash)) * affinitySpread
-		if own != o.ownRegion {
+		if away {
 			cost += crossRegionCost
 		}
 		return cost
@@ -61,7 +59,7 @@
 	if own && u.Zone != o.location.Zone {
 		cost += zoneStep
 	}
-	if own != o.ownRegion {
+	if away {
 		cost += affinitySpread
 	}
 	return cost
@@ -80,21 +78,21 @@
 			own += u.Capacity
 		}
 	}
-	part := ownRegionPart(own, all, l.Regions)
+	part := ownKeysPart(own, all, l.Regions)
 	if q.Mixed {
 		part = bulkFirst(part, q.Bulk)
 	}
 	return unit(mix(key+regionSalt)) < part
 }
 
-// ownRegionPart returns the part of its keys that a region serves itself, for
+// ownKeysPart returns the part of its keys that a region serves itself, for
 // the capacity that the region has of the service and the capacity of all
 // regions, in requests. It is 1 or more when the capacity is the region's
 // even share; a region with less leaves the rest of its keys to the others.
 // It assumes that all regions ask for the same. A constant cost of distance
 // in its place overloaded a region with 16 of 204 upstreams (quiet-1 of
 // cacf-ruteo-grown: worth 0.364, with this rule 0.694).
-func ownRegionPart(own, all, regions int) float64 {
+func ownKeysPart(own, all, regions int) float64 {
 	return float64(own) * float64(regions) / float64(max(1, all))
 }
 
--- a/internal/gateway/balance/preferred.go
+++ b/internal/gateway/balance/preferred.go
@@ -25,7 +25,7 @@
 // load is spillAbove or more and a later one's is below spillBelow.
 func pickPreferred(list []scored, a admission) (int, Reason) {
 	first, reason := -1, Overloaded
-	for i := range list {
+	for i := range list[:min(len(list), preferenceListSize)] {
 		limit := a.rejectAbove
 		if first >= 0 {
 			limit = min(limit, spillBelow)
--- a/internal/gateway/balance/query.go
+++ b/internal/gateway/balance/query.go
@@ -31,7 +31,7 @@
 	Bulk bool
 	// Mixed means that the service has both large and small responses.
 	Mixed bool
-	// Priority is the request's rank under overload; 0 is the most urgent.
+	// Priority orders requests under overload; 0 is the most urgent.
 	Priority int
 	// Tried are the ids of the upstreams that earlier attempts were sent to.
 	Tried []string
--- a/internal/gateway/balance/rules_test.go
+++ b/internal/gateway/balance/rules_test.go
@@ -26,7 +26,7 @@
 		{"three quarters of it: half of the small ones too", 6, 24, 3, 0.75, 1, 0.5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			part := ownRegionPart(c.own, c.all, c.regions)
+			part := ownKeysPart(c.own, c.all, c.regions)
 			require.InDelta(t, c.part, part, 1e-9)
 			require.InDelta(t, c.bulk, bulkFirst(part, true), 1e-9)
 			require.InDelta(t, c.small, bulkFirst(part, false), 1e-9)
--- a/internal/gateway/route/route.go
+++ b/internal/gateway/route/route.go
@@ -50,7 +50,7 @@
 	Timeout time.Duration
 	// Attempts bounds the upstreams that one request is sent to.
 	Attempts int
-	// Priority is the rank under overload; 0 is the most urgent.
+	// Priority orders requests under overload; 0 is the most urgent.
 	Priority int
 	// Bulk means that responses are large.
 	Bulk bool
