--- a/internal/gateway/fleet/directory.go
+++ b/internal/gateway/fleet/directory.go
@@ -15,28 +15,28 @@
 // therefore leaves its zone only when no host there can serve it. self is this
 // host's own status. The result is empty when no host is ready.
 func (m *members) clientAddresses(zone, region string, self Status, allowed []string, now time.Time) []string {
-	x := m.indexed()
-	if found := m.acceptingClients(x.byZone[zone], m.self.Zone == zone, self, now); len(found) > 0 {
+	x, selfAccepts := m.indexed(), self.acceptsClients()
+	if found := m.acceptingClients(x.byZone[zone], selfAccepts && m.self.Zone == zone, now); len(found) > 0 {
 		return found
 	}
-	if found := m.acceptingClients(x.byRegion[region], m.self.Region == region, self, now); len(found) > 0 {
+	if found := m.acceptingClients(x.byRegion[region], selfAccepts && m.self.Region == region, now); len(found) > 0 {
 		return found
 	}
 	var found []string
 	for _, r := range allowed {
-		found = append(found, m.acceptingClients(x.byRegion[r], m.self.Region == r, self, now)...)
+		found = append(found, m.acceptingClients(x.byRegion[r], selfAccepts && m.self.Region == r, now)...)
 	}
 	if len(found) > 0 {
 		return found
 	}
-	return m.acceptingClients(x.names, true, self, now)
+	return m.acceptingClients(x.names, selfAccepts, now)
 }
 
 // acceptingClients returns the client addresses of those of the named peers
 // that are alive and accept clients, preceded by this host's own if withSelf.
-func (m *members) acceptingClients(names []string, withSelf bool, self Status, now time.Time) []string {
+func (m *members) acceptingClients(names []string, withSelf bool, now time.Time) []string {
 	var addresses []string
-	if withSelf && self.acceptsClients() {
+	if withSelf {
 		addresses = append(addresses, m.self.ClientAddress)
 	}
 	for _, name := range names {
@@ -51,7 +51,7 @@
 // should use, as HOST:PORT. allowed are the regions that the client's name may
 // be served from.
 func (f *Fleet) ClientAddresses(zone, region string, allowed []string) []string {
-	status := f.status()
+	status := f.options.Status()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.members.clientAddresses(zone, region, status, allowed, time.Now())
--- a/internal/gateway/fleet/discovery.go
+++ b/internal/gateway/fleet/discovery.go
@@ -82,16 +82,16 @@
 }
 
 func (f *Fleet) announce(ctx context.Context) ([]Host, error) {
-	if err := f.registry.Announce(ctx, f.members.self); err != nil {
+	if err := f.options.Registry.Announce(ctx, f.members.self); err != nil {
 		return nil, err
 	}
-	return f.registry.Hosts(ctx)
+	return f.options.Registry.Hosts(ctx)
 }
 
 // querySeeds sends heartbeats to the seeds, whose identities their answers
 // give.
 func (f *Fleet) querySeeds(ctx context.Context) {
-	for _, address := range f.seeds {
+	for _, address := range f.options.Seeds {
 		if address != f.members.self.PeerAddress {
 			go f.exchangeHeartbeat(ctx, Host{PeerAddress: address})
 		}
--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -60,14 +60,8 @@
 // Fleet exchanges heartbeats with the other hosts and answers their requests.
 // Its methods may be used concurrently.
 type Fleet struct {
-	registry     Registry
-	report       Reporter
-	observations ObservationSink
-	status       func() Status
-	mesh         *peer.Mesh
-	seeds        []string
-	tables       []Table
-	maxAge       time.Duration
+	options Options
+	mesh    *peer.Mesh
 
 	// mu guards what follows.
 	mu      sync.Mutex
@@ -84,9 +78,8 @@
 // New returns a fleet that does not run yet.
 func New(o Options) *Fleet {
 	f := &Fleet{
-		registry: o.Registry, report: o.Report, observations: o.Observations, status: o.Status, seeds: o.Seeds,
-		members: newMembers(o.Self), nextHeartbeat: map[string]time.Time{}, discovery: newDiscovery(o.Self.Region),
-		tables: o.Tables, maxAge: o.MaxAge, newest: make([]versionSeen, len(o.Tables)),
+		options: o, members: newMembers(o.Self), nextHeartbeat: map[string]time.Time{},
+		discovery: newDiscovery(o.Self.Region), newest: make([]versionSeen, len(o.Tables)),
 	}
 	hello := peer.Hello{Host: o.Self.Name, Zone: o.Self.Zone, Incarnation: o.Self.Incarnation}
 	f.mesh = peer.NewMesh(hello, o.Transport, f)
@@ -112,7 +105,7 @@
 	// The error is dropped: the host is stopping and does not retry. An entry
 	// that stays costs a starting host a few failed heartbeats, until it
 	// forgets the host after forgetAfter.
-	_ = f.registry.Withdraw(ctx, f.members.self)
+	_ = f.options.Registry.Withdraw(ctx, f.members.self)
 }
 
 // Hosts is the number of known hosts, dead ones and this host included.
--- a/internal/gateway/fleet/heartbeat.go
+++ b/internal/gateway/fleet/heartbeat.go
@@ -42,10 +42,10 @@
 // reportDead forgets expired peers and logs those that died since a moment.
 func (f *Fleet) reportDead(since, now time.Time) {
 	f.mu.Lock()
-	dead := f.members.takeExpired(since, now)
+	dead := f.members.expire(since, now)
 	f.mu.Unlock()
 	for _, h := range dead {
-		f.report.Lost("peer", h.Name, context.DeadlineExceeded)
+		f.options.Report.Lost("peer", h.Name, context.DeadlineExceeded)
 	}
 }
 
@@ -57,11 +57,7 @@
 	f.mu.Unlock()
 	var wait sync.WaitGroup
 	for _, p := range peers {
-		wait.Add(1)
-		go func() {
-			defer wait.Done()
-			f.exchangeHeartbeat(ctx, p.host)
-		}()
+		wait.Go(func() { f.exchangeHeartbeat(ctx, p.host) })
 	}
 	wait.Wait()
 }
@@ -75,7 +71,7 @@
 	f.mu.Lock()
 	query := f.discovery.next(to.Region, time.Now())
 	f.mu.Unlock()
-	request := heartbeat{Host: f.members.self, Status: f.status(), Query: query}
+	request := heartbeat{Host: f.members.self, Status: f.options.Status(), Query: query}
 	response, err := peer.Call[heartbeat](ctx, f.mesh, to.PeerAddress, peer.KindHeartbeat, request)
 	if err != nil {
 		// A new connection is made for the next heartbeat, so that it does
@@ -103,10 +99,10 @@
 	}
 	f.mu.Unlock()
 	if regained {
-		f.report.Regained("peer", b.Host.Name, 0)
+		f.options.Report.Regained("peer", b.Host.Name, 0)
 	}
-	if f.observations != nil && b.Host.Region == f.members.self.Region {
-		f.observations.Merge(b.Host.Name, b.Status.Observations, now)
+	if f.options.Observations != nil && b.Host.Region == f.members.self.Region {
+		f.options.Observations.Merge(b.Host.Name, b.Status.Observations, now)
 	}
 }
 
@@ -122,5 +118,5 @@
 	}
 	f.recordHeartbeat(b)
 	f.postpone(b.Host.Name)
-	respond(w, heartbeat{Host: f.members.self, Status: f.status(), Hosts: f.hosts(b.Query)})
+	respond(w, heartbeat{Host: f.members.self, Status: f.options.Status(), Hosts: f.hosts(b.Query)})
 }
--- a/internal/gateway/fleet/members.go
+++ b/internal/gateway/fleet/members.go
@@ -53,9 +53,9 @@
 	return p.getsHeartbeats && (old == nil || old.returned(h.Incarnation, now))
 }
 
-// takeExpired forgets the peers that have expired. It returns those that get
+// expire forgets the peers that have expired. It returns those that get
 // heartbeats and have died since the last call, at the time since.
-func (m *members) takeExpired(since, now time.Time) []Host {
+func (m *members) expire(since, now time.Time) []Host {
 	var dead []Host
 	for name, p := range m.peers {
 		if p.getsHeartbeats && p.alive(since) && !p.alive(now) {
--- a/internal/gateway/fleet/members_test.go
+++ b/internal/gateway/fleet/members_test.go
@@ -11,11 +11,11 @@
 	now := time.Now()
 	m := nineHosts("west0", now)
 	m.heartbeatPeers(now)
-	dead := m.takeExpired(now, now.Add(deadAfter))
+	dead := m.expire(now, now.Add(deadAfter))
 	require.Len(t, dead, 2+2*remoteFanout, "those that get heartbeats")
-	require.Empty(t, m.takeExpired(now.Add(deadAfter), now.Add(deadAfter+time.Second)))
+	require.Empty(t, m.expire(now.Add(deadAfter), now.Add(deadAfter+time.Second)))
 	require.Equal(t, 9, m.size(), "limits stay split over hosts that may only be cut off")
-	m.takeExpired(now, now.Add(2*forgetAfter))
+	m.expire(now, now.Add(2*forgetAfter))
 	require.Equal(t, 1, m.size())
 }
 
@@ -25,7 +25,7 @@
 	m := nineHosts("west0", now)
 	later := now.Add(forgetAfter + time.Second)
 	m.addKnown(host("east0", "east-0", "east"), later.Add(-regionQueryEvery))
-	m.takeExpired(later, later)
+	m.expire(later, later)
 	require.Equal(t, 2, m.size())
 }
 
--- a/internal/gateway/fleet/quota.go
+++ b/internal/gateway/fleet/quota.go
@@ -24,22 +24,17 @@
 // known hosts, dead ones included, so that the shares add up to at most total
 // whomever each host sees alive.
 func (m *members) warmUpQuota(upstream, region string, total float64, now time.Time) int {
-	if m.self.Region == region {
-		return m.hostShare(upstream, int(ownRegionPart*total), func(r string) bool { return r == region })
-	}
-	if m.anyAlive(region, now) {
-		return 0
+	inRegion, part := m.self.Region == region, ownRegionPart
+	if !inRegion {
+		if m.anyAlive(region, now) {
+			return 0
+		}
+		part = otherRegionsPart
 	}
-	return m.hostShare(upstream, int(otherRegionsPart*total), func(r string) bool { return r != region })
-}
-
-// hostShare splits a number over the known hosts of some regions, of which this
-// host is one.
-func (m *members) hostShare(upstream string, number int, in func(region string) bool) int {
 	hosts, before := 1, 0
 	own := pairRank(m.self.Name, upstream)
 	for _, p := range m.peers {
-		if !in(p.host.Region) {
+		if (p.host.Region == region) != inRegion {
 			continue
 		}
 		hosts++
@@ -47,7 +42,7 @@
 			before++
 		}
 	}
-	return share(number, hosts, before)
+	return share(int(part*total), hosts, before)
 }
 
 // share is the part of a number for one of some hosts; before is how many of
--- a/internal/gateway/fleet/relay.go
+++ b/internal/gateway/fleet/relay.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"slices"
 	"time"
 
 	"github.com/rotisserie/eris"
@@ -19,8 +20,6 @@
 	// backupRelays is how many more peers are polled when the parent and the
 	// store fail. Chosen, not measured.
 	backupRelays = 2
-	// storeName is the store's name among a table's sources.
-	storeName = "store"
 )
 
 // relayRequest polls a peer's replica of a table.
@@ -58,7 +57,7 @@
 // Changes waits until the peer's replica has changes after a version or is
 // confirmed by the store.
 func (r relay) Changes(ctx context.Context, after int64, wait time.Duration) (watch.Page, error) {
-	return r.poll(ctx, relayRequest{Table: r.table, After: after, Wait: wait, MaxAge: r.fleet.maxAge})
+	return r.poll(ctx, relayRequest{Table: r.table, After: after, Wait: wait, MaxAge: r.fleet.options.MaxAge})
 }
 
 func (r relay) poll(ctx context.Context, request relayRequest) (watch.Page, error) {
@@ -76,11 +75,11 @@
 // table fails without a log line here: the peer logs that the source is lost.
 func (f *Fleet) serveRelay(ctx context.Context, payload []byte, w *peer.Responder) {
 	request, err := peer.Decode[relayRequest](payload)
-	if err != nil || request.Table < 0 || request.Table >= len(f.tables) {
+	if err != nil || request.Table < 0 || request.Table >= len(f.options.Tables) {
 		fail(w)
 		return
 	}
-	page, err := request.read(ctx, f.tables[request.Table].Replica)
+	page, err := request.read(ctx, f.options.Tables[request.Table].Replica)
 	if err != nil && !errors.Is(err, watch.ErrHistoryGone) {
 		fail(w) // the peer is gone, or the host is stopping
 		return
@@ -99,39 +98,27 @@
 // region's relay tree polls the store and falls back to peers. Any other host
 // polls its parent, falls back to the store, and then to other peers.
 func (f *Fleet) Sources(table int) []watch.NamedSource {
-	store := watch.NamedSource{Name: storeName, Source: f.tables[table].Store}
-	selfReady := f.status().Ready
+	selfReady := f.options.Status().Ready
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
 	parent, root := f.members.relayParent(selfReady, now)
-	if root {
-		return append([]watch.NamedSource{store}, f.backups(table, f.members.freshPeers(now), "")...)
+	var sources []watch.NamedSource
+	if !root {
+		sources = append(sources, f.relay(table, parent))
 	}
-	store.Fallback = true
-	sources := []watch.NamedSource{f.relay(table, parent), store}
-	return append(sources, f.backups(table, f.members.freshPeers(now), parent.Name)...)
+	sources = append(sources, watch.NamedSource{Name: "store", Source: f.options.Tables[table].Store, Fallback: !root})
+	others := slices.DeleteFunc(f.members.freshPeers(now), func(h Host) bool { return h.Name == parent.Name })
+	for _, h := range others[:min(len(others), backupRelays)] {
+		sources = append(sources, f.relay(table, h))
+	}
+	return sources
 }
 
 func (f *Fleet) relay(table int, h Host) watch.NamedSource {
 	return watch.NamedSource{Name: h.Name, Source: relay{fleet: f, address: h.PeerAddress, table: table}, Relay: true}
 }
 
-// backups returns the first backupRelays of some hosts as sources, without the
-// named one.
-func (f *Fleet) backups(table int, hosts []Host, except string) []watch.NamedSource {
-	var relays []watch.NamedSource
-	for _, h := range hosts {
-		if h.Name == except {
-			continue
-		}
-		if relays = append(relays, f.relay(table, h)); len(relays) == backupRelays {
-			break
-		}
-	}
-	return relays
-}
-
 // versionSeen is the newest version of a table that any peer has.
 type versionSeen struct {
 	version int64
@@ -149,13 +136,10 @@
 }
 
 // NewestKnown returns the newest version of a table's last change that a peer
-// has reported, and how long ago that was; zeros if none has.
+// has reported, and how long ago that was; the version is 0 if none has.
 func (f *Fleet) NewestKnown(table int) (int64, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := f.newest[table]
-	if n.version == 0 {
-		return 0, 0
-	}
 	return n.version, time.Since(n.at)
 }
--- a/internal/gateway/fleet/relaytree.go
+++ b/internal/gateway/fleet/relaytree.go
@@ -16,12 +16,12 @@
 const relayFanout = 6
 
 // relayParent returns the peer whose replicas this host polls, or this host
-// itself if it is the root, which polls the store. The live hosts of a region form a tree: in
-// the order of rank the first polls the store, the next relayFanout poll the
-// first, and so on. Thus the load of the store grows with regions and not with
-// hosts. Each host polls only hosts before it in an order that depends on
-// their names alone, so that there is no cycle however much the hosts differ
-// in whom they see alive.
+// itself if it is the root, which polls the store. The live hosts of a region
+// form a tree: in the order of rank the first polls the store, the next
+// relayFanout poll the first, and so on. Thus the load of the store grows with
+// regions and not with hosts. Each host polls only hosts before it in an order
+// that depends on their names alone, so that there is no cycle however much the
+// hosts differ in whom they see alive.
 //
 // Hosts that are leaving are passed over, and once this host is ready
 // (selfReady) so are those that are not: they may have nothing to relay. Before
