--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -45,7 +45,7 @@
 // New makes a host that writes its log to out. Run starts it.
 func New(set Settings, out io.Writer, tracer trace.Tracer) *Gateway {
 	g := &Gateway{settings: set, metrics: telemetry.NewMetrics(), tracer: tracer}
-	g.timing = watch.TimingFor(set.Limits.Staleness())
+	g.timing = watch.Timing(set.Limits.Staleness())
 	g.log = eventlog.New(out, set.Host.Name, telemetry.Level(set.Telemetry.LogLevel), g.metrics)
 	g.detector = outlier.New(g)
 	g.state = routing.New(platform.Decoder{Zones: set.Zones}, g.log, g.metrics)
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -14,7 +14,7 @@
 	s.Observations = g.detector.Observations(time.Now())
 	for _, t := range g.tables {
 		s.Changes = append(s.Changes, t.Replica.LastChange())
-		s.Fresh = s.Fresh && t.Replica.Age() < g.timing.MaxAge
+		s.Fresh = s.Fresh && t.Replica.Age() < g.timing.MaxAge()
 	}
 	return s
 }
--- a/internal/gateway/watch/harness_test.go
+++ b/internal/gateway/watch/harness_test.go
@@ -169,7 +169,7 @@
 // staleness is the bound of the tests' watchers.
 const staleness = 2 * time.Second
 
-var timing = TimingFor(staleness)
+var timing = Timing(staleness)
 
 func noneNewer() (int64, time.Duration) { return 0, 0 }
 
--- a/internal/gateway/watch/replica_test.go
+++ b/internal/gateway/watch/replica_test.go
@@ -67,7 +67,7 @@
 		time.Sleep(500 * time.Millisecond)
 		received := make(chan Page)
 		go func() {
-			p, err := r.ChangesWithin(t.Context(), 1, timing.relayLongPoll, timing.MaxAge)
+			p, err := r.ChangesWithin(t.Context(), 1, timing.part(relayLongPollPart), timing.MaxAge())
 			require.NoError(t, err)
 			received <- p
 		}()
--- a/internal/gateway/watch/staleness.go
+++ b/internal/gateway/watch/staleness.go
@@ -6,21 +6,23 @@
 	"github.com/rotisserie/eris"
 )
 
-// How old may a replica be? A host that reaches the store directly or through
-// a relay keeps its replica younger than the staleness bound S, the tightest of
-// the settings' bounds on how soon a change must be in force. All waits of a
-// watcher are parts of S. A relay may fail in three ways, each of which must be
-// found with enough of S left to poll the store instead:
+// Timing is the staleness bound S, the tightest of the settings' bounds on how
+// soon a change must be in force. A host that reaches the store, directly or
+// through a relay, keeps its replicas younger than S, as all waits of a watcher
+// are parts of it. A relay may fail in three ways, each of which must be found
+// with enough of S left to poll the store instead:
 //
 //	the relay goes silent         relayLongPollPart + relaySlackPart = 0.7 S
 //	the relay's store goes silent its age, maxAgePart                = 0.7 S
 //	the relay misses a change     a newer version in the heartbeats of other
 //	                              hosts, behindPart                  = 0.2 S
 //
-// Before all waits were parts of S, relays were trusted up to 3.5 s while 2 s
-// were allowed, which broke CONFIG 3 times on pair-down-nodes-evacuate of
-// renkoda-mix. TestNoHostThatReachesTheStoreIsStalerThanTheBound holds the sum.
-// Which part each wait has of the sum was chosen, not measured.
+// TestNoHostThatReachesTheStoreIsStalerThanTheBound holds the sum. Relays that
+// were trusted up to 3.5 s, with S at 2 s, broke CONFIG 3 times on
+// pair-down-nodes-evacuate of renkoda-mix.
+type Timing time.Duration
+
+// The parts of S: chosen, not measured, unless a figure is given.
 const (
 	// longPollPart is for the store's long poll. It is below maxAgePart, so
 	// that a table without changes is confirmed before it counts as old.
@@ -65,47 +67,24 @@
 	maxFallbackRetry = 2400 * time.Millisecond
 )
 
-// Timing has the waits of a watcher.
-type Timing struct {
-	// MaxAge is the age from which on a relay counts as failed.
-	MaxAge time.Duration
-
-	longPoll       time.Duration
-	relayLongPoll  time.Duration
-	relaySlack     time.Duration
-	behindAfter    time.Duration
-	changePause    time.Duration
-	firstListPause time.Duration
-}
+func (t Timing) part(p float64) time.Duration { return time.Duration(p * float64(t)) }
 
-// TimingFor returns the waits with which a host that can reach the store is no
-// staler than a bound.
-func TimingFor(staleness time.Duration) Timing {
-	part := func(p float64) time.Duration { return time.Duration(p * float64(staleness)) }
-	return Timing{
-		MaxAge:         part(maxAgePart),
-		longPoll:       part(longPollPart),
-		relayLongPoll:  part(relayLongPollPart),
-		relaySlack:     part(relaySlackPart),
-		behindAfter:    part(behindPart),
-		changePause:    part(changePausePart),
-		firstListPause: part(firstListPausePart),
-	}
-}
+// MaxAge is the age from which on a relay counts as failed.
+func (t Timing) MaxAge() time.Duration { return t.part(maxAgePart) }
 
 // timeouts returns how long a source may hold a poll, and how much longer its
-// response may take. backedOff is the slack that the source has now after its
-// late responses. A host that is behind does not let the source wait, as the
-// change that it misses is there already, but gives even a relay that slack:
-// the source may be slow or far away and still the only one.
-func (t Timing) timeouts(relay, behind bool, backedOff time.Duration) (longPoll, slack time.Duration) {
+// response may take; current is the source's slack after its late responses. A
+// host that is behind does not let the source wait, as the change that it
+// misses is there already, but gives even a relay that slack: the source may be
+// slow or far away and still the only one.
+func (t Timing) timeouts(relay, behind bool, current time.Duration) (longPoll, slack time.Duration) {
 	switch {
 	case behind:
-		return 0, backedOff
+		return 0, current
 	case relay:
-		return t.relayLongPoll, t.relaySlack
+		return t.part(relayLongPollPart), t.part(relaySlackPart)
 	default:
-		return t.longPoll, backedOff
+		return t.part(longPollPart), current
 	}
 }
 
@@ -114,9 +93,9 @@
 func (t Timing) pauseAfter(r pollResult) time.Duration {
 	switch r {
 	case firstList:
-		return t.firstListPause
+		return t.part(firstListPausePart)
 	case changed:
-		return t.changePause
+		return t.part(changePausePart)
 	default:
 		return 0
 	}
@@ -126,7 +105,7 @@
 // newest version that any other host has reported, since a time ago, is newer.
 // Its source is then dead, or lags.
 func (t Timing) behind(version, newest int64, since time.Duration) bool {
-	return newest > version && since > t.behindAfter
+	return newest > version && since > t.part(behindPart)
 }
 
 var errBehind = eris.New("other hosts know newer changes")
@@ -134,7 +113,7 @@
 // relayFault returns why a relay's response, to a host at a version, does not
 // count as a success; nil if it does. Its rows are used in any case.
 func (t Timing) relayFault(p Page, version int64, behind bool) error {
-	if p.Age > t.MaxAge {
+	if p.Age > t.MaxAge() {
 		return eris.Errorf("relay is %s old", p.Age.Round(time.Millisecond))
 	}
 	if p.Version < version {
--- a/internal/gateway/watch/staleness_test.go
+++ b/internal/gateway/watch/staleness_test.go
@@ -65,7 +65,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, r := behindADeadRelay(t)
 		s.put("a", "1")
-		time.Sleep(timing.behindAfter + 300*time.Millisecond)
+		time.Sleep(timing.part(behindPart) + 300*time.Millisecond)
 		require.Equal(t, "1", r.value("a"))
 	})
 }
@@ -78,7 +78,7 @@
 		s, r := behindADeadRelay(t)
 		s.put("a", "1")
 		s.set(func(f *fakeStore) { f.slow = slow })
-		time.Sleep(timing.behindAfter + 300*time.Millisecond + slow)
+		time.Sleep(timing.part(behindPart) + 300*time.Millisecond + slow)
 		require.Equal(t, "1", r.value("a"))
 	})
 }
@@ -97,7 +97,7 @@
 				time.Sleep(10 * time.Second)
 				relayStore.set(func(f *fakeStore) { f.silent = true })
 				link.set(func(f *fakeStore) { f.silent = relaySilent })
-				time.Sleep(timing.longPoll) // a poll under way may still get a response
+				time.Sleep(timing.part(longPollPart)) // a poll under way may still get a response
 				s.put("a", "1")
 				time.Sleep(staleness - 100*time.Millisecond)
 				require.Equal(t, "1", r.value("a"))
@@ -123,13 +123,13 @@
 	if err := r.link.enter(ctx); err != nil {
 		return Page{}, err
 	}
-	return r.replica.ChangesWithin(ctx, after, wait, timing.MaxAge)
+	return r.replica.ChangesWithin(ctx, after, wait, timing.MaxAge())
 }
 
 func TestTheWaitsLeaveTimeToPollTheStore(t *testing.T) {
-	require.LessOrEqual(t, timing.relayLongPoll+timing.relaySlack, timing.MaxAge, "a silent relay is found no later than an old one")
-	require.Less(t, timing.MaxAge, staleness)
-	require.Less(t, timing.longPoll, timing.relayLongPoll, "a relay is confirmed while it holds a poll")
+	require.LessOrEqual(t, timing.part(relayLongPollPart)+timing.part(relaySlackPart), timing.MaxAge(), "a silent relay is found no later than an old one")
+	require.Less(t, timing.MaxAge(), staleness)
+	require.Less(t, timing.part(longPollPart), timing.part(relayLongPollPart), "a relay is confirmed while it holds a poll")
 }
 
 func TestHowLongASourceMayTake(t *testing.T) {
@@ -138,8 +138,8 @@
 		relay, behind   bool
 		longPoll, slack time.Duration
 	}{
-		{"the store", false, false, timing.longPoll, maxSlack},
-		{"a relay", true, false, timing.relayLongPoll, timing.relaySlack},
+		{"the store", false, false, timing.part(longPollPart), maxSlack},
+		{"a relay", true, false, timing.part(relayLongPollPart), timing.part(relaySlackPart)},
 		{"the store, for a host that is behind", false, true, 0, maxSlack},
 		{"a relay, for a host that is behind", true, true, 0, maxSlack},
 	}
@@ -159,8 +159,8 @@
 		behind bool
 		fails  bool
 	}{
-		{"not while it is young and as new as this host", Page{Version: 5, Age: timing.MaxAge}, false, false},
-		{"when it is old", Page{Version: 5, Age: timing.MaxAge + 1}, false, true},
+		{"not while it is young and as new as this host", Page{Version: 5, Age: timing.MaxAge()}, false, false},
+		{"when it is old", Page{Version: 5, Age: timing.MaxAge() + 1}, false, true},
 		{"when it is older than this host", Page{Version: 4}, false, true},
 		{"when other hosts have a change that it lacks", Page{Version: 5}, true, true},
 	}
--- a/internal/gateway/watch/watcher.go
+++ b/internal/gateway/watch/watcher.go
@@ -114,8 +114,7 @@
 		return firstList, w.list(ctx, n)
 	}
 	if !behind {
-		stop := w.cancelWhenBehind(ctx, cancel)
-		defer stop()
+		go w.cancelWhenBehind(ctx, cancel)
 	}
 	page, err := n.Source.Changes(ctx, w.replica.Version(), longPoll)
 	if w.mustList(err) {
@@ -131,7 +130,7 @@
 // mustList reports whether an error calls for listing the table. A source that
 // still has no history just after it was listed lags, and fails.
 func (w *Watcher) mustList(err error) bool {
-	return errors.Is(err, ErrHistoryGone) && time.Since(w.listedAt) >= w.timing.longPoll
+	return errors.Is(err, ErrHistoryGone) && time.Since(w.listedAt) >= w.timing.part(longPollPart)
 }
 
 // apply applies changes to the replica and the sink.
@@ -175,28 +174,22 @@
 }
 
 // cancelWhenBehind cancels a poll once the host has fallen behind, as the
-// source then waits for a change that others have already. The caller must
-// call stop when the poll has ended.
-func (w *Watcher) cancelWhenBehind(ctx context.Context, cancel context.CancelFunc) (stop func()) {
-	done := make(chan struct{})
-	go func() {
-		ticker := time.NewTicker(behindCheckEvery)
-		defer ticker.Stop()
-		for {
-			select {
-			case <-done:
-				return
-			case <-ctx.Done():
-				return
-			case <-ticker.C:
-			}
-			if w.behind() {
-				cancel()
-				return
-			}
+// source then waits for a change that others have already. It returns when the
+// poll's context ends.
+func (w *Watcher) cancelWhenBehind(ctx context.Context, cancel context.CancelFunc) {
+	ticker := time.NewTicker(behindCheckEvery)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		if w.behind() {
+			cancel()
+			return
 		}
-	}()
-	return func() { close(done) }
+	}
 }
 
 func (w *Watcher) state(n NamedSource) *sourceState {
--- a/internal/gateway/wiring.go
+++ b/internal/gateway/wiring.go
@@ -47,7 +47,7 @@
 	return fleet.New(fleet.Options{
 		Self: g.self(), Registry: platform.Registry{Store: store, Log: g.log}, Report: g.log, Observations: g.detector,
 		Status: g.status, Seeds: g.settings.peerSeeds(), Transport: fleet.TCP{Dialer: dialer(storeDialTimeout)},
-		Tables: g.tables[:], MaxAge: g.timing.MaxAge,
+		Tables: g.tables[:], MaxAge: g.timing.MaxAge(),
 	})
 }
 
