--- a/internal/gateway/balance/order.go
+++ b/internal/gateway/balance/order.go
@@ -13,8 +13,8 @@
 	affinitySpread = 10.0
 	// zoneStep is the cost of another zone of the own region for a request
 	// without affinity. At half the spread, every upstream of the own zone
-	// comes before every other one: the region as a whole first gained 0.02
-	// less worth on sites without keys (bytes between zones).
+	// comes before every other one. Trying the region as a whole first gained
+	// 0.02 less worth on sites without keys (bytes between zones).
 	zoneStep = affinitySpread / 2
 	// crossRegionCost is the cost of a region other than the one that serves
 	// the key, for a request with affinity. Chosen together with the rule of
--- a/internal/gateway/outlier/detector.go
+++ b/internal/gateway/outlier/detector.go
@@ -1,6 +1,7 @@
 package outlier
 
 import (
+	"maps"
 	"sync"
 	"time"
 )
@@ -45,11 +46,7 @@
 func (d *Detector) OverdueAfter(service string, load float64) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	b := d.baselines[service]
-	if b == nil {
-		return 0
-	}
-	return overdueAfter(b.median, load)
+	return overdueAfter(d.baseline(service).median, load)
 }
 
 // RecordSuccess records a response that came in time.
@@ -142,11 +139,7 @@
 func (d *Detector) Retain(keep func(id string) bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for id := range d.upstreams {
-		if !keep(id) {
-			delete(d.upstreams, id)
-		}
-	}
+	maps.DeleteFunc(d.upstreams, func(id string, _ *record) bool { return !keep(id) })
 }
 
 func (d *Detector) record(upstream string) *record {
--- a/internal/gateway/outlier/doc.go
+++ b/internal/gateway/outlier/doc.go
@@ -9,8 +9,8 @@
 //     one upstream to judge it alone. It weighs failures and overdue responses
 //     against successes, so it also finds upstreams that fail only in part,
 //     hang or are slow. It is fed by RecordSuccess, RecordFailure and, with the
-//     observations in other hosts' heartbeats, by Merge; its ejections are
-//     reported to the log.
+//     observations in other hosts' heartbeats, by Merge. Its ejections end by
+//     time alone, whatever succeeds until then, and are reported to the log.
 //   - This host's consecutive failures (consecutive.go) need no window and no
 //     other host: an upstream that refuses connections is avoided from the
 //     first failure on, long before there is evidence enough, and for half a
--- a/internal/gateway/watch/sources.go
+++ b/internal/gateway/watch/sources.go
@@ -20,12 +20,12 @@
 	Fallback bool
 }
 
-// maxRetry is the longest pause after a failure.
-func (n NamedSource) maxRetry() time.Duration {
+// backoffLimit is the longest pause after a failure.
+func (n NamedSource) backoffLimit() time.Duration {
 	if n.Fallback {
-		return maxFallbackRetry
+		return maxFallbackBackoff
 	}
-	return maxRetry
+	return maxBackoff
 }
 
 // SourceOrder returns the sources to poll, the best first.
@@ -37,8 +37,8 @@
 
 // sourceState is a source's recent history.
 type sourceState struct {
-	// retry is the upper bound of the next pause after a failure.
-	retry time.Duration
+	// backoff is the upper bound of the next pause after a failure.
+	backoff time.Duration
 	// slack is how much longer than its long poll a response may take.
 	slack time.Duration
 	// retryAt is when the source may be polled again.
@@ -49,27 +49,27 @@
 }
 
 func newSourceState() *sourceState {
-	return &sourceState{retry: firstRetry, slack: firstSlack}
+	return &sourceState{backoff: firstBackoff, slack: firstSlack}
 }
 
 // recordSuccess resets the waits. It returns when the failures began that have
 // now ended; zero if there were none.
 func (s *sourceState) recordSuccess() (failedSince time.Time) {
 	failedSince = s.failedSince
-	s.retry, s.slack, s.failedSince = firstRetry, firstSlack, time.Time{}
+	s.backoff, s.slack, s.failedSince = firstBackoff, firstSlack, time.Time{}
 	return failedSince
 }
 
-// recordFailure sets the pause before the next poll: half of retry and up to as
-// much again at random, so that hosts do not poll in step. retry doubles up to
-// maxRetry, and after a timeout slack doubles too. It reports whether the
+// recordFailure sets the pause before the next poll: half of backoff and up to
+// as much again at random, so that hosts do not poll in step. backoff doubles up
+// to a limit, and after a timeout slack doubles too. It reports whether the
 // source worked before.
-func (s *sourceState) recordFailure(err error, maxRetry time.Duration, now time.Time) (lost bool) {
+func (s *sourceState) recordFailure(err error, limit time.Duration, now time.Time) (lost bool) {
 	if errors.Is(err, context.DeadlineExceeded) {
 		s.slack = min(2*s.slack, maxSlack)
 	}
-	s.retryAt = now.Add(s.retry/2 + rand.N(s.retry/2+1))
-	s.retry = min(2*s.retry, maxRetry)
+	s.retryAt = now.Add(s.backoff/2 + rand.N(s.backoff/2+1))
+	s.backoff = min(2*s.backoff, limit)
 	if !s.failedSince.IsZero() {
 		return false
 	}
--- a/internal/gateway/watch/staleness.go
+++ b/internal/gateway/watch/staleness.go
@@ -44,7 +44,7 @@
 	changePausePart = 0.06
 	// firstListPausePart is for the pause after the first listing of the
 	// store, in which a starting host learns which host polls it. Together with
-	// maxFallbackRetry: 817 to 806 calls on quiet-1 and 3,060 to 2,750 on
+	// maxFallbackBackoff: 817 to 806 calls on quiet-1 and 3,060 to 2,750 on
 	// trouble-3 of cacf-ruteo-grown.
 	firstListPausePart = 0.2
 )
@@ -56,15 +56,15 @@
 	// maxSlack is what that doubles up to while responses are late, for a
 	// store that is slow. Chosen, not measured.
 	maxSlack = 2 * time.Second
-	// firstRetry is the pause after a source's first failure. Chosen, not
+	// firstBackoff is the pause after a source's first failure. Chosen, not
 	// measured.
-	firstRetry = 100 * time.Millisecond
-	// maxRetry is what that doubles up to. Chosen, not measured.
-	maxRetry = 800 * time.Millisecond
-	// maxFallbackRetry is what it doubles up to for a fallback. It is below the
+	firstBackoff = 100 * time.Millisecond
+	// maxBackoff is what that doubles up to. Chosen, not measured.
+	maxBackoff = 800 * time.Millisecond
+	// maxFallbackBackoff is what it doubles up to for a fallback. It is below the
 	// 3 s after the store's return from which on the platform holds a host to
 	// its bounds again.
-	maxFallbackRetry = 2400 * time.Millisecond
+	maxFallbackBackoff = 2400 * time.Millisecond
 )
 
 func (t Timing) part(p float64) time.Duration { return time.Duration(p * float64(t)) }
--- a/internal/gateway/watch/watcher.go
+++ b/internal/gateway/watch/watcher.go
@@ -207,7 +207,7 @@
 	now := time.Now()
 	s := w.state(n)
 	if err != nil {
-		if s.recordFailure(err, n.maxRetry(), now) {
+		if s.recordFailure(err, n.backoffLimit(), now) {
 			w.sink.Lost(n.Name, err)
 		}
 		return
--- a/internal/gateway/watch/watcher_test.go
+++ b/internal/gateway/watch/watcher_test.go
@@ -40,7 +40,7 @@
 		require.Less(t, s.requests(), 25)
 		require.Equal(t, []string{"store"}, r.lostNames(), "reported once")
 		s.put("a", "1")
-		time.Sleep(maxRetry)
+		time.Sleep(maxBackoff)
 		require.Equal(t, "1", r.value("a"))
 		require.Equal(t, []string{"store"}, r.regainedNames())
 	})
@@ -55,7 +55,7 @@
 		time.Sleep(timing.part(longPollPart) + time.Millisecond) // the next poll gets no response
 		s.set(func(s *fakeStore) { s.silent = false })
 		s.put("a", "1")
-		time.Sleep(timing.part(longPollPart) + firstSlack + firstRetry)
+		time.Sleep(timing.part(longPollPart) + firstSlack + firstBackoff)
 		require.Equal(t, "1", r.value("a"))
 	})
 }
@@ -128,7 +128,7 @@
 		require.LessOrEqual(t, s.requests(), 16)
 		s.set(func(s *fakeStore) { s.down = nil })
 		s.put("a", "1")
-		time.Sleep(maxFallbackRetry)
+		time.Sleep(maxFallbackBackoff)
 		require.Equal(t, "1", r.value("a"))
 	})
 }
