--- a/internal/gateway/fleet/discovery.go
+++ b/internal/gateway/fleet/discovery.go
@@ -32,7 +32,7 @@
 // discovery decides which heartbeats ask the peer about other hosts.
 type discovery struct {
 	selfRegion string
-	// complete is set once a peer has answered queryAll.
+	// complete is set once a peer has responded to queryAll.
 	complete bool
 	// askedAt is when each other region was last asked; queryAll has the key
 	// "".
@@ -45,7 +45,7 @@
 
 // next returns the query for a heartbeat to a peer of a region ("" if it is
 // only known by its address) and records that it is asked now. A host that has
-// just started asks one peer at a time for all hosts until one has answered:
+// just started asks one peer at a time for all hosts until one has responded:
 // asking all at once transfers the whole list as often as there are peers.
 // Later it asks one peer of each other region at a time.
 func (d *discovery) next(region string, now time.Time) hostQuery {
@@ -82,17 +82,17 @@
 }
 
 func (f *Fleet) announce(ctx context.Context) ([]Host, error) {
-	if err := f.options.Registry.Announce(ctx, f.members.self); err != nil {
+	if err := f.options.Registry.Announce(ctx, f.options.Self); err != nil {
 		return nil, err
 	}
 	return f.options.Registry.Hosts(ctx)
 }
 
-// querySeeds sends heartbeats to the seeds, whose identities their answers
-// give.
+// querySeeds sends heartbeats to the seeds, whose identities their
+// responses have.
 func (f *Fleet) querySeeds(ctx context.Context) {
 	for _, address := range f.options.Seeds {
-		if address != f.members.self.PeerAddress {
+		if address != f.options.Self.PeerAddress {
 			go f.exchangeHeartbeat(ctx, Host{PeerAddress: address})
 		}
 	}
@@ -107,7 +107,7 @@
 	}
 }
 
-// hosts answers a query.
+// hosts returns the hosts that a query asks for.
 func (f *Fleet) hosts(q hostQuery) []Host {
 	if q == queryNone {
 		return nil
--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -57,7 +57,7 @@
 	MaxAge time.Duration
 }
 
-// Fleet exchanges heartbeats with the other hosts and answers their requests.
+// Fleet exchanges heartbeats with the other hosts and serves their requests.
 // Its methods may be used concurrently.
 type Fleet struct {
 	options Options
@@ -90,7 +90,7 @@
 // the context ends. Peers are served until the process ends, so that a host
 // which drains still relays and reports that it is leaving.
 func (f *Fleet) Start(ctx context.Context) error {
-	if _, err := f.mesh.Listen(f.members.self.PeerAddress); err != nil {
+	if _, err := f.mesh.Listen(f.options.Self.PeerAddress); err != nil {
 		return err
 	}
 	go f.register(ctx)
@@ -105,7 +105,7 @@
 	// The error is dropped: the host is stopping and does not retry. An entry
 	// that stays costs a starting host a few failed heartbeats, until it
 	// forgets the host after forgetAfter.
-	_ = f.options.Registry.Withdraw(ctx, f.members.self)
+	_ = f.options.Registry.Withdraw(ctx, f.options.Self)
 }
 
 // Hosts is the number of known hosts, dead ones and this host included.
@@ -136,18 +136,14 @@
 // request then, and it goes to another host or to the store.
 func respond(w *peer.Responder, response any) { _ = w.Send(response) }
 
-// TCP is the transport between hosts: plain TCP.
-type TCP struct {
-	// Dialer makes the connections. It must bound how long sent data may stay
-	// unacknowledged, so that a silent partition breaks the connection.
-	Dialer interface {
-		DialContext(ctx context.Context, network, address string) (net.Conn, error)
-	}
-}
+// TCP is the transport between hosts: plain TCP, dialed by a DialContext. That
+// must bound how long sent data may stay unacknowledged, so that a silent
+// partition breaks the connection.
+type TCP func(ctx context.Context, network, address string) (net.Conn, error)
 
 // Dial connects to a peer.
 func (t TCP) Dial(ctx context.Context, address string) (net.Conn, error) {
-	return t.Dialer.DialContext(ctx, "tcp", address)
+	return t(ctx, "tcp", address)
 }
 
 // Listen listens for peers.
--- a/internal/gateway/fleet/harness_test.go
+++ b/internal/gateway/fleet/harness_test.go
@@ -111,7 +111,7 @@
 	h.PeerAddress = freeAddress(t)
 	f := New(Options{
 		Self: h, Registry: r, Report: noReport{}, Status: func() Status { return readyStatus },
-		Seeds: seeds, Transport: TCP{Dialer: &net.Dialer{}}, Tables: tables,
+		Seeds: seeds, Transport: TCP((&net.Dialer{}).DialContext), Tables: tables,
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	require.NoError(t, f.Start(ctx))
--- a/internal/gateway/fleet/heartbeat.go
+++ b/internal/gateway/fleet/heartbeat.go
@@ -71,7 +71,7 @@
 	f.mu.Lock()
 	query := f.discovery.next(to.Region, time.Now())
 	f.mu.Unlock()
-	request := heartbeat{Host: f.members.self, Status: f.options.Status(), Query: query}
+	request := heartbeat{Host: f.options.Self, Status: f.options.Status(), Query: query}
 	response, err := peer.Call[heartbeat](ctx, f.mesh, to.PeerAddress, peer.KindHeartbeat, request)
 	if err != nil {
 		// A new connection is made for the next heartbeat, so that it does
@@ -101,7 +101,7 @@
 	if regained {
 		f.options.Report.Regained("peer", b.Host.Name, 0)
 	}
-	if f.options.Observations != nil && b.Host.Region == f.members.self.Region {
+	if f.options.Observations != nil && b.Host.Region == f.options.Self.Region {
 		f.options.Observations.Merge(b.Host.Name, b.Status.Observations, now)
 	}
 }
@@ -118,5 +118,5 @@
 	}
 	f.recordHeartbeat(b)
 	f.postpone(b.Host.Name)
-	respond(w, heartbeat{Host: f.members.self, Status: f.options.Status(), Hosts: f.hosts(b.Query)})
+	respond(w, heartbeat{Host: f.options.Self, Status: f.options.Status(), Hosts: f.hosts(b.Query)})
 }
--- a/internal/gateway/fleet/host.go
+++ b/internal/gateway/fleet/host.go
@@ -43,7 +43,7 @@
 const (
 	// deadAfter is the time since a peer's last heartbeat from which on it
 	// counts as dead. Chosen, not measured. It must exceed heartbeatEvery +
-	// schedulerTick + heartbeatTimeout, so that a peer that only answers
+	// schedulerTick + heartbeatTimeout, so that a peer that only responds to
 	// heartbeats is not taken for dead.
 	deadAfter = 2500 * time.Millisecond
 	// forgetAfter is the time without a heartbeat from a peer, and without
@@ -75,13 +75,7 @@
 }
 
 // expired reports whether the peer is to be forgotten.
-func (p *peerState) expired(now time.Time) bool {
-	lastSeen := p.lastReported
-	if p.lastHeartbeat.After(lastSeen) {
-		lastSeen = p.lastHeartbeat
-	}
-	return now.Sub(lastSeen) > forgetAfter
-}
+func (p *peerState) expired(now time.Time) bool { return now.Sub(p.lastReported) > forgetAfter }
 
 // returned reports whether a heartbeat of an incarnation ends the peer's
 // absence: it was dead, or its process has been restarted since.
--- a/internal/gateway/route/route.go
+++ b/internal/gateway/route/route.go
@@ -1,7 +1,7 @@
 // Package route holds one version of the operator configuration: which
 // requests go to which services, and under which limits.
 //
-// A Table answers which route a request has (the longest path prefix of its
+// A Table knows which route a request has (the longest path prefix of its
 // host) and a Route which of its services serves it (by weight). Tables are
 // immutable; package routing owns the one in force, and package platform
 // decodes and checks what they are made of.
--- a/internal/gateway/upstream/registry.go
+++ b/internal/gateway/upstream/registry.go
@@ -87,7 +87,7 @@
 	if u == nil {
 		return false
 	}
-	if !mayHaveLapsed(u, storeReturned, now) {
+	if !mayHaveLapsed(u, now, storeReturned) {
 		r.remove(u, now)
 		return false
 	}
@@ -100,7 +100,7 @@
 // mayHaveLapsed decides whether an upstream whose entry is gone may still run:
 // the store came back within LapseGrace, so heartbeats may not have reached it
 // yet, and the upstream had not announced its end by draining.
-func mayHaveLapsed(u *Upstream, storeReturned, now time.Time) bool {
+func mayHaveLapsed(u *Upstream, now, storeReturned time.Time) bool {
 	return !u.Draining && !storeReturned.IsZero() && now.Before(storeReturned.Add(LapseGrace))
 }
 
--- a/internal/gateway/watch/harness_test.go
+++ b/internal/gateway/watch/harness_test.go
@@ -31,20 +31,16 @@
 	return s
 }
 
-func (s *fakeStore) put(key, value string) {
-	s.mu.Lock()
-	s.version++
-	v := s.version
-	s.mu.Unlock()
-	s.replica.apply(Page{Version: v, Rows: []Row{{Key: key, Value: []byte(value), Version: v}}}, time.Now())
-}
+func (s *fakeStore) put(key, value string) { s.change(Row{Key: key, Value: []byte(value)}) }
+
+func (s *fakeStore) remove(key string) { s.change(Row{Key: key, Deleted: true}) }
 
-func (s *fakeStore) remove(key string) {
+func (s *fakeStore) change(row Row) {
 	s.mu.Lock()
 	s.version++
-	v := s.version
+	row.Version = s.version
 	s.mu.Unlock()
-	s.replica.apply(Page{Version: v, Rows: []Row{{Key: key, Version: v, Deleted: true}}}, time.Now())
+	s.replica.apply(Page{Version: row.Version, Rows: []Row{row}}, time.Now())
 }
 
 func (s *fakeStore) set(f func(*fakeStore)) {
--- a/internal/gateway/watch/staleness.go
+++ b/internal/gateway/watch/staleness.go
@@ -39,12 +39,12 @@
 	// counts as failed that has not passed it on.
 	behindPart = 0.2
 	// changePausePart is for the pause after changes from the store, so that a
-	// burst of them is one response: 1,325 to 837 calls to the store on quiet-1
-	// of cacf-ruteo-grown.
+	// burst of them is one response: 1,325 to 837 requests to the store on
+	// quiet-1 of cacf-ruteo-grown.
 	changePausePart = 0.06
 	// firstListPausePart is for the pause after the first listing of the
 	// store, in which a starting host learns which host polls it. Together with
-	// maxFallbackBackoff: 817 to 806 calls on quiet-1 and 3,060 to 2,750 on
+	// maxFallbackBackoff: 817 to 806 requests on quiet-1 and 3,060 to 2,750 on
 	// trouble-3 of cacf-ruteo-grown.
 	firstListPausePart = 0.2
 )
--- a/internal/gateway/wiring.go
+++ b/internal/gateway/wiring.go
@@ -46,7 +46,7 @@
 func (g *Gateway) newFleet(store *platform.Store) *fleet.Fleet {
 	return fleet.New(fleet.Options{
 		Self: g.self(), Registry: platform.Registry{Store: store, Log: g.log}, Report: g.log, Observations: g.detector,
-		Status: g.status, Seeds: g.settings.peerSeeds(), Transport: fleet.TCP{Dialer: dialer(storeDialTimeout)},
+		Status: g.status, Seeds: g.settings.peerSeeds(), Transport: fleet.TCP(dialer(storeDialTimeout).DialContext),
 		Tables: g.tables[:], MaxAge: g.timing.MaxAge(),
 	})
 }
