--- a/internal/gateway/fleet/host.go
+++ b/internal/gateway/fleet/host.go
@@ -76,9 +76,3 @@
 
 // expired reports whether the peer is to be forgotten.
 func (p *peerState) expired(now time.Time) bool { return now.Sub(p.lastReported) > forgetAfter }
-
-// returned reports whether a heartbeat of an incarnation ends the peer's
-// absence: it was dead, or its process has been restarted since.
-func (p *peerState) returned(incarnation string, now time.Time) bool {
-	return !p.alive(now) || p.host.Incarnation != incarnation
-}
--- a/internal/gateway/fleet/members.go
+++ b/internal/gateway/fleet/members.go
@@ -36,7 +36,7 @@
 
 // recordHeartbeat records a peer's identity and status. It reports whether the
 // peer is one that gets heartbeats and was dead, unknown or another
-// incarnation before.
+// incarnation, as its process has been restarted since.
 func (m *members) recordHeartbeat(h Host, s Status, now time.Time) (regained bool) {
 	if h.Name == m.self.Name || h.Name == "" {
 		return false
@@ -50,7 +50,7 @@
 		m.index = nil
 	}
 	m.peers[h.Name] = &p
-	return p.getsHeartbeats && (old == nil || old.returned(h.Incarnation, now))
+	return p.getsHeartbeats && (old == nil || !old.alive(now) || old.host.Incarnation != h.Incarnation)
 }
 
 // expire forgets the peers that have expired. It returns those that get
--- a/internal/gateway/outlier/detector.go
+++ b/internal/gateway/outlier/detector.go
@@ -26,18 +26,18 @@
 
 	mu        sync.Mutex
 	baselines map[string]*latencyBaseline // by service
-	upstreams map[string]*record          // by id
+	upstreams map[string]*state           // by id
 }
 
-// record is what is known of one upstream.
-type record struct {
+// state is what is known of one upstream.
+type state struct {
 	evidence    evidence
 	consecutive consecutive
 }
 
 // New makes a detector that knows nothing yet.
 func New(reporter Reporter) *Detector {
-	return &Detector{reporter: reporter, baselines: map[string]*latencyBaseline{}, upstreams: map[string]*record{}}
+	return &Detector{reporter: reporter, baselines: map[string]*latencyBaseline{}, upstreams: map[string]*state{}}
 }
 
 // OverdueAfter returns how long a service's response may take before it is
@@ -54,7 +54,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.baseline(service).add(took)
-	d.record(upstream).evidence.own.add(now, 0, 1)
+	d.state(upstream).evidence.own.add(now, 0, 1)
 }
 
 // RecordLatency records how long an overdue response took, which was a failure
@@ -69,7 +69,7 @@
 // overdue.
 func (d *Detector) RecordFailure(upstream string, now time.Time) {
 	d.mu.Lock()
-	e := &d.record(upstream).evidence
+	e := &d.state(upstream).evidence
 	e.own.add(now, 1, 0)
 	ejection, ejected := e.evaluate(upstream, now)
 	d.mu.Unlock()
@@ -84,7 +84,7 @@
 func (d *Detector) RecordOutcome(upstream string, o Outcome, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.record(upstream).consecutive.record(o, now)
+	d.state(upstream).consecutive.record(o, now)
 }
 
 // Merge adds what another host observed; it replaces that host's earlier
@@ -93,10 +93,8 @@
 	var ejections []Ejection
 	d.mu.Lock()
 	for _, o := range observations {
-		e := &d.record(o.Upstream).evidence
-		if !e.merge(host, o, now) {
-			continue
-		}
+		e := &d.state(o.Upstream).evidence
+		e.merge(host, o, now)
 		if ejection, ejected := e.evaluate(o.Upstream, now); ejected {
 			ejections = append(ejections, ejection)
 		}
@@ -139,13 +137,13 @@
 func (d *Detector) Retain(keep func(id string) bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	maps.DeleteFunc(d.upstreams, func(id string, _ *record) bool { return !keep(id) })
+	maps.DeleteFunc(d.upstreams, func(id string, _ *state) bool { return !keep(id) })
 }
 
-func (d *Detector) record(upstream string) *record {
+func (d *Detector) state(upstream string) *state {
 	r := d.upstreams[upstream]
 	if r == nil {
-		r = &record{}
+		r = &state{}
 		d.upstreams[upstream] = r
 	}
 	return r
--- a/internal/gateway/outlier/evidence.go
+++ b/internal/gateway/outlier/evidence.go
@@ -60,18 +60,16 @@
 	at                  time.Time
 }
 
-// merge adds another host's observation. It drops it, and returns false, while
-// the upstream is ejected: what led to an ejection must not count again after
-// it.
-func (e *evidence) merge(host string, o Observation, now time.Time) bool {
+// merge adds another host's observation, unless the upstream is ejected: what
+// led to an ejection must not count again after it.
+func (e *evidence) merge(host string, o Observation, now time.Time) {
 	if now.Before(e.ejectedUntil) {
-		return false
+		return
 	}
 	if e.peers == nil {
 		e.peers = map[string]peerReport{}
 	}
 	e.peers[host] = peerReport{failures: o.Failures, successes: o.Successes, at: now}
-	return true
 }
 
 // failingAtPeer reports whether another host saw failures lately.
