--- a/internal/gateway/balance/balance_test.go
+++ b/internal/gateway/balance/balance_test.go
@@ -31,27 +31,28 @@
 	return &upstream.Upstream{Registration: upstream.Registration{ID: id, Service: "s", Zone: zone, Region: region, Capacity: 4}}
 }
 
-// twoRegions returns n upstreams, every other one in the host's own region.
-func twoRegions(n int) []*upstream.Upstream {
+// upstreams returns n upstreams, of which those that own accepts are in the
+// host's own region.
+func upstreams(n int, own func(i int) bool) []*upstream.Upstream {
 	var out []*upstream.Upstream
 	for i := range n {
-		region := []string{"west", "east"}[i%2]
+		region := "east"
+		if own(i) {
+			region = "west"
+		}
 		out = append(out, newUpstream("i-"+strconv.Itoa(i), region+"-1", region))
 	}
 	return out
 }
 
+// twoRegions returns n upstreams, every other one in the host's own region.
+func twoRegions(n int) []*upstream.Upstream {
+	return upstreams(n, func(i int) bool { return i%2 == 0 })
+}
+
 // ownAndOther returns upstreams of which only own are in the host's region.
 func ownAndOther(own, all int) []*upstream.Upstream {
-	var out []*upstream.Upstream
-	for i := range all {
-		region := "east"
-		if i < own {
-			region = "west"
-		}
-		out = append(out, newUpstream("i-"+strconv.Itoa(i), region+"-1", region))
-	}
-	return out
+	return upstreams(all, func(i int) bool { return i < own })
 }
 
 func choose(t *testing.T, b *balance.Balancer, q balance.Query) balance.Choice {
--- a/internal/gateway/fleet/discovery.go
+++ b/internal/gateway/fleet/discovery.go
@@ -49,22 +49,18 @@
 // asking all at once transfers the whole list as often as there are peers.
 // Later it asks one peer of each other region at a time.
 func (d *discovery) next(region string, now time.Time) hostQuery {
-	if !d.complete {
-		return d.limit("", queryAll, heartbeatTimeout, now)
-	}
-	if region == "" || region == d.selfRegion {
+	query, every := queryRegion, regionQueryEvery
+	switch {
+	case !d.complete:
+		region, query, every = "", queryAll, heartbeatTimeout
+	case region == "" || region == d.selfRegion:
 		return queryNone
 	}
-	return d.limit(region, queryRegion, regionQueryEvery, now)
-}
-
-// limit returns the query unless the region was asked less than a time ago.
-func (d *discovery) limit(region string, q hostQuery, every time.Duration, now time.Time) hostQuery {
 	if now.Sub(d.askedAt[region]) < every {
 		return queryNone
 	}
 	d.askedAt[region] = now
-	return q
+	return query
 }
 
 // register adds this host to the registry and reads the other hosts from it,
--- a/internal/gateway/upstream/registry.go
+++ b/internal/gateway/upstream/registry.go
@@ -30,9 +30,7 @@
 	seeded bool
 	// removed has the upstreams that were removed lately.
 	removed map[string]tombstone
-	// warmUp returns how long an upstream of a service is cold after its
-	// start.
-	warmUp func(service string) time.Duration
+	warmUp  func(service string) time.Duration
 }
 
 // tombstone is what is remembered of a removed upstream.
--- a/internal/gateway/watch/watcher.go
+++ b/internal/gateway/watch/watcher.go
@@ -83,8 +83,7 @@
 // nextSource returns the best source that may be polled now, if any.
 func (w *Watcher) nextSource(now time.Time) (NamedSource, bool) {
 	for _, n := range w.order() {
-		s := w.sources[n.Name]
-		if s == nil || !now.Before(s.retryAt) {
+		if !now.Before(w.state(n).retryAt) {
 			return n, true
 		}
 	}
