--- a/internal/gateway/fleet/heartbeat.go
+++ b/internal/gateway/fleet/heartbeat.go
@@ -52,12 +52,9 @@
 // heartbeatAll exchanges heartbeats with all known peers at once and waits for
 // them.
 func (f *Fleet) heartbeatAll(ctx context.Context) {
-	f.mu.Lock()
-	peers := f.members.all()
-	f.mu.Unlock()
 	var wait sync.WaitGroup
-	for _, p := range peers {
-		wait.Go(func() { f.exchangeHeartbeat(ctx, p.host) })
+	for _, h := range f.hosts(queryAll) {
+		wait.Go(func() { f.exchangeHeartbeat(ctx, h) })
 	}
 	wait.Wait()
 }
--- a/internal/gateway/watch/staleness.go
+++ b/internal/gateway/watch/staleness.go
@@ -108,8 +108,6 @@
 	return newest > version && since > t.part(behindPart)
 }
 
-var errBehind = eris.New("other hosts know newer changes")
-
 // relayFault returns why a relay's response, to a host at a version, does not
 // count as a success; nil if it does. Its rows are used in any case.
 func (t Timing) relayFault(p Page, version int64, behind bool) error {
@@ -120,7 +118,7 @@
 		return eris.Errorf("relay is at version %d, %d is known", p.Version, version)
 	}
 	if behind {
-		return errBehind
+		return eris.New("other hosts know newer changes")
 	}
 	return nil
 }
