--- a/internal/gateway/fleet/schedule.go
+++ b/internal/gateway/fleet/schedule.go
@@ -36,7 +36,6 @@
 // ones before those are tried as well, so that they are found when they return.
 func (m *members) heartbeatPeers(now time.Time) []*peerState {
 	x := m.indexed()
-	chosen := m.named(x.byRegion[m.self.Region])
 	for _, name := range m.remoteHeartbeats {
 		if p := m.peers[name]; p != nil {
 			p.getsHeartbeats = false
@@ -44,8 +43,9 @@
 	}
 	m.remoteHeartbeats = m.remoteHeartbeats[:0]
 	for _, names := range x.remote {
-		chosen = append(chosen, m.firstAlive(names, now)...)
+		m.remoteHeartbeats = append(m.remoteHeartbeats, m.firstAlive(names, now)...)
 	}
+	chosen := append(m.named(x.byRegion[m.self.Region]), m.named(m.remoteHeartbeats)...)
 	for _, p := range chosen {
 		p.getsHeartbeats = true
 	}
@@ -53,22 +53,18 @@
 }
 
 // firstAlive returns the first of some peers up to the remoteFanout-th that is
-// alive, and records their names.
-func (m *members) firstAlive(names []string, now time.Time) []*peerState {
-	var peers []*peerState
+// alive.
+func (m *members) firstAlive(names []string, now time.Time) []string {
 	alive := 0
-	for _, name := range names {
-		p := m.peers[name]
-		peers = append(peers, p)
-		m.remoteHeartbeats = append(m.remoteHeartbeats, name)
-		if p.alive(now) {
+	for i, name := range names {
+		if m.peers[name].alive(now) {
 			alive++
 		}
 		if alive == remoteFanout {
-			break
+			return names[:i+1]
 		}
 	}
-	return peers
+	return names
 }
 
 // heartbeatPause is the time from one heartbeat to a peer to the next.
