--- a/internal/gateway/balance/admission.go
+++ b/internal/gateway/balance/admission.go
@@ -38,9 +38,9 @@
 // admission decides whether an upstream takes one request.
 type admission struct {
 	now time.Time
-	// rejectAbove is the load from which an upstream takes no request of this
-	// priority.
-	rejectAbove float64
+	// threshold is the load, in capacities, from which an upstream takes no
+	// request of this priority.
+	threshold float64
 	// warmUpRate is how many requests a second a cold upstream bears from
 	// all hosts.
 	warmUpRate float64
--- a/internal/gateway/balance/balance.go
+++ b/internal/gateway/balance/balance.go
@@ -15,9 +15,9 @@
 // WarmUpQuotas splits the rate of a cold upstream over the hosts.
 type WarmUpQuotas interface {
 	// WarmUpQuota returns how many requests a second this host may send to a
-	// cold upstream of a region, of the total rate that all hosts together
-	// may send.
-	WarmUpQuota(upstream, region string, total float64) int
+	// cold upstream of a region that bears a rate of requests a second from
+	// all hosts together.
+	WarmUpQuota(upstream, region string, rate float64) int
 }
 
 // OutlierDetector knows which upstreams are ejected for failed or overdue
@@ -66,7 +66,7 @@
 	if q.NoAffinity {
 		pick = pickLeastLoaded
 	}
-	a := admission{now: q.Now, rejectAbove: rejectThreshold(q.Priority), warmUpRate: q.WarmUpRate, quotas: b.quotas}
+	a := admission{now: q.Now, threshold: rejectThreshold(q.Priority), warmUpRate: q.WarmUpRate, quotas: b.quotas}
 	rank, reason := pick(list, a)
 	chosen := &list[rank]
 	if reason == Chosen {
--- a/internal/gateway/balance/leastloaded.go
+++ b/internal/gateway/balance/leastloaded.go
@@ -24,10 +24,10 @@
 		{0, min(sampleSize, zone), spillBelow},
 		{zone, min(zone+sampleSize, region), spillBelow},
 		// The whole region while it is not busy, then the other regions.
-		{0, region, min(a.rejectAbove, spillAbove)},
-		{region, len(list), min(a.rejectAbove, spillBelow)},
+		{0, region, min(a.threshold, spillAbove)},
+		{region, len(list), min(a.threshold, spillBelow)},
 		// Any upstream that takes the request at all.
-		{0, len(list), a.rejectAbove},
+		{0, len(list), a.threshold},
 	}
 	reason := Overloaded
 	for _, t := range tiers {
--- a/internal/gateway/balance/preferred.go
+++ b/internal/gateway/balance/preferred.go
@@ -26,7 +26,7 @@
 func pickPreferred(list []scored, a admission) (int, Reason) {
 	first, reason := -1, Overloaded
 	for i := range list[:min(len(list), preferenceListSize)] {
-		limit := a.rejectAbove
+		limit := a.threshold
 		if first >= 0 {
 			limit = min(limit, spillBelow)
 		}
