--- a/internal/gateway/balance/preferred.go
+++ b/internal/gateway/balance/preferred.go
@@ -25,8 +25,8 @@
 // load is spillAbove or more and a later one's is below spillBelow.
 func pickPreferred(list []scored, a admission) (int, Reason) {
 	first, reason := -1, Overloaded
-	for i := range list {
-		limit := a.rejectAbove
+	for i := range list[:min(len(list), preferenceListSize)] {
+		limit := a.threshold
 		if first >= 0 {
 			limit = min(limit, spillBelow)
 		}
--- a/internal/gateway/fleet/discovery.go
+++ b/internal/gateway/fleet/discovery.go
@@ -32,7 +32,7 @@
 // discovery decides which heartbeats ask the peer about other hosts.
 type discovery struct {
 	selfRegion string
-	// complete is set once a peer has answered queryAll.
+	// complete is set once a peer has responded to queryAll.
 	complete bool
 	// askedAt is when each other region was last asked; queryAll has the key
 	// "".
@@ -45,26 +45,22 @@
 
 // next returns the query for a heartbeat to a peer of a region ("" if it is
 // only known by its address) and records that it is asked now. A host that has
-// just started asks one peer at a time for all hosts until one has answered:
+// just started asks one peer at a time for all hosts until one has responded:
 // asking all at once transfers the whole list as often as there are peers.
 // Later it asks one peer of each other region at a time.
 func (d *discovery) next(region string, now time.Time) hostQuery {
-	if !d.complete {
-		return d.limit("", queryAll, heartbeatTimeout, now)
-	}
-	if region == "" || region == d.selfRegion {
+	query, every := queryRegion, regionQueryEvery
+	switch {
+	case !d.complete:
+		region, query, every = "", queryAll, heartbeatTimeout
+	case region == "" || region == d.selfRegion:
 		return queryNone
 	}
-	return d.limit(region, queryRegion, regionQueryEvery, now)
-}
-
-// limit returns the query unless the region was asked less than a time ago.
-func (d *discovery) limit(region string, q hostQuery, every time.Duration, now time.Time) hostQuery {
 	if now.Sub(d.askedAt[region]) < every {
 		return queryNone
 	}
 	d.askedAt[region] = now
-	return q
+	return query
 }
 
 // register adds this host to the registry and reads the other hosts from it,
@@ -82,17 +78,17 @@
 }
 
 func (f *Fleet) announce(ctx context.Context) ([]Host, error) {
-	if err := f.registry.Announce(ctx, f.members.self); err != nil {
+	if err := f.options.Registry.Announce(ctx, f.options.Self); err != nil {
 		return nil, err
 	}
-	return f.registry.Hosts(ctx)
+	return f.options.Registry.Hosts(ctx)
 }
 
-// querySeeds sends heartbeats to the seeds, whose identities their answers
-// give.
+// querySeeds sends heartbeats to the seeds, whose identities their
+// responses have.
 func (f *Fleet) querySeeds(ctx context.Context) {
-	for _, address := range f.seeds {
-		if address != f.members.self.PeerAddress {
+	for _, address := range f.options.Seeds {
+		if address != f.options.Self.PeerAddress {
 			go f.exchangeHeartbeat(ctx, Host{PeerAddress: address})
 		}
 	}
@@ -107,7 +103,7 @@
 	}
 }
 
-// hosts answers a query.
+// hosts returns the hosts that a query asks for.
 func (f *Fleet) hosts(q hostQuery) []Host {
 	if q == queryNone {
 		return nil
