--- a/internal/gateway/dial/dial.go
+++ b/internal/gateway/dial/dial.go
@@ -8,7 +8,6 @@
 package dial
 
 import (
-	"context"
 	"net"
 	"syscall"
 	"time"
@@ -27,36 +26,27 @@
 	// keepAliveCount is the number of unanswered probes after which the
 	// connection is closed.
 	keepAliveCount = 3
+	// maxUnacknowledged is how long sent data may stay unacknowledged before
+	// the connection fails (TCP_USER_TIMEOUT). Chosen, not measured.
+	maxUnacknowledged = 1200 * time.Millisecond
 )
 
-// Dialer makes TCP connections that fail soon when their link is cut.
-type Dialer struct {
-	// Timeout bounds the time until a connection is established.
-	Timeout time.Duration
-	// Unacknowledged is how long sent data may stay unacknowledged before the
-	// connection fails (TCP_USER_TIMEOUT); zero leaves it to the kernel.
-	Unacknowledged time.Duration
-}
-
-// DialContext connects to an address. It has the form of net.Dialer's.
-func (d Dialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	dialer := net.Dialer{
-		Timeout: d.Timeout,
+// New makes a dialer whose connections fail soon when their link is cut.
+// timeout bounds the time until a connection is established.
+func New(timeout time.Duration) *net.Dialer {
+	return &net.Dialer{
+		Timeout: timeout,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
-		Control: func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, d.Unacknowledged) },
+		Control: setUserTimeout,
 	}
-	return dialer.DialContext(ctx, network, address)
 }
 
-func setUserTimeout(raw syscall.RawConn, d time.Duration) error {
-	if d <= 0 {
-		return nil
-	}
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
+		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(maxUnacknowledged.Milliseconds()))
 	})
 	if err != nil {
 		return err
--- a/internal/gateway/exchange/exchange_test.go
+++ b/internal/gateway/exchange/exchange_test.go
@@ -85,8 +85,7 @@
 }
 
 func client() *exchange.Client {
-	d := dial.Dialer{Timeout: 300 * time.Millisecond, Unacknowledged: time.Second}
-	return exchange.NewClient(exchange.NewPool(d.DialContext), protocol{})
+	return exchange.NewClient(exchange.NewPool(dial.New(300*time.Millisecond).DialContext), protocol{})
 }
 
 func send(t *testing.T, c *exchange.Client, u *upstream, id string) (int, string, error) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -11,6 +11,7 @@
 	"github.com/rotisserie/eris"
 	"go.opentelemetry.io/otel/trace"
 
+	"cairndock/internal/gateway/dial"
 	"cairndock/internal/gateway/eventlog"
 	"cairndock/internal/gateway/fleet"
 	"cairndock/internal/gateway/outlier"
@@ -49,7 +50,7 @@
 	g.log = eventlog.New(out, set.Host.Name, telemetry.Level(set.Telemetry.LogLevel), g.metrics)
 	g.detector = outlier.New(g)
 	g.state = routing.New(platform.Decoder{Zones: set.Zones}, g.log, g.metrics)
-	store := platform.NewStore(set.Store.Address, dialer(storeDialTimeout).DialContext)
+	store := platform.NewStore(set.Store.Address, dial.New(storeDialTimeout).DialContext)
 	g.tables[operatorTable] = fleet.Table{Replica: watch.NewReplica(), Store: platform.OperatorTable(store)}
 	g.tables[upstreamTable] = fleet.Table{Replica: watch.NewReplica(), Store: platform.UpstreamTable(store)}
 	g.fleet = g.newFleet(store)
--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -160,14 +160,13 @@
 	log := eventlog.New(g.log, "h", zerolog.InfoLevel, m)
 	t.Cleanup(log.Close)
 	g.state = routing.New(decoder{}, log, m)
-	dialer := dial.Dialer{Timeout: 200 * time.Millisecond, Unacknowledged: time.Second}
 	age := func() time.Duration { return 0 }
 	detector := outlier.New(reporter{log})
 	g.proxy = proxy.New(proxy.Options{
 		State: g.state, Detector: detector,
 		Balancer: balance.New(balance.Location{Zone: "z", Region: "r", Regions: 1}, oneHost{}, detector),
 		Budget:   retry.NewBudget(retry.Limits{Ratio: 1, Window: time.Second, Slack: 100}),
-		Client:   exchange.NewClient(exchange.NewPool(dialer.DialContext), protocol{}),
+		Client:   exchange.NewClient(exchange.NewPool(dial.New(200*time.Millisecond).DialContext), protocol{}),
 		Codec:    codec{}, Hosts: oneHost{}, Ages: proxy.Ages{Config: age, Upstreams: age}, Log: log, Metrics: m,
 		Tracer: telemetry.Tracer(traces),
 	})
--- a/internal/gateway/wiring.go
+++ b/internal/gateway/wiring.go
@@ -32,21 +32,12 @@
 	// storeDialTimeout bounds a new connection to the store or to a peer: both
 	// may be slow where an upstream may not. Chosen, not measured.
 	storeDialTimeout = 800 * time.Millisecond
-	// maxUnacknowledged is how long sent data may stay unacknowledged before
-	// the connection counts as dead (TCP_USER_TIMEOUT). A cut link drops
-	// packets silently, and TCP alone would retry for minutes. Chosen, not
-	// measured.
-	maxUnacknowledged = 1200 * time.Millisecond
 )
 
-func dialer(timeout time.Duration) dial.Dialer {
-	return dial.Dialer{Timeout: timeout, Unacknowledged: maxUnacknowledged}
-}
-
 func (g *Gateway) newFleet(store *platform.Store) *fleet.Fleet {
 	return fleet.New(fleet.Options{
 		Self: g.self(), Registry: platform.Registry{Store: store, Log: g.log}, Report: g.log, Observations: g.detector,
-		Status: g.status, Seeds: g.settings.peerSeeds(), Transport: fleet.TCP{Dialer: dialer(storeDialTimeout)},
+		Status: g.status, Seeds: g.settings.peerSeeds(), Transport: fleet.TCP{Dialer: dial.New(storeDialTimeout)},
 		Tables: g.tables[:], MaxAge: g.timing.MaxAge,
 	})
 }
@@ -62,7 +53,7 @@
 	limits := g.settings.Limits
 	location := balance.Location{Zone: g.settings.Host.Zone, Region: g.settings.Host.Region, Regions: g.settings.regions()}
 	quotas := warmUpQuotas{fleet: g.fleet, overshoot: limits.WarmUpOvershoot, slack: limits.WarmUpSlack}
-	pool := exchange.NewPool(dialer(upstreamDialTimeout).DialContext)
+	pool := exchange.NewPool(dial.New(upstreamDialTimeout).DialContext)
 	return proxy.New(proxy.Options{
 		State:    g.state,
 		Balancer: balance.New(location, quotas, g.detector),
