--- a/internal/gateway/exchange/conn.go
+++ b/internal/gateway/exchange/conn.go
@@ -19,14 +19,10 @@
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// idleUntil is when the pool closes the connection; it is set by Pool.put.
+	// idleUntil is when the pool closes the connection; it is set by pool.put.
 	idleUntil time.Time
 }
 
-func newConn(c net.Conn) *conn {
-	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBuffer)}
-}
-
 // errUnexpectedBytes is the error of an idle connection on which bytes arrived:
 // they belong to no request.
 var errUnexpectedBytes = eris.New("unexpected bytes on an idle connection")
--- a/internal/gateway/exchange/exchange.go
+++ b/internal/gateway/exchange/exchange.go
@@ -32,14 +32,6 @@
 	Body []byte
 }
 
-// Target is the upstream of one attempt.
-type Target struct {
-	// UpstreamID is the upstream's id; connections are pooled by it.
-	UpstreamID string
-	// Address is the upstream's "host:port".
-	Address string
-}
-
 // LoadReport is what an upstream reports of its load.
 type LoadReport struct {
 	// Known is false when the response carried no report.
@@ -90,31 +82,32 @@
 
 // Client sends requests to upstreams.
 type Client struct {
-	pool     *Pool
+	pool     *pool
 	protocol Protocol
 }
 
-// NewClient makes a client that takes its connections from a pool.
-func NewClient(pool *Pool, protocol Protocol) *Client {
-	return &Client{pool: pool, protocol: protocol}
+// NewClient makes a client that connects to upstreams by dial.
+func NewClient(dial Dial, protocol Protocol) *Client {
+	return &Client{pool: &pool{dial: dial, idle: map[string][]*conn{}}, protocol: protocol}
 }
 
-// Pool is the pool that the client takes its connections from.
-func (c *Client) Pool() *Pool { return c.pool }
+// Retain closes the idle connections to upstreams that keep rejects.
+func (c *Client) Retain(keep func(upstream string) bool) { c.pool.retain(keep) }
 
-// Send sends a request once and waits until the context ends for the header of
-// its response. Its error is a *verdict.Error.
-func (c *Client) Send(ctx context.Context, t Target, r *Request) (*Response, error) {
-	nc, err := c.pool.get(ctx, t.UpstreamID, t.Address)
+// Send sends a request once to an upstream, given by its id and "host:port", and
+// waits until the context ends for the header of its response. Its error is a
+// *verdict.Error.
+func (c *Client) Send(ctx context.Context, upstream, address string, r *Request) (*Response, error) {
+	nc, err := c.pool.get(ctx, upstream, address)
 	if err != nil {
-		return nil, connectError(ctx, t, err)
+		return nil, connectError(ctx, upstream, err)
 	}
 	left := timeLeft(ctx)
 	if left <= 0 {
-		c.pool.put(t.UpstreamID, nc, 0)
-		return nil, verdict.New(verdict.NotRun, verdict.DeadlineLapsed, "no time left to send").WithUpstream(t.UpstreamID)
+		c.pool.put(upstream, nc, 0)
+		return nil, verdict.New(verdict.NotRun, verdict.DeadlineLapsed, "no time left to send").WithUpstream(upstream)
 	}
-	x := &roundTrip{client: c, conn: nc, target: t, request: r}
+	x := &roundTrip{client: c, conn: nc, upstream: upstream, request: r}
 	// Ending the context wakes whoever reads or writes the connection.
 	x.stop = context.AfterFunc(ctx, x.interrupt)
 	if n, err := nc.Write(x.encode(left)); err != nil {
--- a/internal/gateway/exchange/exchange_test.go
+++ b/internal/gateway/exchange/exchange_test.go
@@ -85,14 +85,14 @@
 }
 
 func client() *exchange.Client {
-	return exchange.NewClient(exchange.NewPool(dial.New(300*time.Millisecond).DialContext), protocol{})
+	return exchange.NewClient(dial.New(300*time.Millisecond).DialContext, protocol{})
 }
 
 func send(t *testing.T, c *exchange.Client, u *upstream, id string) (int, string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	a, err := c.Send(ctx, exchange.Target{UpstreamID: "i", Address: u.address}, &exchange.Request{
+	a, err := c.Send(ctx, "i", u.address, &exchange.Request{
 		ID: id, Method: http.MethodGet, Target: "/x?q=1", Host: "a.example", Header: http.Header{"Id": {id}},
 	})
 	if err != nil {
@@ -262,7 +262,7 @@
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(50*time.Millisecond, cancel)
-	_, err := client().Send(ctx, exchange.Target{UpstreamID: "i", Address: u.address}, &exchange.Request{ID: "r", Method: "GET", Target: "/", Host: "a", Header: http.Header{}})
+	_, err := client().Send(ctx, "i", u.address, &exchange.Request{ID: "r", Method: "GET", Target: "/", Host: "a", Header: http.Header{}})
 	require.Equal(t, verdict.CallerLeft, verdict.From(err).Reason)
 	select {
 	case <-closed:
@@ -279,7 +279,7 @@
 	c := client()
 	_, _, err := send(t, c, u, "r")
 	require.NoError(t, err)
-	require.Equal(t, 1, c.Pool().Idle())
-	c.Pool().Retain(func(string) bool { return false })
-	require.Zero(t, c.Pool().Idle())
+	require.Equal(t, 1, c.Idle())
+	c.Retain(func(string) bool { return false })
+	require.Zero(t, c.Idle())
 }
--- a/internal/gateway/exchange/export_test.go
+++ b/internal/gateway/exchange/export_test.go
@@ -1,11 +1,11 @@
 package exchange
 
 // Idle is the number of idle connections.
-func (p *Pool) Idle() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (c *Client) Idle() int {
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
 	n := 0
-	for _, list := range p.idle {
+	for _, list := range c.pool.idle {
 		n += len(list)
 	}
 	return n
--- a/internal/gateway/exchange/pool.go
+++ b/internal/gateway/exchange/pool.go
@@ -1,6 +1,7 @@
 package exchange
 
 import (
+	"bufio"
 	"context"
 	"net"
 	"net/http"
@@ -25,23 +26,18 @@
 // Dial connects to an address.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Pool keeps idle connections by the upstream that they lead to. Addresses pass
+// pool keeps idle connections by the upstream that they lead to. Addresses pass
 // from one upstream to another, ids do not. Errors of closing a connection are
 // dropped: no request is in flight on it.
-type Pool struct {
+type pool struct {
 	dial Dial
 
 	mu   sync.Mutex
 	idle map[string][]*conn
 }
 
-// NewPool makes an empty pool.
-func NewPool(dial Dial) *Pool {
-	return &Pool{dial: dial, idle: map[string][]*conn{}}
-}
-
 // get takes a usable idle connection or dials a new one.
-func (p *Pool) get(ctx context.Context, upstream, address string) (*conn, error) {
+func (p *pool) get(ctx context.Context, upstream, address string) (*conn, error) {
 	for {
 		c := p.pop(upstream)
 		if c == nil {
@@ -56,11 +52,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return newConn(nc), nil
+	return &conn{Conn: nc, reader: bufio.NewReaderSize(nc, readBuffer)}, nil
 }
 
 // pop takes the connection that became idle last, or nil.
-func (p *Pool) pop(upstream string) *conn {
+func (p *pool) pop(upstream string) *conn {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -80,7 +76,7 @@
 
 // put keeps an idle connection for idleTimeout, or for maxIdleTime when that is
 // zero or longer.
-func (p *Pool) put(upstream string, c *conn, idleTimeout time.Duration) {
+func (p *pool) put(upstream string, c *conn, idleTimeout time.Duration) {
 	if idleTimeout <= 0 || idleTimeout > maxIdleTime {
 		idleTimeout = maxIdleTime
 	}
@@ -94,9 +90,9 @@
 	p.idle[upstream] = append(p.idle[upstream], c)
 }
 
-// Retain closes the idle connections to upstreams that keep does not report,
-// and those that were idle too long.
-func (p *Pool) Retain(keep func(upstream string) bool) {
+// retain closes the idle connections to upstreams that keep rejects, and those
+// that were idle too long.
+func (p *pool) retain(keep func(upstream string) bool) {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gateway/exchange/proof_test.go
+++ b/internal/gateway/exchange/proof_test.go
@@ -18,10 +18,9 @@
 	cancel()
 	lapsed, cancelLapsed := context.WithDeadline(t.Context(), time.Unix(1, 0))
 	defer cancelLapsed()
-	target := Target{UpstreamID: "i-1"}
-	connect := func(ctx context.Context, err error) error { return connectError(ctx, target, err) }
-	unsent := func(ctx context.Context, err error) error { return responseError(ctx, target, err, false) }
-	sent := func(ctx context.Context, err error) error { return responseError(ctx, target, err, true) }
+	connect := func(ctx context.Context, err error) error { return connectError(ctx, "i-1", err) }
+	unsent := func(ctx context.Context, err error) error { return responseError(ctx, "i-1", err, false) }
+	sent := func(ctx context.Context, err error) error { return responseError(ctx, "i-1", err, true) }
 	for _, c := range []struct {
 		name    string
 		err     error
--- a/internal/gateway/exchange/roundtrip.go
+++ b/internal/gateway/exchange/roundtrip.go
@@ -23,10 +23,11 @@
 
 // roundTrip is one request on one connection.
 type roundTrip struct {
-	client  *Client
-	conn    *conn
-	target  Target
-	request *Request
+	client *Client
+	conn   *conn
+	// upstream is the id of the upstream at the connection's other end.
+	upstream string
+	request  *Request
 	// stop ends the watch on the context; it reports false when the context
 	// has ended and interrupt was started.
 	stop func() bool
@@ -46,7 +47,7 @@
 func (x *roundTrip) encode(left time.Duration) []byte {
 	r := x.request
 	h := r.Header.Clone()
-	x.client.protocol.SetHeaders(h, x.target.UpstreamID, left)
+	x.client.protocol.SetHeaders(h, x.upstream, left)
 	var b bytes.Buffer
 	b.Grow(headerRoom + len(r.Body))
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
@@ -110,7 +111,7 @@
 func (x *roundTrip) fail(ctx context.Context, err error, sent bool) error {
 	x.stop()
 	_ = x.conn.Close() // err says what went wrong first
-	return responseError(ctx, x.target, err, sent)
+	return responseError(ctx, x.upstream, err, sent)
 }
 
 // body is a response's body that returns its connection to the pool.
@@ -147,6 +148,6 @@
 	if !b.whole || !b.reusable || interrupted || x.conn.reader.Buffered() > 0 {
 		return x.conn.Close()
 	}
-	x.client.pool.put(x.target.UpstreamID, x.conn, b.idleTimeout)
+	x.client.pool.put(x.upstream, x.conn, b.idleTimeout)
 	return nil
 }
--- a/internal/gateway/proxy/attempt.go
+++ b/internal/gateway/proxy/attempt.go
@@ -48,7 +48,7 @@
 func (f *inflight) roundTrip(ctx context.Context, cancel context.CancelFunc, c balance.Choice, began time.Time) (*exchange.Response, error) {
 	u := c.Upstream
 	timer := f.startOverdueTimer(c, cancel)
-	resp, err := f.proxy.Client.Send(ctx, exchange.Target{UpstreamID: u.ID, Address: u.Address}, f.request)
+	resp, err := f.proxy.Client.Send(ctx, u.ID, u.Address, f.request)
 	if err == nil {
 		resp, err = f.accept(u.ID, resp)
 	}
--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -166,7 +166,7 @@
 		State: g.state, Detector: detector,
 		Balancer: balance.New(balance.Location{Zone: "z", Region: "r", Regions: 1}, oneHost{}, detector),
 		Budget:   retry.NewBudget(retry.Limits{Ratio: 1, Window: time.Second, Slack: 100}),
-		Client:   exchange.NewClient(exchange.NewPool(dial.New(200*time.Millisecond).DialContext), protocol{}),
+		Client:   exchange.NewClient(dial.New(200*time.Millisecond).DialContext, protocol{}),
 		Codec:    codec{}, Hosts: oneHost{}, Ages: proxy.Ages{Config: age, Upstreams: age}, Log: log, Metrics: m,
 		Tracer: telemetry.Tracer(traces),
 	})
--- a/internal/gateway/proxy/proxy.go
+++ b/internal/gateway/proxy/proxy.go
@@ -168,5 +168,5 @@
 	}
 	p.Balancer.Retain(known)
 	p.Detector.Retain(known)
-	p.Client.Pool().Retain(known)
+	p.Client.Retain(known)
 }
--- a/internal/gateway/wiring.go
+++ b/internal/gateway/wiring.go
@@ -53,13 +53,12 @@
 	limits := g.settings.Limits
 	location := balance.Location{Zone: g.settings.Host.Zone, Region: g.settings.Host.Region, Regions: g.settings.regions()}
 	quotas := warmUpQuotas{fleet: g.fleet, overshoot: limits.WarmUpOvershoot, slack: limits.WarmUpSlack}
-	pool := exchange.NewPool(dial.New(upstreamDialTimeout).DialContext)
 	return proxy.New(proxy.Options{
 		State:    g.state,
 		Balancer: balance.New(location, quotas, g.detector),
 		Detector: g.detector,
 		Budget:   retry.NewBudget(retry.Limits{Ratio: limits.RetryRatio, Window: time.Duration(limits.RetryWindow), Slack: limits.RetrySlack}),
-		Client:   exchange.NewClient(pool, platform.Protocol{Metrics: g.metrics}),
+		Client:   exchange.NewClient(dial.New(upstreamDialTimeout).DialContext, platform.Protocol{Metrics: g.metrics}),
 		Codec:    platform.Codec{Metrics: g.metrics},
 		Hosts:    g.fleet,
 		Ages:     proxy.Ages{Config: g.tables[operatorTable].Replica.Age, Upstreams: g.tables[upstreamTable].Replica.Age},
