--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -54,8 +54,8 @@
 	g.tables[operatorTable] = fleet.Table{Replica: watch.NewReplica(), Store: platform.OperatorTable(store)}
 	g.tables[upstreamTable] = fleet.Table{Replica: watch.NewReplica(), Store: platform.UpstreamTable(store)}
 	g.fleet = g.newFleet(store)
-	g.watchers[operatorTable] = g.newWatcher(operatorTable, routing.OperatorSink{State: g.state})
-	g.watchers[upstreamTable] = g.newWatcher(upstreamTable, routing.UpstreamSink{State: g.state})
+	g.watchers[operatorTable] = g.newWatcher(operatorTable, g.state.OperatorSink())
+	g.watchers[upstreamTable] = g.newWatcher(upstreamTable, g.state.UpstreamSink())
 	g.proxy = g.newProxy()
 	g.server = proxy.NewServer(g.proxy)
 	g.registerGauges()
--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -184,7 +184,7 @@
 }
 
 func (g *testGateway) applyOperatorRow(row watch.Row) {
-	routing.OperatorSink{State: g.state}.Apply(watch.Update{Rows: []watch.Row{row}})
+	g.state.OperatorSink().Apply(watch.Update{Rows: []watch.Row{row}})
 }
 
 // setRoutes puts a configuration of routes in force.
@@ -228,7 +228,7 @@
 	value, err := json.Marshal(upstream.Registration{ID: id, Service: "s", Address: l.Addr().String(), Zone: "z", Region: "r", Capacity: 2})
 	require.NoError(g.t, err)
 	g.version++
-	routing.UpstreamSink{State: g.state}.Apply(watch.Update{Rows: []watch.Row{{Key: id, Value: value, Version: g.version}}, Full: true})
+	g.state.UpstreamSink().Apply(watch.Update{Rows: []watch.Row{{Key: id, Value: value, Version: g.version}}, Full: true})
 	return &count
 }
 
--- a/internal/gateway/routing/operator.go
+++ b/internal/gateway/routing/operator.go
@@ -9,16 +9,14 @@
 	"cairndock/internal/gateway/watch"
 )
 
-// OperatorSink applies changes of the operators' table to a State.
-type OperatorSink struct {
-	// State receives the changes.
-	State *State
+// OperatorSink applies changes of the operators' table.
+func (s *State) OperatorSink() watch.Sink {
+	return &sink{state: s, table: OperatorTable, apply: s.applyOperatorRows}
 }
 
-// Apply applies changed rows. A deleted row ends its evacuation; a deleted
-// configuration stays in force, as there is none to replace it.
-func (o OperatorSink) Apply(u watch.Update) {
-	s := o.State
+// applyOperatorRows applies changed rows. A deleted row ends its evacuation; a
+// deleted configuration stays in force, as there is none to replace it.
+func (s *State) applyOperatorRows(u watch.Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	evacuated := maps.Clone(s.evacuated)
@@ -29,10 +27,9 @@
 			delete(evacuated, row.Key)
 			continue
 		}
-		decoded, err := s.decodeOperatorRow(row)
+		decoded, ok := decode(s, OperatorTable, row, s.decoder.OperatorRow)
 		switch {
-		case err != nil:
-			s.recordBadRow(operatorTable, row, err)
+		case !ok: // logged; what is in force stays
 		case decoded.Table != nil:
 			s.useTable(decoded.Table)
 		default:
@@ -42,24 +39,6 @@
 	s.evacuate(evacuated, version)
 }
 
-// Lost logs that the table's source does not respond any more.
-func (o OperatorSink) Lost(source string, err error) {
-	o.State.recordLost(operatorTable, source, err)
-}
-
-// Regained logs that the table's source responds again.
-func (o OperatorSink) Regained(source string, after time.Duration) {
-	o.State.recordRegained(operatorTable, source, after)
-}
-
-func (s *State) decodeOperatorRow(row watch.Row) (OperatorRow, error) {
-	value, err := row.Bytes()
-	if err != nil {
-		return OperatorRow{}, err
-	}
-	return s.decoder.OperatorRow(row.Key, value)
-}
-
 // useTable puts a configuration in force unless the one in force is as new.
 func (s *State) useTable(t *route.Table) {
 	if old := s.table.Load(); old != nil && t.Version <= old.Version {
--- a/internal/gateway/routing/routing_test.go
+++ b/internal/gateway/routing/routing_test.go
@@ -68,10 +68,10 @@
 }
 
 func (h host) operator(rows ...watch.Row) {
-	routing.OperatorSink{State: h.state}.Apply(watch.Update{Rows: rows})
+	h.state.OperatorSink().Apply(watch.Update{Rows: rows})
 }
 
-func (h host) upstreams(u watch.Update) { routing.UpstreamSink{State: h.state}.Apply(u) }
+func (h host) upstreams(u watch.Update) { h.state.UpstreamSink().Apply(u) }
 
 func row(key, value string) watch.Row { return watch.Row{Key: key, Value: []byte(value)} }
 
--- a/internal/gateway/routing/state.go
+++ b/internal/gateway/routing/state.go
@@ -1,7 +1,7 @@
 // Package routing keeps what a host knows of the operator configuration and of
 // the running upstreams. It owns that state and gives readers the current
-// version of both without a lock. The rows come from package watch, by an
-// OperatorSink and an UpstreamSink; a Decoder reads them.
+// version of both without a lock. The rows come from package watch, by two
+// sinks; a Decoder reads them.
 //
 // The state never becomes worse by an update: a row that can't be decoded
 // leaves the last good one in place, an older configuration never replaces a
@@ -23,10 +23,10 @@
 
 // The names of the watched tables in logs and metrics.
 const (
-	// operatorTable is the name of the operators' table.
-	operatorTable = "intent"
-	// upstreamTable is the name of the upstreams' table.
-	upstreamTable = "upstream"
+	// OperatorTable is the operators' table.
+	OperatorTable = "intent"
+	// UpstreamTable is the upstreams' table.
+	UpstreamTable = "upstream"
 )
 
 // OperatorRow is one row of the operators' table: a configuration, or a zone to
@@ -108,19 +108,38 @@
 // publish gives readers the upstreams as the registry has them; s.mu is held.
 func (s *State) publish() { s.set.Store(s.registry.Set()) }
 
-// recordBadRow logs a row that can't be decoded.
-func (s *State) recordBadRow(table string, row watch.Row, err error) {
-	s.metrics.Count(`cairndock_bad_rows_total{table="` + table + `"}`)
-	s.log.BadRow(table, row.Key, row.Version, err)
+// decode decodes a row by read. It logs a row that can't be decoded, and reports
+// whether it could.
+func decode[T any](s *State, table string, row watch.Row, read func(key string, value []byte) (T, error)) (T, bool) {
+	var decoded T
+	value, err := row.Bytes()
+	if err == nil {
+		decoded, err = read(row.Key, value)
+	}
+	if err != nil {
+		s.metrics.Count(`cairndock_bad_rows_total{table="` + table + `"}`)
+		s.log.BadRow(table, row.Key, row.Version, err)
+	}
+	return decoded, err == nil
 }
 
-// recordLost logs that a table's source does not respond any more.
-func (s *State) recordLost(table, source string, err error) {
-	s.metrics.Count(`cairndock_source_lost_total{table="` + table + `"}`)
-	s.log.Lost(table+" source", source, err)
+// sink applies changes of one table to a State.
+type sink struct {
+	state *State
+	table string
+	apply func(watch.Update)
+}
+
+// Apply applies changed rows.
+func (s *sink) Apply(u watch.Update) { s.apply(u) }
+
+// Lost logs and counts a source of the table that stopped responding.
+func (s *sink) Lost(source string, err error) {
+	s.state.metrics.Count(`cairndock_source_lost_total{table="` + s.table + `"}`)
+	s.state.log.Lost(s.table+" source", source, err)
 }
 
-// recordRegained logs that a table's source responds again.
-func (s *State) recordRegained(table, source string, after time.Duration) {
-	s.log.Regained(table+" source", source, after)
+// Regained logs a source of the table that responds again.
+func (s *sink) Regained(source string, after time.Duration) {
+	s.state.log.Regained(s.table+" source", source, after)
 }
--- a/internal/gateway/routing/upstreams.go
+++ b/internal/gateway/routing/upstreams.go
@@ -22,33 +22,31 @@
 	stateExpired = "gone, entry did not come back"
 )
 
-// UpstreamSink applies changes of the upstreams' table to a State.
-type UpstreamSink struct {
-	// State receives the changes.
-	State *State
+// UpstreamSink applies changes of the upstreams' table.
+func (s *State) UpstreamSink() watch.Sink {
+	return &sink{state: s, table: UpstreamTable, apply: s.applyUpstreamRows}
 }
 
-// Apply applies changed rows. The first full reading makes the upstreams
-// complete: one that appears after it has just started and is cold.
-func (u UpstreamSink) Apply(update watch.Update) {
-	s := u.State
+// applyUpstreamRows applies changed rows. The first full reading makes the
+// upstreams complete: one that appears after it has just started and is cold.
+func (s *State) applyUpstreamRows(u watch.Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	lapsed := false
-	for _, row := range update.Rows {
+	for _, row := range u.Rows {
 		if !row.Deleted {
 			s.putUpstream(row, now)
 			continue
 		}
-		if s.removeUpstream(row, now, update.StoreReturned) {
+		if s.removeUpstream(row, now, u.StoreReturned) {
 			lapsed = true
 		}
 	}
 	if lapsed {
-		time.AfterFunc(update.StoreReturned.Add(upstream.LapseGrace).Sub(now), s.expire)
+		time.AfterFunc(u.StoreReturned.Add(upstream.LapseGrace).Sub(now), s.expire)
 	}
-	first := update.Full && !s.seeded.Load()
+	first := u.Full && !s.seeded.Load()
 	if first {
 		s.registry.Seed()
 	}
@@ -59,23 +57,12 @@
 	}
 }
 
-// Lost logs that the table's source does not respond any more.
-func (u UpstreamSink) Lost(source string, err error) {
-	u.State.recordLost(upstreamTable, source, err)
-}
-
-// Regained logs that the table's source responds again.
-func (u UpstreamSink) Regained(source string, after time.Duration) {
-	u.State.recordRegained(upstreamTable, source, after)
-}
-
 // putUpstream adds or changes the upstream of a row; s.mu is held. One whose
 // row can't be decoded stays as it is. Those of the first reading are not
 // logged, as nothing changed.
 func (s *State) putUpstream(row watch.Row, now time.Time) {
-	registration, err := s.decodeUpstream(row)
-	if err != nil {
-		s.recordBadRow(upstreamTable, row, err)
+	registration, ok := decode(s, UpstreamTable, row, s.decoder.Upstream)
+	if !ok {
 		return
 	}
 	s.registry.Put(registration, now)
@@ -89,14 +76,6 @@
 	s.log.Upstream(row.Key, registration, state, row.Version)
 }
 
-func (s *State) decodeUpstream(row watch.Row) (upstream.Registration, error) {
-	value, err := row.Bytes()
-	if err != nil {
-		return upstream.Registration{}, err
-	}
-	return s.decoder.Upstream(row.Key, value)
-}
-
 // removeUpstream removes the upstream of a deleted row; s.mu is held. It
 // reports whether the entry lapsed: then the upstream stays until expire.
 // storeReturned is when the store last came back, or zero.
--- a/internal/gateway/wiring.go
+++ b/internal/gateway/wiring.go
@@ -9,6 +9,7 @@
 	"cairndock/internal/gateway/fleet"
 	"cairndock/internal/gateway/proxy"
 	"cairndock/internal/gateway/retry"
+	"cairndock/internal/gateway/routing"
 	"cairndock/internal/gateway/watch"
 	"cairndock/platform"
 )
@@ -22,7 +23,7 @@
 )
 
 // tableLabels are the tables' labels in metrics.
-var tableLabels = [tableCount]string{"intent", "upstream"}
+var tableLabels = [tableCount]string{routing.OperatorTable, routing.UpstreamTable}
 
 const (
 	// upstreamDialTimeout bounds a new connection to an upstream. It is far
