--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -7,7 +7,6 @@
 	"syscall"
 	"time"
 
-	"github.com/oklog/ulid/v2"
 	"github.com/rotisserie/eris"
 	"go.opentelemetry.io/otel/trace"
 
@@ -62,15 +61,6 @@
 	return g
 }
 
-// self describes this host to the others. A restart is a new incarnation.
-func (g *Gateway) self() fleet.Host {
-	return fleet.Host{
-		Name: g.settings.Host.Name, Zone: g.settings.Host.Zone, Region: g.settings.Host.Region,
-		PeerAddress: g.settings.Listen.Peers, ClientAddress: g.settings.Listen.Callers,
-		Incarnation: ulid.Make().String(),
-	}
-}
-
 // Run serves until SIGTERM or SIGINT, and then stops as planned. SIGHUP checks
 // the settings file at path anew. The error is ErrAborted if the stop aborted
 // requests, else the failure of a listener.
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"cmp"
 	"errors"
 	"net"
 	"os"
@@ -180,14 +181,11 @@
 // Staleness is how old a host's replicas may be while it reaches the store: the
 // tightest of ApplyWithin, DrainWithin and EvacuateWithin.
 func (l LimitSettings) Staleness() time.Duration {
-	tightest := time.Duration(0)
+	var tightest time.Duration
 	for _, d := range []settings.Duration{l.ApplyWithin, l.DrainWithin, l.EvacuateWithin} {
 		if within := time.Duration(d); within > 0 && (tightest == 0 || within < tightest) {
 			tightest = within
 		}
 	}
-	if tightest == 0 {
-		return defaultStaleness
-	}
-	return tightest
+	return cmp.Or(tightest, defaultStaleness)
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -25,6 +25,14 @@
 // Ejected logs that an upstream is ejected.
 func (g *Gateway) Ejected(e outlier.Ejection) { g.log.Ejected(e) }
 
+// WarmUpQuota gives this host's part of the requests a second to an upstream
+// that takes rate of them while it is cold. The platform allows the rate times
+// WarmUpOvershoot, plus WarmUpSlack, for all hosts together.
+func (g *Gateway) WarmUpQuota(upstream, region string, rate float64) int {
+	limits := g.settings.Limits
+	return g.fleet.WarmUpQuota(upstream, region, rate*limits.WarmUpOvershoot+limits.WarmUpSlack)
+}
+
 // clientAddresses gives the hosts that clients of a zone should use for the
 // services of a name, best first.
 func (g *Gateway) clientAddresses(name, zone, region string) []string {
--- a/internal/gateway/wiring.go
+++ b/internal/gateway/wiring.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"github.com/oklog/ulid/v2"
+
 	"cairndock/internal/gateway/balance"
 	"cairndock/internal/gateway/dial"
 	"cairndock/internal/gateway/exchange"
@@ -36,8 +38,13 @@
 )
 
 func (g *Gateway) newFleet(store *platform.Store) *fleet.Fleet {
+	host, listen := g.settings.Host, g.settings.Listen
 	return fleet.New(fleet.Options{
-		Self: g.self(), Registry: platform.Registry{Store: store, Log: g.log}, Report: g.log, Observations: g.detector,
+		Self: fleet.Host{
+			Name: host.Name, Zone: host.Zone, Region: host.Region, PeerAddress: listen.Peers, ClientAddress: listen.Callers,
+			Incarnation: ulid.Make().String(), // a restart is a new one
+		},
+		Registry: platform.Registry{Store: store, Log: g.log}, Report: g.log, Observations: g.detector,
 		Status: g.status, Seeds: g.settings.peerSeeds(), Transport: fleet.TCP{Dialer: dial.New(storeDialTimeout)},
 		Tables: g.tables[:], MaxAge: g.timing.MaxAge,
 	})
@@ -53,10 +60,9 @@
 func (g *Gateway) newProxy() *proxy.Proxy {
 	limits := g.settings.Limits
 	location := balance.Location{Zone: g.settings.Host.Zone, Region: g.settings.Host.Region, Regions: g.settings.regions()}
-	quotas := warmUpQuotas{fleet: g.fleet, overshoot: limits.WarmUpOvershoot, slack: limits.WarmUpSlack}
 	return proxy.New(proxy.Options{
 		State:    g.state,
-		Balancer: balance.New(location, quotas, g.detector),
+		Balancer: balance.New(location, g, g.detector),
 		Detector: g.detector,
 		Budget:   retry.NewBudget(retry.Limits{Ratio: limits.RetryRatio, Window: time.Duration(limits.RetryWindow), Slack: limits.RetrySlack}),
 		Client:   exchange.NewClient(dial.New(upstreamDialTimeout).DialContext, platform.Protocol{Metrics: g.metrics}),
@@ -68,17 +74,3 @@
 		Tracer:   g.tracer,
 	})
 }
-
-// warmUpQuotas gives this host's part of the requests to a cold upstream. The
-// platform allows its rate times overshoot, plus slack, for all hosts together.
-type warmUpQuotas struct {
-	fleet     *fleet.Fleet
-	overshoot float64
-	slack     float64
-}
-
-// WarmUpQuota gives this host's part, in requests a second, for an upstream
-// that takes rate requests a second while it is cold.
-func (q warmUpQuotas) WarmUpQuota(upstream, region string, rate float64) int {
-	return q.fleet.WarmUpQuota(upstream, region, rate*q.overshoot+q.slack)
-}
