--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -11,7 +11,7 @@
 // listen opens the host's listeners. Peers have theirs in package fleet.
 func (g *Gateway) listen() error {
 	l := g.settings.Listen
-	if err := g.server.ListenClients(l.Callers); err != nil {
+	if _, err := g.server.ListenClients(l.Callers); err != nil {
 		return err
 	}
 	if err := g.server.Listen(l.Readiness, platform.Readiness(g.proxy.Ready)); err != nil {
--- a/internal/gateway/proxy/attempt.go
+++ b/internal/gateway/proxy/attempt.go
@@ -62,7 +62,7 @@
 		_ = resp.Body.Close()
 	}
 	f.retryGranted = true
-	return nil, overdueError(u.ID)
+	return nil, verdict.New(verdict.MayHaveRun, verdict.DeadlineLapsed, "the response is overdue, another upstream is tried").WithUpstream(u.ID)
 }
 
 // accept returns a response that may be forwarded, and an error for any other.
--- a/internal/gateway/proxy/clientconn_test.go
+++ b/internal/gateway/proxy/clientconn_test.go
@@ -28,8 +28,9 @@
 	g.t.Helper()
 	s := proxy.NewServer(g.proxy)
 	g.t.Cleanup(s.Close)
-	require.NoError(g.t, s.ListenClients("127.0.0.1:0"))
-	c, err := net.Dial("tcp", s.ClientAddress())
+	address, err := s.ListenClients("127.0.0.1:0")
+	require.NoError(g.t, err)
+	c, err := net.Dial("tcp", address.String())
 	require.NoError(g.t, err)
 	g.t.Cleanup(func() { _ = c.Close() })
 	return c
--- a/internal/gateway/proxy/deadline.go
+++ b/internal/gateway/proxy/deadline.go
@@ -33,11 +33,10 @@
 // when the host aborts and, for a request that may run more than once, when its
 // client leaves. A request that may not is left to its end: breaking it off
 // would only make it unknown whether it ran.
-func (f *inflight) context(client context.Context) (context.Context, context.CancelFunc) {
-	f.client = client
-	parent := client
+func (f *inflight) context() (context.Context, context.CancelFunc) {
+	parent := f.client
 	if !f.repeatable() {
-		parent = context.WithoutCancel(client)
+		parent = context.WithoutCancel(f.client)
 	}
 	ctx, cancel := context.WithDeadline(parent, f.deadline())
 	stop := context.AfterFunc(f.proxy.aborted, cancel)
--- a/internal/gateway/proxy/decisionlog.go
+++ b/internal/gateway/proxy/decisionlog.go
@@ -28,7 +28,7 @@
 func (f *inflight) logFinal(status int, e *verdict.Error) {
 	ev := eventlog.Final{
 		Request: f.info.ID, Service: f.service, Attempts: len(f.tried), Status: status, Verdict: verdict.Ran.String(),
-		ConfigAge: f.proxy.Ages.Config(), UpstreamsAge: f.proxy.Ages.Upstreams(), Took: time.Since(f.began),
+		ConfigAge: f.proxy.ConfigAge(), UpstreamsAge: f.proxy.UpstreamsAge(), Took: time.Since(f.began),
 	}
 	if f.table != nil {
 		ev.Config = f.table.Version
--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -135,7 +135,6 @@
 // oneHost is a fleet of one host.
 type oneHost struct{}
 
-func (oneHost) Hosts() int                              { return 1 }
 func (oneHost) WarmUpQuota(string, string, float64) int { return 100 }
 
 // testGateway is a proxy with its server, its state and its log.
@@ -167,7 +166,7 @@
 		Balancer: balance.New(balance.Location{Zone: "z", Region: "r", Regions: 1}, oneHost{}, detector),
 		Budget:   retry.NewBudget(retry.Limits{Ratio: 1, Window: time.Second, Slack: 100}),
 		Client:   exchange.NewClient(dial.New(200*time.Millisecond).DialContext, protocol{}),
-		Codec:    codec{}, Hosts: oneHost{}, Ages: proxy.Ages{Config: age, Upstreams: age}, Log: log, Metrics: m,
+		Codec:    codec{}, Hosts: func() int { return 1 }, ConfigAge: age, UpstreamsAge: age, Log: log, Metrics: m,
 		Tracer: telemetry.Tracer(traces),
 	})
 	g.server = httptest.NewServer(g.proxy)
--- a/internal/gateway/proxy/inflight.go
+++ b/internal/gateway/proxy/inflight.go
@@ -15,6 +15,8 @@
 	proxy *Proxy
 	info  RequestInfo
 	began time.Time
+	// client ends when the client leaves.
+	client context.Context
 
 	// Set by prepare, as far as it got.
 	table   *route.Table
@@ -22,8 +24,6 @@
 	service string
 	request *exchange.Request
 
-	// client ends when the client leaves.
-	client context.Context
 	// tried has the ids of the upstreams that the request was sent to.
 	tried []string
 	// retryGranted is set when the last attempt was overdue and the budget
--- a/internal/gateway/proxy/overdue.go
+++ b/internal/gateway/proxy/overdue.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"cairndock/internal/gateway/balance"
-	"cairndock/internal/verdict"
 )
 
 // overdueState is what became of an attempt's wait for its response.
@@ -79,8 +78,3 @@
 	}
 	return inTime
 }
-
-// overdueError is the error of an attempt that was canceled for another.
-func overdueError(upstream string) *verdict.Error {
-	return verdict.New(verdict.MayHaveRun, verdict.DeadlineLapsed, "the response is overdue, another upstream is tried").WithUpstream(upstream)
-}
--- a/internal/gateway/proxy/overduetimer_test.go
+++ b/internal/gateway/proxy/overduetimer_test.go
@@ -17,11 +17,6 @@
 func (ignoreEjections) FailureSeen()             {}
 func (ignoreEjections) Ejected(outlier.Ejection) {}
 
-// oneHost is a fleet of one host.
-type oneHost struct{}
-
-func (oneHost) Hosts() int { return 1 }
-
 func TestAnOverdueAttemptIsReplacedOnlyIfAnotherIsGranted(t *testing.T) {
 	for _, c := range []struct {
 		rule   string
@@ -40,7 +35,7 @@
 		t.Run(c.rule, func(t *testing.T) {
 			detector := outlier.New(ignoreEjections{})
 			f := &inflight{
-				proxy: New(Options{Detector: detector, Hosts: oneHost{}, Budget: retry.NewBudget(retry.Limits{Window: time.Second, Slack: c.retries})}),
+				proxy: New(Options{Detector: detector, Hosts: func() int { return 1 }, Budget: retry.NewBudget(retry.Limits{Window: time.Second, Slack: c.retries})}),
 				route: &route.Route{Repeat: c.repeat, Attempts: 2, Timeout: time.Minute},
 				tried: []string{"i-1"}, began: time.Now(),
 			}
--- a/internal/gateway/proxy/proxy.go
+++ b/internal/gateway/proxy/proxy.go
@@ -36,21 +36,6 @@
 	WriteError(w http.ResponseWriter, c RequestInfo, e *verdict.Error)
 }
 
-// Hosts counts the hosts that share the limits of a service.
-type Hosts interface {
-	// Hosts is how many hosts are known, this one included.
-	Hosts() int
-}
-
-// Ages give how long ago the sources of the host's state last confirmed it, for
-// the log.
-type Ages struct {
-	// Config is the age of the operator configuration.
-	Config func() time.Duration
-	// Upstreams is the age of the upstreams' table.
-	Upstreams func() time.Duration
-}
-
 // Options are the parts of a Proxy. All are required.
 type Options struct {
 	// State has the configuration and the upstreams.
@@ -65,10 +50,11 @@
 	Client *exchange.Client
 	// Codec reads requests' headers and writes error responses.
 	Codec Codec
-	// Hosts counts the hosts that share the retry budget.
-	Hosts Hosts
-	// Ages are logged with each request.
-	Ages Ages
+	// Hosts gives how many hosts share the retry budget, this one included.
+	Hosts func() int
+	// ConfigAge gives how long ago a source last confirmed the operator
+	// configuration, and UpstreamsAge the upstreams. Both are logged.
+	ConfigAge, UpstreamsAge func() time.Duration
 	// Log is the decision log.
 	Log *eventlog.Log
 	// Metrics counts refusals and failures, and the time of requests.
@@ -83,7 +69,8 @@
 
 	inFlight atomic.Int64
 	draining atomic.Bool
-	// aborted ends when the requests in flight must be given up.
+	// aborted ends when the requests in flight are given up. Each client then
+	// gets an error response that says whether its request may have run.
 	aborted context.Context
 	abort   context.CancelFunc
 }
@@ -103,10 +90,6 @@
 // served.
 func (p *Proxy) Drain() { p.draining.Store(true) }
 
-// Abort gives up the requests in flight. Each client gets an error response
-// that says whether its request may have run.
-func (p *Proxy) Abort() { p.abort() }
-
 // InFlight is the number of requests in flight.
 func (p *Proxy) InFlight() int64 { return p.inFlight.Load() }
 
@@ -118,15 +101,16 @@
 	if p.draining.Load() {
 		closeAfterResponse(w)
 	}
-	f := &inflight{proxy: p, info: p.Codec.ParseRequest(r.Header), began: began}
-	traced, span := p.startRequest(r, f.info.ID)
+	info := p.Codec.ParseRequest(r.Header)
+	client, span := p.startRequest(r, info.ID)
+	f := &inflight{proxy: p, info: info, began: began, client: client}
 	var err error
 	defer func() { endSpan(span, err) }()
 	if err = f.prepare(w, r); err != nil {
 		f.refuse(w, err)
 		return
 	}
-	ctx, cancel := f.context(traced)
+	ctx, cancel := f.context()
 	defer cancel()
 	resp, err := f.run(ctx)
 	if err != nil {
--- a/internal/gateway/proxy/refuse.go
+++ b/internal/gateway/proxy/refuse.go
@@ -9,12 +9,12 @@
 	"cairndock/internal/verdict"
 )
 
-// This file has every error response that the gateway writes by itself. A
-// request is refused
+// Every error response that the gateway writes by itself goes through refuse.
+// The request was refused
 //
-//   - before an attempt, by the functions that make errors below: the host is
-//     starting, no route matches, the request breaks a limit of the
-//     configuration, or the balancer has no upstream for it;
+//   - before an attempt, by prepare (request.go) when the host is starting, no
+//     route matches or the request breaks a limit of the configuration, or by
+//     choose (choose.go) when the balancer has no upstream for it;
 //   - after attempts, by finalVerdict over all of them; what one attempt's
 //     error means is decided in classify.go, or in exchange when there was no
 //     response.
@@ -28,26 +28,6 @@
 	f.logFinal(e.Reason.Status(), e)
 }
 
-// notReady is the error while the host has no configuration or upstreams yet.
-func notReady() error {
-	return verdict.New(verdict.NotRun, verdict.NotReady, "no configuration received yet")
-}
-
-// unknownRoute is the error when no route matches.
-func unknownRoute(r *http.Request) error {
-	return verdict.New(verdict.NotRun, verdict.UnknownRoute, "no route for %s%s", r.Host, r.URL.Path)
-}
-
-// headerTooLarge is the error for a header above a limit in bytes.
-func headerTooLarge(limit int) error {
-	return verdict.New(verdict.NotRun, verdict.HeaderTooLarge, "header is above %d bytes", limit)
-}
-
-// bodyTooLarge is the error for a body above a limit in bytes.
-func bodyTooLarge(limit int64) error {
-	return verdict.New(verdict.NotRun, verdict.BodyTooLarge, "body is above %d bytes", limit)
-}
-
 // bodyIncomplete is the error when a body could not be read whole: it came too
 // slowly, or the client broke it off.
 func bodyIncomplete(err error) error {
@@ -60,18 +40,14 @@
 // notChosen is the error when the balancer chose no upstream. first is the
 // upstream that it would have preferred, for the log.
 func notChosen(reason balance.Reason, service string, first balance.Choice) error {
-	switch reason {
-	case balance.Overloaded:
-		return notAdmitted(verdict.Full, first)
-	case balance.WarmUpLimited:
-		return notAdmitted(verdict.Warming, first)
-	default:
+	if reason == balance.NoUpstream {
 		return verdict.New(verdict.NotRun, verdict.NoUpstream, "no upstream of %s is allowed to serve this", service)
 	}
-}
-
-func notAdmitted(reason verdict.Reason, first balance.Choice) error {
-	return verdict.New(verdict.NotRun, reason, "preferred upstream %s has load %.2f, reported %d ms ago, cold %t",
+	why := verdict.Full
+	if reason == balance.WarmUpLimited {
+		why = verdict.Warming
+	}
+	return verdict.New(verdict.NotRun, why, "preferred upstream %s has load %.2f, reported %d ms ago, cold %t",
 		first.Upstream.ID, first.Load, first.LoadAge.Milliseconds(), first.Cold)
 }
 
--- a/internal/gateway/proxy/refuse_test.go
+++ b/internal/gateway/proxy/refuse_test.go
@@ -47,9 +47,6 @@
 		err    error
 		reason verdict.Reason
 	}{
-		{notReady(), verdict.NotReady},
-		{headerTooLarge(10), verdict.HeaderTooLarge},
-		{bodyTooLarge(10), verdict.BodyTooLarge},
 		{bodyIncomplete(os.ErrDeadlineExceeded), verdict.BodyStalled},
 		{bodyIncomplete(io.ErrUnexpectedEOF), verdict.BadRequest},
 		{notChosen(balance.Overloaded, "s", first), verdict.Full},
--- a/internal/gateway/proxy/request.go
+++ b/internal/gateway/proxy/request.go
@@ -8,6 +8,7 @@
 
 	"cairndock/internal/call"
 	"cairndock/internal/gateway/exchange"
+	"cairndock/internal/verdict"
 )
 
 // noBodyLimit stands for no limit on a request's body, 1 TiB; one more byte
@@ -26,7 +27,7 @@
 	}
 	limits := f.table.Limits
 	if limits.HeaderBytes > 0 && headerSize(r) > limits.HeaderBytes {
-		return headerTooLarge(limits.HeaderBytes)
+		return verdict.New(verdict.NotRun, verdict.HeaderTooLarge, "header is above %d bytes", limits.HeaderBytes)
 	}
 	body, err := readBody(w, r, limits.BodyBytes, f.deadline())
 	if err != nil {
@@ -39,14 +40,13 @@
 // matchRoute finds the route by host and path, and by the request's id the
 // service that takes it where a route is divided among several.
 func (f *inflight) matchRoute(r *http.Request) error {
-	table := f.proxy.State.Table()
-	if table == nil || !f.proxy.State.Ready() {
-		return notReady()
+	if !f.proxy.State.Ready() {
+		return verdict.New(verdict.NotRun, verdict.NotReady, "no configuration received yet")
 	}
-	f.table = table
-	route, ok := table.Match(hostname(r.Host), r.URL.Path)
+	f.table = f.proxy.State.Table()
+	route, ok := f.table.Match(hostname(r.Host), r.URL.Path)
 	if !ok {
-		return unknownRoute(r)
+		return verdict.New(verdict.NotRun, verdict.UnknownRoute, "no route for %s%s", r.Host, r.URL.Path)
 	}
 	f.route, f.service = route, route.Pick(f.info.ID)
 	return nil
@@ -99,7 +99,7 @@
 	}
 	if int64(len(body)) > limit {
 		closeAfterResponse(w)
-		return nil, bodyTooLarge(limit)
+		return nil, verdict.New(verdict.NotRun, verdict.BodyTooLarge, "body is above %d bytes", limit)
 	}
 	// An error means that the connection is closed: there is no next request
 	// that the old deadline could break off.
--- a/internal/gateway/proxy/request_test.go
+++ b/internal/gateway/proxy/request_test.go
@@ -47,9 +47,13 @@
 	resp, _, err := g.do(t.Context(), http.MethodPost, "/x/", strings.Repeat("x", 1001))
 	require.NoError(t, err)
 	require.Equal(t, 413, resp.StatusCode)
+	require.Equal(t, "body-too-large", resp.Header.Get("Reason"))
+	require.Equal(t, "not-run", resp.Header.Get("Verdict"))
 	resp, _, err = g.do(t.Context(), http.MethodGet, "/x/"+strings.Repeat("y", 2000), "")
 	require.NoError(t, err)
 	require.Equal(t, 431, resp.StatusCode)
+	require.Equal(t, "header-too-large", resp.Header.Get("Reason"))
+	require.Equal(t, "not-run", resp.Header.Get("Verdict"))
 }
 
 func TestRequestsWithoutAKeyAreSpread(t *testing.T) {
--- a/internal/gateway/proxy/retry.go
+++ b/internal/gateway/proxy/retry.go
@@ -117,5 +117,5 @@
 // takeRetry takes a retry from the service's budget, which all known hosts
 // share, and reports whether one was left.
 func (f *inflight) takeRetry(now time.Time) bool {
-	return f.proxy.Budget.TryRetry(f.service, f.proxy.Hosts.Hosts(), now)
+	return f.proxy.Budget.TryRetry(f.service, f.proxy.Hosts(), now)
 }
--- a/internal/gateway/proxy/server.go
+++ b/internal/gateway/proxy/server.go
@@ -24,8 +24,6 @@
 	clients *http.Server
 	others  []*http.Server
 	failed  chan error
-	// address is where clients are accepted.
-	address string
 }
 
 // NewServer makes a server without listeners.
@@ -38,20 +36,17 @@
 	}
 }
 
-// ListenClients accepts clients at an address.
-func (s *Server) ListenClients(address string) error {
+// ListenClients accepts clients at an address. It returns the address with the
+// port chosen for port 0.
+func (s *Server) ListenClients(address string) (net.Addr, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return eris.Wrap(err, "listen for clients")
+		return nil, eris.Wrap(err, "listen for clients")
 	}
-	s.address = l.Addr().String()
 	s.serve(s.clients, clientListener{l, s.proxy.State.Limits})
-	return nil
+	return l.Addr(), nil
 }
 
-// ClientAddress is where clients are accepted; it is empty before ListenClients.
-func (s *Server) ClientAddress() string { return s.address }
-
 // Listen serves a handler other than the proxy at an address.
 func (s *Server) Listen(address string, h http.Handler) error {
 	l, err := net.Listen("tcp", address)
--- a/internal/gateway/proxy/stop.go
+++ b/internal/gateway/proxy/stop.go
@@ -14,7 +14,7 @@
 //	                     new requests are still served
 //	drainPart of it      Shutdown: no new connections, idle ones are closed;
 //	                     requests in flight are served to their end
-//	exitMargin before    Abort: requests still in flight get an error response
+//	exitMargin before    abort: requests still in flight get an error response
 //	its end              that says whether they may have run
 //	abortGrace later     the process may exit
 //
@@ -46,7 +46,7 @@
 func (s *Server) Stop(ctx context.Context, grace time.Duration) int64 {
 	began := time.Now()
 	s.proxy.Drain()
-	pause.For(ctx, drainTime(grace))
+	pause.For(ctx, time.Duration(drainPart*float64(grace)))
 
 	ctx, cancel := context.WithDeadline(ctx, began.Add(grace-exitMargin))
 	defer cancel()
@@ -59,7 +59,7 @@
 	if aborted == 0 {
 		return 0
 	}
-	s.proxy.Abort()
+	s.proxy.abort()
 	ctx, cancel = context.WithTimeout(context.WithoutCancel(ctx), abortGrace)
 	defer cancel()
 	s.waitIdle(ctx)
@@ -72,8 +72,3 @@
 		pause.For(ctx, exitPoll)
 	}
 }
-
-// drainTime is how long a stopping host still serves new requests.
-func drainTime(grace time.Duration) time.Duration {
-	return time.Duration(drainPart * float64(grace))
-}
--- a/internal/gateway/proxy/stop_test.go
+++ b/internal/gateway/proxy/stop_test.go
@@ -23,9 +23,9 @@
 		healthy(c, r)
 	})
 	s := proxy.NewServer(g.proxy)
-	require.NoError(t, s.ListenClients("127.0.0.1:0"))
-	address := s.ClientAddress()
-	g.server.URL = "http://" + address
+	address, err := s.ListenClients("127.0.0.1:0")
+	require.NoError(t, err)
+	g.server.URL = "http://" + address.String()
 	type result struct {
 		resp *http.Response
 		body string
@@ -49,7 +49,7 @@
 		require.Equal(t, "whole", r.body)
 	}
 	require.Zero(t, <-cut)
-	_, err := net.DialTimeout("tcp", address, 100*time.Millisecond)
+	_, err = net.DialTimeout("tcp", address.String(), 100*time.Millisecond)
 	require.Error(t, err)
 }
 
@@ -66,8 +66,9 @@
 	})
 	s := proxy.NewServer(g.proxy)
 	t.Cleanup(s.Close)
-	require.NoError(t, s.ListenClients("127.0.0.1:0"))
-	g.server.URL = "http://" + s.ClientAddress()
+	address, err := s.ListenClients("127.0.0.1:0")
+	require.NoError(t, err)
+	g.server.URL = "http://" + address.String()
 	cut := make(chan int64, 1)
 	time.AfterFunc(50*time.Millisecond, func() { cut <- s.Stop(t.Context(), time.Second) })
 	resp, _, err := g.do(t.Context(), http.MethodPost, "/x/", "b")
