--- a/internal/gateway/proxy/attempt.go
+++ b/internal/gateway/proxy/attempt.go
@@ -84,11 +84,10 @@
 }
 
 // buffer reads the beginning of a response. One that breaks off there is a
-// failed attempt. After it the upstream is released when the response has been
-// forwarded.
+// failed attempt; any other is released by forward.
 func (f *inflight) buffer(ctx context.Context, c balance.Choice, began time.Time, resp *exchange.Response) (*response, error) {
 	id := c.Upstream.ID
-	out, err := bufferPrefix(resp)
+	out, err := bufferPrefix(id, resp)
 	if err != nil {
 		f.proxy.release(id, outlier.Failed)
 		e := truncated(id, err, ctx.Err() != nil)
@@ -99,7 +98,6 @@
 		return nil, e
 	}
 	f.logAttempt(c, began, resp.Status, nil)
-	out.done = func(err error) { f.proxy.release(id, outcomeOfForward(err)) }
 	return out, nil
 }
 
--- a/internal/gateway/proxy/clientconn.go
+++ b/internal/gateway/proxy/clientconn.go
@@ -65,7 +65,7 @@
 }
 
 // noteState is the http.Server's ConnState hook: it follows the server's view
-// of a connection.
+// of a connection, whose first phase Accept has begun.
 func noteState(nc net.Conn, state http.ConnState) {
 	c, ok := nc.(*clientConn)
 	if !ok {
@@ -78,8 +78,6 @@
 		c.enter(idle)
 	case http.StateHijacked, http.StateClosed:
 		c.timer.Stop()
-	case http.StateNew:
-		// Accept began the phase.
 	}
 }
 
@@ -87,18 +85,15 @@
 // a header; the server reports it only after it has read the header.
 func (c *clientConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if n > 0 {
-		c.leaveIdle()
+	if n == 0 {
+		return n, err
 	}
-	return n, err
-}
-
-func (c *clientConn) leaveIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase == idle {
 		c.begin(reading)
 	}
+	return n, err
 }
 
 func (c *clientConn) enter(p phase) {
--- a/internal/gateway/proxy/response.go
+++ b/internal/gateway/proxy/response.go
@@ -25,29 +25,23 @@
 
 // response is an upstream's response whose beginning was buffered.
 type response struct {
-	status int
-	header http.Header
-	// length is the body's length in bytes, or -1 when it is not known.
-	length int64
+	*exchange.Response
+	// upstream is the id of the upstream that sent it.
+	upstream string
+	// prefix is the beginning of the body; Body has the rest.
 	prefix []byte
-	rest   io.ReadCloser
-	// failed is what ended the forwarding early.
-	failed error
-	// done is called when the response is closed.
-	done func(error)
 }
 
 // bufferPrefix reads the beginning of a response. It closes one that breaks off.
-func bufferPrefix(resp *exchange.Response) (*response, error) {
-	out := &response{status: resp.Status, header: resp.Header, length: resp.Length, rest: resp.Body}
+func bufferPrefix(upstream string, resp *exchange.Response) (*response, error) {
 	prefix, err := io.ReadAll(io.LimitReader(resp.Body, prefixBytes))
 	if err != nil {
-		_ = resp.Body.Close()
+		_ = resp.Body.Close() // the read's error is reported
 		return nil, err
 	}
-	out.prefix = prefix
+	out := &response{Response: resp, upstream: upstream, prefix: prefix}
 	if out.whole() {
-		out.length = int64(len(prefix))
+		out.Length = int64(len(prefix))
 	}
 	return out, nil
 }
@@ -55,20 +49,25 @@
 // whole reports whether the prefix is the whole body.
 func (r *response) whole() bool { return len(r.prefix) < prefixBytes }
 
-// forward writes an upstream's response to the client. One that breaks off
-// breaks the client's connection, so that it can't look whole.
+// forward writes an upstream's response to the client, and then releases the
+// upstream and its connection. One that breaks off breaks the client's
+// connection, so that it can't look whole.
 func (f *inflight) forward(w http.ResponseWriter, resp *response) {
-	defer resp.close()
+	var err error
+	defer func() {
+		_ = resp.Body.Close() // err says whether the body was read whole
+		f.proxy.release(resp.upstream, outcomeOfForward(err))
+	}()
 	resp.writeHeader(w, f.request.Method)
-	err := resp.copyTo(w)
+	err = resp.copyTo(w)
 	metrics := f.proxy.Metrics
 	metrics.Observe(`cairndock_request_seconds{service="`+f.service+`"}`, time.Since(f.began).Seconds())
 	if err != nil {
 		metrics.Count("cairndock_answers_broken_total")
-		f.logFinal(resp.status, verdict.New(verdict.MayHaveRun, verdict.AnswerTruncated, "%v", err))
+		f.logFinal(resp.Status, verdict.New(verdict.MayHaveRun, verdict.AnswerTruncated, "%v", err))
 		panic(http.ErrAbortHandler)
 	}
-	f.logFinal(resp.status, nil)
+	f.logFinal(resp.Status, nil)
 }
 
 // writeHeader writes the status and the end-to-end headers. A Connection header
@@ -76,50 +75,36 @@
 func (r *response) writeHeader(w http.ResponseWriter, method string) {
 	h := w.Header()
 	connection := h.Get("Connection")
-	for name, values := range call.EndToEnd(r.header) {
+	for name, values := range call.EndToEnd(r.Header) {
 		h[name] = values
 	}
 	if connection != "" {
 		h.Set("Connection", connection)
 	}
 	if !strings.EqualFold(method, http.MethodHead) {
-		r.setLength(h)
+		h.Del("Content-Length")
+		if r.Length >= 0 {
+			h.Set("Content-Length", strconv.FormatInt(r.Length, 10))
+		}
 	}
 	if h.Get("Content-Type") == "" {
 		h["Content-Type"] = nil // keeps net/http from guessing it
 	}
-	w.WriteHeader(r.status)
-}
-
-// setLength sets the body's length where it is known.
-func (r *response) setLength(h http.Header) {
-	h.Del("Content-Length")
-	if r.length >= 0 {
-		h.Set("Content-Length", strconv.FormatInt(r.length, 10))
-	}
+	w.WriteHeader(r.Status)
 }
 
 var buffers = sync.Pool{New: func() any { return new([copyBuffer]byte) }}
 
 // copyTo writes the body to the client.
 func (r *response) copyTo(w http.ResponseWriter) error {
-	if _, r.failed = w.Write(r.prefix); r.failed != nil {
-		return r.failed
-	}
-	if r.whole() {
-		return nil
+	if _, err := w.Write(r.prefix); err != nil || r.whole() {
+		return err
 	}
 	buf := buffers.Get().(*[copyBuffer]byte)
 	defer buffers.Put(buf)
-	_, r.failed = io.CopyBuffer(onlyWriter{w}, r.rest, buf[:])
-	return r.failed
+	_, err := io.CopyBuffer(onlyWriter{w}, r.Body, buf[:])
+	return err
 }
 
 // onlyWriter hides the writer's own ReadFrom, which would take a larger buffer.
 type onlyWriter struct{ io.Writer }
-
-// close returns or closes the upstream's connection and reports the end.
-func (r *response) close() {
-	_ = r.rest.Close() // r.failed says whether the body was read whole
-	r.done(r.failed)
-}
--- a/internal/gateway/proxy/retry.go
+++ b/internal/gateway/proxy/retry.go
@@ -12,22 +12,26 @@
 // budget of its service must grant it, and what may have run is only sent again
 // when it may run more than once.
 
-// retryState is what the retry rule looks at after a failed attempt.
+// retryState is what both rules look at.
 type retryState struct {
-	// ended is set when there is nobody to serve: the deadline passed, the host
-	// aborts or the client left.
-	ended bool
 	// attempts is the number of upstreams that the request was sent to, and
 	// maxAttempts the route's bound on it.
 	attempts, maxAttempts int
-	// mayHaveRun is set when this attempt or an earlier one may have run.
-	mayHaveRun bool
 	// repeatable is set when the request may run more than once.
 	repeatable bool
+	// mayHaveRun is set when an attempt that failed may have run.
+	mayHaveRun bool
 	// granted is set when the budget granted the next attempt already.
 	granted bool
 }
 
+func (f *inflight) retryState() retryState {
+	return retryState{
+		attempts: len(f.tried), maxAttempts: f.route.Attempts, repeatable: f.repeatable(),
+		mayHaveRun: f.maybeRan != nil, granted: f.retryGranted,
+	}
+}
+
 // retryDecision is what happens to a request after a failed attempt.
 type retryDecision uint8
 
@@ -40,15 +44,13 @@
 	retryIfGranted
 )
 
-// decideRetry is the rule for a request whose attempt failed. The budget is
-// asked last, so that only retries that are made count in it.
-func decideRetry(s retryState) retryDecision {
+// decideRetry is the rule for a request whose attempt failed. ended is set when
+// there is nobody to serve: the deadline passed, the host aborts or the client
+// left. The budget is asked last, so that only retries that are made count in
+// it.
+func decideRetry(s retryState, ended bool) retryDecision {
 	switch {
-	case s.ended:
-		return giveUp
-	case s.attempts >= s.maxAttempts:
-		return giveUp
-	case s.mayHaveRun && !s.repeatable:
+	case ended, s.attempts >= s.maxAttempts, s.mayHaveRun && !s.repeatable:
 		return giveUp
 	case s.granted:
 		return retryNow
@@ -63,15 +65,7 @@
 	if failed.Verdict != verdict.NotRun {
 		f.maybeRan = failed
 	}
-	decision := decideRetry(retryState{
-		ended:       ctx.Err() != nil || f.client.Err() != nil,
-		attempts:    len(f.tried),
-		maxAttempts: f.route.Attempts,
-		mayHaveRun:  f.maybeRan != nil,
-		repeatable:  f.repeatable(),
-		granted:     f.retryGranted,
-	})
-	switch decision {
+	switch decideRetry(f.retryState(), ctx.Err() != nil || f.client.Err() != nil) {
 	case retryNow:
 		f.retryGranted = false
 		return true
@@ -82,36 +76,18 @@
 	}
 }
 
-// resendState is what the resend rule looks at when a response is overdue.
-type resendState struct {
-	// repeatable is set when the request may run more than once.
-	repeatable bool
-	// attempts is the number of upstreams that the request was sent to, and
-	// maxAttempts the route's bound on it.
-	attempts, maxAttempts int
-	// timeLeft is the time until the request's deadline, and overdueAfter the
-	// time that a response normally takes at most.
-	timeLeft, overdueAfter time.Duration
-}
-
 // mayResend is the rule for a request whose response is overdue: the response
 // may be lost, so a request that may run more than once is sent to another
-// upstream if there is time for a response from there. It raised the worst
+// upstream if timeLeft, the time until its deadline, is enough for a response
+// from there, which normally takes overdueAfter at most. It raised the worst
 // windows of cacf-ruteo scale-1 from 0.59 to 0.62 (docs/design/platform.md).
-func mayResend(s resendState) bool {
-	return s.repeatable && s.attempts < s.maxAttempts && s.timeLeft >= s.overdueAfter
+func mayResend(s retryState, timeLeft, overdueAfter time.Duration) bool {
+	return s.repeatable && s.attempts < s.maxAttempts && timeLeft >= overdueAfter
 }
 
 // shouldResend applies mayResend and takes the retry from the budget.
 func (f *inflight) shouldResend(overdueAfter time.Duration, now time.Time) bool {
-	s := resendState{
-		repeatable:   f.repeatable(),
-		attempts:     len(f.tried),
-		maxAttempts:  f.route.Attempts,
-		timeLeft:     f.deadline().Sub(now),
-		overdueAfter: overdueAfter,
-	}
-	return mayResend(s) && f.takeRetry(now)
+	return mayResend(f.retryState(), f.deadline().Sub(now), overdueAfter) && f.takeRetry(now)
 }
 
 // takeRetry takes a retry from the service's budget, which all known hosts
