--- a/internal/gateway/proxy/choose.go
+++ b/internal/gateway/proxy/choose.go
@@ -24,13 +24,13 @@
 	return balance.Query{
 		Key:        f.affinityKey(),
 		NoAffinity: f.info.Key == "" || !f.route.Sticky,
-		Upstreams:  f.proxy.State.Set().Service(f.service),
+		Upstreams:  f.proxy.State.Upstreams().Service(f.service),
 		Allows:     f.allowedRegion(),
 		Priority:   f.route.Priority,
 		Bulk:       f.route.Bulk,
-		Mixed:      f.table.Mixed(f.service),
+		Mixed:      f.config.Mixed(f.service),
 		Tried:      f.tried,
-		WarmUpRate: f.table.Service(f.service).WarmUpRate,
+		WarmUpRate: f.config.Service(f.service).WarmUpRate,
 		Now:        now,
 	}
 }
--- a/internal/gateway/proxy/decisionlog.go
+++ b/internal/gateway/proxy/decisionlog.go
@@ -13,7 +13,7 @@
 func (f *inflight) logAttempt(c balance.Choice, began time.Time, status int, e *verdict.Error) {
 	ev := eventlog.Attempt{
 		Request: f.info.ID, Route: f.route.Name, Service: f.service, Upstream: c.Upstream.ID, Zone: c.Upstream.Zone,
-		Key: f.info.Key, Number: len(f.tried), Config: f.table.Version, Load: c.Load, LoadAge: c.LoadAge, Rank: c.Rank, Cold: c.Cold,
+		Key: f.info.Key, Number: len(f.tried), Config: f.config.Version, Load: c.Load, LoadAge: c.LoadAge, Rank: c.Rank, Cold: c.Cold,
 		Outcome: eventlog.OutcomeAnswered, Status: status, Took: time.Since(began),
 	}
 	if e != nil {
@@ -30,8 +30,8 @@
 		Request: f.info.ID, Service: f.service, Attempts: len(f.tried), Status: status, Verdict: verdict.Ran.String(),
 		ConfigAge: f.proxy.ConfigAge(), UpstreamsAge: f.proxy.UpstreamsAge(), Took: time.Since(f.began),
 	}
-	if f.table != nil {
-		ev.Config = f.table.Version
+	if f.config != nil {
+		ev.Config = f.config.Version
 	}
 	if f.route != nil {
 		ev.Route = f.route.Name
--- a/internal/gateway/proxy/inflight.go
+++ b/internal/gateway/proxy/inflight.go
@@ -19,7 +19,7 @@
 	client context.Context
 
 	// Set by prepare, as far as it got.
-	table   *route.Table
+	config  *route.Table
 	route   *route.Route
 	service string
 	request *exchange.Request
@@ -29,8 +29,8 @@
 	// retryGranted is set when the last attempt was overdue and the budget
 	// already granted another one.
 	retryGranted bool
-	// maybeRan is the last error after which the request may have run, or nil.
-	maybeRan *verdict.Error
+	// mayHaveRun is the last error after which the request may have run, or nil.
+	mayHaveRun *verdict.Error
 }
 
 // run sends the request until it has a response to forward or is given up.
@@ -54,5 +54,5 @@
 // finalVerdict is the verdict on a request that was given up after an error.
 func (f *inflight) finalVerdict(err error) error {
 	hostAborted := f.client.Err() == nil && f.proxy.aborted.Err() != nil
-	return finalVerdict(verdict.From(err), f.maybeRan, hostAborted)
+	return finalVerdict(verdict.From(err), f.mayHaveRun, hostAborted)
 }
--- a/internal/gateway/proxy/overdue.go
+++ b/internal/gateway/proxy/overdue.go
@@ -25,7 +25,7 @@
 // overdueTimer watches one attempt for a response that takes too long, which
 // counts as a failure of the upstream.
 type overdueTimer struct {
-	request  *inflight
+	inflight *inflight
 	upstream string
 	// after is the longest time that a response normally takes; zero when it is
 	// not known yet, and the timer never fires.
@@ -39,7 +39,7 @@
 
 // startOverdueTimer watches an attempt that begins. cancel ends the attempt.
 func (f *inflight) startOverdueTimer(c balance.Choice, cancel context.CancelFunc) *overdueTimer {
-	t := &overdueTimer{request: f, upstream: c.Upstream.ID, cancel: cancel}
+	t := &overdueTimer{inflight: f, upstream: c.Upstream.ID, cancel: cancel}
 	t.after = f.proxy.Detector.OverdueAfter(f.service, c.Load)
 	if t.after > 0 {
 		t.timer = time.AfterFunc(t.after, t.fire)
@@ -58,8 +58,8 @@
 	}
 	t.state = overdue
 	now := time.Now()
-	t.request.proxy.Detector.RecordFailure(t.upstream, now)
-	if t.request.shouldResend(t.after, now) {
+	t.inflight.proxy.Detector.RecordFailure(t.upstream, now)
+	if t.inflight.shouldResend(t.after, now) {
 		t.state = replaced
 		t.cancel()
 	}
--- a/internal/gateway/proxy/overduetimer_test.go
+++ b/internal/gateway/proxy/overduetimer_test.go
@@ -40,7 +40,7 @@
 				tried: []string{"i-1"}, began: time.Now(),
 			}
 			canceled := false
-			timer := &overdueTimer{request: f, upstream: "i-1", after: time.Millisecond, cancel: func() { canceled = true }}
+			timer := &overdueTimer{inflight: f, upstream: "i-1", after: time.Millisecond, cancel: func() { canceled = true }}
 			if c.ended {
 				timer.settle()
 			}
--- a/internal/gateway/proxy/proxy.go
+++ b/internal/gateway/proxy/proxy.go
@@ -145,7 +145,7 @@
 // retainKnown drops the load, health and connections of upstreams that are not
 // registered any more.
 func (p *Proxy) retainKnown() {
-	set := p.State.Set()
+	set := p.State.Upstreams()
 	known := func(id string) bool {
 		_, ok := set.Get(id)
 		return ok
--- a/internal/gateway/proxy/refuse.go
+++ b/internal/gateway/proxy/refuse.go
@@ -52,15 +52,15 @@
 }
 
 // finalVerdict is the verdict over all attempts of a request. last is the error
-// that ended it, from an attempt or the balancer; maybeRan is the last attempt's
+// that ended it, from an attempt or the balancer; mayHaveRun is the last attempt's
 // error after which the request may have run, or nil: one such attempt is
 // enough, whatever came after it. hostAborted says that the host gave the
 // request up while the client still waited. An attempt can't tell this from a
 // client that left, as both end its context.
-func finalVerdict(last, maybeRan *verdict.Error, hostAborted bool) *verdict.Error {
+func finalVerdict(last, mayHaveRun *verdict.Error, hostAborted bool) *verdict.Error {
 	e := last
-	if maybeRan != nil {
-		e = maybeRan
+	if mayHaveRun != nil {
+		e = mayHaveRun
 	}
 	if e.Reason != verdict.CallerLeft || !hostAborted {
 		return e
--- a/internal/gateway/proxy/refuse_test.go
+++ b/internal/gateway/proxy/refuse_test.go
@@ -20,7 +20,7 @@
 	for _, c := range []struct {
 		rule        string
 		last        *verdict.Error
-		maybeRan    *verdict.Error
+		mayHaveRun  *verdict.Error
 		hostAborted bool
 		verdict     verdict.Verdict
 		reason      verdict.Reason
@@ -34,7 +34,7 @@
 		{"an abort does not hide another failure", shed, nil, true, verdict.NotRun, verdict.UpstreamShed},
 	} {
 		t.Run(c.rule, func(t *testing.T) {
-			e := finalVerdict(c.last, c.maybeRan, c.hostAborted)
+			e := finalVerdict(c.last, c.mayHaveRun, c.hostAborted)
 			require.Equal(t, c.verdict, e.Verdict)
 			require.Equal(t, c.reason, e.Reason)
 		})
--- a/internal/gateway/proxy/request.go
+++ b/internal/gateway/proxy/request.go
@@ -25,7 +25,7 @@
 	if err := f.matchRoute(r); err != nil {
 		return err
 	}
-	limits := f.table.Limits
+	limits := f.config.Limits
 	if limits.HeaderBytes > 0 && headerSize(r) > limits.HeaderBytes {
 		return verdict.New(verdict.NotRun, verdict.HeaderTooLarge, "header is above %d bytes", limits.HeaderBytes)
 	}
@@ -43,8 +43,8 @@
 	if !f.proxy.State.Ready() {
 		return verdict.New(verdict.NotRun, verdict.NotReady, "no configuration received yet")
 	}
-	f.table = f.proxy.State.Table()
-	route, ok := f.table.Match(hostname(r.Host), r.URL.Path)
+	f.config = f.proxy.State.Config()
+	route, ok := f.config.Match(hostname(r.Host), r.URL.Path)
 	if !ok {
 		return verdict.New(verdict.NotRun, verdict.UnknownRoute, "no route for %s%s", r.Host, r.URL.Path)
 	}
--- a/internal/gateway/proxy/retry.go
+++ b/internal/gateway/proxy/retry.go
@@ -28,7 +28,7 @@
 func (f *inflight) retryState() retryState {
 	return retryState{
 		attempts: len(f.tried), maxAttempts: f.route.Attempts, repeatable: f.repeatable(),
-		mayHaveRun: f.maybeRan != nil, granted: f.retryGranted,
+		mayHaveRun: f.mayHaveRun != nil, granted: f.retryGranted,
 	}
 }
 
@@ -63,7 +63,7 @@
 // from the budget.
 func (f *inflight) shouldRetry(ctx context.Context, failed *verdict.Error) bool {
 	if failed.Verdict != verdict.NotRun {
-		f.maybeRan = failed
+		f.mayHaveRun = failed
 	}
 	switch decideRetry(f.retryState(), ctx.Err() != nil || f.client.Err() != nil) {
 	case retryNow:
--- a/internal/gateway/routing/operator.go
+++ b/internal/gateway/routing/operator.go
@@ -31,7 +31,7 @@
 		switch {
 		case !ok: // logged; what is in force stays
 		case decoded.Table != nil:
-			s.useTable(decoded.Table)
+			s.useConfig(decoded.Table)
 		default:
 			evacuated[row.Key] = decoded.Evacuate
 		}
@@ -40,11 +40,11 @@
 }
 
 // useTable puts a configuration in force unless the one in force is as new.
-func (s *State) useTable(t *route.Table) {
-	if old := s.table.Load(); old != nil && t.Version <= old.Version {
+func (s *State) useConfig(t *route.Table) {
+	if old := s.config.Load(); old != nil && t.Version <= old.Version {
 		return
 	}
-	s.table.Store(t)
+	s.config.Store(t)
 	s.log.Config(t.Version, t.Routes())
 }
 
--- a/internal/gateway/routing/routing_test.go
+++ b/internal/gateway/routing/routing_test.go
@@ -80,7 +80,7 @@
 // serving gives the ids of the upstreams that may receive requests.
 func (h host) serving() []string {
 	ids := []string{}
-	for _, u := range h.state.Set().Service("s") {
+	for _, u := range h.state.Upstreams().Service("s") {
 		ids = append(ids, u.ID)
 	}
 	return ids
@@ -118,7 +118,7 @@
 	h.operator(row("config", "config 1"), row("away", "evacuate y"))
 	h.upstreams(watch.Update{Full: true, Rows: []watch.Row{row("i-1", "upstream z"), row("i-2", "upstream y")}})
 	for range 2 {
-		require.EqualValues(t, 1, h.state.Table().Version)
+		require.EqualValues(t, 1, h.state.Config().Version)
 		require.Equal(t, []string{"i-1"}, h.serving())
 		h.operator(row("config", "?"), row("away", "?"))
 		h.upstreams(watch.Update{Rows: []watch.Row{row("i-1", "?")}})
@@ -134,10 +134,10 @@
 		want  int64
 	}{{"config 5", 5}, {"config 4", 5}, {"config 5", 5}, {"config 7", 7}} {
 		h.operator(row("config", step.value))
-		require.Equal(t, step.want, h.state.Table().Version, step.value)
+		require.Equal(t, step.want, h.state.Config().Version, step.value)
 	}
 	h.operator(deleted("config"))
-	require.EqualValues(t, 7, h.state.Table().Version, "a deleted configuration stays in force")
+	require.EqualValues(t, 7, h.state.Config().Version, "a deleted configuration stays in force")
 }
 
 func TestAnEvacuationLastsUntilItsRowIsDeleted(t *testing.T) {
@@ -159,8 +159,8 @@
 		h.operator(row("config", "config 1"))
 		h.upstreams(watch.Update{Full: true, Rows: []watch.Row{row("i-1", "upstream z")}})
 		h.upstreams(watch.Update{Rows: []watch.Row{row("i-2", "upstream z")}})
-		first, _ := h.state.Set().Get("i-1")
-		second, _ := h.state.Set().Get("i-2")
+		first, _ := h.state.Upstreams().Get("i-1")
+		second, _ := h.state.Upstreams().Get("i-2")
 		require.Zero(t, first.ColdUntil)
 		require.Equal(t, time.Now().Add(warmUp), second.ColdUntil)
 	})
--- a/internal/gateway/routing/state.go
+++ b/internal/gateway/routing/state.go
@@ -53,8 +53,8 @@
 	log     *eventlog.Log
 	metrics *telemetry.Metrics
 
-	table atomic.Pointer[route.Table]
-	set   atomic.Pointer[upstream.Set]
+	config    atomic.Pointer[route.Table]
+	upstreams atomic.Pointer[upstream.Set]
 	// seeded is set once all upstreams were read.
 	seeded atomic.Bool
 
@@ -70,13 +70,13 @@
 func New(d Decoder, log *eventlog.Log, m *telemetry.Metrics) *State {
 	s := &State{decoder: d, log: log, metrics: m, evacuated: map[string]string{}}
 	s.registry = upstream.NewRegistry(s.warmUp)
-	s.set.Store(s.registry.Set())
+	s.upstreams.Store(s.registry.Set())
 	return s
 }
 
 // warmUp is how long an upstream of a service is cold after its start.
 func (s *State) warmUp(service string) time.Duration {
-	t := s.table.Load()
+	t := s.config.Load()
 	if t == nil {
 		return 0
 	}
@@ -84,11 +84,11 @@
 }
 
 // Table is the configuration in force, or nil before the first.
-func (s *State) Table() *route.Table { return s.table.Load() }
+func (s *State) Config() *route.Table { return s.config.Load() }
 
 // Limits are the limits on clients in force; zero values are no limits.
 func (s *State) Limits() route.Limits {
-	t := s.table.Load()
+	t := s.config.Load()
 	if t == nil {
 		return route.Limits{}
 	}
@@ -96,17 +96,17 @@
 }
 
 // Set is the upstreams known.
-func (s *State) Set() *upstream.Set { return s.set.Load() }
+func (s *State) Upstreams() *upstream.Set { return s.upstreams.Load() }
 
 // Ready reports whether the host knows enough to serve: a configuration, and
 // all upstreams by one full reading. Once ready it stays so, also while the
 // sources are lost.
 func (s *State) Ready() bool {
-	return s.table.Load() != nil && s.seeded.Load()
+	return s.config.Load() != nil && s.seeded.Load()
 }
 
 // publish gives readers the upstreams as the registry has them; s.mu is held.
-func (s *State) publish() { s.set.Store(s.registry.Set()) }
+func (s *State) publish() { s.upstreams.Store(s.registry.Set()) }
 
 // decode decodes a row by read. It logs a row that can't be decoded, and reports
 // whether it could.
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -37,7 +37,7 @@
 // services of a name, best first.
 func (g *Gateway) clientAddresses(name, zone, region string) []string {
 	var allowed []string
-	if table := g.state.Table(); table != nil {
+	if table := g.state.Config(); table != nil {
 		allowed = table.HostRegions(name)
 	}
 	return g.fleet.ClientAddresses(zone, region, allowed)
@@ -47,7 +47,7 @@
 func (g *Gateway) registerGauges() {
 	g.metrics.Gauge("cairndock_requests_in_flight", func() float64 { return float64(g.proxy.InFlight()) })
 	g.metrics.Gauge("cairndock_hosts_known", func() float64 { return float64(g.fleet.Hosts()) })
-	g.metrics.Gauge("cairndock_upstreams_known", func() float64 { return float64(g.state.Set().Len()) })
+	g.metrics.Gauge("cairndock_upstreams_known", func() float64 { return float64(g.state.Upstreams().Len()) })
 	for table, label := range tableLabels {
 		replica := g.tables[table].Replica
 		g.metrics.Gauge(`cairndock_table_age_seconds{table="`+label+`"}`, func() float64 { return replica.Age().Seconds() })
