--- a/internal/gateway/exchange/exchange.go
+++ b/internal/gateway/exchange/exchange.go
@@ -108,7 +108,6 @@
 		return nil, verdict.New(verdict.NotRun, verdict.DeadlineLapsed, "no time left to send").WithUpstream(upstream)
 	}
 	x := &roundTrip{client: c, conn: nc, upstream: upstream, request: r}
-	// Ending the context wakes whoever reads or writes the connection.
 	x.stop = context.AfterFunc(ctx, x.interrupt)
 	if n, err := nc.Write(x.encode(left)); err != nil {
 		return nil, x.fail(ctx, err, n > 0)
--- a/internal/gateway/exchange/roundtrip.go
+++ b/internal/gateway/exchange/roundtrip.go
@@ -36,7 +36,7 @@
 // past is a deadline that has passed.
 var past = time.Unix(1, 0)
 
-// interrupt wakes whoever reads or writes the connection.
+// interrupt wakes whoever reads or writes the connection when the context ends.
 func (x *roundTrip) interrupt() {
 	// An error means that the connection is closed, which wakes them too.
 	_ = x.conn.SetDeadline(past)
@@ -76,7 +76,9 @@
 		}
 		info := x.client.protocol.ParseResponse(x.request.ID, resp.StatusCode, resp.Header)
 		if !info.WrongRequest {
-			return x.deliver(resp, info), nil
+			// Closing the body returns the connection.
+			b := &body{roundTrip: x, inner: resp.Body, reusable: !resp.Close, idleTimeout: keepAliveTimeout(resp.Header)}
+			return &Response{Status: resp.StatusCode, Header: resp.Header, Info: info, Length: resp.ContentLength, Body: b}, nil
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.Close {
 			return nil, x.fail(ctx, eris.New("connection ended after a response to another request"), true)
@@ -99,12 +101,6 @@
 	}
 }
 
-// deliver hands the response over; its body returns the connection.
-func (x *roundTrip) deliver(resp *http.Response, info ResponseInfo) *Response {
-	b := &body{roundTrip: x, inner: resp.Body, reusable: !resp.Close, idleTimeout: keepAliveTimeout(resp.Header)}
-	return &Response{Status: resp.StatusCode, Header: resp.Header, Info: info, Length: resp.ContentLength, Body: b}
-}
-
 // fail closes the connection, which cancels the request at the upstream, and
 // gives the error of a request without a response. sent says whether any byte
 // may have reached the upstream.
--- a/internal/gateway/proxy/attempt.go
+++ b/internal/gateway/proxy/attempt.go
@@ -17,16 +17,11 @@
 // Chosen, not measured.
 const maxRefusal = 16 << 10
 
-// attempt sends the request to one upstream, in a span of its own.
-func (f *inflight) attempt(ctx context.Context, c balance.Choice) (*response, error) {
+// attempt sends the request to one upstream, in a span of its own, and buffers
+// the beginning of the response.
+func (f *inflight) attempt(ctx context.Context, c balance.Choice) (_ *response, err error) {
 	ctx, span := f.startAttempt(ctx, c)
-	resp, err := f.send(ctx, c)
-	endSpan(span, err)
-	return resp, err
-}
-
-// send sends the request and buffers the beginning of the response.
-func (f *inflight) send(ctx context.Context, c balance.Choice) (*response, error) {
+	defer func() { endSpan(span, err) }()
 	began := time.Now()
 	f.tried = append(f.tried, c.Upstream.ID)
 	// On success the context lives on, as the body is read under it; it ends
--- a/internal/gateway/proxy/choose.go
+++ b/internal/gateway/proxy/choose.go
@@ -6,13 +6,12 @@
 	"cairndock/internal/gateway/balance"
 )
 
-// choose asks the balancer for the next upstream of the request. A choice
-// counts as outstanding there until release. Without one, the error says why,
-// and the choice names the upstream that would have been preferred.
+// choose asks the balancer for the next upstream of the request, where the
+// request counts as outstanding until release. The error says why there is none.
 func (f *inflight) choose() (balance.Choice, error) {
 	choice, reason := f.proxy.Balancer.Choose(f.query(time.Now()))
 	if reason != balance.Chosen {
-		return choice, notChosen(reason, f.service, choice)
+		return balance.Choice{}, notChosen(reason, f.service, choice)
 	}
 	return choice, nil
 }
--- a/internal/gateway/proxy/classify.go
+++ b/internal/gateway/proxy/classify.go
@@ -50,14 +50,18 @@
 	return verdict.New(verdict.MayHaveRun, reason, "the response broke off: %v", err).WithUpstream(upstream)
 }
 
+// The outlier detector counts an upstream's failures twice: as evidence that the
+// hosts of a region share (isUpstreamFault, recordHealth), and in a row at this
+// host alone (outcomeOf, outcomeOfForward, release).
+
 // isUpstreamFault reports whether a failed attempt is evidence against its
 // upstream. Load shedding and canceled requests are not.
 func isUpstreamFault(r verdict.Reason) bool {
 	return r == verdict.UpstreamFailed || r == verdict.Unreachable || r == verdict.AnswerTruncated
 }
 
-// outcomeOf gives how a failed attempt counts in this host's own count of an
-// upstream's failures in a row.
+// outcomeOf gives how a failed attempt counts among this host's failures in a
+// row.
 func outcomeOf(r verdict.Reason) outlier.Outcome {
 	switch r {
 	case verdict.UpstreamShed:
--- a/internal/gateway/proxy/decisionlog.go
+++ b/internal/gateway/proxy/decisionlog.go
@@ -9,7 +9,8 @@
 )
 
 // logAttempt writes why an attempt went to its upstream and how it ended. e is
-// nil when its response is forwarded; status is zero when there was none.
+// nil when its response is forwarded. status is zero when there was no response
+// or classify rejected it; its reason then says which.
 func (f *inflight) logAttempt(c balance.Choice, began time.Time, status int, e *verdict.Error) {
 	ev := eventlog.Attempt{
 		Request: f.info.ID, Route: f.route.Name, Service: f.service, Upstream: c.Upstream.ID, Zone: c.Upstream.Zone,
--- a/internal/gateway/proxy/proxy.go
+++ b/internal/gateway/proxy/proxy.go
@@ -14,6 +14,7 @@
 	"cairndock/internal/gateway/outlier"
 	"cairndock/internal/gateway/retry"
 	"cairndock/internal/gateway/routing"
+	"cairndock/internal/pause"
 	"cairndock/internal/telemetry"
 	"cairndock/internal/verdict"
 )
@@ -130,24 +131,17 @@
 
 // Run drops the state of removed upstreams until the context ends.
 func (p *Proxy) Run(ctx context.Context) {
-	ticker := time.NewTicker(retainEvery)
-	defer ticker.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-ticker.C:
-			p.retainKnown()
-		}
+	for pause.For(ctx, retainEvery) {
+		p.retainKnown()
 	}
 }
 
 // retainKnown drops the load, health and connections of upstreams that are not
 // registered any more.
 func (p *Proxy) retainKnown() {
-	set := p.State.Upstreams()
+	upstreams := p.State.Upstreams()
 	known := func(id string) bool {
-		_, ok := set.Get(id)
+		_, ok := upstreams.Get(id)
 		return ok
 	}
 	p.Balancer.Retain(known)
--- a/internal/gateway/proxy/stop.go
+++ b/internal/gateway/proxy/stop.go
@@ -7,20 +7,8 @@
 	"cairndock/internal/pause"
 )
 
-// A planned stop uses the grace period, the time from SIGTERM to SIGKILL, in
-// this order:
-//
-//	0                    Drain: not ready, connections close after a response;
-//	                     new requests are still served
-//	drainPart of it      Shutdown: no new connections, idle ones are closed;
-//	                     requests in flight are served to their end
-//	exitMargin before    abort: requests still in flight get an error response
-//	its end              that says whether they may have run
-//	abortGrace later     the process may exit
-//
-// The last two steps end early when no request is in flight. On the days
-// roll-term of both sites no rule was broken with these figures (worth 0.826 and
-// 0.758, commit 851740f).
+// With these figures no rule was broken on the days roll-term of both sites
+// (worth 0.826 and 0.758, commit 851740f).
 const (
 	// drainPart is the part of the grace period in which new requests are still
 	// served: clients keep the directory's response for its TTL. With the
@@ -41,8 +29,18 @@
 	exitPoll = 20 * time.Millisecond
 )
 
-// Stop takes the host out of service within the grace period, and returns the
-// number of requests that it had to abort.
+// Stop takes the host out of service within the grace period, the time from
+// SIGTERM to SIGKILL, and returns the number of requests that it had to abort:
+//
+//	0                    Drain: not ready, connections close after a response;
+//	                     new requests are still served
+//	drainPart of it      Shutdown: no new connections, idle ones are closed;
+//	                     requests in flight are served to their end
+//	exitMargin before    abort: requests still in flight get an error response
+//	its end              that says whether they may have run
+//	abortGrace later     the process may exit
+//
+// The last two steps end early when no request is in flight.
 func (s *Server) Stop(ctx context.Context, grace time.Duration) int64 {
 	began := time.Now()
 	s.proxy.Drain()
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -37,8 +37,8 @@
 // services of a name, best first.
 func (g *Gateway) clientAddresses(name, zone, region string) []string {
 	var allowed []string
-	if table := g.state.Config(); table != nil {
-		allowed = table.HostRegions(name)
+	if config := g.state.Config(); config != nil {
+		allowed = config.HostRegions(name)
 	}
 	return g.fleet.ClientAddresses(zone, region, allowed)
 }
