--- a/internal/gateway/proxy/attempts_test.go
+++ b/internal/gateway/proxy/attempts_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"strconv"
@@ -40,16 +39,10 @@
 				good := g.addUpstream(healthy)
 				// Until a key prefers the failing upstream.
 				for key := 0; failing.Load() == 0 && key < 50; key++ {
-					r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, g.server.URL+"/x/", nil)
-					require.NoError(t, err)
-					r.Host = "a.example"
-					r.Header.Set(headerID, strconv.Itoa(key))
-					r.Header.Set(headerKey, strconv.Itoa(key))
+					text := strconv.Itoa(key)
 					before := good.Load()
-					resp, err := http.DefaultClient.Do(r)
+					resp, body, err := g.send(t.Context(), http.MethodPost, "/x/", "", map[string]string{headerID: text, headerKey: text})
 					require.NoError(t, err)
-					body, _ := io.ReadAll(resp.Body)
-					_ = resp.Body.Close()
 					if failing.Load() == 0 {
 						continue
 					}
@@ -60,7 +53,7 @@
 						continue
 					}
 					require.Equal(t, 200, resp.StatusCode)
-					require.Equal(t, "whole", string(body))
+					require.Equal(t, "whole", body)
 				}
 				require.EqualValues(t, 1, failing.Load())
 			})
--- a/internal/gateway/proxy/clientconn_test.go
+++ b/internal/gateway/proxy/clientconn_test.go
@@ -11,7 +11,6 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/gateway/proxy"
 	"cairndock/internal/gateway/route"
 )
 
@@ -26,11 +25,8 @@
 // connect opens a client's connection to a server of the gateway.
 func (g *testGateway) connect() net.Conn {
 	g.t.Helper()
-	s := proxy.NewServer(g.proxy)
-	g.t.Cleanup(s.Close)
-	address, err := s.ListenClients("127.0.0.1:0")
-	require.NoError(g.t, err)
-	c, err := net.Dial("tcp", address.String())
+	_, address := g.listen()
+	c, err := net.Dial("tcp", address)
 	require.NoError(g.t, err)
 	g.t.Cleanup(func() { _ = c.Close() })
 	return c
--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -249,22 +249,30 @@
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nGenuine: 1\r\nContent-Length: 50\r\n\r\nhalf", r.Header.Get(headerID))
 }
 
-// do sends a request without a key and reads the whole response.
-func (g *testGateway) do(ctx context.Context, method, path, body string) (*http.Response, string, error) {
+// send sends a request and reads the whole response.
+func (g *testGateway) send(ctx context.Context, method, path, body string, header map[string]string) (*http.Response, string, error) {
 	g.t.Helper()
 	r, err := http.NewRequestWithContext(ctx, method, g.server.URL+path, strings.NewReader(body))
 	require.NoError(g.t, err)
 	r.Host = "a.example"
-	r.Header.Set(headerID, "id-1")
+	for name, value := range header {
+		r.Header.Set(name, value)
+	}
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return nil, "", err
 	}
-	defer func() { _ = resp.Body.Close() }()
+	defer func() { require.NoError(g.t, resp.Body.Close()) }()
 	text, err := io.ReadAll(resp.Body)
 	return resp, string(text), err
 }
 
+// do sends a request without a key.
+func (g *testGateway) do(ctx context.Context, method, path, body string) (*http.Response, string, error) {
+	g.t.Helper()
+	return g.send(ctx, method, path, body, map[string]string{headerID: "id-1"})
+}
+
 // get sends a request without a key that must have a response.
 func (g *testGateway) get() (*http.Response, string) {
 	g.t.Helper()
@@ -273,25 +281,22 @@
 	return resp, body
 }
 
-// getWithKey sends a request with an id and a key, and returns the status of
-// its response.
-func (g *testGateway) getWithKey(id, key string) int {
+// getKey sends a request with one of many ids and keys, and returns the status
+// of its response.
+func (g *testGateway) getKey(n int) int {
 	g.t.Helper()
-	r, err := http.NewRequestWithContext(g.t.Context(), http.MethodGet, g.server.URL+"/x/", nil)
+	text := strconv.Itoa(n)
+	resp, _, err := g.send(g.t.Context(), http.MethodGet, "/x/", "", map[string]string{headerID: text, headerKey: text})
 	require.NoError(g.t, err)
-	r.Host = "a.example"
-	r.Header.Set(headerID, id)
-	if key != "" {
-		r.Header.Set(headerKey, key)
-	}
-	resp, err := http.DefaultClient.Do(r)
-	require.NoError(g.t, err)
-	require.NoError(g.t, resp.Body.Close())
 	return resp.StatusCode
 }
 
-// getKey sends a request with one of many keys.
-func (g *testGateway) getKey(key int) int {
+// listen makes a server of the gateway that accepts clients.
+func (g *testGateway) listen() (s *proxy.Server, address string) {
 	g.t.Helper()
-	return g.getWithKey(strconv.Itoa(key), strconv.Itoa(key))
+	s = proxy.NewServer(g.proxy)
+	g.t.Cleanup(s.Close)
+	a, err := s.ListenClients("127.0.0.1:0")
+	require.NoError(g.t, err)
+	return s, a.String()
 }
--- a/internal/gateway/proxy/request_test.go
+++ b/internal/gateway/proxy/request_test.go
@@ -61,7 +61,8 @@
 	g.setRoutes(testRoute(route.Repeatable))
 	counts := []*atomic.Int64{g.addUpstream(healthy), g.addUpstream(healthy), g.addUpstream(healthy), g.addUpstream(healthy)}
 	for i := range 100 {
-		g.getWithKey(strconv.Itoa(i), "")
+		_, _, err := g.send(t.Context(), http.MethodGet, "/x/", "", map[string]string{headerID: strconv.Itoa(i)})
+		require.NoError(t, err)
 	}
 	for _, c := range counts {
 		require.Greater(t, c.Load(), int64(10))
--- a/internal/gateway/proxy/span_test.go
+++ b/internal/gateway/proxy/span_test.go
@@ -29,14 +29,8 @@
 		healthy(c, r)
 	})
 	for received == "" { // until one goes to the second upstream
-		r, err := http.NewRequest(http.MethodGet, g.server.URL+"/x/1", nil)
+		_, _, err := g.send(t.Context(), http.MethodGet, "/x/1", "", map[string]string{headerID: "id-1", "Traceparent": clientTrace})
 		require.NoError(t, err)
-		r.Host = "a.example"
-		r.Header.Set(headerID, "id-1")
-		r.Header.Set("Traceparent", clientTrace)
-		resp, err := http.DefaultClient.Do(r)
-		require.NoError(t, err)
-		require.NoError(t, resp.Body.Close())
 	}
 	return received
 }
--- a/internal/gateway/proxy/stop_test.go
+++ b/internal/gateway/proxy/stop_test.go
@@ -8,7 +8,6 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/gateway/proxy"
 	"cairndock/internal/gateway/route"
 	"cairndock/internal/verdict"
 )
@@ -22,10 +21,8 @@
 		time.Sleep(300 * time.Millisecond)
 		healthy(c, r)
 	})
-	s := proxy.NewServer(g.proxy)
-	address, err := s.ListenClients("127.0.0.1:0")
-	require.NoError(t, err)
-	g.server.URL = "http://" + address.String()
+	s, address := g.listen()
+	g.server.URL = "http://" + address
 	type result struct {
 		resp *http.Response
 		body string
@@ -49,7 +46,7 @@
 		require.Equal(t, "whole", r.body)
 	}
 	require.Zero(t, <-cut)
-	_, err = net.DialTimeout("tcp", address.String(), 100*time.Millisecond)
+	_, err := net.DialTimeout("tcp", address, 100*time.Millisecond)
 	require.Error(t, err)
 }
 
@@ -64,11 +61,8 @@
 		time.Sleep(3 * time.Second)
 		healthy(c, r)
 	})
-	s := proxy.NewServer(g.proxy)
-	t.Cleanup(s.Close)
-	address, err := s.ListenClients("127.0.0.1:0")
-	require.NoError(t, err)
-	g.server.URL = "http://" + address.String()
+	s, address := g.listen()
+	g.server.URL = "http://" + address
 	cut := make(chan int64, 1)
 	time.AfterFunc(50*time.Millisecond, func() { cut <- s.Stop(t.Context(), time.Second) })
 	resp, _, err := g.do(t.Context(), http.MethodPost, "/x/", "b")
