--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -75,7 +75,7 @@
 	if err := g.fleet.Start(ctx); err != nil {
 		return err
 	}
-	go g.proxy.Run(ctx)
+	go g.proxy.CleanUp(ctx)
 	if err := g.listen(); err != nil {
 		return err
 	}
@@ -115,6 +115,6 @@
 		g.log.Process("stopped", "requests were aborted")
 		return ErrAborted
 	}
-	g.log.Process("stopped", "all requests were answered")
+	g.log.Process("stopped", "all requests got a response")
 	return nil
 }
--- a/internal/gateway/proxy/proxy.go
+++ b/internal/gateway/proxy/proxy.go
@@ -34,7 +34,7 @@
 	// ParseRequest reads a request's header.
 	ParseRequest(h http.Header) RequestInfo
 	// WriteError writes a whole error response of the gateway's own.
-	WriteError(w http.ResponseWriter, c RequestInfo, e *verdict.Error)
+	WriteError(w http.ResponseWriter, info RequestInfo, e *verdict.Error)
 }
 
 // Options are the parts of a Proxy. All are required.
@@ -125,26 +125,21 @@
 // response.
 func closeAfterResponse(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
 
-// retainEvery is how often the state of removed upstreams is dropped. It bounds
-// memory only; chosen, not measured.
-const retainEvery = 2 * time.Second
-
-// Run drops the state of removed upstreams until the context ends.
-func (p *Proxy) Run(ctx context.Context) {
-	for pause.For(ctx, retainEvery) {
-		p.retainKnown()
-	}
-}
-
-// retainKnown drops the load, health and connections of upstreams that are not
-// registered any more.
-func (p *Proxy) retainKnown() {
-	upstreams := p.State.Upstreams()
-	known := func(id string) bool {
-		_, ok := upstreams.Get(id)
-		return ok
+// cleanUpEvery is how often CleanUp drops state. It bounds memory only; chosen,
+// not measured.
+const cleanUpEvery = 2 * time.Second
+
+// CleanUp drops the load, health and connections of upstreams that are not
+// registered any more, until the context ends.
+func (p *Proxy) CleanUp(ctx context.Context) {
+	for pause.For(ctx, cleanUpEvery) {
+		upstreams := p.State.Upstreams()
+		known := func(id string) bool {
+			_, ok := upstreams.Get(id)
+			return ok
+		}
+		p.Balancer.Retain(known)
+		p.Detector.Retain(known)
+		p.Client.Retain(known)
 	}
-	p.Balancer.Retain(known)
-	p.Detector.Retain(known)
-	p.Client.Retain(known)
 }
--- a/internal/gateway/proxy/request.go
+++ b/internal/gateway/proxy/request.go
@@ -41,7 +41,7 @@
 // service that takes it where a route is divided among several.
 func (f *inflight) matchRoute(r *http.Request) error {
 	if !f.proxy.State.Ready() {
-		return verdict.New(verdict.NotRun, verdict.NotReady, "no configuration received yet")
+		return verdict.New(verdict.NotRun, verdict.NotReady, "the configuration or the upstreams are not known yet")
 	}
 	f.config = f.proxy.State.Config()
 	route, ok := f.config.Match(hostname(r.Host), r.URL.Path)
--- a/internal/gateway/wiring.go
+++ b/internal/gateway/wiring.go
@@ -61,16 +61,17 @@
 	limits := g.settings.Limits
 	location := balance.Location{Zone: g.settings.Host.Zone, Region: g.settings.Host.Region, Regions: g.settings.regions()}
 	return proxy.New(proxy.Options{
-		State:     g.state,
-		Balancer:  balance.New(location, g, g.detector),
-		Detector:  g.detector,
-		Budget:    retry.NewBudget(retry.Limits{Ratio: limits.RetryRatio, Window: time.Duration(limits.RetryWindow), Slack: limits.RetrySlack}),
-		Client:    exchange.NewClient(dial.New(upstreamDialTimeout).DialContext, platform.Protocol{Metrics: g.metrics}),
-		Codec:     platform.Codec{Metrics: g.metrics},
-		Hosts:     g.fleet.Hosts,
-		ConfigAge: g.tables[operatorTable].Replica.Age, UpstreamsAge: g.tables[upstreamTable].Replica.Age,
-		Log:     g.log,
-		Metrics: g.metrics,
-		Tracer:  g.tracer,
+		State:        g.state,
+		Balancer:     balance.New(location, g, g.detector),
+		Detector:     g.detector,
+		Budget:       retry.NewBudget(retry.Limits{Ratio: limits.RetryRatio, Window: time.Duration(limits.RetryWindow), Slack: limits.RetrySlack}),
+		Client:       exchange.NewClient(dial.New(upstreamDialTimeout).DialContext, platform.Protocol{Metrics: g.metrics}),
+		Codec:        platform.Codec{Metrics: g.metrics},
+		Hosts:        g.fleet.Hosts,
+		ConfigAge:    g.tables[operatorTable].Replica.Age,
+		UpstreamsAge: g.tables[upstreamTable].Replica.Age,
+		Log:          g.log,
+		Metrics:      g.metrics,
+		Tracer:       g.tracer,
 	})
 }
