--- a/internal/gateway/exchange/pool.go
+++ b/internal/gateway/exchange/pool.go
@@ -5,6 +5,7 @@
 	"context"
 	"net"
 	"net/http"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -38,11 +39,7 @@
 
 // get takes a usable idle connection or dials a new one.
 func (p *pool) get(ctx context.Context, upstream, address string) (*conn, error) {
-	for {
-		c := p.pop(upstream)
-		if c == nil {
-			break
-		}
+	for c := p.pop(upstream); c != nil; c = p.pop(upstream) {
 		if c.idleError() == nil {
 			return c, nil
 		}
@@ -97,19 +94,16 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for upstream, list := range p.idle {
-		kept := list[:0]
-		for _, c := range list {
+		p.idle[upstream] = slices.DeleteFunc(list, func(c *conn) bool {
 			if keep(upstream) && now.Before(c.idleUntil) {
-				kept = append(kept, c)
-				continue
+				return false
 			}
 			_ = c.Close()
-		}
-		if len(kept) == 0 {
+			return true
+		})
+		if len(p.idle[upstream]) == 0 {
 			delete(p.idle, upstream)
-			continue
 		}
-		p.idle[upstream] = kept
 	}
 }
 
--- a/internal/gateway/proxy/attempt.go
+++ b/internal/gateway/proxy/attempt.go
@@ -45,7 +45,7 @@
 	timer := f.startOverdueTimer(c, cancel)
 	resp, err := f.proxy.Client.Send(ctx, u.ID, u.Address, f.request)
 	if err == nil {
-		resp, err = f.accept(u.ID, resp)
+		err = f.accept(u.ID, resp)
 	}
 	state := timer.settle()
 	f.recordHealth(u.ID, state, resp, err, began)
@@ -60,14 +60,15 @@
 	return nil, verdict.New(verdict.MayHaveRun, verdict.DeadlineLapsed, "the response is overdue, another upstream is tried").WithUpstream(u.ID)
 }
 
-// accept returns a response that may be forwarded, and an error for any other.
-func (f *inflight) accept(upstream string, resp *exchange.Response) (*exchange.Response, error) {
+// accept returns nil if a response may be forwarded; otherwise it closes it and
+// returns the attempt's error.
+func (f *inflight) accept(upstream string, resp *exchange.Response) error {
 	if l := resp.Info.Load; l.Known {
 		f.proxy.Balancer.ObserveLoad(upstream, l.Running, l.Waiting, time.Now())
 	}
 	e := classify(resp.Status, resp.Info)
 	if e == nil {
-		return resp, nil
+		return nil
 	}
 	e.Upstream = upstream
 	// Read whole, the connection can be used again.
@@ -75,15 +76,16 @@
 		e.Detail += ", and the response broke off"
 	}
 	_ = resp.Body.Close() // the attempt has failed already
-	return nil, e
+	return e
 }
 
 // buffer reads the beginning of a response. One that breaks off there is a
 // failed attempt; any other is released by forward.
 func (f *inflight) buffer(ctx context.Context, c balance.Choice, began time.Time, resp *exchange.Response) (*response, error) {
 	id := c.Upstream.ID
-	out, err := bufferPrefix(id, resp)
+	prefix, err := io.ReadAll(io.LimitReader(resp.Body, prefixBytes))
 	if err != nil {
+		_ = resp.Body.Close() // the attempt has failed already
 		f.proxy.release(id, outlier.Failed)
 		e := truncated(id, err, ctx.Err() != nil)
 		if isUpstreamFault(e.Reason) {
@@ -93,6 +95,10 @@
 		return nil, e
 	}
 	f.logAttempt(c, began, resp.Status, nil)
+	out := &response{Response: resp, upstream: id, prefix: prefix}
+	if out.whole() {
+		out.Length = int64(len(prefix))
+	}
 	return out, nil
 }
 
--- a/internal/gateway/proxy/response.go
+++ b/internal/gateway/proxy/response.go
@@ -32,20 +32,6 @@
 	prefix []byte
 }
 
-// bufferPrefix reads the beginning of a response. It closes one that breaks off.
-func bufferPrefix(upstream string, resp *exchange.Response) (*response, error) {
-	prefix, err := io.ReadAll(io.LimitReader(resp.Body, prefixBytes))
-	if err != nil {
-		_ = resp.Body.Close() // the read's error is reported
-		return nil, err
-	}
-	out := &response{Response: resp, upstream: upstream, prefix: prefix}
-	if out.whole() {
-		out.Length = int64(len(prefix))
-	}
-	return out, nil
-}
-
 // whole reports whether the prefix is the whole body.
 func (r *response) whole() bool { return len(r.prefix) < prefixBytes }
 
