--- a/internal/gateway/proxy/doc.go
+++ b/internal/gateway/proxy/doc.go
@@ -7,10 +7,13 @@
 //
 // Each decision about a request stands in one file:
 //
-//	why was it refused?       refuse.go, and retryafter.go for when to return
-//	why was it sent there?    choose.go
+//	why was it refused?       request.go before it was sent, refuse.go after;
+//	                          retryafter.go for when to return
+//	why was it sent there?    choose.go, then package balance
 //	why was it sent twice?    retry.go; overdue.go watches the time
-//	what did a response mean? classify.go
+//	what did a response mean? classify.go; without a response, proof.go of
+//	                          package exchange
 //	how long was it held?     deadline.go
-//	what does the log say?    decisionlog.go
+//	what does the log say?    decisionlog.go, and package eventlog for each field
+//	what did a stop do to it? stop.go
 package proxy
--- a/internal/gateway/routing/operator.go
+++ b/internal/gateway/routing/operator.go
@@ -39,7 +39,7 @@
 	s.evacuate(evacuated, version)
 }
 
-// useTable puts a configuration in force unless the one in force is as new.
+// useConfig puts a configuration in force unless the one in force is as new.
 func (s *State) useConfig(t *route.Table) {
 	if old := s.config.Load(); old != nil && t.Version <= old.Version {
 		return
--- a/internal/gateway/settings_test.go
+++ b/internal/gateway/settings_test.go
@@ -32,7 +32,7 @@
 	return gateway.LoadSettings(path)
 }
 
-// A platform tells only the bounds that are in force.
+// A platform sets only the bounds that are in force.
 func TestWhatTheFileLeavesOutHasADefault(t *testing.T) {
 	g, err := load(t, leastSettings)
 	require.NoError(t, err)
