--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -9,7 +9,7 @@
 
 // status is what this host's heartbeats say.
 func (g *Gateway) status() fleet.Status {
-	ready := g.state.Ready()
+	ready := g.state.Ready() // the proxy is not, beside it, only while it drains
 	s := fleet.Status{Ready: ready, Leaving: ready && !g.proxy.Ready(), Fresh: true}
 	s.Observations = g.detector.Observations(time.Now())
 	for _, t := range g.tables {
