--- a/internal/gateway/proxy/request_test.go
+++ b/internal/gateway/proxy/request_test.go
@@ -47,9 +47,13 @@
 	resp, _, err := g.do(t.Context(), http.MethodPost, "/x/", strings.Repeat("x", 1001))
 	require.NoError(t, err)
 	require.Equal(t, 413, resp.StatusCode)
+	require.Equal(t, "body-too-large", resp.Header.Get("Reason"))
+	require.Equal(t, "not-run", resp.Header.Get("Verdict"))
 	resp, _, err = g.do(t.Context(), http.MethodGet, "/x/"+strings.Repeat("y", 2000), "")
 	require.NoError(t, err)
 	require.Equal(t, 431, resp.StatusCode)
+	require.Equal(t, "header-too-large", resp.Header.Get("Reason"))
+	require.Equal(t, "not-run", resp.Header.Get("Verdict"))
 }
 
 func TestRequestsWithoutAKeyAreSpread(t *testing.T) {
@@ -57,7 +61,8 @@
 	g.setRoutes(testRoute(route.Repeatable))
 	counts := []*atomic.Int64{g.addUpstream(healthy), g.addUpstream(healthy), g.addUpstream(healthy), g.addUpstream(healthy)}
 	for i := range 100 {
-		g.getWithKey(strconv.Itoa(i), "")
+		_, _, err := g.send(t.Context(), http.MethodGet, "/x/", "", map[string]string{headerID: strconv.Itoa(i)})
+		require.NoError(t, err)
 	}
 	for _, c := range counts {
 		require.Greater(t, c.Load(), int64(10))
--- a/internal/gateway/routing/state.go
+++ b/internal/gateway/routing/state.go
@@ -1,7 +1,7 @@
 // Package routing keeps what a host knows of the operator configuration and of
 // the running upstreams. It owns that state and gives readers the current
-// version of both without a lock. The rows come from package watch, by an
-// OperatorSink and an UpstreamSink; a Decoder reads them.
+// version of both without a lock. The rows come from package watch, by two
+// sinks; a Decoder reads them.
 //
 // The state never becomes worse by an update: a row that can't be decoded
 // leaves the last good one in place, an older configuration never replaces a
@@ -23,10 +23,10 @@
 
 // The names of the watched tables in logs and metrics.
 const (
-	// operatorTable is the name of the operators' table.
-	operatorTable = "intent"
-	// upstreamTable is the name of the upstreams' table.
-	upstreamTable = "upstream"
+	// OperatorTable is the operators' table.
+	OperatorTable = "intent"
+	// UpstreamTable is the upstreams' table.
+	UpstreamTable = "upstream"
 )
 
 // OperatorRow is one row of the operators' table: a configuration, or a zone to
@@ -53,8 +53,8 @@
 	log     *eventlog.Log
 	metrics *telemetry.Metrics
 
-	table atomic.Pointer[route.Table]
-	set   atomic.Pointer[upstream.Set]
+	config    atomic.Pointer[route.Table]
+	upstreams atomic.Pointer[upstream.Set]
 	// seeded is set once all upstreams were read.
 	seeded atomic.Bool
 
@@ -70,13 +70,13 @@
 func New(d Decoder, log *eventlog.Log, m *telemetry.Metrics) *State {
 	s := &State{decoder: d, log: log, metrics: m, evacuated: map[string]string{}}
 	s.registry = upstream.NewRegistry(s.warmUp)
-	s.set.Store(s.registry.Set())
+	s.upstreams.Store(s.registry.Set())
 	return s
 }
 
 // warmUp is how long an upstream of a service is cold after its start.
 func (s *State) warmUp(service string) time.Duration {
-	t := s.table.Load()
+	t := s.config.Load()
 	if t == nil {
 		return 0
 	}
@@ -84,11 +84,11 @@
 }
 
 // Table is the configuration in force, or nil before the first.
-func (s *State) Table() *route.Table { return s.table.Load() }
+func (s *State) Config() *route.Table { return s.config.Load() }
 
 // Limits are the limits on clients in force; zero values are no limits.
 func (s *State) Limits() route.Limits {
-	t := s.table.Load()
+	t := s.config.Load()
 	if t == nil {
 		return route.Limits{}
 	}
@@ -96,31 +96,50 @@
 }
 
 // Set is the upstreams known.
-func (s *State) Set() *upstream.Set { return s.set.Load() }
+func (s *State) Upstreams() *upstream.Set { return s.upstreams.Load() }
 
 // Ready reports whether the host knows enough to serve: a configuration, and
 // all upstreams by one full reading. Once ready it stays so, also while the
 // sources are lost.
 func (s *State) Ready() bool {
-	return s.table.Load() != nil && s.seeded.Load()
+	return s.config.Load() != nil && s.seeded.Load()
 }
 
 // publish gives readers the upstreams as the registry has them; s.mu is held.
-func (s *State) publish() { s.set.Store(s.registry.Set()) }
+func (s *State) publish() { s.upstreams.Store(s.registry.Set()) }
+
+// decode decodes a row by read. It logs a row that can't be decoded, and reports
+// whether it could.
+func decode[T any](s *State, table string, row watch.Row, read func(key string, value []byte) (T, error)) (T, bool) {
+	var decoded T
+	value, err := row.Bytes()
+	if err == nil {
+		decoded, err = read(row.Key, value)
+	}
+	if err != nil {
+		s.metrics.Count(`cairndock_bad_rows_total{table="` + table + `"}`)
+		s.log.BadRow(table, row.Key, row.Version, err)
+	}
+	return decoded, err == nil
+}
 
-// recordBadRow logs a row that can't be decoded.
-func (s *State) recordBadRow(table string, row watch.Row, err error) {
-	s.metrics.Count(`cairndock_bad_rows_total{table="` + table + `"}`)
-	s.log.BadRow(table, row.Key, row.Version, err)
+// sink applies changes of one table to a State.
+type sink struct {
+	state *State
+	table string
+	apply func(watch.Update)
 }
 
-// recordLost logs that a table's source does not respond any more.
-func (s *State) recordLost(table, source string, err error) {
-	s.metrics.Count(`cairndock_source_lost_total{table="` + table + `"}`)
-	s.log.Lost(table+" source", source, err)
+// Apply applies changed rows.
+func (s *sink) Apply(u watch.Update) { s.apply(u) }
+
+// Lost logs and counts a source of the table that stopped responding.
+func (s *sink) Lost(source string, err error) {
+	s.state.metrics.Count(`cairndock_source_lost_total{table="` + s.table + `"}`)
+	s.state.log.Lost(s.table+" source", source, err)
 }
 
-// recordRegained logs that a table's source responds again.
-func (s *State) recordRegained(table, source string, after time.Duration) {
-	s.log.Regained(table+" source", source, after)
+// Regained logs a source of the table that responds again.
+func (s *sink) Regained(source string, after time.Duration) {
+	s.state.log.Regained(s.table+" source", source, after)
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -9,7 +9,7 @@
 
 // status is what this host's heartbeats say.
 func (g *Gateway) status() fleet.Status {
-	ready := g.state.Ready()
+	ready := g.state.Ready() // the proxy is not, beside it, only while it drains
 	s := fleet.Status{Ready: ready, Leaving: ready && !g.proxy.Ready(), Fresh: true}
 	s.Observations = g.detector.Observations(time.Now())
 	for _, t := range g.tables {
@@ -25,12 +25,20 @@
 // Ejected logs that an upstream is ejected.
 func (g *Gateway) Ejected(e outlier.Ejection) { g.log.Ejected(e) }
 
+// WarmUpQuota gives this host's part of the requests a second to an upstream
+// that takes rate of them while it is cold. The platform allows the rate times
+// WarmUpOvershoot, plus WarmUpSlack, for all hosts together.
+func (g *Gateway) WarmUpQuota(upstream, region string, rate float64) int {
+	limits := g.settings.Limits
+	return g.fleet.WarmUpQuota(upstream, region, rate*limits.WarmUpOvershoot+limits.WarmUpSlack)
+}
+
 // clientAddresses gives the hosts that clients of a zone should use for the
 // services of a name, best first.
 func (g *Gateway) clientAddresses(name, zone, region string) []string {
 	var allowed []string
-	if table := g.state.Table(); table != nil {
-		allowed = table.HostRegions(name)
+	if config := g.state.Config(); config != nil {
+		allowed = config.HostRegions(name)
 	}
 	return g.fleet.ClientAddresses(zone, region, allowed)
 }
@@ -39,7 +47,7 @@
 func (g *Gateway) registerGauges() {
 	g.metrics.Gauge("cairndock_requests_in_flight", func() float64 { return float64(g.proxy.InFlight()) })
 	g.metrics.Gauge("cairndock_hosts_known", func() float64 { return float64(g.fleet.Hosts()) })
-	g.metrics.Gauge("cairndock_upstreams_known", func() float64 { return float64(g.state.Set().Len()) })
+	g.metrics.Gauge("cairndock_upstreams_known", func() float64 { return float64(g.state.Upstreams().Len()) })
 	for table, label := range tableLabels {
 		replica := g.tables[table].Replica
 		g.metrics.Gauge(`cairndock_table_age_seconds{table="`+label+`"}`, func() float64 { return replica.Age().Seconds() })
