--- a/internal/gateway/exchange/roundtrip.go
+++ b/internal/gateway/exchange/roundtrip.go
@@ -23,10 +23,11 @@
 
 // roundTrip is one request on one connection.
 type roundTrip struct {
-	client  *Client
-	conn    *conn
-	target  Target
-	request *Request
+	client *Client
+	conn   *conn
+	// upstream is the id of the upstream at the connection's other end.
+	upstream string
+	request  *Request
 	// stop ends the watch on the context; it reports false when the context
 	// has ended and interrupt was started.
 	stop func() bool
@@ -35,7 +36,7 @@
 // past is a deadline that has passed.
 var past = time.Unix(1, 0)
 
-// interrupt wakes whoever reads or writes the connection.
+// interrupt wakes whoever reads or writes the connection when the context ends.
 func (x *roundTrip) interrupt() {
 	// An error means that the connection is closed, which wakes them too.
 	_ = x.conn.SetDeadline(past)
@@ -46,7 +47,7 @@
 func (x *roundTrip) encode(left time.Duration) []byte {
 	r := x.request
 	h := r.Header.Clone()
-	x.client.protocol.SetHeaders(h, x.target.UpstreamID, left)
+	x.client.protocol.SetHeaders(h, x.upstream, left)
 	var b bytes.Buffer
 	b.Grow(headerRoom + len(r.Body))
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
@@ -75,7 +76,9 @@
 		}
 		info := x.client.protocol.ParseResponse(x.request.ID, resp.StatusCode, resp.Header)
 		if !info.WrongRequest {
-			return x.deliver(resp, info), nil
+			// Closing the body returns the connection.
+			b := &body{roundTrip: x, inner: resp.Body, reusable: !resp.Close, idleTimeout: keepAliveTimeout(resp.Header)}
+			return &Response{Status: resp.StatusCode, Header: resp.Header, Info: info, Length: resp.ContentLength, Body: b}, nil
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.Close {
 			return nil, x.fail(ctx, eris.New("connection ended after a response to another request"), true)
@@ -98,19 +101,13 @@
 	}
 }
 
-// deliver hands the response over; its body returns the connection.
-func (x *roundTrip) deliver(resp *http.Response, info ResponseInfo) *Response {
-	b := &body{roundTrip: x, inner: resp.Body, reusable: !resp.Close, idleTimeout: keepAliveTimeout(resp.Header)}
-	return &Response{Status: resp.StatusCode, Header: resp.Header, Info: info, Length: resp.ContentLength, Body: b}
-}
-
 // fail closes the connection, which cancels the request at the upstream, and
 // gives the error of a request without a response. sent says whether any byte
 // may have reached the upstream.
 func (x *roundTrip) fail(ctx context.Context, err error, sent bool) error {
 	x.stop()
 	_ = x.conn.Close() // err says what went wrong first
-	return responseError(ctx, x.target, err, sent)
+	return responseError(ctx, x.upstream, err, sent)
 }
 
 // body is a response's body that returns its connection to the pool.
@@ -147,6 +144,6 @@
 	if !b.whole || !b.reusable || interrupted || x.conn.reader.Buffered() > 0 {
 		return x.conn.Close()
 	}
-	x.client.pool.put(x.target.UpstreamID, x.conn, b.idleTimeout)
+	x.client.pool.put(x.upstream, x.conn, b.idleTimeout)
 	return nil
 }
--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -57,17 +57,11 @@
 	MaxAge time.Duration
 }
 
-// Fleet exchanges heartbeats with the other hosts and answers their requests.
+// Fleet exchanges heartbeats with the other hosts and serves their requests.
 // Its methods may be used concurrently.
 type Fleet struct {
-	registry     Registry
-	report       Reporter
-	observations ObservationSink
-	status       func() Status
-	mesh         *peer.Mesh
-	seeds        []string
-	tables       []Table
-	maxAge       time.Duration
+	options Options
+	mesh    *peer.Mesh
 
 	// mu guards what follows.
 	mu      sync.Mutex
@@ -84,9 +78,8 @@
 // New returns a fleet that does not run yet.
 func New(o Options) *Fleet {
 	f := &Fleet{
-		registry: o.Registry, report: o.Report, observations: o.Observations, status: o.Status, seeds: o.Seeds,
-		members: newMembers(o.Self), nextHeartbeat: map[string]time.Time{}, discovery: newDiscovery(o.Self.Region),
-		tables: o.Tables, maxAge: o.MaxAge, newest: make([]versionSeen, len(o.Tables)),
+		options: o, members: newMembers(o.Self), nextHeartbeat: map[string]time.Time{},
+		discovery: newDiscovery(o.Self.Region), newest: make([]versionSeen, len(o.Tables)),
 	}
 	hello := peer.Hello{Host: o.Self.Name, Zone: o.Self.Zone, Incarnation: o.Self.Incarnation}
 	f.mesh = peer.NewMesh(hello, o.Transport, f)
@@ -97,7 +90,7 @@
 // the context ends. Peers are served until the process ends, so that a host
 // which drains still relays and reports that it is leaving.
 func (f *Fleet) Start(ctx context.Context) error {
-	if _, err := f.mesh.Listen(f.members.self.PeerAddress); err != nil {
+	if _, err := f.mesh.Listen(f.options.Self.PeerAddress); err != nil {
 		return err
 	}
 	go f.register(ctx)
@@ -112,7 +105,7 @@
 	// The error is dropped: the host is stopping and does not retry. An entry
 	// that stays costs a starting host a few failed heartbeats, until it
 	// forgets the host after forgetAfter.
-	_ = f.registry.Withdraw(ctx, f.members.self)
+	_ = f.options.Registry.Withdraw(ctx, f.options.Self)
 }
 
 // Hosts is the number of known hosts, dead ones and this host included.
@@ -143,18 +136,14 @@
 // request then, and it goes to another host or to the store.
 func respond(w *peer.Responder, response any) { _ = w.Send(response) }
 
-// TCP is the transport between hosts: plain TCP.
-type TCP struct {
-	// Dialer makes the connections. It must bound how long sent data may stay
-	// unacknowledged, so that a silent partition breaks the connection.
-	Dialer interface {
-		DialContext(ctx context.Context, network, address string) (net.Conn, error)
-	}
-}
+// TCP is the transport between hosts: plain TCP, dialed by a DialContext. That
+// must bound how long sent data may stay unacknowledged, so that a silent
+// partition breaks the connection.
+type TCP func(ctx context.Context, network, address string) (net.Conn, error)
 
 // Dial connects to a peer.
 func (t TCP) Dial(ctx context.Context, address string) (net.Conn, error) {
-	return t.Dialer.DialContext(ctx, "tcp", address)
+	return t(ctx, "tcp", address)
 }
 
 // Listen listens for peers.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -7,10 +7,10 @@
 	"syscall"
 	"time"
 
-	"github.com/oklog/ulid/v2"
 	"github.com/rotisserie/eris"
 	"go.opentelemetry.io/otel/trace"
 
+	"cairndock/internal/gateway/dial"
 	"cairndock/internal/gateway/eventlog"
 	"cairndock/internal/gateway/fleet"
 	"cairndock/internal/gateway/outlier"
@@ -45,31 +45,22 @@
 // New makes a host that writes its log to out. Run starts it.
 func New(set Settings, out io.Writer, tracer trace.Tracer) *Gateway {
 	g := &Gateway{settings: set, metrics: telemetry.NewMetrics(), tracer: tracer}
-	g.timing = watch.TimingFor(set.Limits.Staleness())
+	g.timing = watch.Timing(set.Limits.Staleness())
 	g.log = eventlog.New(out, set.Host.Name, telemetry.Level(set.Telemetry.LogLevel), g.metrics)
 	g.detector = outlier.New(g)
 	g.state = routing.New(platform.Decoder{Zones: set.Zones}, g.log, g.metrics)
-	store := platform.NewStore(set.Store.Address, dialer(storeDialTimeout).DialContext)
+	store := platform.NewStore(set.Store.Address, dial.New(storeDialTimeout).DialContext)
 	g.tables[operatorTable] = fleet.Table{Replica: watch.NewReplica(), Store: platform.OperatorTable(store)}
 	g.tables[upstreamTable] = fleet.Table{Replica: watch.NewReplica(), Store: platform.UpstreamTable(store)}
 	g.fleet = g.newFleet(store)
-	g.watchers[operatorTable] = g.newWatcher(operatorTable, routing.OperatorSink{State: g.state})
-	g.watchers[upstreamTable] = g.newWatcher(upstreamTable, routing.UpstreamSink{State: g.state})
+	g.watchers[operatorTable] = g.newWatcher(operatorTable, g.state.OperatorSink())
+	g.watchers[upstreamTable] = g.newWatcher(upstreamTable, g.state.UpstreamSink())
 	g.proxy = g.newProxy()
 	g.server = proxy.NewServer(g.proxy)
 	g.registerGauges()
 	return g
 }
 
-// self describes this host to the others. A restart is a new incarnation.
-func (g *Gateway) self() fleet.Host {
-	return fleet.Host{
-		Name: g.settings.Host.Name, Zone: g.settings.Host.Zone, Region: g.settings.Host.Region,
-		PeerAddress: g.settings.Listen.Peers, ClientAddress: g.settings.Listen.Callers,
-		Incarnation: ulid.Make().String(),
-	}
-}
-
 // Run serves until SIGTERM or SIGINT, and then stops as planned. SIGHUP checks
 // the settings file at path anew. The error is ErrAborted if the stop aborted
 // requests, else the failure of a listener.
@@ -84,7 +75,7 @@
 	if err := g.fleet.Start(ctx); err != nil {
 		return err
 	}
-	go g.proxy.Run(ctx)
+	go g.proxy.CleanUp(ctx)
 	if err := g.listen(); err != nil {
 		return err
 	}
@@ -116,7 +107,7 @@
 // in flight are finished within the grace period.
 func (g *Gateway) stop(ctx context.Context) error {
 	g.log.Process("stop", "signal received, draining")
-	g.proxy.Drain()
+	g.proxy.Drain() // before Withdraw sends a heartbeat that says so
 	go g.fleet.Withdraw(ctx)
 	aborted := g.server.Stop(ctx, time.Duration(g.settings.Stop.Grace))
 	g.server.Close()
@@ -124,6 +115,6 @@
 		g.log.Process("stopped", "requests were aborted")
 		return ErrAborted
 	}
-	g.log.Process("stopped", "all requests were answered")
+	g.log.Process("stopped", "all requests got a response")
 	return nil
 }
--- a/internal/gateway/proxy/attempt.go
+++ b/internal/gateway/proxy/attempt.go
@@ -17,16 +17,11 @@
 // Chosen, not measured.
 const maxRefusal = 16 << 10
 
-// attempt sends the request to one upstream, in a span of its own.
-func (f *inflight) attempt(ctx context.Context, c balance.Choice) (*response, error) {
+// attempt sends the request to one upstream, in a span of its own, and buffers
+// the beginning of the response.
+func (f *inflight) attempt(ctx context.Context, c balance.Choice) (_ *response, err error) {
 	ctx, span := f.startAttempt(ctx, c)
-	resp, err := f.send(ctx, c)
-	endSpan(span, err)
-	return resp, err
-}
-
-// send sends the request and buffers the beginning of the response.
-func (f *inflight) send(ctx context.Context, c balance.Choice) (*response, error) {
+	defer func() { endSpan(span, err) }()
 	began := time.Now()
 	f.tried = append(f.tried, c.Upstream.ID)
 	// On success the context lives on, as the body is read under it; it ends
@@ -48,9 +43,9 @@
 func (f *inflight) roundTrip(ctx context.Context, cancel context.CancelFunc, c balance.Choice, began time.Time) (*exchange.Response, error) {
 	u := c.Upstream
 	timer := f.startOverdueTimer(c, cancel)
-	resp, err := f.proxy.Client.Send(ctx, exchange.Target{UpstreamID: u.ID, Address: u.Address}, f.request)
+	resp, err := f.proxy.Client.Send(ctx, u.ID, u.Address, f.request)
 	if err == nil {
-		resp, err = f.accept(u.ID, resp)
+		err = f.accept(u.ID, resp)
 	}
 	state := timer.settle()
 	f.recordHealth(u.ID, state, resp, err, began)
@@ -62,17 +57,18 @@
 		_ = resp.Body.Close()
 	}
 	f.retryGranted = true
-	return nil, overdueError(u.ID)
+	return nil, verdict.New(verdict.MayHaveRun, verdict.DeadlineLapsed, "the response is overdue, another upstream is tried").WithUpstream(u.ID)
 }
 
-// accept returns a response that may be forwarded, and an error for any other.
-func (f *inflight) accept(upstream string, resp *exchange.Response) (*exchange.Response, error) {
+// accept returns nil if a response may be forwarded; otherwise it closes it and
+// returns the attempt's error.
+func (f *inflight) accept(upstream string, resp *exchange.Response) error {
 	if l := resp.Info.Load; l.Known {
 		f.proxy.Balancer.ObserveLoad(upstream, l.Running, l.Waiting, time.Now())
 	}
 	e := classify(resp.Status, resp.Info)
 	if e == nil {
-		return resp, nil
+		return nil
 	}
 	e.Upstream = upstream
 	// Read whole, the connection can be used again.
@@ -80,16 +76,16 @@
 		e.Detail += ", and the response broke off"
 	}
 	_ = resp.Body.Close() // the attempt has failed already
-	return nil, e
+	return e
 }
 
 // buffer reads the beginning of a response. One that breaks off there is a
-// failed attempt. After it the upstream is released when the response has been
-// forwarded.
+// failed attempt; any other is released by forward.
 func (f *inflight) buffer(ctx context.Context, c balance.Choice, began time.Time, resp *exchange.Response) (*response, error) {
 	id := c.Upstream.ID
-	out, err := bufferPrefix(resp)
+	prefix, err := io.ReadAll(io.LimitReader(resp.Body, prefixBytes))
 	if err != nil {
+		_ = resp.Body.Close() // the attempt has failed already
 		f.proxy.release(id, outlier.Failed)
 		e := truncated(id, err, ctx.Err() != nil)
 		if isUpstreamFault(e.Reason) {
@@ -99,7 +95,10 @@
 		return nil, e
 	}
 	f.logAttempt(c, began, resp.Status, nil)
-	out.done = func(err error) { f.proxy.release(id, outcomeOfForward(err)) }
+	out := &response{Response: resp, upstream: id, prefix: prefix}
+	if out.whole() {
+		out.Length = int64(len(prefix))
+	}
 	return out, nil
 }
 
--- a/internal/gateway/proxy/stop_test.go
+++ b/internal/gateway/proxy/stop_test.go
@@ -8,7 +8,6 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/gateway/proxy"
 	"cairndock/internal/gateway/route"
 	"cairndock/internal/verdict"
 )
@@ -22,9 +21,7 @@
 		time.Sleep(300 * time.Millisecond)
 		healthy(c, r)
 	})
-	s := proxy.NewServer(g.proxy)
-	require.NoError(t, s.ListenClients("127.0.0.1:0"))
-	address := s.ClientAddress()
+	s, address := g.listen()
 	g.server.URL = "http://" + address
 	type result struct {
 		resp *http.Response
@@ -64,10 +61,8 @@
 		time.Sleep(3 * time.Second)
 		healthy(c, r)
 	})
-	s := proxy.NewServer(g.proxy)
-	t.Cleanup(s.Close)
-	require.NoError(t, s.ListenClients("127.0.0.1:0"))
-	g.server.URL = "http://" + s.ClientAddress()
+	s, address := g.listen()
+	g.server.URL = "http://" + address
 	cut := make(chan int64, 1)
 	time.AfterFunc(50*time.Millisecond, func() { cut <- s.Stop(t.Context(), time.Second) })
 	resp, _, err := g.do(t.Context(), http.MethodPost, "/x/", "b")
--- a/internal/gateway/upstream/registry.go
+++ b/internal/gateway/upstream/registry.go
@@ -30,9 +30,7 @@
 	seeded bool
 	// removed has the upstreams that were removed lately.
 	removed map[string]tombstone
-	// warmUp returns how long an upstream of a service is cold after its
-	// start.
-	warmUp func(service string) time.Duration
+	warmUp  func(service string) time.Duration
 }
 
 // tombstone is what is remembered of a removed upstream.
@@ -87,28 +85,26 @@
 	if u == nil {
 		return false
 	}
-	if !mayHaveLapsed(u, storeReturned, now) {
+	if !mayHaveLapsed(u, now, storeReturned) {
 		r.remove(u, now)
 		return false
 	}
-	r.upstreams[id] = u.withExpiry(storeReturned.Add(LapseGrace))
+	lapsed := *u
+	lapsed.expiresAt = storeReturned.Add(LapseGrace)
+	r.upstreams[id] = &lapsed
 	return true
 }
 
 // mayHaveLapsed decides whether an upstream whose entry is gone may still run:
 // the store came back within LapseGrace, so heartbeats may not have reached it
 // yet, and the upstream had not announced its end by draining.
-func mayHaveLapsed(u *Upstream, storeReturned, now time.Time) bool {
+func mayHaveLapsed(u *Upstream, now, storeReturned time.Time) bool {
 	return !u.Draining && !storeReturned.IsZero() && now.Before(storeReturned.Add(LapseGrace))
 }
 
 func (r *Registry) remove(u *Upstream, now time.Time) {
 	delete(r.upstreams, u.ID)
-	for id, past := range r.removed {
-		if now.Sub(past.at) >= rememberFor {
-			delete(r.removed, id)
-		}
-	}
+	maps.DeleteFunc(r.removed, func(_ string, past tombstone) bool { return now.Sub(past.at) >= rememberFor })
 	r.removed[u.ID] = tombstone{at: now, coldUntil: u.ColdUntil}
 }
 
@@ -130,11 +126,17 @@
 func (r *Registry) Evacuate(zones map[string]bool, now time.Time) {
 	for id, u := range r.upstreams {
 		if r.evacuated[u.Zone] && !zones[u.Zone] {
-			r.upstreams[id] = u.withColdUntil(now.Add(r.warmUp(u.Service)))
+			cold := *u
+			cold.ColdUntil = later(u.ColdUntil, now.Add(r.warmUp(u.Service)))
+			r.upstreams[id] = &cold
 		}
 	}
 	r.evacuated = maps.Clone(zones)
 }
 
-// Set returns the upstreams as they are known now.
-func (r *Registry) Set() *Set { return newSet(r.upstreams, r.evacuated) }
+func later(a, b time.Time) time.Time {
+	if b.After(a) {
+		return b
+	}
+	return a
+}
--- a/internal/gateway/wiring.go
+++ b/internal/gateway/wiring.go
@@ -3,12 +3,15 @@
 import (
 	"time"
 
+	"github.com/oklog/ulid/v2"
+
 	"cairndock/internal/gateway/balance"
 	"cairndock/internal/gateway/dial"
 	"cairndock/internal/gateway/exchange"
 	"cairndock/internal/gateway/fleet"
 	"cairndock/internal/gateway/proxy"
 	"cairndock/internal/gateway/retry"
+	"cairndock/internal/gateway/routing"
 	"cairndock/internal/gateway/watch"
 	"cairndock/platform"
 )
@@ -22,7 +25,7 @@
 )
 
 // tableLabels are the tables' labels in metrics.
-var tableLabels = [tableCount]string{"intent", "upstream"}
+var tableLabels = [tableCount]string{routing.OperatorTable, routing.UpstreamTable}
 
 const (
 	// upstreamDialTimeout bounds a new connection to an upstream. It is far
@@ -32,22 +35,18 @@
 	// storeDialTimeout bounds a new connection to the store or to a peer: both
 	// may be slow where an upstream may not. Chosen, not measured.
 	storeDialTimeout = 800 * time.Millisecond
-	// maxUnacknowledged is how long sent data may stay unacknowledged before
-	// the connection counts as dead (TCP_USER_TIMEOUT). A cut link drops
-	// packets silently, and TCP alone would retry for minutes. Chosen, not
-	// measured.
-	maxUnacknowledged = 1200 * time.Millisecond
 )
 
-func dialer(timeout time.Duration) dial.Dialer {
-	return dial.Dialer{Timeout: timeout, Unacknowledged: maxUnacknowledged}
-}
-
 func (g *Gateway) newFleet(store *platform.Store) *fleet.Fleet {
+	host, listen := g.settings.Host, g.settings.Listen
 	return fleet.New(fleet.Options{
-		Self: g.self(), Registry: platform.Registry{Store: store, Log: g.log}, Report: g.log, Observations: g.detector,
-		Status: g.status, Seeds: g.settings.peerSeeds(), Transport: fleet.TCP{Dialer: dialer(storeDialTimeout)},
-		Tables: g.tables[:], MaxAge: g.timing.MaxAge,
+		Self: fleet.Host{
+			Name: host.Name, Zone: host.Zone, Region: host.Region, PeerAddress: listen.Peers, ClientAddress: listen.Callers,
+			Incarnation: ulid.Make().String(), // a restart is a new one
+		},
+		Registry: platform.Registry{Store: store, Log: g.log}, Report: g.log, Observations: g.detector,
+		Status: g.status, Seeds: g.settings.peerSeeds(), Transport: fleet.TCP(dial.New(storeDialTimeout).DialContext),
+		Tables: g.tables[:], MaxAge: g.timing.MaxAge(),
 	})
 }
 
@@ -61,33 +60,18 @@
 func (g *Gateway) newProxy() *proxy.Proxy {
 	limits := g.settings.Limits
 	location := balance.Location{Zone: g.settings.Host.Zone, Region: g.settings.Host.Region, Regions: g.settings.regions()}
-	quotas := warmUpQuotas{fleet: g.fleet, overshoot: limits.WarmUpOvershoot, slack: limits.WarmUpSlack}
-	pool := exchange.NewPool(dialer(upstreamDialTimeout).DialContext)
 	return proxy.New(proxy.Options{
-		State:    g.state,
-		Balancer: balance.New(location, quotas, g.detector),
-		Detector: g.detector,
-		Budget:   retry.NewBudget(retry.Limits{Ratio: limits.RetryRatio, Window: time.Duration(limits.RetryWindow), Slack: limits.RetrySlack}),
-		Client:   exchange.NewClient(pool, platform.Protocol{Metrics: g.metrics}),
-		Codec:    platform.Codec{Metrics: g.metrics},
-		Hosts:    g.fleet,
-		Ages:     proxy.Ages{Config: g.tables[operatorTable].Replica.Age, Upstreams: g.tables[upstreamTable].Replica.Age},
-		Log:      g.log,
-		Metrics:  g.metrics,
-		Tracer:   g.tracer,
+		State:        g.state,
+		Balancer:     balance.New(location, g, g.detector),
+		Detector:     g.detector,
+		Budget:       retry.NewBudget(retry.Limits{Ratio: limits.RetryRatio, Window: time.Duration(limits.RetryWindow), Slack: limits.RetrySlack}),
+		Client:       exchange.NewClient(dial.New(upstreamDialTimeout).DialContext, platform.Protocol{Metrics: g.metrics}),
+		Codec:        platform.Codec{Metrics: g.metrics},
+		Hosts:        g.fleet.Hosts,
+		ConfigAge:    g.tables[operatorTable].Replica.Age,
+		UpstreamsAge: g.tables[upstreamTable].Replica.Age,
+		Log:          g.log,
+		Metrics:      g.metrics,
+		Tracer:       g.tracer,
 	})
 }
-
-// warmUpQuotas gives this host's part of the requests to a cold upstream. The
-// platform allows its rate times overshoot, plus slack, for all hosts together.
-type warmUpQuotas struct {
-	fleet     *fleet.Fleet
-	overshoot float64
-	slack     float64
-}
-
-// WarmUpQuota gives this host's part, in requests a second, for an upstream
-// that takes rate requests a second while it is cold.
-func (q warmUpQuotas) WarmUpQuota(upstream, region string, rate float64) int {
-	return q.fleet.WarmUpQuota(upstream, region, rate*q.overshoot+q.slack)
-}
