--- a/internal/docscheck/logs_test.go
+++ b/internal/docscheck/logs_test.go
@@ -116,6 +116,7 @@
 	for _, row := range p.table(t, "Log events of the gateway") {
 		require.Len(t, row, 3, row)
 		for _, name := range codeIn(row[0]) {
+			require.False(t, events[name], "%q is listed twice", name)
 			events[name] = true
 		}
 		require.NotEmpty(t, row[1], row)
@@ -158,6 +159,7 @@
 	for _, row := range readPage(t, metricsPage).table(t, "Log lines of serve") {
 		require.Len(t, row, 4, row)
 		for _, message := range codeIn(row[0]) {
+			require.False(t, listed[message], "%q is listed twice", message)
 			listed[message] = true
 		}
 		require.NotEmpty(t, row[3], "meaning of %v", row)
