--- a/internal/gateway/exchange/exchange.go
+++ b/internal/gateway/exchange/exchange.go
@@ -4,6 +4,10 @@
 // breaks off never looks complete, and a failure is reported as "not run" only
 // when no byte of the request can have reached the upstream. Which headers
 // carry those proofs is up to a Protocol.
+//
+// It is not selector/upstream's client: that one reports when an upstream has
+// ended a canceled request, which frees its slot; this one proves that a
+// response belongs to its request, and drops connections that are not silent.
 package exchange
 
 import (
--- a/internal/gateway/fleet/host.go
+++ b/internal/gateway/fleet/host.go
@@ -44,7 +44,9 @@
 	// deadAfter is the time since a peer's last heartbeat from which on it
 	// counts as dead. Chosen, not measured. It must exceed heartbeatEvery +
 	// schedulerTick + heartbeatTimeout, so that a peer that only responds to
-	// heartbeats is not taken for dead.
+	// heartbeats is not taken for dead. It is not selector/member's: here
+	// heartbeats have a fixed pace; there they keep to a byte budget, and the
+	// silence allowed grows with their interval.
 	deadAfter = 2500 * time.Millisecond
 	// forgetAfter is the time without a heartbeat from a peer, and without
 	// its name in another host's list, after which it is forgotten. Until
--- a/internal/gateway/outlier/consecutive.go
+++ b/internal/gateway/outlier/consecutive.go
@@ -34,7 +34,9 @@
 	Canceled
 )
 
-// consecutive counts this host's failures in a row at one upstream.
+// consecutive counts this host's failures in a row at one upstream. It is not
+// selector/slot's: there a host has slots of its own at an upstream, so that
+// its own requests alone decide, and rejections count.
 type consecutive struct {
 	failures     int
 	ejectedUntil time.Time
--- a/internal/gateway/proxy/retryafter.go
+++ b/internal/gateway/proxy/retryafter.go
@@ -7,6 +7,9 @@
 	"cairndock/internal/verdict"
 )
 
+// selector/caller has its own rule: HTTP's whole seconds. The platform's clients
+// also read fractions of a second.
+
 const (
 	// overloadPause is the least time after which a client that was refused for
 	// load should return: an upstream that is full needs about as long to work
--- a/internal/gateway/retry/budget.go
+++ b/internal/gateway/retry/budget.go
@@ -40,7 +40,9 @@
 }
 
 // Budget counts one host's requests and retries of each service. It is safe
-// for concurrent use.
+// for concurrent use. It is not selector/steer's: this limit is the platform's
+// and shared by all hosts in a window of time; that one is the service's own
+// setting, which each host counts for itself without a clock.
 type Budget struct {
 	limits Limits
 	// origin is the start of the first bucket. Buckets are numbered by the
--- a/internal/gateway/routing/state.go
+++ b/internal/gateway/routing/state.go
@@ -55,8 +55,8 @@
 
 	config    atomic.Pointer[route.Table]
 	upstreams atomic.Pointer[upstream.Set]
-	// seeded is set once all upstreams were read.
-	seeded atomic.Bool
+	// synced is set once all upstreams were read.
+	synced atomic.Bool
 
 	// mu is held by writers; readers use the pointers above.
 	mu       sync.Mutex
@@ -102,7 +102,7 @@
 // all upstreams by one full reading. Once ready it stays so, also while the
 // sources are lost.
 func (s *State) Ready() bool {
-	return s.config.Load() != nil && s.seeded.Load()
+	return s.config.Load() != nil && s.synced.Load()
 }
 
 // publish gives readers the upstreams as the registry has them; s.mu is held.
--- a/internal/gateway/routing/upstreams.go
+++ b/internal/gateway/routing/upstreams.go
@@ -45,12 +45,12 @@
 		time.AfterFunc(u.StoreReturned.Add(upstream.LapseGrace).Sub(now), s.expire)
 	}
 	if u.Full {
-		s.registry.Seed()
+		s.registry.MarkSynced()
 	}
 	s.publish()
 	if u.Full {
 		// After publish: a host that is ready has its upstreams.
-		s.seeded.Store(true)
+		s.synced.Store(true)
 	}
 }
 
@@ -63,7 +63,7 @@
 		return
 	}
 	s.registry.Put(registration, now)
-	if !s.seeded.Load() {
+	if !s.synced.Load() {
 		return
 	}
 	state := stateReady
--- a/internal/gateway/upstream/registry.go
+++ b/internal/gateway/upstream/registry.go
@@ -25,9 +25,9 @@
 	upstreams map[string]*Upstream
 	// evacuated has the zones that receive nothing.
 	evacuated map[string]bool
-	// seeded means that all upstreams that were running at the host's start
+	// synced means that all upstreams that were running at the host's start
 	// are known.
-	seeded bool
+	synced bool
 	// removed has the upstreams that were removed lately.
 	removed map[string]tombstone
 	warmUp  func(service string) time.Duration
@@ -47,9 +47,9 @@
 	}
 }
 
-// Seed marks the end of the first full reading of the store: an upstream that
+// MarkSynced marks the end of the first full reading of the store: an upstream that
 // appears from now on has just started.
-func (r *Registry) Seed() { r.seeded = true }
+func (r *Registry) MarkSynced() { r.synced = true }
 
 // Put adds or updates an upstream.
 func (r *Registry) Put(in Registration, now time.Time) {
@@ -67,7 +67,7 @@
 		until = known.ColdUntil
 	} else if past, ok := r.removed[in.ID]; ok {
 		until = past.coldUntil
-	} else if r.seeded {
+	} else if r.synced {
 		until = now.Add(r.warmUp(in.Service))
 	}
 	if in.ColdLeft > 0 {
--- a/internal/gateway/upstream/registry_test.go
+++ b/internal/gateway/upstream/registry_test.go
@@ -47,7 +47,7 @@
 	now := time.Now()
 	r := newRegistry()
 	r.Put(ready("old", "z"), now)
-	r.Seed()
+	r.MarkSynced()
 	r.Put(ready("new", "z"), now)
 	require.Zero(t, coldFor(t, r, "old", now))
 	require.Equal(t, warmUp, coldFor(t, r, "new", now))
@@ -63,7 +63,7 @@
 	in.ColdLeft = time.Second
 	r.Put(in, now)
 	require.Equal(t, time.Second, coldFor(t, r, "a", now))
-	r.Seed()
+	r.MarkSynced()
 	in.ColdLeft = 2 * time.Second // cold again, at any moment
 	r.Put(in, now.Add(10*time.Second))
 	require.Equal(t, 2*time.Second, coldFor(t, r, "a", now.Add(10*time.Second)))
@@ -75,7 +75,7 @@
 	r.Put(ready("a", "west"), now)
 	r.Put(ready("b", "east"), now)
 	r.Put(draining("c", "west"), now)
-	r.Seed()
+	r.MarkSynced()
 	require.Equal(t, []string{"a", "b"}, ids(r.Set()))
 
 	r.Evacuate(map[string]bool{"west": true}, now)
@@ -126,7 +126,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRegistry()
 			r.Put(c.in, start)
-			r.Seed()
+			r.MarkSynced()
 			var returned time.Time
 			if c.returned >= 0 {
 				returned = start.Add(-c.returned)
@@ -143,7 +143,7 @@
 	r := newRegistry()
 	r.Put(ready("back", "z"), now)
 	r.Put(ready("gone", "z"), now)
-	r.Seed()
+	r.MarkSynced()
 	require.True(t, r.Remove("back", now, now))
 	require.True(t, r.Remove("gone", now, now))
 	r.Put(ready("back", "z"), now.Add(time.Second))
@@ -171,7 +171,7 @@
 			r := newRegistry()
 			r.Put(ready("a", "z"), now)
 			r.Put(ready("other", "z"), now)
-			r.Seed()
+			r.MarkSynced()
 			require.False(t, r.Remove("a", now, time.Time{}))
 			require.False(t, r.Remove("other", now.Add(c.other), time.Time{}))
 			back := now.Add(c.other)
