--- a/internal/gateway/eventlog/events.go
+++ b/internal/gateway/eventlog/events.go
@@ -117,63 +117,47 @@
 
 // Config logs that a version of the operator configuration was applied.
 func (l *Log) Config(version int64, routes int) {
-	if e := l.stateEvent("config"); e != nil {
-		e.Int64("version", version).Int("routes", routes).Msg("config: applied")
-	}
+	l.stateEvent("config").Int64("version", version).Int("routes", routes).Msg("config: applied")
 }
 
 // BadRow logs a table's row that could not be decoded and was not applied.
 func (l *Log) BadRow(table, key string, version int64, err error) {
-	if e := l.stateEvent("bad-row"); e != nil {
-		e.Str("table", table).Str("key", key).Int64("version", version).Err(err).Msg("row: can't be decoded, not applied")
-	}
+	l.stateEvent("bad-row").Str("table", table).Str("key", key).Int64("version", version).Err(err).Msg("row: can't be decoded, not applied")
 }
 
 // Ejected logs that an upstream is ejected for a time, with the observations
 // that led to it, and counts the ejection.
 func (l *Log) Ejected(o outlier.Ejection) {
 	l.metrics.Count("cairndock_ejections_total")
-	if e := l.stateEvent(EventEjected); e != nil {
-		e.Str("upstream", o.Upstream).Int("bad", o.Failures).Int("good", o.Successes).Int("hosts", o.Hosts).
-			Float64("for_ms", ms(o.For)).Msg("upstream: ejected, avoided for a time")
-	}
+	l.stateEvent(EventEjected).Str("upstream", o.Upstream).Int("bad", o.Failures).Int("good", o.Successes).Int("hosts", o.Hosts).
+		Float64("for_ms", ms(o.For)).Msg("upstream: ejected, avoided for a time")
 }
 
 // Upstream logs an upstream's new state, as of a version of the table.
 func (l *Log) Upstream(id string, r upstream.Registration, state string, version int64) {
-	if e := l.stateEvent(EventUpstream); e != nil {
-		e.Str("upstream", id).Str("service", r.Service).Str("zone", r.Zone).Str("state", state).
-			Int64("version", version).Float64("cold_ms", ms(r.ColdLeft)).Msg("upstream: state changed")
-	}
+	l.stateEvent(EventUpstream).Str("upstream", id).Str("service", r.Service).Str("zone", r.Zone).Str("state", state).
+		Int64("version", version).Float64("cold_ms", ms(r.ColdLeft)).Msg("upstream: state changed")
 }
 
 // Evacuated logs the zones that get no requests.
 func (l *Log) Evacuated(zones []string, version int64) {
-	if e := l.stateEvent("evacuated"); e != nil {
-		e.Strs("zones", zones).Int64("version", version).Msg("evacuation: zones changed")
-	}
+	l.stateEvent("evacuated").Strs("zones", zones).Int64("version", version).Msg("evacuation: zones changed")
 }
 
 // Lost logs that a dependency stopped responding.
 func (l *Log) Lost(kind, name string, err error) {
-	if e := l.stateEvent(EventLost); e != nil {
-		e.Str("dependency", kind).Str("name", name).Err(err).Msg("dependency: lost")
-	}
+	l.stateEvent(EventLost).Str("dependency", kind).Str("name", name).Err(err).Msg("dependency: lost")
 }
 
 // Regained logs that a dependency responds again, after an outage of the
 // given length.
 func (l *Log) Regained(kind, name string, after time.Duration) {
-	if e := l.stateEvent("regained"); e != nil {
-		e.Str("dependency", kind).Str("name", name).Float64("after_ms", ms(after)).Msg("dependency: regained")
-	}
+	l.stateEvent("regained").Str("dependency", kind).Str("name", name).Float64("after_ms", ms(after)).Msg("dependency: regained")
 }
 
 // Process logs a step in the process's life: start, reload, stop or stopped.
 func (l *Log) Process(step, detail string) {
-	if e := l.stateEvent(step); e != nil {
-		e.Str("detail", detail).Msg("process: " + step)
-	}
+	l.stateEvent(step).Str("detail", detail).Msg("process: " + step)
 }
 
 // ms converts a duration to milliseconds, the unit of all logged durations.
--- a/internal/gateway/eventlog/log.go
+++ b/internal/gateway/eventlog/log.go
@@ -97,40 +97,35 @@
 // alone, so that all hosts log the same requests.
 func Sampled(requestID string) bool { return xxhash.Sum64String(requestID)%sampleOneIn == 0 }
 
-// stateEvent begins a line on a state change; nil if it is not written.
-func (l *Log) stateEvent(name string) *zerolog.Event {
-	if !l.writesInfo() {
-		return nil
-	}
-	if !l.stateChanges.Allow() {
-		l.countLeftOut()
-		return nil
-	}
-	return l.out.Info().Str("event", name)
-}
+// stateEvent begins a line on a state change; nil, which writes nothing, if it
+// is left out.
+func (l *Log) stateEvent(name string) *zerolog.Event { return l.event(name, l.stateChanges) }
 
-// requestEvent begins a line on a request; nil if it is not written.
+// requestEvent begins a line on a request; nil if it is not sampled or left out.
 func (l *Log) requestEvent(name, requestID string, failed bool) *zerolog.Event {
-	if !l.writesInfo() {
-		return nil
+	limiter := l.failures
+	if !failed {
+		if !Sampled(requestID) {
+			return nil
+		}
+		limiter = l.sampled
 	}
-	limiter := l.sampled
-	if failed {
-		limiter = l.failures
-	} else if !Sampled(requestID) {
+	return l.event(name, limiter).Str("request", requestID)
+}
+
+// event begins a line within a rate. The level is asked first, so that a line
+// below it is no line left out.
+func (l *Log) event(name string, limiter *rate.Limiter) *zerolog.Event {
+	if l.out.GetLevel() > zerolog.InfoLevel {
 		return nil
 	}
 	if !limiter.Allow() {
 		l.countLeftOut()
 		return nil
 	}
-	return l.out.Info().Str("event", name).Str("request", requestID)
+	return l.out.Info().Str("event", name)
 }
 
-// writesInfo reports whether lines of level info are written. It is asked
-// before the rate limits, so that a line below the level is no line left out.
-func (l *Log) writesInfo() bool { return l.out.GetLevel() <= zerolog.InfoLevel }
-
 func (l *Log) countLeftOut() {
 	l.leftOut.Add(1)
 	l.metrics.Count("cairndock_log_lines_left_out_total")
--- a/internal/gateway/eventlog/writer.go
+++ b/internal/gateway/eventlog/writer.go
@@ -33,7 +33,7 @@
 	return len(line), nil
 }
 
-// write passes queued lines to w until Close.
+// write passes queued lines to w until Close, and then those still queued.
 func (l *Log) write(w io.Writer) {
 	defer close(l.closed)
 	report := time.NewTicker(reportEvery)
@@ -45,19 +45,9 @@
 		case <-report.C:
 			l.reportLeftOut()
 		case <-l.closing:
-			l.drain(w)
-			return
-		}
-	}
-}
-
-// drain writes what is queued.
-func (l *Log) drain(w io.Writer) {
-	for {
-		select {
-		case line := <-l.queue:
-			writeLine(w, line)
-		default:
+			for len(l.queue) > 0 {
+				writeLine(w, <-l.queue)
+			}
 			return
 		}
 	}
--- a/internal/gateway/reqtrace/cause.go
+++ b/internal/gateway/reqtrace/cause.go
@@ -1,6 +1,7 @@
 package reqtrace
 
 import (
+	"cmp"
 	"fmt"
 	"strconv"
 	"strings"
@@ -36,8 +37,8 @@
 
 // Cause says in one sentence why the request ended as it did.
 func (t Trace) Cause() string {
-	final, ok := t.final()
-	if !ok {
+	final := t.lines[len(t.lines)-1]
+	if final.Event != eventlog.EventFinal {
 		return "unknown: the line of the final response is missing (left out, or the host ended before it)"
 	}
 	cause := t.causeOf(final)
@@ -55,18 +56,30 @@
 	if !ok {
 		return string(final.Reason) + ": " + final.Detail
 	}
-	upstream := "(its attempt is not in the logs)"
-	if attempt, ok := t.decisive(final); ok {
-		upstream = attempt.Upstream
-	}
 	return strings.NewReplacer(
-		"{upstream}", upstream,
+		"{upstream}", t.decidingUpstream(final.Reason),
 		"{service}", final.Service,
 		"{config}", strconv.FormatInt(final.Config, 10),
 		"{detail}", final.Detail,
 	).Replace(cause)
 }
 
+// decidingUpstream gives the upstream of the attempt that decided the final
+// response: the last one with its reason as outcome, or else the last one.
+func (t Trace) decidingUpstream(reason verdict.Reason) string {
+	var deciding, last string
+	for _, l := range t.lines {
+		if l.Event != eventlog.EventAttempt {
+			continue
+		}
+		last = l.Upstream
+		if l.Outcome == string(reason) {
+			deciding = l.Upstream
+		}
+	}
+	return cmp.Or(deciding, last, "(its attempt is not in the logs)")
+}
+
 func (t Trace) servedText(final line) string {
 	if final.Attempts <= 1 {
 		return "served"
--- a/internal/gateway/reqtrace/line.go
+++ b/internal/gateway/reqtrace/line.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"cmp"
 	"encoding/json"
+	"math"
 	"time"
 
 	"cairndock/internal/gateway/eventlog"
@@ -69,33 +70,16 @@
 	return l, true
 }
 
-// isStateChange reports whether the line is of a state that may have decided a
-// request.
-func (l line) isStateChange() bool {
-	switch l.Event {
-	case eventlog.EventLost, eventlog.EventUpstream, eventlog.EventEjected:
-		return true
-	default:
-		return false
-	}
-}
-
 // byTime orders lines by time; of the same time, attempts by their number and
 // the final response last.
 func byTime(a, b line) int {
-	return cmp.Or(a.Time.Compare(b.Time), compareBool(a.isFinal(), b.isFinal()), cmp.Compare(a.Attempt, b.Attempt))
+	return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.step(), b.step()))
 }
 
-func (l line) isFinal() bool { return l.Event == eventlog.EventFinal }
-
-// compareBool orders false before true.
-func compareBool(a, b bool) int {
-	switch {
-	case a == b:
-		return 0
-	case a:
-		return 1
-	default:
-		return -1
+// step is the line's place among those of its request on one host.
+func (l line) step() int {
+	if l.Event == eventlog.EventFinal {
+		return math.MaxInt
 	}
+	return l.Attempt
 }
--- a/internal/gateway/reqtrace/trace.go
+++ b/internal/gateway/reqtrace/trace.go
@@ -19,8 +19,6 @@
 	// maxLine is the longest line that is read, in bytes; a longer one is an
 	// error. Chosen, not measured: far above any line of the log.
 	maxLine = 1 << 20
-	// firstBuffer is the reader's buffer to begin with, in bytes.
-	firstBuffer = 64 << 10
 	// lookBack is how long before a request's end a state change may have
 	// decided it. Chosen, not measured.
 	lookBack = 15 * time.Second
@@ -42,14 +40,14 @@
 	var t Trace
 	var changes []line
 	scanner := bufio.NewScanner(logs)
-	scanner.Buffer(make([]byte, 0, firstBuffer), maxLine)
+	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
 		l, ok := parse(scanner.Bytes())
 		switch {
 		case !ok:
 		case l.Request == requestID:
 			t.lines = append(t.lines, l)
-		case l.isStateChange():
+		case l.Event == eventlog.EventLost, l.Event == eventlog.EventUpstream, l.Event == eventlog.EventEjected:
 			changes = append(changes, l)
 		}
 	}
@@ -84,30 +82,3 @@
 	slices.SortStableFunc(out, byTime)
 	return out
 }
-
-// final gives the line of the final response; false if there is none.
-func (t Trace) final() (line, bool) {
-	last := t.lines[len(t.lines)-1]
-	return last, last.isFinal()
-}
-
-// decisive gives the attempt that the final response comes from: the last one
-// with its reason as outcome, or else the last one. It gives false if the logs
-// have no attempt.
-func (t Trace) decisive(final line) (line, bool) {
-	var attempts []line
-	for _, l := range t.lines {
-		if l.Event == eventlog.EventAttempt {
-			attempts = append(attempts, l)
-		}
-	}
-	if len(attempts) == 0 {
-		return line{}, false
-	}
-	for _, l := range slices.Backward(attempts) {
-		if l.Outcome == string(final.Reason) {
-			return l, true
-		}
-	}
-	return attempts[len(attempts)-1], true
-}
