--- a/internal/gateway/soak/artifacts_test.go
+++ b/internal/gateway/soak/artifacts_test.go
@@ -11,8 +11,7 @@
 	"time"
 )
 
-// Folders for what is kept of a run; nothing is kept if they are not set. What
-// can't be kept is logged and fails no run.
+// Folders for what is kept of a run; nothing is kept if they are not set.
 const (
 	// logsVar names the folder for hosts' logs of runs with violations, and a
 	// heap profile of one host of each run.
@@ -38,53 +37,41 @@
 	}
 }
 
-func (w *world) keepReport() {
-	dir := os.Getenv(reportVar)
+// keep writes a file of the run into the folder that a variable names. What
+// can't be kept is logged and fails no run.
+func (w *world) keep(folderVar, suffix string, write func(io.Writer) error) {
+	dir := os.Getenv(folderVar)
 	if dir == "" {
 		return
 	}
-	f, err := os.Create(filepath.Join(dir, fmt.Sprintf("seed-%d.html", w.seed)))
+	f, err := os.Create(filepath.Join(dir, fmt.Sprintf("seed-%d%s", w.seed, suffix)))
 	if err != nil {
 		w.t.Log(err)
 		return
 	}
-	if err := errors.Join(w.record.writePage(f), f.Close()); err != nil {
+	if err := errors.Join(write(f), f.Close()); err != nil {
 		w.t.Log(err)
 	}
 }
 
-// keepHeapProfile keeps a heap profile of a host under load.
-func (w *world) keepHeapProfile() {
-	dir := os.Getenv(logsVar)
-	if dir == "" {
-		return
-	}
+// writeHeapProfile writes a heap profile of the first host.
+func (w *world) writeHeapProfile(to io.Writer) error {
 	resp, err := http.Get("http://" + w.hosts[0].metrics + "/debug/pprof/heap?gc=1")
 	if err != nil {
-		w.t.Log(err)
-		return
+		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	text, err := io.ReadAll(resp.Body)
-	if err == nil {
-		err = os.WriteFile(filepath.Join(dir, fmt.Sprintf("seed-%d.heap", w.seed)), text, 0o600)
-	}
-	if err != nil {
-		w.t.Log(err)
-	}
+	_, err = io.Copy(to, resp.Body)
+	return err
 }
 
 // keepLogs ends all hosts and keeps their logs.
 func (w *world) keepLogs() {
-	dir := os.Getenv(logsVar)
 	for _, h := range w.hosts {
 		h.kill()
-		if dir == "" {
-			continue
-		}
-		path := filepath.Join(dir, fmt.Sprintf("seed-%d-%s.log", w.seed, h.name))
-		if err := os.WriteFile(path, h.log.Bytes(), 0o600); err != nil {
-			w.t.Log(err)
-		}
+		w.keep(logsVar, "-"+h.name+".log", func(to io.Writer) error {
+			_, err := to.Write(h.log.Bytes())
+			return err
+		})
 	}
 }
--- a/internal/gateway/soak/checks_test.go
+++ b/internal/gateway/soak/checks_test.go
@@ -31,7 +31,6 @@
 // watchVersions asks a host which versions of the configuration it uses: never
 // an older one than before in one process, and each soon after it was accepted.
 func (w *world) watchVersions(ctx context.Context, h *host) {
-	c := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	process, highest := 0, 0
 	for n := 0; ctx.Err() == nil; n++ {
 		time.Sleep(60 * time.Millisecond)
@@ -44,10 +43,9 @@
 		ask := max(highest, newest-n%2, 1) // there is no version 0
 		w.mu.Lock()
 		accepted := w.acceptedAt[ask]
-		storeCalm := w.storeCalm()
 		w.mu.Unlock()
-		due := storeCalm && h.calm() && time.Since(accepted) > applyWithin+slack
-		status := w.probe(c, h, ask)
+		due := w.storeDisturbances.calm() && h.calm() && time.Since(accepted) > applyWithin+slack
+		status := w.probe(h, ask)
 		same := h.processNumber() == process
 		switch {
 		case status == http.StatusNotFound && same && ask <= highest:
@@ -60,9 +58,12 @@
 	}
 }
 
+// probeClient makes a connection for each probe.
+var probeClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+
 // probe sends a request on the route of a version and gives the status; 0
 // without a response.
-func (w *world) probe(c *http.Client, h *host, version int) int {
+func (w *world) probe(h *host, version int) int {
 	req, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/v%d/x", h.clients, version), nil)
 	if err != nil {
 		w.violation("harness: probe of %s: %v", h.name, err)
@@ -71,7 +72,7 @@
 	req.Host = hostname
 	id := fmt.Sprintf("probe-%s-%d-%d", h.name, version, rand.Int64())
 	platformtest.Request{ID: id, Timeout: probeTimeout}.SetHeaders(req.Header)
-	resp, err := c.Do(req)
+	resp, err := probeClient.Do(req)
 	if err != nil {
 		return 0
 	}
@@ -84,10 +85,9 @@
 
 // awaitService waits until every host serves.
 func (w *world) awaitService(timeout time.Duration) {
-	c := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, h := range w.hosts {
 		end := time.Now().Add(timeout)
-		for w.probe(c, h, 1) != http.StatusOK {
+		for w.probe(h, 1) != http.StatusOK {
 			if time.Now().After(end) {
 				w.violation("recovery: %s does not serve", h.name)
 				return
@@ -110,13 +110,13 @@
 	w.mu.Lock()
 	notRun := w.notRun
 	w.mu.Unlock()
+	w.ledger.mu.Lock()
+	defer w.ledger.mu.Unlock()
 	for id, address := range notRun {
-		if n := w.ledger.count(id); n > 0 {
+		if n := w.ledger.runs[id]; n > 0 {
 			w.violation("refused: %s was told at %s that it had not run, and ran %d times", id, address, n)
 		}
 	}
-	w.ledger.mu.Lock()
-	defer w.ledger.mu.Unlock()
 	for id, n := range w.ledger.runs {
 		if n > 1 && strings.HasPrefix(id, oncePrefix) {
 			w.violation("twice: %s ran %d times", id, n)
--- a/internal/gateway/soak/client_test.go
+++ b/internal/gateway/soak/client_test.go
@@ -76,12 +76,12 @@
 	began := time.Now()
 	resp, err := c.Do(req)
 	if err != nil {
-		w.count(began, failed)
+		w.record.request(began, time.Since(began), failed)
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(resp.Body)
-	w.count(began, outcomeOf(resp.StatusCode, err))
+	w.record.request(began, time.Since(began), outcomeOf(resp.StatusCode, err))
 	if err == nil {
 		w.checkResponse(address, id, resp.StatusCode, string(text))
 	}
@@ -136,14 +136,3 @@
 		return failed
 	}
 }
-
-func (w *world) count(began time.Time, o outcome) {
-	w.record.request(began, time.Since(began), o)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if o == served {
-		w.served++
-	} else {
-		w.failed++
-	}
-}
--- a/internal/gateway/soak/doc.go
+++ b/internal/gateway/soak/doc.go
@@ -15,5 +15,11 @@
 //	recorder_test.go  a run second by second, and page_test.go its report
 //	artifacts_test.go logs, heap profiles and reports kept of a run
 //
-// How to run it, with which variables: docs/operations/soak.md.
+// To play one seed again, and keep its hosts' logs and its page:
+//
+//	SOAK_FIRST=SEED SOAK_LOGS=DIR SOAK_REPORT=DIR go test -count 1 -v -run 'TestSoak$' ./internal/gateway/soak
+//
+// A seed repeats the faults only roughly: those that overlap draw from one source,
+// and how they meet the requests is up to the machine. docs/operations/soak.md has
+// the other variables.
 package soak
--- a/internal/gateway/soak/faults_test.go
+++ b/internal/gateway/soak/faults_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"net/http"
+	"sync"
 	"syscall"
 	"time"
 
@@ -14,6 +15,39 @@
 	run  func(w *world)
 }
 
+// calmAfter is how long a host or the store must have been undisturbed for
+// rules bound by time to hold. Chosen, not measured: above every bound of the
+// settings.
+const calmAfter = 4 * time.Second
+
+// disturbances counts the faults of a host, or of the store, that are on.
+type disturbances struct {
+	mu sync.Mutex
+	on int
+	// endedAt is when one last ended.
+	endedAt time.Time
+}
+
+// begin counts a fault until the function given is called.
+func (d *disturbances) begin() (end func()) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.on++
+	return func() {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		d.on--
+		d.endedAt = time.Now()
+	}
+}
+
+// calm reports whether there was none for calmAfter.
+func (d *disturbances) calm() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.on == 0 && time.Since(d.endedAt) > calmAfter
+}
+
 // planned are what operators do on an ordinary day.
 var planned = []fault{
 	{"stop a host", (*world).stopHost},
@@ -83,20 +117,14 @@
 
 func (w *world) evacuateZone() {
 	zone := zones[w.intN(len(zones))].name
-	w.mu.Lock()
-	busy := w.evacuating
-	w.evacuating = true
-	w.mu.Unlock()
-	if busy {
+	if !w.evacuating.TryLock() {
 		return
 	}
+	defer w.evacuating.Unlock()
 	w.store.Evacuate(zone)
 	time.Sleep(evacuateWithin + slack)
 	time.Sleep(w.between(time.Second, 2*time.Second))
 	w.store.EndEvacuation(zone)
-	w.mu.Lock()
-	w.evacuating = false
-	w.mu.Unlock()
 }
 
 func (w *world) killHost() {
@@ -105,7 +133,7 @@
 		return
 	}
 	defer h.ending.Unlock()
-	defer h.disturb()()
+	defer h.disturbances.begin()()
 	h.kill()
 	time.Sleep(w.between(50*time.Millisecond, 2*time.Second))
 	h.expectExit(false)
@@ -114,7 +142,7 @@
 
 func (w *world) pauseHost() {
 	h := w.randomHost()
-	defer h.disturb()()
+	defer h.disturbances.begin()()
 	h.signal(syscall.SIGSTOP)
 	time.Sleep(w.between(200*time.Millisecond, 3*time.Second))
 	h.signal(syscall.SIGCONT)
@@ -122,7 +150,7 @@
 
 func (w *world) cutHost() {
 	h := w.randomHost()
-	defer h.disturb()()
+	defer h.disturbances.begin()()
 	h.store.set(w.linkFault())
 	time.Sleep(w.between(500*time.Millisecond, 4*time.Second))
 	h.store.set(pass)
@@ -143,9 +171,7 @@
 }
 
 func (w *world) harmStore() {
-	w.mu.Lock()
-	w.storeFaults++
-	w.mu.Unlock()
+	defer w.storeDisturbances.begin()()
 	f := storeFaults[w.intN(len(storeFaults))]
 	w.store.SetFaults(f)
 	time.Sleep(w.between(500*time.Millisecond, 4*time.Second))
@@ -153,10 +179,6 @@
 		w.store.Forget()
 	}
 	w.store.SetFaults(platformtest.Faults{})
-	w.mu.Lock()
-	w.storeFaults--
-	w.storeFaultAt = time.Now()
-	w.mu.Unlock()
 }
 
 func (w *world) crashUpstream() {
--- a/internal/gateway/soak/host_test.go
+++ b/internal/gateway/soak/host_test.go
@@ -19,11 +19,6 @@
 // childVar marks a process of this test binary that is a gateway host.
 const childVar = "CAIRNDOCK_SOAK_CHILD"
 
-// calmAfter is how long a host or the store must have been undisturbed for
-// rules bound by time to hold. Chosen, not measured: above every bound of the
-// settings.
-const calmAfter = 4 * time.Second
-
 // host is one gateway process, started anew when it ends, and its link to the
 // store.
 type host struct {
@@ -34,7 +29,6 @@
 	// Addresses that the host listens at.
 	clients   string
 	directory string
-	readiness string
 	metrics   string
 	store     *link
 	violation func(format string, args ...any)
@@ -53,10 +47,8 @@
 	// processes counts the processes, and startedAt is when the last started.
 	processes int
 	startedAt time.Time
-	// disturbances counts the faults that are on, and disturbedAt is when one
-	// last ended.
-	disturbances int
-	disturbedAt  time.Time
+
+	disturbances disturbances
 }
 
 // nextPort counts the ports given out.
@@ -122,10 +114,10 @@
 	t.Helper()
 	h := &host{
 		t: t, violation: violation, name: name, zone: z, store: newLink(t, store), log: &bytes.Buffer{},
-		clients: freeAddress(t), directory: freeAddress(t), readiness: freeAddress(t), metrics: freeAddress(t),
+		clients: freeAddress(t), directory: freeAddress(t), metrics: freeAddress(t),
 		settings: filepath.Join(t.TempDir(), name+".toml"),
 	}
-	text := fmt.Sprintf(settingsText, name, z.name, z.region, h.clients, h.readiness, h.directory, freeAddress(t), h.metrics, h.store.address())
+	text := fmt.Sprintf(settingsText, name, z.name, z.region, h.clients, freeAddress(t), h.directory, freeAddress(t), h.metrics, h.store.address())
 	require.NoError(t, os.WriteFile(h.settings, []byte(text), 0o600))
 	return h
 }
@@ -194,24 +186,11 @@
 	<-ended
 }
 
-// disturb marks the host as disturbed until the function given is called.
-func (h *host) disturb() (undisturbed func()) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.disturbances++
-	return func() {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		h.disturbances--
-		h.disturbedAt = time.Now()
-	}
-}
-
 // calm reports whether rules bound by time hold on the host.
 func (h *host) calm() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.disturbances == 0 && !h.stopping && time.Since(h.disturbedAt) > calmAfter && time.Since(h.startedAt) > calmAfter
+	return !h.stopping && time.Since(h.startedAt) > calmAfter && h.disturbances.calm()
 }
 
 // running reports whether the host's process runs.
--- a/internal/gateway/soak/page_test.go
+++ b/internal/gateway/soak/page_test.go
@@ -4,6 +4,7 @@
 	"html/template"
 	"image/color"
 	"io"
+	"slices"
 	"strings"
 	"testing"
 	"testing/synctest"
@@ -89,15 +90,11 @@
 
 // writePage writes the run as an HTML page.
 func (r *recorder) writePage(w io.Writer) error {
-	c := pageContent{Title: r.title, Faults: r.recordedFaults()}
+	ends := r.totals()
+	c := pageContent{Title: r.title, Served: ends[served], Refused: ends[refused], Failed: ends[failed], Faults: r.recordedFaults()}
 	r.mu.Lock()
-	seconds := append([]second(nil), r.seconds...)
+	seconds := slices.Clone(r.seconds)
 	r.mu.Unlock()
-	for _, s := range seconds {
-		c.Served += s.ends[served]
-		c.Refused += s.ends[refused]
-		c.Failed += s.ends[failed]
-	}
 	for _, ch := range charts {
 		svg, err := ch.draw(seconds, c.Faults)
 		if err != nil {
@@ -108,6 +105,7 @@
 	return eris.Wrap(pageTemplate.Execute(w, c), "write page")
 }
 
+// draw gives the chart as an element of the page.
 func (c chart) draw(seconds []second, faults []recordedFault) (template.HTML, error) {
 	p, err := c.plot(seconds, faults)
 	if err != nil {
@@ -115,7 +113,14 @@
 	}
 	canvas := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(canvas))
-	return svgOf(canvas)
+	var b strings.Builder
+	if _, err := canvas.WriteTo(&b); err != nil {
+		return "", err
+	}
+	// Without the XML declaration. The text comes from the plot library, which
+	// escapes what it is given.
+	text := b.String()
+	return template.HTML(text[strings.Index(text, "<svg"):]), nil
 }
 
 func (c chart) plot(seconds []second, faults []recordedFault) (*plot.Plot, error) {
@@ -153,17 +158,6 @@
 	return p, nil
 }
 
-// svgOf gives a canvas as an element of a page, without the XML declaration.
-func svgOf(canvas *vgsvg.Canvas) (template.HTML, error) {
-	var b strings.Builder
-	if _, err := canvas.WriteTo(&b); err != nil {
-		return "", err
-	}
-	text := b.String()
-	// The text comes from the plot library, which escapes what it is given.
-	return template.HTML(text[strings.Index(text, "<svg"):]), nil
-}
-
 func TestAPageShowsWhatHappened(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRecorder("soak <seed 7>")
--- a/internal/gateway/soak/recorder_test.go
+++ b/internal/gateway/soak/recorder_test.go
@@ -62,6 +62,18 @@
 	}
 }
 
+// totals gives how many requests ended how so far.
+func (r *recorder) totals() (ends [outcomes]int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, s := range r.seconds {
+		for o, n := range s.ends {
+			ends[o] += n
+		}
+	}
+	return ends
+}
+
 // alive records how many hosts and upstreams run now.
 func (r *recorder) alive(hosts, upstreams int) {
 	r.mu.Lock()
--- a/internal/gateway/soak/soak_test.go
+++ b/internal/gateway/soak/soak_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"os"
+	"slices"
 	"strconv"
 	"sync"
 	"testing"
@@ -94,21 +95,21 @@
 	wait := w.startTraffic(ctx)
 	time.Sleep(calmAfter) // so that all hosts count as undisturbed
 	w.phase("planned", planned, length, plannedGap)
-	w.phase("all", append(append([]fault{}, planned...), unplanned...), length, allGap)
+	w.phase("all", slices.Concat(planned, unplanned), length, allGap)
 	w.awaitService(15 * time.Second)
-	before, _ := w.counts()
+	before := w.record.totals()
 	time.Sleep(time.Second)
-	servedAll, failedAll := w.counts()
-	if servedAll-before < minServedAfter {
-		w.violation("recovery: only %d requests were served in the second after all faults", servedAll-before)
+	ends := w.record.totals()
+	if n := ends[served] - before[served]; n < minServedAfter {
+		w.violation("recovery: only %d requests were served in the second after all faults", n)
 	}
-	w.keepHeapProfile()
+	w.keep(logsVar, ".heap", w.writeHeapProfile) // of a host under load
 	cancel()
 	wait.Wait()
 	time.Sleep(500 * time.Millisecond) // what still runs must not run later either
 	w.checkLedger()
-	w.keepReport()
-	t.Logf("seed %d: %d served, %d not, %d violations", seed, servedAll, failedAll, len(w.violations))
+	w.keep(reportVar, ".html", w.record.writePage)
+	t.Logf("seed %d: %d served, %d not, %d violations", seed, ends[served], ends[refused]+ends[failed], len(w.violations))
 	if len(w.violations) > 0 {
 		w.keepLogs()
 	}
--- a/internal/gateway/soak/upstream_test.go
+++ b/internal/gateway/soak/upstream_test.go
@@ -28,12 +28,6 @@
 	l.runs[id]++
 }
 
-func (l *ledger) count(id string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.runs[id]
-}
-
 // defect is what is wrong with an upstream.
 type defect int32
 
@@ -68,13 +62,12 @@
 // upstream is one stand-in of an upstream, behind a link.
 type upstream struct {
 	platformtest.Upstream
-	zone     string
-	ledger   *ledger
-	server   *http.Server
-	listener net.Listener
-	link     *link
-	defect   atomic.Int32
-	running  atomic.Int32
+	zone    string
+	ledger  *ledger
+	server  *http.Server
+	link    *link
+	defect  atomic.Int32
+	running atomic.Int32
 	// noWorkFrom is when it must get no new requests any more, in Unix
 	// nanoseconds; 0 is never.
 	noWorkFrom atomic.Int64
@@ -86,7 +79,7 @@
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	u := &upstream{Upstream: platformtest.Upstream{ID: id, Slots: capacity}, zone: zone, ledger: l, listener: listener, late: late}
+	u := &upstream{Upstream: platformtest.Upstream{ID: id, Slots: capacity}, zone: zone, ledger: l, late: late}
 	u.link = newLink(t, listener.Addr().String())
 	u.server = &http.Server{Handler: u, ReadHeaderTimeout: time.Second}
 	// Serve's error only says that the server was closed.
@@ -103,7 +96,7 @@
 // body is the response to a request: a client can tell whether it is its own
 // and whether it is whole.
 func body(id string) string {
-	return "answer to " + id + fmt.Sprintf(" %0*d", 50+len(id)*7, 7)
+	return fmt.Sprintf("answer to %s %0*d", id, 50+len(id)*7, 7)
 }
 
 // ServeHTTP runs one request.
--- a/internal/gateway/soak/world_test.go
+++ b/internal/gateway/soak/world_test.go
@@ -41,6 +41,10 @@
 	hosts  []*host
 	ledger *ledger
 
+	storeDisturbances disturbances
+	// evacuating is held while a zone is evacuated.
+	evacuating sync.Mutex
+
 	mu sync.Mutex
 	// rand is the seeded source of all faults.
 	rand *rand.Rand
@@ -52,18 +56,10 @@
 	// accepted by the store.
 	version    int
 	acceptedAt map[int]time.Time
-	// storeFaults counts the faults of the store that are on; storeFaultAt is
-	// when the last one ended.
-	storeFaults  int
-	storeFaultAt time.Time
-	evacuating   bool
-	violations   []string
+	violations []string
 	// notRun are the requests whose client was promised that they did not
 	// run, by id, with the address that said so.
 	notRun map[string]string
-	// served and failed count requests.
-	served int
-	failed int
 }
 
 func newWorld(t *testing.T, seed uint64, hosts int) *world {
@@ -145,15 +141,13 @@
 // would be left.
 func (w *world) takeUpstream() *upstream {
 	w.mu.Lock()
-	few := len(w.alive) < minUpstreams
-	w.mu.Unlock()
-	if few {
+	defer w.mu.Unlock()
+	if len(w.alive) < minUpstreams {
 		return nil
 	}
-	u := w.randomUpstream()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.alive = slices.DeleteFunc(w.alive, func(other *upstream) bool { return other == u })
+	i := w.rand.IntN(len(w.alive))
+	u := w.alive[i]
+	w.alive = slices.Delete(w.alive, i, i+1)
 	return u
 }
 
@@ -170,24 +164,11 @@
 	return a + time.Duration(w.intN(int((b-a)/time.Millisecond)))*time.Millisecond
 }
 
-// storeCalm reports whether the store has been undisturbed for calmAfter; w.mu
-// is held.
-func (w *world) storeCalm() bool { return w.storeFaults == 0 && time.Since(w.storeFaultAt) > calmAfter }
-
 // calm reports whether store and hosts have been undisturbed for calmAfter.
 func (w *world) calm() bool {
-	w.mu.Lock()
-	calm := w.storeCalm()
-	w.mu.Unlock()
+	calm := w.storeDisturbances.calm()
 	for _, h := range w.hosts {
 		calm = calm && h.calm()
 	}
 	return calm
 }
-
-// counts gives how many requests were served and failed so far.
-func (w *world) counts() (served, failed int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.served, w.failed
-}
