--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,4 +1,5 @@
-// Package telemetry sets up logs, metrics and traces.
+// Package telemetry sets up a process's logs, metrics and traces, as its settings
+// say. The gateway's log of requests and states is package eventlog.
 package telemetry
 
 import (
@@ -19,17 +20,20 @@
 	"cairndock/internal/settings"
 )
 
-// The kinds of trace output.
+// Where traces are written; the values of the setting telemetry.traces.
 const (
-	TracesNone   = "none"
-	TracesStdout = "stdout"
-	TracesOTLP   = "otlp"
+	// tracesNone writes none.
+	tracesNone = "none"
+	// tracesStdout writes them to the standard output as JSON.
+	tracesStdout = "stdout"
+	// tracesOTLP sends them to the endpoint of the settings.
+	tracesOTLP = "otlp"
 )
 
 // Default fills the section's defaults.
 func Default(s *settings.Telemetry) {
 	s.LogLevel = settings.Default(s.LogLevel, "info")
-	s.Traces = settings.Default(s.Traces, TracesNone)
+	s.Traces = settings.Default(s.Traces, tracesNone)
 	s.TraceShare = settings.Default(s.TraceShare, 0.01)
 }
 
@@ -37,9 +41,9 @@
 func Check(s settings.Telemetry, f *settings.Faults) {
 	_, err := zerolog.ParseLevel(s.LogLevel)
 	f.Require(err == nil, "telemetry.log_level", "must be debug, info, warn or error")
-	f.Require(slices.Contains([]string{TracesNone, TracesStdout, TracesOTLP}, s.Traces),
+	f.Require(slices.Contains([]string{tracesNone, tracesStdout, tracesOTLP}, s.Traces),
 		"telemetry.traces", "must be none, stdout or otlp")
-	f.Require(s.Traces != TracesOTLP || s.OTLPEndpoint != "", "telemetry.otlp_endpoint", "must be set for otlp")
+	f.Require(s.Traces != tracesOTLP || s.OTLPEndpoint != "", "telemetry.otlp_endpoint", "must be set for otlp")
 	f.Require(s.TraceShare >= 0 && s.TraceShare <= 1, "telemetry.trace_share", "must be from 0 to 1")
 }
 
@@ -60,23 +64,21 @@
 
 // NewProvider makes a trace provider. Its shutdown must be called.
 func NewProvider(ctx context.Context, s settings.Telemetry, out io.Writer) (*sdktrace.TracerProvider, error) {
-	sampler := sdktrace.ParentBased(sdktrace.TraceIDRatioBased(s.TraceShare))
+	var exporter sdktrace.SpanExporter
+	var err error
 	switch s.Traces {
-	case TracesStdout:
-		exp, err := stdouttrace.New(stdouttrace.WithWriter(out))
-		if err != nil {
-			return nil, eris.Wrap(err, "open trace output")
-		}
-		return sdktrace.NewTracerProvider(sdktrace.WithSampler(sampler), sdktrace.WithBatcher(exp)), nil
-	case TracesOTLP:
-		exp, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(s.OTLPEndpoint))
-		if err != nil {
-			return nil, eris.Wrap(err, "open trace output")
-		}
-		return sdktrace.NewTracerProvider(sdktrace.WithSampler(sampler), sdktrace.WithBatcher(exp)), nil
+	case tracesStdout:
+		exporter, err = stdouttrace.New(stdouttrace.WithWriter(out))
+	case tracesOTLP:
+		exporter, err = otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(s.OTLPEndpoint))
 	default:
 		return sdktrace.NewTracerProvider(sdktrace.WithSampler(sdktrace.NeverSample())), nil
 	}
+	if err != nil {
+		return nil, eris.Wrap(err, "open trace output")
+	}
+	sampler := sdktrace.ParentBased(sdktrace.TraceIDRatioBased(s.TraceShare))
+	return sdktrace.NewTracerProvider(sdktrace.WithSampler(sampler), sdktrace.WithBatcher(exporter)), nil
 }
 
 // UseW3C makes traces pass between processes by the W3C Trace Context.
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -108,43 +108,32 @@
 	PeerFailed Reason = "peer-failed"
 )
 
-// statuses are the HTTP statuses of the reasons.
-var statuses = map[Reason]int{
-	UnknownService:  http.StatusNotFound,
-	BadTicket:       http.StatusBadRequest,
-	BadTimeout:      http.StatusBadRequest,
-	BadRequest:      http.StatusBadRequest,
-	TicketConflict:  http.StatusUnprocessableEntity,
-	TicketRunning:   http.StatusConflict,
-	TicketUnknown:   http.StatusBadGateway,
-	BodyTooLarge:    http.StatusRequestEntityTooLarge,
-	HeaderTooLarge:  http.StatusRequestHeaderFieldsTooLarge,
-	BodyStalled:     http.StatusGatewayTimeout,
-	Full:            http.StatusServiceUnavailable,
-	Capped:          http.StatusServiceUnavailable,
-	NoUpstream:      http.StatusServiceUnavailable,
-	NotReady:        http.StatusServiceUnavailable,
-	Stopping:        http.StatusServiceUnavailable,
-	DeadlineLapsed:  http.StatusGatewayTimeout,
-	Interrupted:     http.StatusGatewayTimeout,
-	CallerLeft:      http.StatusGatewayTimeout,
-	UpstreamFailed:  http.StatusBadGateway,
-	UpstreamShed:    http.StatusServiceUnavailable,
-	Unreachable:     http.StatusServiceUnavailable,
-	Misdirected:     http.StatusServiceUnavailable,
-	UnknownRoute:    http.StatusNotFound,
-	Warming:         http.StatusServiceUnavailable,
-	PeerFailed:      http.StatusBadGateway,
-	AnswerTruncated: http.StatusBadGateway,
-	AnswerNotKept:   http.StatusGone,
-}
-
-// Status gives the reason's HTTP status; 502 for one that is not listed.
+// Status gives the reason's HTTP status; 502 for one that is not listed. It is
+// what serve sends. What the gateway sends depends on the verdict too and is
+// decided in package platform.
 func (r Reason) Status() int {
-	if s, ok := statuses[r]; ok {
-		return s
+	switch r {
+	case BadRequest, BadTimeout, BadTicket:
+		return http.StatusBadRequest
+	case UnknownRoute, UnknownService:
+		return http.StatusNotFound
+	case TicketRunning:
+		return http.StatusConflict
+	case AnswerNotKept:
+		return http.StatusGone
+	case BodyTooLarge:
+		return http.StatusRequestEntityTooLarge
+	case TicketConflict:
+		return http.StatusUnprocessableEntity
+	case HeaderTooLarge:
+		return http.StatusRequestHeaderFieldsTooLarge
+	case NotReady, Stopping, Full, Capped, Warming, NoUpstream, Unreachable, Misdirected, UpstreamShed:
+		return http.StatusServiceUnavailable
+	case BodyStalled, DeadlineLapsed, Interrupted, CallerLeft:
+		return http.StatusGatewayTimeout
+	default: // UpstreamFailed, AnswerTruncated, PeerFailed, TicketUnknown
+		return http.StatusBadGateway
 	}
-	return http.StatusBadGateway
 }
 
 // Error is a failed request together with its verdict.
