--- a/internal/peer/call.go
+++ b/internal/peer/call.go
@@ -1,6 +1,13 @@
 package peer
 
-import "context"
+import (
+	"bytes"
+	"context"
+	"io"
+
+	"github.com/rotisserie/eris"
+	"github.com/vmihailenco/msgpack/v5"
+)
 
 // callOverhead is about how many bytes the frames of a call add to its request
 // and response: an open, a reply and an end frame. Estimated from the frames'
@@ -20,14 +27,43 @@
 	if err != nil {
 		return zero, 0, err
 	}
-	c, err := m.connect(ctx, addr)
-	if err != nil {
-		return zero, 0, err
-	}
-	response, err := c.call(ctx, kind, payload)
+	response, err := m.call(ctx, addr, kind, payload)
 	if err != nil {
 		return zero, 0, err
 	}
 	v, err := Decode[T](response)
 	return v, len(payload) + len(response) + callOverhead, err
 }
+
+// call opens a stream without a body and returns its response.
+func (m *Mesh) call(ctx context.Context, addr string, kind Kind, payload []byte) ([]byte, error) {
+	s, err := m.Open(ctx, addr, kind, payload)
+	if err != nil {
+		return nil, err
+	}
+	defer s.Close()
+	stop := context.AfterFunc(ctx, func() { _ = s.Close() })
+	defer stop()
+	// A response without a body ends as well; reading to the end shows whether
+	// it is complete.
+	if _, err := io.Copy(io.Discard, s); err != nil {
+		return nil, err
+	}
+	return s.Payload, nil
+}
+
+// Encode returns a message as a frame's payload.
+func Encode(v any) ([]byte, error) {
+	var body bytes.Buffer
+	enc := msgpack.NewEncoder(&body)
+	enc.UseCompactInts(true)
+	err := enc.Encode(v)
+	return body.Bytes(), eris.Wrap(err, "encode message")
+}
+
+// Decode reads a message from a frame's payload.
+func Decode[T any](b []byte) (T, error) {
+	var v T
+	err := msgpack.Unmarshal(b, &v)
+	return v, eris.Wrap(err, "decode message")
+}
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"io"
 	"net"
 	"sync"
 	"time"
@@ -12,7 +11,9 @@
 )
 
 var (
-	// ErrNotSent reports that not a byte of the request left this host.
+	// ErrNotSent reports that not a byte of the request left this host: there is
+	// no connection to the peer, or it broke before, or the request makes no
+	// frame (see Mesh.connect and conn.writeLocked).
 	ErrNotSent = eris.New("not sent")
 	// ErrLost reports that the connection broke, or the time ran out, after the
 	// request may have left.
@@ -162,7 +163,7 @@
 	}
 	if s.Payload == nil {
 		s.Close()
-		return nil, s.fault()
+		return nil, s.err // set before replied was closed, and never again
 	}
 	return s, nil
 }
@@ -195,20 +196,3 @@
 	c.streams[s.id] = s
 	return s, nil
 }
-
-// call opens a stream without a body and returns its response.
-func (c *conn) call(ctx context.Context, kind Kind, payload []byte) ([]byte, error) {
-	s, err := c.open(ctx, kind, payload)
-	if err != nil {
-		return nil, err
-	}
-	defer s.Close()
-	stop := context.AfterFunc(ctx, func() { _ = s.Close() })
-	defer stop()
-	// A response without a body ends as well; reading to the end shows whether
-	// it is complete.
-	if _, err := io.Copy(io.Discard, s); err != nil {
-		return nil, err
-	}
-	return s.Payload, nil
-}
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -203,9 +203,17 @@
 	}
 }
 
-// Close breaks all connections and waits for the handlers.
+// Close breaks all connections and waits for the handlers. No connection is made
+// or accepted after it.
 func (m *Mesh) Close() {
-	conns, dialed := m.shutdown()
+	m.mu.Lock()
+	m.closed = true
+	if m.listener != nil {
+		_ = m.listener.Close()
+	}
+	conns := slices.Collect(maps.Keys(m.accepted))
+	dialed := slices.Collect(maps.Values(m.dialed))
+	m.mu.Unlock()
 	for _, p := range dialed {
 		if c := p.conn.Load(); c != nil {
 			conns = append(conns, c)
@@ -216,15 +224,3 @@
 	}
 	m.wg.Wait()
 }
-
-// shutdown stops the mesh from making and accepting connections. It returns
-// the accepted connections and the peers that were dialed.
-func (m *Mesh) shutdown() ([]*conn, []*dialedPeer) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.closed = true
-	if m.listener != nil {
-		_ = m.listener.Close()
-	}
-	return slices.Collect(maps.Keys(m.accepted)), slices.Collect(maps.Values(m.dialed))
-}
--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -85,6 +85,33 @@
 	<-h.cancelled
 }
 
+// overfillHandler writes two windows of body, of which the second must wait for
+// credit, and gives the error of that.
+type overfillHandler struct{ second chan error }
+
+func (h overfillHandler) ServePeer(_ context.Context, _ Hello, _ Kind, _ []byte, w *Responder) {
+	_ = w.Reply(nil)
+	_, _ = w.Write(make([]byte, window))
+	_, err := w.Write(make([]byte, window))
+	h.second <- err
+}
+
+func TestAWriteThatWaitsForCreditEndsWhenTheOpenerCloses(t *testing.T) {
+	h := overfillHandler{second: make(chan error, 1)}
+	client, addr := connectedMeshes(t, h)
+	s, err := client.Open(context.Background(), addr, KindForward, nil)
+	require.NoError(t, err)
+	_, err = io.ReadFull(s, make([]byte, 1)) // the first window is being received
+	require.NoError(t, err)
+	select {
+	case err := <-h.second:
+		t.Fatalf("the second window did not wait: %v", err)
+	case <-time.After(20 * time.Millisecond):
+	}
+	require.NoError(t, s.Close())
+	require.ErrorIs(t, <-h.second, context.Canceled)
+}
+
 func TestAnUnreachablePeerIsNotSentTo(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/peer/readloop.go
+++ b/internal/peer/readloop.go
@@ -9,9 +9,10 @@
 
 // Handler serves the streams that peers open.
 type Handler interface {
-	// ServePeer serves one stream, concurrently with others. The stream ends
-	// when it returns. It may send one response at most. The context ends when
-	// the peer cancels the stream or the connection breaks.
+	// ServePeer serves one stream, concurrently with others. It sends one
+	// response at most and ends the stream by Responder.End, Send or Fail; of
+	// one that it only leaves the peer learns nothing and waits on. The context
+	// ends when the peer cancels the stream or the connection breaks.
 	ServePeer(ctx context.Context, from Hello, kind Kind, payload []byte, w *Responder)
 }
 
@@ -20,11 +21,10 @@
 	defer c.wg.Done()
 	for {
 		f, err := readFrame(reader)
-		if err != nil {
-			c.fail(err)
-			return
+		if err == nil {
+			err = c.receive(ctx, f)
 		}
-		if err := c.receive(ctx, f); err != nil {
+		if err != nil {
 			c.fail(err)
 			return
 		}
@@ -71,17 +71,15 @@
 	c.wg.Add(1)
 	go func() {
 		defer c.wg.Done()
-		defer c.finish(f.ID)
+		defer c.finish(r)
 		c.handler.ServePeer(r.ctx, c.remote, f.Kind, f.Data, r)
 	}()
 }
 
 // finish ends a stream that the peer opened.
-func (c *conn) finish(id uint64) {
+func (c *conn) finish(r *Responder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if r := c.serving[id]; r != nil {
-		r.cancel()
-		delete(c.serving, id)
-	}
+	r.cancel()
+	delete(c.serving, r.id)
 }
--- a/internal/peer/responder.go
+++ b/internal/peer/responder.go
@@ -27,13 +27,10 @@
 	return r
 }
 
-// receive takes one frame of the peer.
+// receive takes one frame of the peer. Write notices a cancel by the context.
 func (r *Responder) receive(f frame) {
 	if f.Type == frameCancel {
 		r.cancel()
-		r.mu.Lock()
-		r.ready.Broadcast()
-		r.mu.Unlock()
 		return
 	}
 	r.mu.Lock()
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -118,13 +118,6 @@
 	s.ready.Broadcast()
 }
 
-// fault returns why the stream failed.
-func (s *Stream) fault() error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.err
-}
-
 // Read reads the body. It returns io.EOF only after the whole of it; any other
 // error means that the body is incomplete.
 func (s *Stream) Read(p []byte) (int, error) {
