--- a/internal/gateway/eventlog/events.go
+++ b/internal/gateway/eventlog/events.go
@@ -123,7 +123,8 @@
 	l.stateEvent("config").Int64("version", version).Int("routes", routes).Msg("config: applied")
 }
 
-// BadRow logs a table's row that could not be decoded and was not applied.
+// BadRow logs a table's row that could not be decoded and was not applied. The
+// table is "intent" (the operator's), "upstream" or "hosts".
 func (l *Log) BadRow(table, key string, version int64, err error) {
 	l.stateEvent("bad-row").Str("table", table).Str("key", key).Int64("version", version).Err(err).Msg("row: can't be decoded, not applied")
 }
@@ -136,7 +137,9 @@
 		Float64("for_ms", ms(o.For)).Msg("upstream: ejected, avoided for a time")
 }
 
-// Upstream logs an upstream's new state, as of a version of the table.
+// Upstream logs an upstream's new state, as of a version of the table: 0 if the
+// state changed without a row. Package routing names the states. An upstream
+// whose row was deleted has neither service nor zone in the log.
 func (l *Log) Upstream(id string, r upstream.Registration, state string, version int64) {
 	l.stateEvent(EventUpstream).Str("upstream", id).Str("service", r.Service).Str("zone", r.Zone).Str("state", state).
 		Int64("version", version).Float64("cold_ms", ms(r.ColdLeft)).Msg("upstream: state changed")
@@ -147,13 +150,15 @@
 	l.stateEvent("evacuated").Strs("zones", zones).Int64("version", version).Msg("evacuation: zones changed")
 }
 
-// Lost logs that a dependency stopped responding.
+// Lost logs that a dependency stopped responding. Its kind is "peer", another
+// host by its name, or "intent source" or "upstream source", from which the
+// operator's table or that of the upstreams is watched: "store" or a host.
 func (l *Log) Lost(kind, name string, err error) {
 	l.stateEvent(EventLost).Str("dependency", kind).Str("name", name).Err(err).Msg("dependency: lost")
 }
 
-// Regained logs that a dependency responds again, after an outage of the
-// given length.
+// Regained logs that a dependency of Lost responds again, after an outage of the
+// given length; 0 for a peer, of which it is not known.
 func (l *Log) Regained(kind, name string, after time.Duration) {
 	l.stateEvent("regained").Str("dependency", kind).Str("name", name).Float64("after_ms", ms(after)).Msg("dependency: regained")
 }
