--- a/internal/gateway/eventlog/log.go
+++ b/internal/gateway/eventlog/log.go
@@ -72,7 +72,7 @@
 		closing:      make(chan struct{}),
 		closed:       make(chan struct{}),
 	}
-	l.out = zerolog.New(enqueuer{l}).Level(least).With().Str("host", host).Logger().Hook(timestamp{})
+	l.out = zerolog.New(enqueuer{l}).Level(least).With().Str("host", host).Logger().Hook(zerolog.HookFunc(addTime))
 	go l.write(w)
 	return l
 }
@@ -84,12 +84,9 @@
 // timeFormat has milliseconds, to order the lines of several hosts.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// timestamp adds the time to a line. zerolog's own timestamp takes its format
-// from a global variable, which other loggers of the process share.
-type timestamp struct{}
-
-// Run implements zerolog.Hook.
-func (timestamp) Run(e *zerolog.Event, _ zerolog.Level, _ string) {
+// addTime adds the time to a line. zerolog's own timestamp takes its format from
+// a global variable, which other loggers of the process share.
+func addTime(e *zerolog.Event, _ zerolog.Level, _ string) {
 	e.Str("time", time.Now().UTC().Format(timeFormat))
 }
 
--- a/internal/gateway/reqtrace/print.go
+++ b/internal/gateway/reqtrace/print.go
@@ -46,8 +46,9 @@
 	return text + ": " + l.Detail
 }
 
-// loadText gives the load and how old the report was that it is based on. A
-// report's age is 0 if there was none.
+// loadText gives the load and how old the report was that it is based on. The
+// age is 0 if there was none, and below 0 if the report came while the upstream
+// was being chosen.
 func loadText(l line) string {
 	if l.LoadAgeMS == 0 {
 		return fmt.Sprintf("load %.2f, never reported", l.Load)
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -53,8 +53,9 @@
 	Stopping Reason = "stopping"
 	// BadRequest: the request is malformed, or its body broke off.
 	BadRequest Reason = "bad-request"
-	// BodyTooLarge and HeaderTooLarge: the request is above the size limits.
-	BodyTooLarge   Reason = "body-too-large"
+	// BodyTooLarge: the body is above the size limit.
+	BodyTooLarge Reason = "body-too-large"
+	// HeaderTooLarge: the header is above the size limit.
 	HeaderTooLarge Reason = "header-too-large"
 	// BodyStalled: the client did not send the whole body in time.
 	BodyStalled Reason = "body-stalled"
