--- a/internal/gateway/eventlog/log.go
+++ b/internal/gateway/eventlog/log.go
@@ -110,8 +110,8 @@
 	return l.event(name, limiter).Str("request", requestID)
 }
 
-// event begins a line within a rate. The level is asked first, so that a line
-// below it is no line left out.
+// event begins a line within a rate. The level is checked first, so that a line
+// below it does not count as left out.
 func (l *Log) event(name string, limiter *rate.Limiter) *zerolog.Event {
 	if l.out.GetLevel() > zerolog.InfoLevel {
 		return nil
--- a/internal/gateway/soak/checks_test.go
+++ b/internal/gateway/soak/checks_test.go
@@ -28,8 +28,8 @@
 	probeTimeout = 900 * time.Millisecond
 )
 
-// watchVersions asks a host which versions of the configuration it uses: never
-// an older one than before in one process, and each soon after it was accepted.
+// watchVersions probes which version of the configuration a host uses: never an
+// older one than before in one process, and each soon after it was accepted.
 func (w *world) watchVersions(ctx context.Context, h *host) {
 	process, highest := 0, 0
 	for n := 0; ctx.Err() == nil; n++ {
@@ -44,7 +44,7 @@
 		w.mu.Lock()
 		accepted := w.acceptedAt[ask]
 		w.mu.Unlock()
-		due := w.storeDisturbances.calm() && h.calm() && time.Since(accepted) > applyWithin+slack
+		due := w.storeDisruptions.calm() && h.calm() && time.Since(accepted) > applyWithin+slack
 		status := w.probe(h, ask)
 		same := h.processNumber() == process
 		switch {
@@ -105,7 +105,8 @@
 	}
 }
 
-// checkLedger holds what clients were told against what ran.
+// checkLedger checks that no refused request ran, and none that may not be
+// repeated ran twice.
 func (w *world) checkLedger() {
 	w.mu.Lock()
 	notRun := w.notRun
@@ -114,7 +115,7 @@
 	defer w.ledger.mu.Unlock()
 	for id, address := range notRun {
 		if n := w.ledger.runs[id]; n > 0 {
-			w.violation("refused: %s was told at %s that it had not run, and ran %d times", id, address, n)
+			w.violation("refused: %s was refused at %s as not run, and ran %d times", id, address, n)
 		}
 	}
 	for id, n := range w.ledger.runs {
--- a/internal/gateway/soak/client_test.go
+++ b/internal/gateway/soak/client_test.go
@@ -22,7 +22,7 @@
 	clientPause = 15 * time.Millisecond
 	// keys is how many affinity keys there are.
 	keys = 40
-	// resolveEvery is after how many requests a client asks the directory
+	// resolveEvery is after how many requests a client resolves the host name
 	// again.
 	resolveEvery = 10
 )
@@ -52,8 +52,8 @@
 	}
 }
 
-// resolve asks one host's directory, as a client of that host's zone. It gives
-// nothing if the host does not respond, which faults may cause.
+// resolve resolves the host name at one host's directory, as a client of that
+// host's zone. It gives nothing if the host does not respond, which faults may cause.
 func (w *world) resolve(ctx context.Context, c *http.Client, r *rand.Rand) []string {
 	h := w.hosts[r.IntN(len(w.hosts))]
 	ctx, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
@@ -107,8 +107,8 @@
 	return req, nil
 }
 
-// checkResponse holds a whole response against the promises: it belongs to the
-// request, the route exists, and what is refused is noted as not run.
+// checkResponse checks a whole response: it belongs to the request and the route
+// exists. A refused request is recorded, for checkLedger, as one that must not run.
 func (w *world) checkResponse(address, id string, status int, text string) {
 	switch status {
 	case http.StatusOK:
--- a/internal/gateway/soak/doc.go
+++ b/internal/gateway/soak/doc.go
@@ -1,14 +1,14 @@
 // Package soak has only tests. It runs real gateway processes on loopback, as
 // children of the test binary, against stand-ins of the platform
 // (platformtest), and injects overlapping faults from outside, chosen by a
-// seed. Meanwhile clients hold what they are told against what the upstreams
-// did; a broken promise is a violation and fails the test.
+// seed. Meanwhile clients check the responses that they get against what the
+// upstreams did; a guarantee that does not hold is a violation and fails the test.
 //
 //	soak_test.go      the tests, kept seeds, and the course of one run
 //	world_test.go     one run: hosts, upstreams, store, configuration
 //	host_test.go      a gateway process and its supervisor
 //	upstream_test.go  an upstream, and the ledger of what ran
-//	link_test.go      a TCP link that can be harmed
+//	link_test.go      a TCP link with faults
 //	faults_test.go    what operators do, and what goes wrong
 //	client_test.go    clients, and what they check at once
 //	checks_test.go    what is checked beside them and at the end
--- a/internal/gateway/soak/faults_test.go
+++ b/internal/gateway/soak/faults_test.go
@@ -15,13 +15,13 @@
 	run  func(w *world)
 }
 
-// calmAfter is how long a host or the store must have been undisturbed for
+// calmAfter is how long a host or the store must have been without faults for
 // rules bound by time to hold. Chosen, not measured: above every bound of the
 // settings.
 const calmAfter = 4 * time.Second
 
-// disturbances counts the faults of a host, or of the store, that are on.
-type disturbances struct {
+// disruptions counts the faults of a host, or of the store, that are on.
+type disruptions struct {
 	mu sync.Mutex
 	on int
 	// endedAt is when one last ended.
@@ -29,7 +29,7 @@
 }
 
 // begin counts a fault until the function given is called.
-func (d *disturbances) begin() (end func()) {
+func (d *disruptions) begin() (end func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.on++
@@ -42,7 +42,7 @@
 }
 
 // calm reports whether there was none for calmAfter.
-func (d *disturbances) calm() bool {
+func (d *disruptions) calm() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.on == 0 && time.Since(d.endedAt) > calmAfter
@@ -62,10 +62,10 @@
 	{"kill a host", (*world).killHost},
 	{"pause a host", (*world).pauseHost},
 	{"cut a host from the store", (*world).cutHost},
-	{"harm the store", (*world).harmStore},
+	{"disrupt the store", (*world).disruptStore},
 	{"crash an upstream", (*world).crashUpstream},
-	{"spoil an upstream", (*world).spoilUpstream},
-	{"harm an upstream's link", (*world).harmLink},
+	{"give an upstream a defect", (*world).breakUpstream},
+	{"disrupt an upstream's link", (*world).disruptLink},
 }
 
 func (w *world) stopHost() {
@@ -85,8 +85,8 @@
 }
 
 // reloadHost passes over a host that has just started: until a process has
-// asked for the signal the kernel ends it by default, which no program can
-// prevent for the first milliseconds of its life.
+// a handler for the signal the kernel ends it by default, which no program can
+// prevent in its first milliseconds.
 func (w *world) reloadHost() {
 	h := w.randomHost()
 	h.mu.Lock()
@@ -133,7 +133,7 @@
 		return
 	}
 	defer h.ending.Unlock()
-	defer h.disturbances.begin()()
+	defer h.disruptions.begin()()
 	h.kill()
 	time.Sleep(w.between(50*time.Millisecond, 2*time.Second))
 	h.expectExit(false)
@@ -142,7 +142,7 @@
 
 func (w *world) pauseHost() {
 	h := w.randomHost()
-	defer h.disturbances.begin()()
+	defer h.disruptions.begin()()
 	h.signal(syscall.SIGSTOP)
 	time.Sleep(w.between(200*time.Millisecond, 3*time.Second))
 	h.signal(syscall.SIGCONT)
@@ -150,7 +150,7 @@
 
 func (w *world) cutHost() {
 	h := w.randomHost()
-	defer h.disturbances.begin()()
+	defer h.disruptions.begin()()
 	h.store.set(w.linkFault())
 	time.Sleep(w.between(500*time.Millisecond, 4*time.Second))
 	h.store.set(pass)
@@ -170,8 +170,8 @@
 	{DeafFeeds: true},
 }
 
-func (w *world) harmStore() {
-	defer w.storeDisturbances.begin()()
+func (w *world) disruptStore() {
+	defer w.storeDisruptions.begin()()
 	f := storeFaults[w.intN(len(storeFaults))]
 	w.store.SetFaults(f)
 	time.Sleep(w.between(500*time.Millisecond, 4*time.Second))
@@ -192,14 +192,14 @@
 	w.addUpstream(u.zone)
 }
 
-func (w *world) spoilUpstream() {
+func (w *world) breakUpstream() {
 	u := w.randomUpstream()
 	u.defect.Store(int32(1 + w.intN(int(defects)-1)))
 	time.Sleep(w.between(500*time.Millisecond, 3*time.Second))
 	u.defect.Store(int32(sound))
 }
 
-func (w *world) harmLink() {
+func (w *world) disruptLink() {
 	u := w.randomUpstream()
 	u.link.set(w.linkFault())
 	time.Sleep(w.between(500*time.Millisecond, 3*time.Second))
--- a/internal/gateway/soak/host_test.go
+++ b/internal/gateway/soak/host_test.go
@@ -48,7 +48,7 @@
 	processes int
 	startedAt time.Time
 
-	disturbances disturbances
+	disruptions disruptions
 }
 
 // nextPort counts the ports given out.
@@ -190,7 +190,7 @@
 func (h *host) calm() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return !h.stopping && time.Since(h.startedAt) > calmAfter && h.disturbances.calm()
+	return !h.stopping && time.Since(h.startedAt) > calmAfter && h.disruptions.calm()
 }
 
 // running reports whether the host's process runs.
@@ -205,7 +205,7 @@
 	}
 }
 
-// processNumber tells the host's processes apart.
+// processNumber gives the number of the host's process, from 1.
 func (h *host) processNumber() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/gateway/soak/link_test.go
+++ b/internal/gateway/soak/link_test.go
@@ -30,8 +30,8 @@
 // measured: well below the hosts' timeouts.
 const delayBy = 150 * time.Millisecond
 
-// link is a TCP link between two programs that can be harmed: a listener that
-// connects to a target.
+// link is a TCP link with faults between two programs: a listener that connects
+// to a target.
 type link struct {
 	listener net.Listener
 	target   string
--- a/internal/gateway/soak/recorder_test.go
+++ b/internal/gateway/soak/recorder_test.go
@@ -12,7 +12,7 @@
 const (
 	// served is a whole response of an upstream.
 	served outcome = iota
-	// refused is a response that promises that the request did not run.
+	// refused is a response that guarantees that the request did not run.
 	refused
 	// failed is any other end.
 	failed
--- a/internal/gateway/soak/soak_test.go
+++ b/internal/gateway/soak/soak_test.go
@@ -93,7 +93,7 @@
 	w.awaitService(10 * time.Second)
 	ctx, cancel := context.WithCancel(t.Context())
 	wait := w.startTraffic(ctx)
-	time.Sleep(calmAfter) // so that all hosts count as undisturbed
+	time.Sleep(calmAfter) // so that all hosts count as calm
 	w.phase("planned", planned, length, plannedGap)
 	w.phase("all", slices.Concat(planned, unplanned), length, allGap)
 	w.awaitService(15 * time.Second)
--- a/internal/gateway/soak/world_test.go
+++ b/internal/gateway/soak/world_test.go
@@ -41,7 +41,7 @@
 	hosts  []*host
 	ledger *ledger
 
-	storeDisturbances disturbances
+	storeDisruptions disruptions
 	// evacuating is held while a zone is evacuated.
 	evacuating sync.Mutex
 
@@ -57,8 +57,8 @@
 	version    int
 	acceptedAt map[int]time.Time
 	violations []string
-	// notRun are the requests whose client was promised that they did not
-	// run, by id, with the address that said so.
+	// notRun are the requests that a host refused as not run: the host's
+	// address by the request's id.
 	notRun map[string]string
 }
 
@@ -86,7 +86,7 @@
 	return w
 }
 
-// violation notes a broken promise.
+// violation records that a guarantee did not hold.
 func (w *world) violation(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -94,7 +94,7 @@
 }
 
 // configure writes the next version of the configuration: it has a route for
-// each version so far, so that a host's version can be asked from outside.
+// each version so far, so that probes show which version a host uses.
 func (w *world) configure() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -164,9 +164,9 @@
 	return a + time.Duration(w.intN(int((b-a)/time.Millisecond)))*time.Millisecond
 }
 
-// calm reports whether store and hosts have been undisturbed for calmAfter.
+// calm reports whether store and hosts have been without faults for calmAfter.
 func (w *world) calm() bool {
-	calm := w.storeDisturbances.calm()
+	calm := w.storeDisruptions.calm()
 	for _, h := range w.hosts {
 		calm = calm && h.calm()
 	}
--- a/internal/peer/readloop.go
+++ b/internal/peer/readloop.go
@@ -10,9 +10,9 @@
 // Handler serves the streams that peers open.
 type Handler interface {
 	// ServePeer serves one stream, concurrently with others. It sends one
-	// response at most and ends the stream by Responder.End, Send or Fail; of
-	// one that it only leaves the peer learns nothing and waits on. The context
-	// ends when the peer cancels the stream or the connection breaks.
+	// response at most and ends the stream by Responder.End, Send or Fail; if it
+	// returns without, the peer waits until its own time is up. The context ends
+	// when the peer cancels the stream or the connection breaks.
 	ServePeer(ctx context.Context, from Hello, kind Kind, payload []byte, w *Responder)
 }
 
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,9 +1,9 @@
 // Package verdict says of a failed request whether an upstream may have run it.
 //
 // The verdict decides what may follow: a request that did not run may be sent
-// again, and its client told so; one that may have run is sent again only if it
-// is idempotent. Both programs, serve and gateway, use the same verdicts and
-// reasons; how each tells them to clients is up to their own packages.
+// again, and its client may be sure of it; one that may have run is sent again only
+// if it is idempotent. Both programs, serve and gateway, use the same verdicts and
+// reasons; each has its own encoding of them for clients.
 package verdict
 
 import (
