--- a/internal/gateway/eventlog/log.go
+++ b/internal/gateway/eventlog/log.go
@@ -72,7 +72,7 @@
 		closing:      make(chan struct{}),
 		closed:       make(chan struct{}),
 	}
-	l.out = zerolog.New(enqueuer{l}).Level(least).With().Str("host", host).Logger().Hook(timestamp{})
+	l.out = zerolog.New(enqueuer{l}).Level(least).With().Str("host", host).Logger().Hook(zerolog.HookFunc(addTime))
 	go l.write(w)
 	return l
 }
@@ -84,12 +84,9 @@
 // timeFormat has milliseconds, to order the lines of several hosts.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// timestamp adds the time to a line. zerolog's own timestamp takes its format
-// from a global variable, which other loggers of the process share.
-type timestamp struct{}
-
-// Run implements zerolog.Hook.
-func (timestamp) Run(e *zerolog.Event, _ zerolog.Level, _ string) {
+// addTime adds the time to a line. zerolog's own timestamp takes its format from
+// a global variable, which other loggers of the process share.
+func addTime(e *zerolog.Event, _ zerolog.Level, _ string) {
 	e.Str("time", time.Now().UTC().Format(timeFormat))
 }
 
@@ -97,40 +94,35 @@
 // alone, so that all hosts log the same requests.
 func Sampled(requestID string) bool { return xxhash.Sum64String(requestID)%sampleOneIn == 0 }
 
-// stateEvent begins a line on a state change; nil if it is not written.
-func (l *Log) stateEvent(name string) *zerolog.Event {
-	if !l.writesInfo() {
-		return nil
-	}
-	if !l.stateChanges.Allow() {
-		l.countLeftOut()
-		return nil
-	}
-	return l.out.Info().Str("event", name)
-}
+// stateEvent begins a line on a state change; nil, which writes nothing, if it
+// is left out.
+func (l *Log) stateEvent(name string) *zerolog.Event { return l.event(name, l.stateChanges) }
 
-// requestEvent begins a line on a request; nil if it is not written.
+// requestEvent begins a line on a request; nil if it is not sampled or left out.
 func (l *Log) requestEvent(name, requestID string, failed bool) *zerolog.Event {
-	if !l.writesInfo() {
-		return nil
+	limiter := l.failures
+	if !failed {
+		if !Sampled(requestID) {
+			return nil
+		}
+		limiter = l.sampled
 	}
-	limiter := l.sampled
-	if failed {
-		limiter = l.failures
-	} else if !Sampled(requestID) {
+	return l.event(name, limiter).Str("request", requestID)
+}
+
+// event begins a line within a rate. The level is checked first, so that a line
+// below it does not count as left out.
+func (l *Log) event(name string, limiter *rate.Limiter) *zerolog.Event {
+	if l.out.GetLevel() > zerolog.InfoLevel {
 		return nil
 	}
 	if !limiter.Allow() {
 		l.countLeftOut()
 		return nil
 	}
-	return l.out.Info().Str("event", name).Str("request", requestID)
+	return l.out.Info().Str("event", name)
 }
 
-// writesInfo reports whether lines of level info are written. It is asked
-// before the rate limits, so that a line below the level is no line left out.
-func (l *Log) writesInfo() bool { return l.out.GetLevel() <= zerolog.InfoLevel }
-
 func (l *Log) countLeftOut() {
 	l.leftOut.Add(1)
 	l.metrics.Count("cairndock_log_lines_left_out_total")
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,9 +1,9 @@
 // Package verdict says of a failed request whether an upstream may have run it.
 //
 // The verdict decides what may follow: a request that did not run may be sent
-// again, and its client told so; one that may have run is sent again only if it
-// is idempotent. Both programs, serve and gateway, use the same verdicts and
-// reasons; how each tells them to clients is up to their own packages.
+// again, and its client may be sure of it; one that may have run is sent again only
+// if it is idempotent. Both programs, serve and gateway, use the same verdicts and
+// reasons; each has its own encoding of them for clients.
 package verdict
 
 import (
@@ -53,8 +53,9 @@
 	Stopping Reason = "stopping"
 	// BadRequest: the request is malformed, or its body broke off.
 	BadRequest Reason = "bad-request"
-	// BodyTooLarge and HeaderTooLarge: the request is above the size limits.
-	BodyTooLarge   Reason = "body-too-large"
+	// BodyTooLarge: the body is above the size limit.
+	BodyTooLarge Reason = "body-too-large"
+	// HeaderTooLarge: the header is above the size limit.
 	HeaderTooLarge Reason = "header-too-large"
 	// BodyStalled: the client did not send the whole body in time.
 	BodyStalled Reason = "body-stalled"
@@ -108,43 +109,32 @@
 	PeerFailed Reason = "peer-failed"
 )
 
-// statuses are the HTTP statuses of the reasons.
-var statuses = map[Reason]int{
-	UnknownService:  http.StatusNotFound,
-	BadTicket:       http.StatusBadRequest,
-	BadTimeout:      http.StatusBadRequest,
-	BadRequest:      http.StatusBadRequest,
-	TicketConflict:  http.StatusUnprocessableEntity,
-	TicketRunning:   http.StatusConflict,
-	TicketUnknown:   http.StatusBadGateway,
-	BodyTooLarge:    http.StatusRequestEntityTooLarge,
-	HeaderTooLarge:  http.StatusRequestHeaderFieldsTooLarge,
-	BodyStalled:     http.StatusGatewayTimeout,
-	Full:            http.StatusServiceUnavailable,
-	Capped:          http.StatusServiceUnavailable,
-	NoUpstream:      http.StatusServiceUnavailable,
-	NotReady:        http.StatusServiceUnavailable,
-	Stopping:        http.StatusServiceUnavailable,
-	DeadlineLapsed:  http.StatusGatewayTimeout,
-	Interrupted:     http.StatusGatewayTimeout,
-	CallerLeft:      http.StatusGatewayTimeout,
-	UpstreamFailed:  http.StatusBadGateway,
-	UpstreamShed:    http.StatusServiceUnavailable,
-	Unreachable:     http.StatusServiceUnavailable,
-	Misdirected:     http.StatusServiceUnavailable,
-	UnknownRoute:    http.StatusNotFound,
-	Warming:         http.StatusServiceUnavailable,
-	PeerFailed:      http.StatusBadGateway,
-	AnswerTruncated: http.StatusBadGateway,
-	AnswerNotKept:   http.StatusGone,
-}
-
-// Status gives the reason's HTTP status; 502 for one that is not listed.
+// Status gives the reason's HTTP status; 502 for one that is not listed. It is
+// what serve sends. What the gateway sends depends on the verdict too and is
+// decided in package platform.
 func (r Reason) Status() int {
-	if s, ok := statuses[r]; ok {
-		return s
+	switch r {
+	case BadRequest, BadTimeout, BadTicket:
+		return http.StatusBadRequest
+	case UnknownRoute, UnknownService:
+		return http.StatusNotFound
+	case TicketRunning:
+		return http.StatusConflict
+	case AnswerNotKept:
+		return http.StatusGone
+	case BodyTooLarge:
+		return http.StatusRequestEntityTooLarge
+	case TicketConflict:
+		return http.StatusUnprocessableEntity
+	case HeaderTooLarge:
+		return http.StatusRequestHeaderFieldsTooLarge
+	case NotReady, Stopping, Full, Capped, Warming, NoUpstream, Unreachable, Misdirected, UpstreamShed:
+		return http.StatusServiceUnavailable
+	case BodyStalled, DeadlineLapsed, Interrupted, CallerLeft:
+		return http.StatusGatewayTimeout
+	default: // UpstreamFailed, AnswerTruncated, PeerFailed, TicketUnknown
+		return http.StatusBadGateway
 	}
-	return http.StatusBadGateway
 }
 
 // Error is a failed request together with its verdict.
