--- a/internal/gateway/eventlog/events.go
+++ b/internal/gateway/eventlog/events.go
@@ -51,7 +51,8 @@
 	Cold bool
 	// Outcome is OutcomeAnswered or the reason of the failure.
 	Outcome string
-	// Status is the upstream's HTTP status; 0 without a response.
+	// Status is the upstream's HTTP status; 0 without a response, or when the
+	// response was rejected, for the reason in Outcome.
 	Status int
 	// Failed is set unless the response was accepted.
 	Failed bool
@@ -88,10 +89,7 @@
 	// long ago a source last confirmed them.
 	ConfigAge    time.Duration
 	UpstreamsAge time.Duration
-	// Status is the HTTP status of an upstream's response that was forwarded.
-	// Of one that the gateway generated it is the reason's (verdict.Reason.Status),
-	// and the client may have got another one: package platform decides that by
-	// the verdict too, such as 503 instead of 504 for a request that did not run.
+	// Status is the HTTP status that the client got.
 	Status int
 	// Verdict says whether the request may have run (verdict.Verdict).
 	Verdict string
--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -58,11 +58,12 @@
 	return proxy.RequestInfo{ID: h.Get(headerID), Key: h.Get(headerKey), Timeout: time.Duration(ms) * time.Millisecond}
 }
 
-func (codec) WriteError(w http.ResponseWriter, _ proxy.RequestInfo, e *verdict.Error) {
+func (codec) WriteError(w http.ResponseWriter, _ proxy.RequestInfo, e *verdict.Error) int {
 	w.Header().Set("Verdict", e.Verdict.String())
 	w.Header().Set("Reason", string(e.Reason))
 	w.Header().Set("Retry", e.RetryAfter.String())
 	w.WriteHeader(e.Reason.Status())
+	return e.Reason.Status()
 }
 
 type protocol struct{}
--- a/internal/gateway/proxy/proxy.go
+++ b/internal/gateway/proxy/proxy.go
@@ -33,8 +33,9 @@
 type Codec interface {
 	// ParseRequest reads a request's header.
 	ParseRequest(h http.Header) RequestInfo
-	// WriteError writes a whole error response of the gateway's own.
-	WriteError(w http.ResponseWriter, info RequestInfo, e *verdict.Error)
+	// WriteError writes a whole error response of the gateway's own, and
+	// returns its status.
+	WriteError(w http.ResponseWriter, info RequestInfo, e *verdict.Error) int
 }
 
 // Options are the parts of a Proxy. All are required.
--- a/internal/gateway/proxy/request_test.go
+++ b/internal/gateway/proxy/request_test.go
@@ -11,7 +11,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"cairndock/internal/gateway/proxy"
 	"cairndock/internal/gateway/route"
+	"cairndock/internal/verdict"
 )
 
 func TestBeforeAnyConfigurationARequestIsRefusedAsNotRun(t *testing.T) {
@@ -78,3 +80,22 @@
 	require.Eventually(t, func() bool { return strings.Count(g.log.String(), `"request":"id-1"`) == 2 }, time.Second, time.Millisecond)
 	require.Contains(t, g.log.String(), `"upstream":"i-1"`)
 }
+
+// teapotCodec gives every error a status of its own, as a platform may.
+type teapotCodec struct{ codec }
+
+func (teapotCodec) WriteError(w http.ResponseWriter, _ proxy.RequestInfo, _ *verdict.Error) int {
+	w.WriteHeader(http.StatusTeapot)
+	return http.StatusTeapot
+}
+
+func TestTheLogHasTheStatusThatTheClientGot(t *testing.T) {
+	g := newTestGateway(t)
+	g.proxy.Codec = teapotCodec{}
+	resp, err := http.Get(g.server.URL)
+	require.NoError(t, err)
+	require.NoError(t, resp.Body.Close())
+	require.Equal(t, http.StatusTeapot, resp.StatusCode)
+	require.Eventually(t, func() bool { return strings.Contains(g.log.String(), `"event":"final"`) }, time.Second, time.Millisecond)
+	require.Contains(t, g.log.String(), `"status":418`)
+}
