--- a/internal/gateway/watch/table.go
+++ b/internal/gateway/watch/table.go
@@ -7,13 +7,9 @@
 	"github.com/rotisserie/eris"
 )
 
-var (
-	// ErrHistoryGone reports that a source no longer has the changes since a
-	// version, so that the table must be listed.
-	ErrHistoryGone = eris.New("history is gone")
-	// ErrThrottled reports that the source refused a request for its rate.
-	ErrThrottled = eris.New("throttled")
-)
+// ErrHistoryGone reports that a source no longer has the changes since a
+// version, so that the table must be listed.
+var ErrHistoryGone = eris.New("history is gone")
 
 // Row is a row of a table, or the tombstone of one.
 type Row struct {
