--- a/internal/selector/entry/export_test.go
+++ b/internal/selector/entry/export_test.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"cairndock/internal/call"
-	"cairndock/internal/selector/link"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/steer"
 )
@@ -37,15 +36,7 @@
 }
 
 // SentTo is how many bytes the host put on its link to a region.
-func (h *Host) SentTo(region string) int64 {
-	h.pacersMu.Lock()
-	defer h.pacersMu.Unlock()
-	p := h.pacers[region]
-	if p == nil {
-		return 0
-	}
-	return p.Sent(link.Interactive) + p.Sent(link.Bulk)
-}
+func (h *Host) SentTo(region string) int64 { return h.links.Sent(region) }
 
 // Now reads the host's clock, and FreshAt when its configuration was last
 // known to be the newest.
--- a/internal/selector/entry/forward.go
+++ b/internal/selector/entry/forward.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, verdict.New(verdict.NotRun, verdict.BadRequest, "%v", err)
 	}
-	if err := h.pace(ctx, msg.Service, to.Zone, len(payload)); err != nil {
+	if err := h.links.Wait(ctx, msg.Service, to.Zone, len(payload)); err != nil {
 		return nil, verdict.New(verdict.NotRun, verdict.DeadlineLapsed, "link to %s is busy", to.Zone)
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(msg.LeftMillis)*time.Millisecond)
@@ -254,7 +254,7 @@
 	head, err := peer.Encode(forwardReply{
 		Status: a.Status, Header: a.Header, Length: a.Length, Upstream: a.Upstream, Verdict: a.Verdict, Free: free,
 	})
-	if err != nil || h.pace(ctx, name, from.Zone, len(head)) != nil || w.Reply(head) != nil {
+	if err != nil || h.links.Wait(ctx, name, from.Zone, len(head)) != nil || w.Reply(head) != nil {
 		return
 	}
 	if err := h.copyBody(ctx, from, name, a.Body, w); err != nil {
@@ -270,11 +270,11 @@
 func (h *Host) copyBody(ctx context.Context, from peer.Hello, service string, body io.Reader, w *peer.Responder) error {
 	pooled := chunks.Get().(*[link.Chunk]byte)
 	defer chunks.Put(pooled)
-	buf := pooled[:h.chunkTo(from.Zone)]
+	buf := pooled[:h.links.Chunk(from.Zone)]
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
-			if err := h.pace(ctx, service, from.Zone, n); err != nil {
+			if err := h.links.Wait(ctx, service, from.Zone, n); err != nil {
 				return err
 			}
 			if _, err := w.Write(buf[:n]); err != nil {
--- a/internal/selector/entry/heartbeat.go
+++ b/internal/selector/entry/heartbeat.go
@@ -52,7 +52,7 @@
 	h.refreshDeciders()
 	h.refreshEntries()
 	h.forgetAdopted(now)
-	h.retunePacers(ctx)
+	h.links.Retune(ctx)
 }
 
 // askSeeds sends a heartbeat to the peers of the settings, as long as no
--- a/internal/selector/entry/host.go
+++ b/internal/selector/entry/host.go
@@ -16,6 +16,7 @@
 
 	"cairndock/internal/peer"
 	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/links"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/roster"
 	"cairndock/internal/selector/shift"
@@ -109,8 +110,7 @@
 	adoptedAt map[string]time.Time
 	handovers []member.Handover
 
-	pacersMu sync.Mutex
-	pacers   map[string]*pacedLink
+	links *links.Links
 
 	// validatedAt is when the host's loop last turned with its slots known to be
 	// its own, and contactAt when anyone last answered; as read by now.
@@ -176,7 +176,6 @@
 		goneAt:      map[string]time.Time{},
 		adopted:     map[string]*ticket.Store{},
 		adoptedAt:   map[string]time.Time{},
-		pacers:      map[string]*pacedLink{},
 		wake:        make(chan struct{}, 1),
 	}
 	h.self = member.Contact{Host: s.Host.Name, Zone: s.Host.Zone, PeerAddr: s.Peers.Advertise, CallerAddr: s.Callers.Advertise}
@@ -185,6 +184,7 @@
 	h.holder = roster.NewHolder(s.Host.Name, incarnation, s.Host.Zone)
 	hello := peer.Hello{Host: s.Host.Name, Zone: s.Host.Zone, Incarnation: incarnation}
 	h.mesh = peer.NewMesh(hello, o.Transport, h)
+	h.links = links.New(links.Options{Host: s.Host.Name, Region: h.region, View: h.View, Hosts: h, Mesh: h.mesh})
 	h.view.Store(config.NewView(config.NewState(), s.Host.Zone))
 	return h, nil
 }
--- /dev/null
+++ b/internal/selector/entry/links/links_test.go
@@ -0,0 +1,84 @@
+package links
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/link"
+	"cairndock/internal/selector/member"
+)
+
+const (
+	limit = 1_000_000 // bytes per second, from costa to sierra
+	doc   = `
+[[zone]]
+name = "costa-a"
+region = "costa"
+[[zone]]
+name = "sierra-a"
+region = "sierra"
+[[zone]]
+name = "marmara-a"
+region = "marmara"
+[[link]]
+from = "costa"
+to = "sierra"
+bytes_per_second = 1000000
+`
+)
+
+// region is a region of a fixed number of hosts, none of which answer.
+type region int
+
+func (r region) RegionHosts() int               { return int(r) }
+func (region) RegionPeers(int) []member.Contact { return nil }
+
+func newLinks(t *testing.T, hosts int) *Links {
+	d, err := config.ParseDocument([]byte(doc))
+	require.NoError(t, err)
+	c, err := d.Change("first", 0)
+	require.NoError(t, err)
+	s, err := config.NewState().With(c.WithRevision(1))
+	require.NoError(t, err)
+	view := config.NewView(s, "costa-a")
+	return New(Options{Host: "costa-a-1", Region: "costa", View: func() *config.View { return view }, Hosts: region(hosts)})
+}
+
+// TestOnlyLimitedLinksArePaced: traffic within the region, to a region
+// without a limit and to an unknown zone is neither delayed nor counted.
+func TestOnlyLimitedLinksArePaced(t *testing.T) {
+	for zone, counted := range map[string]int64{"costa-a": 0, "marmara-a": 0, "nowhere": 0, "sierra-a": 100} {
+		t.Run(zone, func(t *testing.T) {
+			l := newLinks(t, 1)
+			require.NoError(t, l.Wait(context.Background(), "planning", zone, 100))
+			require.Equal(t, counted, l.Sent("sierra")+l.Sent("marmara")+l.Sent("costa"))
+			require.LessOrEqual(t, l.Chunk(zone), link.Chunk)
+		})
+	}
+}
+
+// TestHostsShareALinkEvenly: each host of the region starts with the same
+// part of the link.
+func TestHostsShareALinkEvenly(t *testing.T) {
+	for _, hosts := range []int{1, 2, 4} {
+		l := newLinks(t, hosts)
+		got, ok := l.View().Link("costa", "sierra")
+		require.True(t, ok)
+		require.InDelta(t, limit/float64(hosts), l.evenPart(got), 1)
+	}
+}
+
+// TestLoansStayBelowTheEvenPart: what a host lends is less than its part, and
+// nothing is lent of a link that has no limit.
+func TestLoansStayBelowTheEvenPart(t *testing.T) {
+	l := newLinks(t, 2)
+	rate := l.Lend(LoanRequest{Host: "costa-a-2", To: "sierra"})
+	require.Positive(t, rate)
+	require.Less(t, rate, float64(limit)/2)
+	require.Negative(t, l.pacers["sierra"].loans.Balance(time.Now()), "the lender sends less")
+	require.Zero(t, l.Lend(LoanRequest{Host: "costa-a-2", To: "marmara"}))
+}
--- a/internal/selector/entry/serve.go
+++ b/internal/selector/entry/serve.go
@@ -4,6 +4,7 @@
 	"context"
 
 	"cairndock/internal/peer"
+	"cairndock/internal/selector/entry/links"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/ticket"
 )
@@ -34,7 +35,7 @@
 	case peer.KindConfirm:
 		serve(payload, func(rev uint64) { _ = w.Send(h.ownProgress(rev)) })
 	case peer.KindLend:
-		serve(payload, func(m lendMsg) { h.serveLend(m, w) })
+		serve(payload, func(m links.LoanRequest) { reply(w, h.links.Lend(m)) })
 	case peer.KindDrain:
 		serve(payload, func(m drainMsg) { h.serveDrain(ctx, m, w) })
 	case peer.KindHandover:
@@ -52,6 +53,10 @@
 	f(m)
 }
 
+// reply sends the reply to a message. Where it can't be sent, the connection
+// is lost, and the peer's own call fails.
+func reply(w *peer.Responder, message any) { _ = w.Send(message) }
+
 func (h *Host) serveRoster(w *peer.Responder) {
 	h.mu.Lock()
 	r := h.holder.Current()
