--- a/internal/selector/entry/capacity.go
+++ b/internal/selector/entry/capacity.go
@@ -4,7 +4,9 @@
 	"time"
 
 	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/services"
 	"cairndock/internal/selector/slot"
+	"cairndock/internal/selector/steer"
 	"cairndock/internal/selector/store"
 )
 
@@ -17,15 +19,13 @@
 	v := h.View()
 	h.configured = h.holder.Current().Epoch
 	for _, svc := range v.Services() {
-		s := h.serviceFor(svc.Name)
-		s.gate.Configure(h.specs(svc, now), h.ruleSpecs(svc, now))
-		s.mu.Lock()
-		s.decider.Configure(svc, h.self.Zone, h.region, now)
-		s.mu.Unlock()
+		s := h.services.Get(svc.Name)
+		s.Gate.Configure(h.specs(svc, now), h.ruleSpecs(svc, now))
+		s.Decide(func(d *steer.Decider) { d.Configure(svc, h.self.Zone, h.region, now) })
 	}
-	h.services.Range(func(name, s any) bool {
-		if _, ok := v.Service(name.(string)); !ok {
-			s.(*service).gate.Configure(nil, nil)
+	h.services.All(func(name string, s *services.Service) bool {
+		if _, ok := v.Service(name); !ok {
+			s.Gate.Configure(nil, nil)
 		}
 		return true
 	})
--- a/internal/selector/entry/dispatch.go
+++ b/internal/selector/entry/dispatch.go
@@ -12,6 +12,7 @@
 
 	"cairndock/internal/call"
 	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/services"
 	"cairndock/internal/selector/slot"
 	"cairndock/internal/selector/steer"
 	"cairndock/internal/verdict"
@@ -51,10 +52,8 @@
 	if !ok {
 		return nil, verdict.New(verdict.NotRun, verdict.UnknownService, "no service %q", req.Service)
 	}
-	d := &dispatcher{host: h, svc: svc, state: h.serviceFor(req.Service), req: req}
-	d.state.mu.Lock()
-	d.state.decider.Begin(&d.plan)
-	d.state.mu.Unlock()
+	d := &dispatcher{host: h, svc: svc, state: h.services.Get(req.Service), req: req}
+	d.state.Decide(func(dec *steer.Decider) { dec.Begin(&d.plan) })
 	answer, err := d.run(ctx)
 	if err != nil {
 		span.SetAttributes(attribute.String("verdict", verdict.From(err).Verdict.String()))
@@ -66,7 +65,7 @@
 type dispatcher struct {
 	host  *Host
 	svc   *config.ServiceView
-	state *service
+	state *services.Service
 	req   *call.Request
 	plan  steer.Plan
 	last  *verdict.Error
@@ -107,9 +106,9 @@
 
 // mayTry reports whether the request may be sent once more.
 func (d *dispatcher) mayTry() bool {
-	d.state.mu.Lock()
-	defer d.state.mu.Unlock()
-	return d.sends < maxTries && d.offers < maxOffers && !d.spent
+	may := false
+	d.state.Decide(func(*steer.Decider) { may = d.sends < maxTries && d.offers < maxOffers && !d.spent })
+	return may
 }
 
 // queue waits for a slot at the best zone that was full, until a part of
@@ -194,38 +193,32 @@
 	return &out, nil
 }
 
-func (d *dispatcher) next() (steer.Choice, bool) {
+func (d *dispatcher) next() (choice steer.Choice, ok bool) {
 	now := d.host.now()
-	held, out, latency := d.state.usage()
-	d.state.mu.Lock()
-	defer d.state.mu.Unlock()
-	d.state.decider.SetLocal(held, out, latency)
-	return d.state.decider.Next(&d.plan, now)
-}
-
-func (s *service) usage() (held, out int, latency time.Duration) {
-	s.gate.Do(func(p *slot.Pool) {
-		held, out = p.Usage()
-		latency = p.Latency()
+	held, out, latency := d.state.Usage()
+	d.state.Decide(func(dec *steer.Decider) {
+		dec.SetLocal(held, out, latency)
+		choice, ok = dec.Next(&d.plan, now)
 	})
-	return held, out, latency
+	return choice, ok
 }
 
 // commit counts a sending against the cap and, from the second on, against
 // the budget of retries.
-func (d *dispatcher) commit(c steer.Choice) *verdict.Error {
-	d.state.mu.Lock()
-	defer d.state.mu.Unlock()
-	if d.sends > 0 && !d.state.decider.Retries().Take() {
-		d.spent = true
-		return verdict.New(verdict.NotRun, verdict.Full, "no retries left")
-	}
-	if !d.state.decider.Commit(&d.plan, c) {
-		return verdict.New(verdict.NotRun, verdict.Capped, "rule %q is at its cap", c.Rule).WithRetryAfter(comeBack)
-	}
-	d.sends++
-	d.offers++
-	return nil
+func (d *dispatcher) commit(c steer.Choice) (refusal *verdict.Error) {
+	d.state.Decide(func(dec *steer.Decider) {
+		switch {
+		case d.sends > 0 && !dec.Retries().Take():
+			d.spent = true
+			refusal = verdict.New(verdict.NotRun, verdict.Full, "no retries left")
+		case !dec.Commit(&d.plan, c):
+			refusal = verdict.New(verdict.NotRun, verdict.Capped, "rule %q is at its cap", c.Rule).WithRetryAfter(comeBack)
+		default:
+			d.sends++
+			d.offers++
+		}
+	})
+	return refusal
 }
 
 // offer sends the request to a zone. Until says how long it may wait for a
@@ -244,7 +237,7 @@
 		return nil, err
 	}
 	if err := d.commit(c); err != nil {
-		d.state.gate.Release(lease, slot.Unused, 0)
+		d.state.Gate.Release(lease, slot.Unused, 0)
 		return nil, err
 	}
 	return d.untilEnd(c)(d.host.send(ctx, d.state, lease, d.req))
@@ -265,9 +258,7 @@
 	var once sync.Once
 	ended := func() {
 		once.Do(func() {
-			d.state.mu.Lock()
-			defer d.state.mu.Unlock()
-			d.state.decider.Ended(c.Zone)
+			d.state.Decide(func(dec *steer.Decider) { dec.Ended(c.Zone) })
 		})
 	}
 	return func(a *call.Answer, err error) (*call.Answer, error) {
@@ -315,10 +306,11 @@
 
 // bounced notes that a zone was full: nothing reached an upstream there.
 func (d *dispatcher) bounced(c steer.Choice) {
-	d.state.mu.Lock()
-	defer d.state.mu.Unlock()
-	d.state.decider.Refused(c.Zone, d.host.now())
-	d.sends = max(0, d.sends-1)
+	now := d.host.now()
+	d.state.Decide(func(dec *steer.Decider) {
+		dec.Refused(c.Zone, now)
+		d.sends = max(0, d.sends-1)
+	})
 }
 
 // mayQueueAt remembers the first zones of a rule that were found full.
@@ -335,9 +327,7 @@
 }
 
 func (d *dispatcher) slow(rule string) {
-	d.state.mu.Lock()
-	defer d.state.mu.Unlock()
-	d.state.decider.Meter().Slow(rule)
+	d.state.Decide(func(dec *steer.Decider) { dec.Meter().Slow(rule) })
 }
 
 func (d *dispatcher) note(err error) *verdict.Error {
@@ -370,7 +360,7 @@
 
 // acquire takes a slot of the own zone.
 func (h *Host) acquire(ctx context.Context, name, rule string, until time.Time) (slot.Lease, error) {
-	gate := h.serviceFor(name).gate
+	gate := h.services.Get(name).Gate
 	lease, refusal := gate.Acquire(ctx, rule, until)
 	// Only now, as the host may have been paused while the request waited.
 	if refusal == slot.Granted && !h.validated() {
@@ -390,16 +380,16 @@
 }
 
 // send sends a request to the upstream of a slot in hand.
-func (h *Host) send(ctx context.Context, s *service, lease slot.Lease, req *call.Request) (*call.Answer, error) {
+func (h *Host) send(ctx context.Context, s *services.Service, lease slot.Lease, req *call.Request) (*call.Answer, error) {
 	target, ok := h.target(req.Service, lease.Upstream())
 	if !ok {
-		s.gate.Release(lease, slot.Unused, 0)
+		s.Gate.Release(lease, slot.Unused, 0)
 		return nil, verdict.New(verdict.NotRun, verdict.NoUpstream, "upstream was removed")
 	}
 	ctx, span := h.tracer.Start(ctx, "upstream", trace.WithAttributes(attribute.String("upstream", target.Name)))
 	defer span.End()
 	answer, err := h.client.Send(ctx, target, req, func(o slot.Outcome, latency time.Duration) {
-		s.gate.Release(lease, o, latency)
+		s.Gate.Release(lease, o, latency)
 	})
 	if err != nil {
 		h.metrics.Count(`cairndock_upstream_failures_total{verdict="` + verdict.From(err).Verdict.String() + `"}`)
--- a/internal/selector/entry/drain.go
+++ b/internal/selector/entry/drain.go
@@ -96,7 +96,7 @@
 		if !leaving {
 			d.Taking++
 		}
-		h.serviceFor(u.Service).gate.Do(func(p *slot.Pool) { d.Outstanding += p.Outstanding(name) })
+		h.services.Get(u.Service).Gate.Do(func(p *slot.Pool) { d.Outstanding += p.Outstanding(name) })
 	}
 	return d
 }
--- a/internal/selector/entry/export_test.go
+++ b/internal/selector/entry/export_test.go
@@ -54,7 +54,7 @@
 // FillQueue takes every slot of a service that the host holds, and every
 // place in its queue, until the context ends.
 func (h *Host) FillQueue(ctx context.Context, service, rule string) {
-	gate := h.serviceFor(service).gate
+	gate := h.services.Get(service).Gate
 	for range gate.Load().Held {
 		_, _ = gate.Acquire(ctx, rule, time.Time{})
 	}
@@ -66,8 +66,8 @@
 // QueueAt has a request wait at zones that were found full, in their order.
 func (h *Host) QueueAt(ctx context.Context, req *call.Request, full ...steer.Choice) (*call.Answer, error) {
 	svc, _ := h.View().Service(req.Service)
-	d := &dispatcher{host: h, svc: svc, state: h.serviceFor(req.Service), req: req}
-	d.state.decider.Begin(&d.plan)
+	d := &dispatcher{host: h, svc: svc, state: h.services.Get(req.Service), req: req}
+	d.state.Decide(func(dec *steer.Decider) { dec.Begin(&d.plan) })
 	for _, c := range full {
 		d.mayQueueAt(c)
 	}
--- a/internal/selector/entry/forward.go
+++ b/internal/selector/entry/forward.go
@@ -233,15 +233,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return h.send(ctx, h.serviceFor(msg.Service), lease, req)
+	return h.send(ctx, h.services.Get(msg.Service), lease, req)
 }
 
 // sendAnswer passes an answer to the peer that asked, at the pace of the
 // link between.
 func (h *Host) sendAnswer(ctx context.Context, from peer.Hello, name string, a *call.Answer, err error, w *peer.Responder) {
-	free := member.Free{Service: name}
-	load := h.serviceFor(name).gate.Load()
-	free.Free, free.Held, free.Warm = load.Free, load.Held, load.Warm
+	free := h.services.Get(name).Free(name)
 	if err != nil {
 		e := verdict.From(err)
 		_ = w.Send(forwardReply{
--- a/internal/selector/entry/heartbeat.go
+++ b/internal/selector/entry/heartbeat.go
@@ -6,7 +6,6 @@
 
 	"cairndock/internal/peer"
 	"cairndock/internal/selector/member"
-	"cairndock/internal/selector/slot"
 	"cairndock/internal/selector/steer"
 )
 
@@ -125,7 +124,7 @@
 // zone's hosts when the asker has others.
 func (h *Host) answer(asked member.Heartbeat) member.Heartbeat {
 	b := h.basicBeat(asked.Contact.Zone)
-	free := h.free()
+	free := h.services.Free()
 	now := time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -177,15 +176,6 @@
 	b.ZoneFree = member.Unpack(b.ZoneSlots, names)
 }
 
-func (h *Host) free() []member.Free {
-	var out []member.Free
-	for _, svc := range h.View().Services() {
-		load := h.serviceFor(svc.Name).gate.Load()
-		out = append(out, member.Free{Service: svc.Name, Free: load.Free, Held: load.Held, Warm: load.Warm})
-	}
-	return out
-}
-
 // zoneFree sums the zone's hosts; h.mu is held.
 func (h *Host) zoneFree(own []member.Free, now time.Time) []member.Free {
 	sum := append([]member.Free(nil), own...)
@@ -247,10 +237,10 @@
 // it, and takes up the slots that it gives when all have acknowledged.
 func (h *Host) settle() {
 	now := time.Now()
-	longest := h.longest()
+	longest := h.services.MaxTimeout()
 	h.mu.Lock()
 	cur := h.holder.Current().Epoch
-	acks := h.acked != cur && h.configured == cur && h.within()
+	acks := h.acked != cur && h.configured == cur && h.services.Within()
 	if acks {
 		h.acked = cur
 	}
@@ -268,18 +258,6 @@
 	}
 }
 
-// within reports whether this host uses only slots that it holds by every
-// roster of its chain. What it holds must have been worked out first, and
-// h.mu is held so that it stays so.
-func (h *Host) within() bool {
-	ok := true
-	h.services.Range(func(_, s any) bool {
-		s.(*service).gate.Do(func(p *slot.Pool) { ok = ok && p.Within() })
-		return ok
-	})
-	return ok
-}
-
 // tellZone sends a heartbeat to every known host of the zone at once, with
 // news that all of them wait for: an acknowledgement, a new epoch, a sign.
 func (h *Host) tellZone() {
@@ -300,17 +278,17 @@
 	now := time.Now()
 	zones := h.zoneReports(now)
 	for _, svc := range h.View().Services() {
-		s := h.serviceFor(svc.Name)
-		held, out, latency := s.usage()
-		s.mu.Lock()
-		s.decider.SetLocal(held, out, latency)
-		s.decider.SetFrozen(frozen)
-		s.decider.Meter().Advance(now, frozen)
-		for _, z := range zones {
-			s.decider.SetZone(z.zone, z.report(svc.Name), z.rtt, z.up)
-		}
-		s.decider.Rank()
-		s.mu.Unlock()
+		s := h.services.Get(svc.Name)
+		held, out, latency := s.Usage()
+		s.Decide(func(d *steer.Decider) {
+			d.SetLocal(held, out, latency)
+			d.SetFrozen(frozen)
+			d.Meter().Advance(now, frozen)
+			for _, z := range zones {
+				d.SetZone(z.zone, z.report(svc.Name), z.rtt, z.up)
+			}
+			d.Rank()
+		})
 	}
 }
 
--- a/internal/selector/entry/hedge.go
+++ b/internal/selector/entry/hedge.go
@@ -63,7 +63,7 @@
 	if d.req.Ticket != "" || d.svc.Class != config.Interactive || !d.svc.Repeat.Allows(d.req.Method) {
 		return 0, false
 	}
-	_, _, latency := d.state.usage()
+	_, _, latency := d.state.Usage()
 	if latency == 0 {
 		return 0, false
 	}
--- a/internal/selector/entry/host.go
+++ b/internal/selector/entry/host.go
@@ -17,11 +17,9 @@
 	"cairndock/internal/peer"
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry/links"
+	"cairndock/internal/selector/entry/services"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/roster"
-	"cairndock/internal/selector/shift"
-	"cairndock/internal/selector/slot"
-	"cairndock/internal/selector/steer"
 	"cairndock/internal/selector/store"
 	"cairndock/internal/selector/ticket"
 	"cairndock/internal/selector/upstream"
@@ -53,15 +51,6 @@
 // instanceKey is one instance of an upstream.
 type instanceKey struct{ upstream, instance string }
 
-// service is one service's state on this host.
-type service struct {
-	gate *slot.Gate
-
-	mu      sync.Mutex
-	decider *steer.Decider
-	adopted bool
-}
-
 // Host is one entry host.
 type Host struct {
 	opts        Options
@@ -102,7 +91,7 @@
 	platHost   map[string]store.State
 	goneAt     map[string]time.Time
 
-	services sync.Map // name to *service
+	services *services.Set
 
 	ticketsMu sync.Mutex
 	tickets   *ticket.Store
@@ -184,6 +173,7 @@
 	h.holder = roster.NewHolder(s.Host.Name, incarnation, s.Host.Zone)
 	hello := peer.Hello{Host: s.Host.Name, Zone: s.Host.Zone, Incarnation: incarnation}
 	h.mesh = peer.NewMesh(hello, o.Transport, h)
+	h.services = services.NewSet(h.View, h.random.Float64)
 	h.links = links.New(links.Options{Host: s.Host.Name, Region: h.region, View: h.View, Hosts: h, Mesh: h.mesh})
 	h.view.Store(config.NewView(config.NewState(), s.Host.Zone))
 	return h, nil
@@ -246,16 +236,6 @@
 	return h.now()-h.freshAt.Load() > int64(FreezeAfter)
 }
 
-// serviceFor gives a service's state, making it when it is new.
-func (h *Host) serviceFor(name string) *service {
-	if s, ok := h.services.Load(name); ok {
-		return s.(*service)
-	}
-	meter := shift.NewMeter(h.random.Float64, time.Now())
-	s, _ := h.services.LoadOrStore(name, &service{gate: slot.NewGate(), decider: steer.New(meter)})
-	return s.(*service)
-}
-
 // clockStart is what the host's clock reads when the host is made; above
 // zero, so that zero is always long ago.
 const clockStart = int64(time.Hour)
--- a/internal/selector/entry/ready.go
+++ b/internal/selector/entry/ready.go
@@ -45,7 +45,7 @@
 func (h *Host) canSend() bool {
 	waits := false
 	for _, svc := range h.View().Services() {
-		if h.serviceFor(svc.Name).gate.Load().Held > 0 {
+		if h.services.Get(svc.Name).Gate.Load().Held > 0 {
 			return true
 		}
 		waits = waits || len(svc.Local) > 0
--- a/internal/selector/entry/rosterdead.go
+++ b/internal/selector/entry/rosterdead.go
@@ -44,7 +44,7 @@
 	if m.Host == h.self.Host {
 		return r, false
 	}
-	longest := h.longest()
+	longest := h.services.MaxTimeout()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if m.State == roster.Gone {
--- /dev/null
+++ b/internal/selector/entry/services/services.go
@@ -0,0 +1,153 @@
+// Package services holds what a host knows and uses of each service: the
+// slots it holds at the service's upstreams, and the choice of zones.
+//
+// It owns the gates and the deciders. Slots are given to it by the host's
+// rosters, and reports of other zones by heartbeats.
+package services
+
+import (
+	"sync"
+	"time"
+
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/shift"
+	"cairndock/internal/selector/slot"
+	"cairndock/internal/selector/steer"
+)
+
+// Service is one service's state on this host.
+type Service struct {
+	// Gate admits requests to the slots that this host holds.
+	Gate *slot.Gate
+
+	mu      sync.Mutex
+	decider *steer.Decider
+	adopted bool
+}
+
+// Decide runs f on the service's choice of zones, which it must not keep. No
+// other lock may be taken in f but the gate's.
+func (s *Service) Decide(f func(d *steer.Decider)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	f(s.decider)
+}
+
+// Usage gives the service's slots held and taken here, and the usual latency
+// of its upstreams.
+func (s *Service) Usage() (held, out int, latency time.Duration) {
+	s.Gate.Do(func(p *slot.Pool) {
+		held, out = p.Usage()
+		latency = p.Latency()
+	})
+	return held, out, latency
+}
+
+// Free gives the service's slots as other hosts are told of them.
+func (s *Service) Free(name string) member.Free {
+	load := s.Gate.Load()
+	return member.Free{Service: name, Free: load.Free, Held: load.Held, Warm: load.Warm}
+}
+
+// adoptShares starts from the shares of another host of the zone, once.
+func (s *Service) adoptShares(shares map[string]float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.adopted {
+		return
+	}
+	s.adopted = true
+	s.decider.Meter().Adopt(shares)
+}
+
+// Set is all services that this host has ever had a configuration of.
+type Set struct {
+	view     func() *config.View
+	random   func() float64
+	services sync.Map // name to *Service
+}
+
+// NewSet makes a Set of the services of a changing view. Random gives random
+// numbers in [0, 1); it is used by many goroutines at once.
+func NewSet(view func() *config.View, random func() float64) *Set {
+	return &Set{view: view, random: random}
+}
+
+// Get gives a service's state, making it when it is new.
+func (s *Set) Get(name string) *Service {
+	if svc, ok := s.services.Load(name); ok {
+		return svc.(*Service)
+	}
+	meter := shift.NewMeter(s.random, time.Now())
+	svc, _ := s.services.LoadOrStore(name, &Service{Gate: slot.NewGate(), decider: steer.New(meter)})
+	return svc.(*Service)
+}
+
+// All runs f on every service until it returns false, those that are no
+// longer configured included.
+func (s *Set) All(f func(name string, svc *Service) bool) {
+	s.services.Range(func(name, svc any) bool { return f(name.(string), svc.(*Service)) })
+}
+
+// Free gives the slots of each configured service.
+func (s *Set) Free() []member.Free {
+	var out []member.Free
+	for _, svc := range s.view().Services() {
+		out = append(out, s.Get(svc.Name).Free(svc.Name))
+	}
+	return out
+}
+
+// Outstanding counts the slots that are taken now.
+func (s *Set) Outstanding() int {
+	out := 0
+	s.All(func(_ string, svc *Service) bool {
+		out += svc.Gate.Load().Out
+		return true
+	})
+	return out
+}
+
+// Within reports whether only slots are taken that this host holds.
+func (s *Set) Within() bool {
+	ok := true
+	s.All(func(_ string, svc *Service) bool {
+		svc.Gate.Do(func(p *slot.Pool) { ok = ok && p.Within() })
+		return ok
+	})
+	return ok
+}
+
+// Shares gives the present share of each rule of the configured services.
+func (s *Set) Shares() map[string]float64 {
+	out := map[string]float64{}
+	for _, svc := range s.view().Services() {
+		s.Get(svc.Name).Decide(func(d *steer.Decider) {
+			for name, share := range d.Meter().Shares() {
+				out[name] = share
+			}
+		})
+	}
+	return out
+}
+
+// AdoptShares starts the ramps of the configured services from the shares of
+// another host of the zone. Each service does so once.
+func (s *Set) AdoptShares(shares map[string]float64) {
+	if len(shares) == 0 {
+		return
+	}
+	for _, svc := range s.view().Services() {
+		s.Get(svc.Name).adoptShares(shares)
+	}
+}
+
+// MaxTimeout is the longest deadline that a request of any service can have.
+func (s *Set) MaxTimeout() time.Duration {
+	longest := time.Duration(0)
+	for _, svc := range s.view().Services() {
+		longest = max(longest, time.Duration(svc.MaxTimeout))
+	}
+	return longest
+}
--- /dev/null
+++ b/internal/selector/entry/services/services_test.go
@@ -0,0 +1,99 @@
+package services
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/slot"
+	"cairndock/internal/selector/steer"
+)
+
+const doc = `
+[[zone]]
+name = "costa-a"
+region = "costa"
+[[service]]
+name = "planning"
+timeout = "1s"
+max_timeout = "2s"
+[[service]]
+name = "documents"
+timeout = "1s"
+max_timeout = "60s"
+[[upstream]]
+name = "up-1"
+service = "planning"
+zone = "costa-a"
+addr = "up-1:1"
+slots = 4
+[[rule]]
+name = "all"
+service = "planning"
+selector = ""
+share = 0.5
+ramp = 0.01
+[[rule]]
+name = "rest"
+service = "planning"
+selector = ""
+share = 0.5
+ramp = 0.01
+`
+
+func newSet(t *testing.T) *Set {
+	d, err := config.ParseDocument([]byte(doc))
+	require.NoError(t, err)
+	c, err := d.Change("first", 0)
+	require.NoError(t, err)
+	state, err := config.NewState().With(c.WithRevision(1))
+	require.NoError(t, err)
+	view := config.NewView(state, "costa-a")
+	s := NewSet(func() *config.View { return view }, func() float64 { return 0.5 })
+	for _, svc := range view.Services() {
+		s.Get(svc.Name).Decide(func(d *steer.Decider) { d.Configure(svc, "costa-a", "costa", time.Now()) })
+	}
+	return s
+}
+
+// hold gives a service some slots at its upstream.
+func hold(s *Set, held int) {
+	s.Get("planning").Gate.Configure([]slot.Spec{{Name: "up-1", Held: held}},
+		[]slot.RuleSpec{{Name: "all", Members: []int32{0}, InFlight: -1, Rate: -1}})
+}
+
+// TestTakenSlotsAreCounted: a slot that is taken away while a request has it
+// stays outstanding, and the host is no longer within what it holds.
+func TestTakenSlotsAreCounted(t *testing.T) {
+	s := newSet(t)
+	hold(s, 1)
+	require.Zero(t, s.Outstanding())
+	gate := s.Get("planning").Gate
+	lease, refusal := gate.Acquire(t.Context(), "all", time.Time{})
+	require.Equal(t, slot.Granted, refusal)
+	require.Equal(t, 1, s.Outstanding())
+	require.True(t, s.Within())
+	hold(s, 0)
+	require.False(t, s.Within(), "the slot belongs to another host now")
+	gate.Release(lease, slot.Unused, 0)
+	require.True(t, s.Within())
+}
+
+// TestSharesAreAdoptedOnce: a later host of the zone changes no ramp that
+// already moves here.
+func TestSharesAreAdoptedOnce(t *testing.T) {
+	s := newSet(t)
+	s.AdoptShares(nil)
+	s.AdoptShares(map[string]float64{"all": 0.25, "rest": 0.75})
+	require.Equal(t, map[string]float64{"all": 0.25, "rest": 0.75}, s.Shares())
+	s.AdoptShares(map[string]float64{"all": 0.75, "rest": 0.25})
+	require.Equal(t, map[string]float64{"all": 0.25, "rest": 0.75}, s.Shares())
+}
+
+// TestMaxTimeoutIsOfAllServices: a slot rests for the longest deadline that
+// any request can have.
+func TestMaxTimeoutIsOfAllServices(t *testing.T) {
+	require.Equal(t, time.Minute, newSet(t).MaxTimeout())
+}
--- a/internal/selector/entry/signs.go
+++ b/internal/selector/entry/signs.go
@@ -49,12 +49,12 @@
 	if !ok {
 		return
 	}
-	s := h.serviceFor(svc)
+	s := h.services.Get(svc)
 	if w.Load >= 0 {
-		s.gate.Report(name, w.Load)
+		s.Gate.Report(name, w.Load)
 	}
 	if before != "" && w.Instance != "" && before != w.Instance {
-		s.gate.Do(func(p *slot.Pool) { p.Restarted(name) })
+		s.Gate.Do(func(p *slot.Pool) { p.Restarted(name) })
 	}
 }
 
--- a/internal/selector/entry/spread.go
+++ b/internal/selector/entry/spread.go
@@ -146,45 +146,16 @@
 	if err := h.putInForce(ctx, reply.Changes); err != nil {
 		return err
 	}
-	h.adoptShares(reply.Shares)
+	h.services.AdoptShares(reply.Shares)
 	return nil
 }
 
-// adoptShares joins the ramps of a host of the zone, once, when starting.
-func (h *Host) adoptShares(shares map[string]float64) {
-	if len(shares) == 0 {
-		return
-	}
-	for _, svc := range h.View().Services() {
-		s := h.serviceFor(svc.Name)
-		s.mu.Lock()
-		if !s.adopted {
-			s.adopted = true
-			s.decider.Meter().Adopt(shares)
-		}
-		s.mu.Unlock()
-	}
-}
-
-func (h *Host) shares() map[string]float64 {
-	out := map[string]float64{}
-	for _, svc := range h.View().Services() {
-		s := h.serviceFor(svc.Name)
-		s.mu.Lock()
-		for name, share := range s.decider.Meter().Shares() {
-			out[name] = share
-		}
-		s.mu.Unlock()
-	}
-	return out
-}
-
 func (h *Host) serveChanges(after uint64, w *peer.Responder) {
 	h.forced.Lock()
 	recent := h.recent
 	state := h.View().State()
 	h.forced.Unlock()
-	reply := changesReply{Shares: h.shares()}
+	reply := changesReply{Shares: h.services.Shares()}
 	i := slices.IndexFunc(recent, func(c config.Change) bool { return c.Revision == after+1 })
 	if i >= 0 && sizeOf(recent[i:]) <= maxChanges {
 		reply.Changes = recent[i:]
--- a/internal/selector/entry/status.go
+++ b/internal/selector/entry/status.go
@@ -76,7 +76,7 @@
 	for _, svc := range v.Services() {
 		s.Services = append(s.Services, h.serviceStatus(svc.Name))
 	}
-	free := h.free()
+	free := h.services.Free()
 	for _, zone := range h.knownZones() {
 		s.Zones = append(s.Zones, h.zoneStatus(v, zone, free))
 	}
@@ -99,13 +99,13 @@
 }
 
 func (h *Host) serviceStatus(name string) ServiceStatus {
-	svc := h.serviceFor(name)
-	load := svc.gate.Load()
-	out := ServiceStatus{Service: name, Free: load.Free, Held: load.Held, Out: load.Out, Waiting: svc.gate.Waiting()}
-	svc.mu.Lock()
-	defer svc.mu.Unlock()
-	out.Shares = svc.decider.Meter().Status()
-	out.Sites = svc.decider.Status(h.now())
+	svc := h.services.Get(name)
+	load := svc.Gate.Load()
+	out := ServiceStatus{Service: name, Free: load.Free, Held: load.Held, Out: load.Out, Waiting: svc.Gate.Waiting()}
+	svc.Decide(func(d *steer.Decider) {
+		out.Shares = d.Meter().Status()
+		out.Sites = d.Status(h.now())
+	})
 	return out
 }
 
--- a/internal/selector/entry/stop.go
+++ b/internal/selector/entry/stop.go
@@ -34,7 +34,7 @@
 	h.waitIdle(ctx)
 	report := StopReport{Cut: h.inFlight.Load()}
 	report.HandedOver = h.handOver(context.WithoutCancel(ctx))
-	if report.Cut == 0 && h.outstanding() == 0 {
+	if report.Cut == 0 && h.services.Outstanding() == 0 {
 		// Whoever still has a slot out stays a member, and its slots unused,
 		// until the platform says that it is gone.
 		h.leaveRoster(context.WithoutCancel(ctx), func(r roster.Roster) roster.Roster { return r.Without(h.self.Host) })
@@ -95,22 +95,13 @@
 // waitIdle waits until nothing is in flight.
 func (h *Host) waitIdle(ctx context.Context) {
 	const poll = 20 * time.Millisecond
-	for h.inFlight.Load() > 0 || h.outstanding() > 0 || h.runningTickets() > 0 {
+	for h.inFlight.Load() > 0 || h.services.Outstanding() > 0 || h.runningTickets() > 0 {
 		if !pause.For(ctx, poll) {
 			return
 		}
 	}
 }
 
-func (h *Host) outstanding() int {
-	out := 0
-	h.services.Range(func(_, s any) bool {
-		out += s.(*service).gate.Load().Out
-		return true
-	})
-	return out
-}
-
 func (h *Host) runningTickets() int {
 	h.ticketsMu.Lock()
 	defer h.ticketsMu.Unlock()
@@ -123,10 +114,10 @@
 	m.Gauge("cairndock_config_age_seconds", func() float64 { return float64(h.now()-h.freshAt.Load()) / float64(time.Second) })
 	m.Gauge("cairndock_frozen", func() float64 { return boolGauge(h.Frozen()) })
 	m.Gauge("cairndock_in_flight", func() float64 { return float64(h.inFlight.Load()) })
-	m.Gauge("cairndock_slots_outstanding", func() float64 { return float64(h.outstanding()) })
+	m.Gauge("cairndock_slots_outstanding", func() float64 { return float64(h.services.Outstanding()) })
 	m.Gauge("cairndock_slots_held", func() float64 {
 		held := 0
-		for _, f := range h.free() {
+		for _, f := range h.services.Free() {
 			held += f.Held
 		}
 		return float64(held)
--- a/internal/selector/entry/validity.go
+++ b/internal/selector/entry/validity.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"time"
 )
 
 // validated reports whether the host may send new work to upstreams. A host
@@ -41,12 +40,3 @@
 // Distrust makes the host ask for its zone's roster before it sends anything
 // more, as it does when its own loop shows that it was paused.
 func (h *Host) Distrust() { h.validatedAt.Store(0) }
-
-// longest is the longest deadline of any service.
-func (h *Host) longest() time.Duration {
-	longest := time.Duration(0)
-	for _, svc := range h.View().Services() {
-		longest = max(longest, time.Duration(svc.MaxTimeout))
-	}
-	return longest
-}
