--- a/internal/selector/entry/bench_test.go
+++ b/internal/selector/entry/bench_test.go
@@ -50,13 +50,15 @@
 		Traces: sdktrace.NewTracerProvider(sdktrace.WithSampler(sdktrace.NeverSample())),
 	})
 	require.NoError(tb, err)
-	h.peers = member.NewPeers(h.self)
+	h.peers.SetSelf(h.self)
 	h.see(bigRoster(74))
 	h.adoptState(s)
 	for z := 1; z < 80; z++ {
 		for i := range 4 {
 			c := member.Contact{Host: fmt.Sprintf("zone-%02d-%02d", z, i), Zone: fmt.Sprintf("zone-%02d", z), PeerAddr: "10.0.0.1:1", CallerAddr: "10.0.0.1:2"}
-			h.peers.Heard(member.Heartbeat{Contact: c}, time.Now().Add(time.Hour), time.Millisecond)
+			h.peers.Update(func(p *member.Peers) {
+				p.Heard(member.Heartbeat{Contact: c}, time.Now().Add(time.Hour), time.Millisecond)
+			})
 		}
 	}
 	return h
@@ -156,7 +158,7 @@
 				from := member.Contact{Host: "zone-01-01", Zone: "zone-01"}
 				ask, err := peer.Encode(h.ask(from))
 				require.NoError(b, err)
-				contacts := h.peers.Contacts(h.self.Zone, time.Now(), false)
+				contacts := h.peers.Contacts(h.self.Zone, false)
 				payload, err := peer.Encode(h.answer(member.Heartbeat{Contact: from, ContactsHash: member.HashContacts(contacts)}))
 				require.NoError(b, err)
 				size = len(ask) + len(payload)
@@ -164,7 +166,7 @@
 				require.NoError(b, err)
 				h.unpack(&beat)
 				beat.Contact.Host = "zone-01-01"
-				h.peers.Heard(beat, time.Now(), time.Millisecond)
+				h.peers.Update(func(p *member.Peers) { p.Heard(beat, time.Now(), time.Millisecond) })
 			}
 			b.ReportMetric(float64(size), "exchange-bytes")
 		})
@@ -177,9 +179,7 @@
 		b.Run(fmt.Sprintf("services=%d", services), func(b *testing.B) {
 			h := bigHost(b, bigState(b, 1000, services, 80))
 			for b.Loop() {
-				h.mu.Lock()
-				h.peers.Due(time.Now())
-				h.mu.Unlock()
+				h.peers.Update(func(p *member.Peers) { p.Due(time.Now()) })
 				h.settle()
 				h.refreshDeciders()
 			}
--- a/internal/selector/entry/drain.go
+++ b/internal/selector/entry/drain.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"time"
 
 	"cairndock/internal/peer"
 	"cairndock/internal/selector/member"
@@ -40,10 +39,7 @@
 			sum.add(h.zoneDrained(ctx, names))
 			continue
 		}
-		h.mu.Lock()
-		contacts := h.peers.Contacts(zone, time.Now(), false)
-		h.mu.Unlock()
-		sum.add(h.askDrained(ctx, zone, contacts, drainMsg{Upstreams: names, Zone: true}))
+		sum.add(h.askDrained(ctx, zone, h.peers.Contacts(zone, false), drainMsg{Upstreams: names, Zone: true}))
 	}
 	return sum
 }
@@ -70,9 +66,7 @@
 // zoneDrained asks every member of the own zone.
 func (h *Host) zoneDrained(ctx context.Context, names []string) Drained {
 	sum := h.ownDrained(names)
-	h.mu.Lock()
-	cur := h.holder.Current()
-	h.mu.Unlock()
+	cur := h.currentRoster()
 	for _, m := range cur.Members {
 		if m.Host == h.self.Host || m.State == roster.Gone {
 			continue
--- a/internal/selector/entry/entries.go
+++ b/internal/selector/entry/entries.go
@@ -98,37 +98,25 @@
 }
 
 func (h *Host) newEntriesPage(revision uint64) *entriesPage {
-	page := &entriesPage{revision: revision, contacts: h.contacts()}
+	page := &entriesPage{revision: revision, contacts: h.peers.ContactsByZone(h.leaving.Load())}
 	h.entries.current.Store(page)
 	return page
 }
 
-// contacts gives the hosts that answer and are not leaving, by zone.
-func (h *Host) contacts() map[string][]member.Contact {
-	now := time.Now()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	out := map[string][]member.Contact{h.self.Zone: h.peers.Contacts(h.self.Zone, now, h.leaving.Load())}
-	for _, zone := range h.peers.Zones() {
-		out[zone] = h.peers.Contacts(zone, now, h.leaving.Load())
-	}
-	return out
-}
-
 // refreshEntries drops the answers kept when the hosts that answer changed.
 func (h *Host) refreshEntries() {
 	page := h.entries.current.Load()
 	if page == nil {
 		return
 	}
-	if now := h.contacts(); !maps.EqualFunc(now, page.contacts, slices.Equal[[]member.Contact]) {
+	if now := h.peers.ContactsByZone(h.leaving.Load()); !maps.EqualFunc(now, page.contacts, slices.Equal[[]member.Contact]) {
 		h.entries.current.Store(&entriesPage{revision: page.revision, contacts: now})
 	}
 }
 
 // entriesNow works an answer out from what is known at this moment.
 func (h *Host) entriesNow(key entriesKey) Entries {
-	return h.entriesOf(&entriesPage{contacts: h.contacts()}, key)
+	return h.entriesOf(&entriesPage{contacts: h.peers.ContactsByZone(h.leaving.Load())}, key)
 }
 
 // entriesOf orders a page's hosts for callers: their zone first, then its
--- a/internal/selector/entry/export_test.go
+++ b/internal/selector/entry/export_test.go
@@ -22,15 +22,11 @@
 
 // Forget drops what the host knows of another.
 func (h *Host) Forget(host string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.peers.Forget(host)
+	h.peers.Update(func(p *member.Peers) { p.Forget(host) })
 }
 
 // Hears reports whether another host answers this one.
 func (h *Host) Hears(host string) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
 	p, known := h.peers.Get(host)
 	return known && p.Up(time.Now())
 }
--- a/internal/selector/entry/forward.go
+++ b/internal/selector/entry/forward.go
@@ -60,7 +60,7 @@
 
 // forward passes a request to a host of a zone.
 func (h *Host) forward(ctx context.Context, req *call.Request, zone, rule string, until time.Time) (*call.Answer, error) {
-	target, ok := h.pickPeer(zone, req.Service)
+	target, ok := h.peers.WithMostFree(zone, req.Service, h.random.Float64)
 	if !ok {
 		return nil, verdict.New(verdict.NotRun, verdict.NoUpstream, "no host of %s can be reached", zone)
 	}
@@ -124,9 +124,7 @@
 // request may always have run before, at its minter.
 func (h *Host) exchangeError(ctx context.Context, to member.Contact, kind peer.Kind, err error) error {
 	if errors.Is(err, peer.ErrNotSent) {
-		h.mu.Lock()
-		h.peers.Failed(to.Host, time.Now())
-		h.mu.Unlock()
+		h.peers.Failed(to.Host)
 	}
 	if errors.Is(err, peer.ErrNotSent) && kind != peer.KindTicket {
 		return verdict.New(verdict.NotRun, verdict.PeerFailed, "%s can't be reached", to.Host)
@@ -151,38 +149,10 @@
 	return b.Stream.Close()
 }
 
-// pickPeer chooses the host of a zone to ask: the one that said it has most
-// free slots. In the own zone only a host with free slots is worth a hop.
-func (h *Host) pickPeer(zone, service string) (member.Contact, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	now := time.Now()
-	best, bestFree := member.Contact{}, -1.0
-	for _, p := range h.peers.Zone(zone) {
-		if !p.Up(now) {
-			continue
-		}
-		free := 0
-		for _, f := range p.Beat.Free {
-			if f.Service == service {
-				free = f.Free
-			}
-		}
-		if zone == h.self.Zone && free <= 0 {
-			continue
-		}
-		// A small random part spreads many askers over equal hosts.
-		if score := float64(free) + h.random.Float64(); score > bestFree {
-			best, bestFree = p.Contact, score
-		}
-	}
-	return best, bestFree >= 0
-}
-
 // zonePeersMayHelp reports whether a host of the own zone said that it has a
 // free slot.
 func (h *Host) zonePeersMayHelp(service string) bool {
-	_, ok := h.pickPeer(h.self.Zone, service)
+	_, ok := h.peers.WithMostFree(h.self.Zone, service, h.random.Float64)
 	return ok
 }
 
@@ -191,9 +161,7 @@
 	if f.Service == "" {
 		return
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.peers.NoteFree(from.Host, f)
+	h.peers.Update(func(p *member.Peers) { p.NoteFree(from.Host, f) })
 }
 
 // serveForward admits a peer's request or refuses it as not run.
--- a/internal/selector/entry/heartbeat.go
+++ b/internal/selector/entry/heartbeat.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"cairndock/internal/peer"
+	"cairndock/internal/selector/entry/peers"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/steer"
 )
@@ -33,13 +34,7 @@
 func (h *Host) turn(ctx context.Context) {
 	h.keepValidated(ctx)
 	now := time.Now()
-	h.mu.Lock()
-	due := h.peers.Due(now)
-	for _, c := range due {
-		h.peers.Asking(c.Host, now)
-	}
-	alone := len(h.peers.Zones()) == 0
-	h.mu.Unlock()
+	due, alone := h.takeDue(now)
 	for _, c := range due {
 		go h.beatOne(ctx, c)
 	}
@@ -54,6 +49,19 @@
 	h.links.Retune(ctx)
 }
 
+// takeDue gives the hosts to send a heartbeat to now, and whether this host
+// knows no other.
+func (h *Host) takeDue(now time.Time) (due []member.Contact, alone bool) {
+	h.peers.Update(func(p *member.Peers) {
+		due = p.Due(now)
+		for _, c := range due {
+			p.Asking(c.Host, now)
+		}
+		alone = len(p.Zones()) == 0
+	})
+	return due, alone
+}
+
 // askSeeds sends a heartbeat to the peers of the settings, as long as no
 // other is known: the platform may be down when the host starts.
 func (h *Host) askSeeds(ctx context.Context) {
@@ -79,9 +87,7 @@
 	ask := h.ask(c)
 	reply, size, err := peer.CallSized[member.Heartbeat](ctx, h.mesh, c.PeerAddr, peer.KindHeartbeat, ask)
 	if err != nil {
-		h.mu.Lock()
-		h.peers.Failed(c.Host, time.Now())
-		h.mu.Unlock()
+		h.peers.Failed(c.Host)
 		if ctx.Err() != nil {
 			// The connection may be cut without a sign; make a new one.
 			h.mesh.Drop(c.PeerAddr)
@@ -90,9 +96,7 @@
 	}
 	h.heard()
 	h.unpack(&reply)
-	h.mu.Lock()
-	h.peers.Spent(size)
-	h.mu.Unlock()
+	h.peers.Update(func(p *member.Peers) { p.Spent(size) })
 	h.takeIn(reply, asked, time.Since(asked))
 	h.learn(ctx, reply)
 	h.noteFresh(reply, askedAt)
@@ -101,10 +105,11 @@
 // takeIn notes a heartbeat. A host that was not up may bring a zone within
 // reach, which decisions must know at once.
 func (h *Host) takeIn(b member.Heartbeat, asked time.Time, rtt time.Duration) {
-	h.mu.Lock()
-	before, _ := h.peers.Get(b.Contact.Host)
-	h.peers.Heard(b, asked, rtt)
-	h.mu.Unlock()
+	var before member.Peer
+	h.peers.Update(func(p *member.Peers) {
+		before, _ = p.Get(b.Contact.Host)
+		p.Heard(b, asked, rtt)
+	})
 	if !before.Up(time.Now()) {
 		h.refreshDeciders()
 	}
@@ -113,8 +118,6 @@
 // ask makes the heartbeat that asks a host: who this host is and how far.
 func (h *Host) ask(to member.Contact) member.Heartbeat {
 	b := h.basicBeat(to.Zone)
-	h.mu.Lock()
-	defer h.mu.Unlock()
 	p, _ := h.peers.Get(to.Host)
 	b.ContactsHash = p.ContactsHash
 	return b
@@ -125,14 +128,11 @@
 func (h *Host) answer(asked member.Heartbeat) member.Heartbeat {
 	b := h.basicBeat(asked.Contact.Zone)
 	free := h.services.Free()
-	now := time.Now()
-	h.mu.Lock()
-	defer h.mu.Unlock()
 	b.Slots = member.Pack(free)
 	if asked.Contact.Zone != h.self.Zone {
-		b.ZoneSlots = member.Pack(h.zoneFree(free, now))
+		b.ZoneSlots = member.Pack(h.peers.ZoneFree(free))
 	}
-	contacts := h.peers.Contacts(h.self.Zone, now, h.leaving.Load())
+	contacts := h.peers.Contacts(h.self.Zone, h.leaving.Load())
 	b.ContactsHash = member.HashContacts(contacts)
 	if b.ContactsHash != asked.ContactsHash {
 		b.Contacts = contacts
@@ -176,26 +176,6 @@
 	b.ZoneFree = member.Unpack(b.ZoneSlots, names)
 }
 
-// zoneFree sums the zone's hosts; h.mu is held.
-func (h *Host) zoneFree(own []member.Free, now time.Time) []member.Free {
-	sum := append([]member.Free(nil), own...)
-	for _, p := range h.peers.Zone(h.self.Zone) {
-		if !p.Up(now) {
-			continue
-		}
-		for _, f := range p.Beat.Free {
-			for i := range sum {
-				if sum[i].Service == f.Service {
-					sum[i].Free += f.Free
-					sum[i].Held += f.Held
-					sum[i].Warm += f.Warm
-				}
-			}
-		}
-	}
-	return sum
-}
-
 // serveHeartbeat answers a peer's heartbeat with this host's own.
 func (h *Host) serveHeartbeat(ctx context.Context, b member.Heartbeat, w *peer.Responder) {
 	// The time it took to come is not known, so that it proves that the
@@ -207,11 +187,9 @@
 
 // learn takes in what any heartbeat says.
 func (h *Host) learn(ctx context.Context, b member.Heartbeat) {
+	h.peers.Learn(b.Contacts)
+	h.peers.Update(func(p *member.Peers) { p.NoteSuccessors(b.Handovers, time.Now()) })
 	h.mu.Lock()
-	for _, c := range b.Contacts {
-		h.peers.Learn(c)
-	}
-	h.peers.NoteSuccessors(b.Handovers, time.Now())
 	newer := false
 	if b.Contact.Zone == h.self.Zone {
 		h.holder.Ack(b.Contact.Host, b.Incarnation, b.Acked)
@@ -261,14 +239,8 @@
 // tellZone sends a heartbeat to every known host of the zone at once, with
 // news that all of them wait for: an acknowledgement, a new epoch, a sign.
 func (h *Host) tellZone() {
-	h.mu.Lock()
-	var to []member.Contact
 	for _, p := range h.peers.Zone(h.self.Zone) {
-		to = append(to, p.Contact)
-	}
-	h.mu.Unlock()
-	for _, c := range to {
-		go h.beatOne(context.Background(), c)
+		go h.beatOne(context.Background(), p.Contact)
 	}
 }
 
@@ -276,7 +248,7 @@
 func (h *Host) refreshDeciders() {
 	frozen := h.Frozen()
 	now := time.Now()
-	zones := h.zoneReports(now)
+	zones := h.peers.ZoneReports(now)
 	for _, svc := range h.View().Services() {
 		s := h.services.Get(svc.Name)
 		held, out, latency := s.Usage()
@@ -285,54 +257,19 @@
 			d.SetFrozen(frozen)
 			d.Meter().Advance(now, frozen)
 			for _, z := range zones {
-				d.SetZone(z.zone, z.report(svc.Name), z.rtt, z.up)
+				d.SetZone(z.Zone, h.reportOf(z, svc.Name, now), z.RTT, z.Up)
 			}
 			d.Rank()
 		})
 	}
 }
 
-type zoneReport struct {
-	zone string
-	free []member.Free
-	at   int64
-	rtt  time.Duration
-	up   bool
-}
-
-func (z zoneReport) report(service string) steer.Report {
-	for _, f := range z.free {
+// reportOf gives what a zone reported of a service, by the host's clock.
+func (h *Host) reportOf(z peers.ZoneReport, service string, now time.Time) steer.Report {
+	for _, f := range z.Free {
 		if f.Service == service {
-			return steer.Report{Free: f.Free, Held: f.Warm, At: z.at}
+			return steer.Report{Free: f.Free, Held: f.Warm, At: h.now() - int64(now.Sub(z.At))}
 		}
 	}
 	return steer.Report{}
 }
-
-// zoneReports takes, for each other zone, the newest word of a host there.
-func (h *Host) zoneReports(now time.Time) []zoneReport {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	var out []zoneReport
-	for _, zone := range h.peers.Zones() {
-		if zone == h.self.Zone {
-			continue
-		}
-		z := zoneReport{zone: zone}
-		for _, p := range h.peers.Zone(zone) {
-			if !p.Up(now) {
-				continue
-			}
-			z.up = true
-			at := h.now() - int64(now.Sub(p.ToldAt))
-			if at > z.at {
-				z.at, z.free = at, p.Beat.ZoneFree
-			}
-			if z.rtt == 0 || (p.RTT > 0 && p.RTT < z.rtt) {
-				z.rtt = p.RTT
-			}
-		}
-		out = append(out, z)
-	}
-	return out
-}
--- a/internal/selector/entry/host.go
+++ b/internal/selector/entry/host.go
@@ -17,6 +17,7 @@
 	"cairndock/internal/peer"
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry/links"
+	"cairndock/internal/selector/entry/peers"
 	"cairndock/internal/selector/entry/services"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/roster"
@@ -75,7 +76,6 @@
 	ready   atomic.Bool
 
 	mu     sync.Mutex
-	peers  *member.Peers
 	holder *roster.Holder
 	acked  uint64
 	joined bool
@@ -91,6 +91,7 @@
 	platHost   map[string]store.State
 	goneAt     map[string]time.Time
 
+	peers    *peers.Table
 	services *services.Set
 
 	ticketsMu sync.Mutex
@@ -168,6 +169,7 @@
 		wake:        make(chan struct{}, 1),
 	}
 	h.self = member.Contact{Host: s.Host.Name, Zone: s.Host.Zone, PeerAddr: s.Peers.Advertise, CallerAddr: s.Callers.Advertise}
+	h.peers = peers.New(h.self)
 	h.client = upstream.New(o.DialUpstream, h.hear)
 	h.tickets = ticket.NewStore(s.Host.Name, s.Host.Zone, incarnation, ticket.NewKey())
 	h.holder = roster.NewHolder(s.Host.Name, incarnation, s.Host.Zone)
@@ -188,7 +190,7 @@
 	}
 	h.self.PeerAddr = settings.Default(h.self.PeerAddr, addr)
 	h.self.CallerAddr = settings.Default(h.self.CallerAddr, callerAddr)
-	h.peers = member.NewPeers(h.self)
+	h.peers.SetSelf(h.self)
 	h.validatedAt.Store(h.now())
 	h.contactAt.Store(h.now())
 	ctx, h.stop = context.WithCancel(ctx)
--- /dev/null
+++ b/internal/selector/entry/peers/peers.go
@@ -0,0 +1,296 @@
+// Package peers is what a host knows of the other entry hosts, for all of its
+// duties to read.
+//
+// It owns the member.Peers and their lock. Heartbeats, rosters and responses
+// of other hosts write it. No other lock is taken under its lock, but that of
+// the random source given to WithMostFree.
+package peers
+
+import (
+	"slices"
+	"sync"
+	"time"
+
+	"cairndock/internal/selector/member"
+)
+
+// Table is the other hosts as this host knows them.
+type Table struct {
+	zone string
+
+	mu    sync.Mutex
+	peers *member.Peers
+}
+
+// New makes a Table of a host that knows no other.
+func New(self member.Contact) *Table {
+	return &Table{zone: self.Zone, peers: member.NewPeers(self)}
+}
+
+// SetSelf starts the table over, once it is known how this host is reached.
+func (t *Table) SetSelf(self member.Contact) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.peers = member.NewPeers(self)
+}
+
+// Update runs f on the peers. It must not keep them.
+func (t *Table) Update(f func(p *member.Peers)) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	f(t.peers)
+}
+
+// Get gives a host.
+func (t *Table) Get(host string) (member.Peer, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.peers.Get(host)
+}
+
+// Zones gives the zones of the known hosts, by name.
+func (t *Table) Zones() []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return slices.Clone(t.peers.Zones())
+}
+
+// Zone gives the known hosts of a zone, by name.
+func (t *Table) Zone(zone string) []member.Peer {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.peers.Zone(zone)
+}
+
+// Contacts gives the hosts of a zone that may be named to others, this one
+// included unless it is leaving.
+func (t *Table) Contacts(zone string, selfLeaving bool) []member.Contact {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.peers.Contacts(zone, time.Now(), selfLeaving)
+}
+
+// ContactsByZone gives the contacts of every zone.
+func (t *Table) ContactsByZone(selfLeaving bool) map[string][]member.Contact {
+	now := time.Now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	out := map[string][]member.Contact{t.zone: t.peers.Contacts(t.zone, now, selfLeaving)}
+	for _, zone := range t.peers.Zones() {
+		out[zone] = t.peers.Contacts(zone, now, selfLeaving)
+	}
+	return out
+}
+
+// NearestContacts gives the contacts of all zones but this host, its own zone
+// first.
+func (t *Table) NearestContacts() []member.Contact {
+	now := time.Now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	out := t.peers.Contacts(t.zone, now, true)
+	for _, zone := range t.peers.Zones() {
+		if zone != t.zone {
+			out = append(out, t.peers.Contacts(zone, now, true)...)
+		}
+	}
+	return out
+}
+
+// OneOfEachZone gives one contact of each other zone.
+func (t *Table) OneOfEachZone() []member.Contact {
+	now := time.Now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var out []member.Contact
+	for _, zone := range t.peers.Zones() {
+		if zone == t.zone {
+			continue
+		}
+		if contacts := t.peers.Contacts(zone, now, false); len(contacts) > 0 {
+			out = append(out, contacts[0])
+		}
+	}
+	return out
+}
+
+// All gives how to reach every known host, answering or not.
+func (t *Table) All() []member.Contact {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var out []member.Contact
+	for _, zone := range t.peers.Zones() {
+		for _, p := range t.peers.Zone(zone) {
+			out = append(out, p.Contact)
+		}
+	}
+	return out
+}
+
+// Up gives the hosts of a zone that answer, by name.
+func (t *Table) Up(zone string) []member.Contact {
+	now := time.Now()
+	var out []member.Contact
+	for _, p := range t.Zone(zone) {
+		if p.Up(now) {
+			out = append(out, p.Contact)
+		}
+	}
+	return out
+}
+
+// UpNames gives the names of this host's zone that answer, with self first.
+func (t *Table) UpNames(self string) []string {
+	hosts := []string{self}
+	for _, c := range t.Up(t.zone) {
+		hosts = append(hosts, c.Host)
+	}
+	return hosts
+}
+
+// AnyUp reports whether any other host answers.
+func (t *Table) AnyUp() bool {
+	now := time.Now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, zone := range t.peers.Zones() {
+		for _, p := range t.peers.Zone(zone) {
+			if p.Up(now) {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// WithMostFree gives the host of a zone that reported most free slots for a
+// service, and whether there is one. In the own zone only a host with free
+// slots is worth a hop. Random, in [0, 1), spreads many askers over hosts that
+// are equal.
+func (t *Table) WithMostFree(zone, service string, random func() float64) (member.Contact, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := time.Now()
+	best, bestFree := member.Contact{}, -1.0
+	for _, p := range t.peers.Zone(zone) {
+		if !p.Up(now) {
+			continue
+		}
+		free := freeOf(p.Beat.Free, service)
+		if zone == t.zone && free <= 0 {
+			continue
+		}
+		if score := float64(free) + random(); score > bestFree {
+			best, bestFree = p.Contact, score
+		}
+	}
+	return best, bestFree >= 0
+}
+
+func freeOf(free []member.Free, service string) int {
+	n := 0
+	for _, f := range free {
+		if f.Service == service {
+			n = f.Free
+		}
+	}
+	return n
+}
+
+// ZoneFree sums the slots of this host's zone; own are this host's.
+func (t *Table) ZoneFree(own []member.Free) []member.Free {
+	now := time.Now()
+	sum := slices.Clone(own)
+	for _, p := range t.Zone(t.zone) {
+		if p.Up(now) {
+			addFree(sum, p.Beat.Free)
+		}
+	}
+	return sum
+}
+
+func addFree(sum, more []member.Free) {
+	for _, f := range more {
+		for i := range sum {
+			if sum[i].Service == f.Service {
+				sum[i].Free += f.Free
+				sum[i].Held += f.Held
+				sum[i].Warm += f.Warm
+			}
+		}
+	}
+}
+
+// ZoneReport is the newest that is known of another zone.
+type ZoneReport struct {
+	Zone string
+	// Free are the zone's slots, and At is when they were asked for.
+	Free []member.Free
+	At   time.Time
+	// RTT is the shortest round trip to a host of the zone; zero is unknown.
+	RTT time.Duration
+	// Up says that a host of the zone answers.
+	Up bool
+}
+
+// ZoneReports gives the newest report of each other zone.
+func (t *Table) ZoneReports(now time.Time) []ZoneReport {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var out []ZoneReport
+	for _, zone := range t.peers.Zones() {
+		if zone != t.zone {
+			out = append(out, newestReport(zone, t.peers.Zone(zone), now))
+		}
+	}
+	return out
+}
+
+func newestReport(zone string, hosts []member.Peer, now time.Time) ZoneReport {
+	z := ZoneReport{Zone: zone}
+	for _, p := range hosts {
+		if !p.Up(now) {
+			continue
+		}
+		z.Up = true
+		if p.ToldAt.After(z.At) {
+			z.At, z.Free = p.ToldAt, p.Beat.ZoneFree
+		}
+		if z.RTT == 0 || (p.RTT > 0 && p.RTT < z.RTT) {
+			z.RTT = p.RTT
+		}
+	}
+	return z
+}
+
+// Issuer finds the host that a ticket's request goes to: the one that the
+// stopped issuer handed its tickets to, else the issuer, else, with anyOfZone,
+// a host of the issuer's zone, which may know.
+func (t *Table) Issuer(host, incarnation, zone string, anyOfZone bool) (member.Contact, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if successor, ok := t.peers.Successor(incarnation); ok {
+		return successor, true
+	}
+	if p, ok := t.peers.Get(host); ok {
+		return p.Contact, true
+	}
+	if contacts := t.peers.Contacts(zone, time.Now(), true); anyOfZone && len(contacts) > 0 {
+		return contacts[0], true
+	}
+	return member.Contact{}, false
+}
+
+// Failed notes that a host did not answer.
+func (t *Table) Failed(host string) {
+	t.Update(func(p *member.Peers) { p.Failed(host, time.Now()) })
+}
+
+// Learn notes that hosts exist.
+func (t *Table) Learn(contacts []member.Contact) {
+	t.Update(func(p *member.Peers) {
+		for _, c := range contacts {
+			p.Learn(c)
+		}
+	})
+}
--- /dev/null
+++ b/internal/selector/entry/peers/peers_test.go
@@ -0,0 +1,105 @@
+package peers
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"cairndock/internal/selector/member"
+)
+
+func contact(host, zone string) member.Contact {
+	return member.Contact{Host: host, Zone: zone, PeerAddr: host + ":2"}
+}
+
+// newTable is the table of costa-a-1. Each report is a heartbeat, heard now.
+func newTable(reports ...member.Heartbeat) *Table {
+	t := New(contact("costa-a-1", "costa-a"))
+	for _, r := range reports {
+		t.Update(func(p *member.Peers) { p.Heard(r, time.Now(), time.Millisecond) })
+	}
+	return t
+}
+
+func report(host, zone string, free int) member.Heartbeat {
+	f := []member.Free{{Service: "planning", Free: free, Held: 4, Warm: 2}}
+	return member.Heartbeat{Contact: contact(host, zone), Free: f, ZoneFree: f, Slots: member.Pack(f), ZoneSlots: member.Pack(f)}
+}
+
+// TestWithMostFree: most free slots first; a full host is asked in another
+// zone, where its queue may have room, and not in the own zone.
+func TestWithMostFree(t *testing.T) {
+	leaving := report("costa-b-3", "costa-b", 9)
+	leaving.Leaving = true
+	table := newTable(
+		report("costa-a-2", "costa-a", 0),
+		report("costa-b-1", "costa-b", 1), report("costa-b-2", "costa-b", 3), leaving,
+		report("sierra-a-1", "sierra-a", 0),
+	)
+	for zone, want := range map[string]string{"costa-a": "", "costa-b": "costa-b-2", "sierra-a": "sierra-a-1", "nowhere": ""} {
+		t.Run(zone, func(t *testing.T) {
+			c, ok := table.WithMostFree(zone, "planning", func() float64 { return 0.5 })
+			require.Equal(t, want != "", ok)
+			require.Equal(t, want, c.Host)
+		})
+	}
+}
+
+// TestIssuer: the successor of a stopped issuer, else the issuer, else any
+// host of its zone.
+func TestIssuer(t *testing.T) {
+	handover := []member.Handover{{Incarnation: "stopped", Host: "costa-b-2"}}
+	table := newTable(report("costa-b-1", "costa-b", 1), report("costa-b-2", "costa-b", 1))
+	table.Update(func(p *member.Peers) { p.NoteSuccessors(handover, time.Now()) })
+	cases := []struct {
+		name, host, incarnation string
+		anyOfZone               bool
+		want                    string
+	}{
+		{"handed over", "costa-b-1", "stopped", true, "costa-b-2"},
+		{"known", "costa-b-1", "running", true, "costa-b-1"},
+		{"not known, first to ask", "costa-b-9", "running", true, "costa-b-1"},
+		{"not known, asked by another host", "costa-b-9", "running", false, ""},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			c, ok := table.Issuer(tc.host, tc.incarnation, "costa-b", tc.anyOfZone)
+			require.Equal(t, tc.want != "", ok)
+			require.Equal(t, tc.want, c.Host)
+		})
+	}
+}
+
+// TestZoneFreeSumsTheOwnZone: other zones' slots, and those of hosts that do
+// not answer, are not counted.
+func TestZoneFreeSumsTheOwnZone(t *testing.T) {
+	table := newTable(report("costa-a-2", "costa-a", 1), report("costa-a-3", "costa-a", 1), report("costa-b-1", "costa-b", 1))
+	table.Failed("costa-a-3")
+	own := []member.Free{{Service: "planning", Free: 2, Held: 4, Warm: 3}}
+	require.Equal(t, []member.Free{{Service: "planning", Free: 3, Held: 8, Warm: 5}}, table.ZoneFree(own))
+	require.Equal(t, 2, own[0].Free, "the argument is not changed")
+}
+
+// TestZoneReports: a zone is up while any of its hosts answers; the own zone
+// is not reported.
+func TestZoneReports(t *testing.T) {
+	table := newTable(report("costa-a-2", "costa-a", 1), report("costa-b-1", "costa-b", 1), report("sierra-a-1", "sierra-a", 1))
+	table.Failed("sierra-a-1")
+	up := map[string]bool{}
+	for _, z := range table.ZoneReports(time.Now()) {
+		up[z.Zone] = z.Up
+	}
+	require.Equal(t, map[string]bool{"costa-b": true, "sierra-a": false}, up)
+	require.True(t, table.AnyUp())
+	require.Equal(t, []string{"costa-a-1", "costa-a-2"}, table.UpNames("costa-a-1"))
+}
+
+// TestSetSelfStartsOver: the contacts name this host as it is reached.
+func TestSetSelfStartsOver(t *testing.T) {
+	table := newTable(report("costa-a-2", "costa-a", 1))
+	table.SetSelf(member.Contact{Host: "costa-a-1", Zone: "costa-a", PeerAddr: "late:2"})
+	require.Empty(t, table.All())
+	require.Equal(t, "late:2", table.Contacts("costa-a", false)[0].PeerAddr)
+	require.Empty(t, table.Contacts("costa-a", true), "a leaving host is not named")
+}
--- a/internal/selector/entry/progress.go
+++ b/internal/selector/entry/progress.go
@@ -81,28 +81,11 @@
 	} else {
 		h.adoptState(state)
 	}
-	for _, contact := range h.zoneContacts() {
+	for _, contact := range h.peers.OneOfEachZone() {
 		go h.push(context.WithoutCancel(ctx), contact, []config.Change{c})
 	}
 }
 
-// zoneContacts gives one host of each other zone.
-func (h *Host) zoneContacts() []member.Contact {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	now := time.Now()
-	var out []member.Contact
-	for _, zone := range h.peers.Zones() {
-		if zone == h.self.Zone {
-			continue
-		}
-		if contacts := h.peers.Contacts(zone, now, false); len(contacts) > 0 {
-			out = append(out, contacts[0])
-		}
-	}
-	return out
-}
-
 // await asks every zone until each has the revision in force, or can't be
 // asked and has frozen itself.
 func (h *Host) await(ctx context.Context, rev uint64, id string, accepted time.Time) Applied {
@@ -142,9 +125,7 @@
 	for _, z := range h.View().Zones() {
 		zones = append(zones, z.Name)
 	}
-	h.mu.Lock()
 	zones = append(zones, h.peers.Zones()...)
-	h.mu.Unlock()
 	slices.Sort(zones)
 	return slices.Compact(zones)
 }
@@ -153,10 +134,7 @@
 	if zone == h.self.Zone {
 		return h.ownProgress(rev)
 	}
-	h.mu.Lock()
-	contacts := h.peers.Contacts(zone, time.Now(), false)
-	h.mu.Unlock()
-	for _, c := range contacts {
+	for _, c := range h.peers.Contacts(zone, false) {
 		callCtx, cancel := context.WithTimeout(ctx, beatTimeout)
 		reply, err := peer.Call[ZoneProgress](callCtx, h.mesh, c.PeerAddr, peer.KindConfirm, rev)
 		cancel()
@@ -174,9 +152,8 @@
 	if h.View().Revision() < rev {
 		p.Lagging = append(p.Lagging, h.self.Host)
 	}
-	h.mu.Lock()
 	now := time.Now()
-	for _, m := range h.holder.Current().Members {
+	for _, m := range h.currentRoster().Members {
 		if m.Host == h.self.Host || m.State == roster.Gone {
 			continue
 		}
@@ -189,7 +166,6 @@
 			p.Lagging = append(p.Lagging, m.Host)
 		}
 	}
-	h.mu.Unlock()
 	p.Confirmed = len(p.Lagging) == 0
 	if !p.Confirmed {
 		h.askLagging(p.Lagging)
@@ -200,13 +176,9 @@
 // askLagging asks hosts that seem to lag for a heartbeat now.
 func (h *Host) askLagging(hosts []string) {
 	for _, host := range hosts {
-		h.mu.Lock()
 		p, ok := h.peers.Get(host)
-		h.mu.Unlock()
 		if ok && time.Since(p.AskedAt) > confirmPause {
-			h.mu.Lock()
-			h.peers.Asking(host, time.Now())
-			h.mu.Unlock()
+			h.peers.Update(func(p *member.Peers) { p.Asking(host, time.Now()) })
 			go h.beatOne(context.Background(), p.Contact)
 		}
 	}
--- a/internal/selector/entry/ready.go
+++ b/internal/selector/entry/ready.go
@@ -50,19 +50,5 @@
 		}
 		waits = waits || len(svc.Local) > 0
 	}
-	return !waits || h.hearsPeer(time.Now())
-}
-
-// hearsPeer reports whether any other host answers.
-func (h *Host) hearsPeer(now time.Time) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, zone := range h.peers.Zones() {
-		for _, p := range h.peers.Zone(zone) {
-			if p.Up(now) {
-				return true
-			}
-		}
-	}
-	return false
+	return !waits || h.peers.AnyUp()
 }
--- a/internal/selector/entry/region.go
+++ b/internal/selector/entry/region.go
@@ -1,8 +1,6 @@
 package entry
 
 import (
-	"time"
-
 	"cairndock/internal/selector/member"
 )
 
@@ -10,9 +8,7 @@
 // that has not reported yet counts as large as the own.
 func (h *Host) RegionHosts() int {
 	v := h.View()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	own := max(1, len(h.holder.Current().Members))
+	own := max(1, len(h.currentRoster().Members))
 	total := own
 	for _, z := range v.Zones() {
 		if z.Region != h.region || z.Name == h.self.Zone {
@@ -33,19 +29,12 @@
 // RegionPeers gives at most limit other hosts of the region that answer.
 func (h *Host) RegionPeers(limit int) []member.Contact {
 	v := h.View()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	now := time.Now()
 	var out []member.Contact
 	for _, zone := range h.peers.Zones() {
 		if v.Region(zone) != h.region {
 			continue
 		}
-		for _, p := range h.peers.Zone(zone) {
-			if p.Up(now) && len(out) < limit {
-				out = append(out, p.Contact)
-			}
-		}
+		out = append(out, h.peers.Up(zone)...)
 	}
-	return out
+	return out[:min(limit, len(out))]
 }
--- a/internal/selector/entry/rosterloop.go
+++ b/internal/selector/entry/rosterloop.go
@@ -144,8 +144,6 @@
 	if err != nil {
 		return eris.Wrap(err, "read rosters")
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
 	for _, row := range rows {
 		r, err := peer.Decode[roster.Roster](row.Body)
 		if err != nil {
@@ -157,25 +155,23 @@
 }
 
 func (h *Host) missesZone() bool {
-	zones := h.knownZones()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	now := time.Now()
-	for _, zone := range zones {
-		if zone != h.self.Zone && len(h.peers.Contacts(zone, now, false)) == 0 {
+	for _, zone := range h.knownZones() {
+		if zone != h.self.Zone && len(h.peers.Contacts(zone, false)) == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// learnRoster notes the hosts of a roster; h.mu is held.
+// learnRoster notes the hosts of a roster.
 func (h *Host) learnRoster(r roster.Roster) {
+	var contacts []member.Contact
 	for _, m := range r.Members {
 		if m.State != roster.Gone {
-			h.peers.Learn(member.Contact{Host: m.Host, Zone: r.Zone, PeerAddr: m.PeerAddr, CallerAddr: m.CallerAddr})
+			contacts = append(contacts, member.Contact{Host: m.Host, Zone: r.Zone, PeerAddr: m.PeerAddr, CallerAddr: m.CallerAddr})
 		}
 	}
+	h.peers.Learn(contacts)
 }
 
 func (h *Host) hasJoined() bool {
@@ -187,9 +183,7 @@
 // isPoller reports whether this host is among the first of its zone that
 // answer, in an order that differs from zone to zone.
 func (h *Host) isPoller() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	ranked := roster.Rank("poll:"+h.self.Zone, h.upInZone())
+	ranked := roster.Rank("poll:"+h.self.Zone, h.peers.UpNames(h.self.Host))
 	for _, host := range ranked[:min(pollers, len(ranked))] {
 		if host == h.self.Host {
 			return true
@@ -198,18 +192,6 @@
 	return false
 }
 
-// upInZone gives the zone's hosts that answer, this one first; h.mu is held.
-func (h *Host) upInZone() []string {
-	now := time.Now()
-	hosts := []string{h.self.Host}
-	for _, p := range h.peers.Zone(h.self.Zone) {
-		if p.Up(now) {
-			hosts = append(hosts, p.Contact.Host)
-		}
-	}
-	return hosts
-}
-
 func rosterKey(zone string) store.Key {
 	return store.Key{Partition: partitionRoster, Sort: zone}
 }
@@ -238,9 +220,9 @@
 // see takes a roster in and works out what it changes.
 func (h *Host) see(r roster.Roster) {
 	now := time.Now()
+	h.learnRoster(r)
 	h.mu.Lock()
 	fresh := h.holder.See(r, now)
-	h.learnRoster(r)
 	for _, m := range r.Members {
 		if _, seen := h.goneAt[m.Host]; m.State == roster.Gone && !seen {
 			h.goneAt[m.Host] = now
@@ -279,10 +261,7 @@
 	if _, _, err := h.readRoster(ctx); err == nil {
 		return true
 	}
-	h.mu.Lock()
-	others := h.peers.Zone(h.self.Zone)
-	h.mu.Unlock()
-	for _, p := range others {
+	for _, p := range h.peers.Zone(h.self.Zone) {
 		callCtx, cancel := context.WithTimeout(ctx, beatTimeout)
 		r, err := peer.Call[roster.Roster](callCtx, h.mesh, p.Contact.PeerAddr, peer.KindRoster, h.self.Zone)
 		cancel()
--- a/internal/selector/entry/serve.go
+++ b/internal/selector/entry/serve.go
@@ -6,6 +6,7 @@
 	"cairndock/internal/peer"
 	"cairndock/internal/selector/entry/links"
 	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/roster"
 	"cairndock/internal/selector/ticket"
 )
 
@@ -58,8 +59,11 @@
 func reply(w *peer.Responder, message any) { _ = w.Send(message) }
 
 func (h *Host) serveRoster(w *peer.Responder) {
+	reply(w, h.currentRoster())
+}
+
+func (h *Host) currentRoster() roster.Roster {
 	h.mu.Lock()
-	r := h.holder.Current()
-	h.mu.Unlock()
-	_ = w.Send(r)
+	defer h.mu.Unlock()
+	return h.holder.Current()
 }
--- a/internal/selector/entry/signs.go
+++ b/internal/selector/entry/signs.go
@@ -120,9 +120,7 @@
 
 // probed gives the upstreams that fall to this host to probe.
 func (h *Host) probed() []config.Upstream {
-	h.mu.Lock()
-	hosts := h.upInZone()
-	h.mu.Unlock()
+	hosts := h.peers.UpNames(h.self.Host)
 	var out []config.Upstream
 	probing := map[string]struct{}{}
 	for _, svc := range h.View().Services() {
--- a/internal/selector/entry/spread.go
+++ b/internal/selector/entry/spread.go
@@ -44,16 +44,11 @@
 }
 
 func (h *Host) pushTargets(rev uint64) []member.Contact {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	now := time.Now()
 	contacts := map[string]member.Contact{h.self.Host: h.self}
 	names := []string{h.self.Host}
-	for _, p := range h.peers.Zone(h.self.Zone) {
-		if p.Up(now) {
-			contacts[p.Contact.Host] = p.Contact
-			names = append(names, p.Contact.Host)
-		}
+	for _, c := range h.peers.Up(h.self.Zone) {
+		contacts[c.Host] = c
+		names = append(names, c.Host)
 	}
 	ranked := roster.Rank("push:"+strconv.FormatUint(rev, 10), names)
 	place := slices.Index(ranked, h.self.Host)
@@ -78,9 +73,7 @@
 		h.log.Debug().Str("peer", to.Host).Err(err).Msg("config: push failed")
 		return
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.peers.NoteRevision(to.Host, reply.Revision)
+	h.peers.Update(func(p *member.Peers) { p.NoteRevision(to.Host, reply.Revision) })
 }
 
 func (h *Host) servePush(ctx context.Context, from peer.Hello, msg pushMsg, w *peer.Responder) {
@@ -92,10 +85,7 @@
 }
 
 func (h *Host) fetchChangesFrom(ctx context.Context, host string) {
-	h.mu.Lock()
-	p, ok := h.peers.Get(host)
-	h.mu.Unlock()
-	if ok {
+	if p, ok := h.peers.Get(host); ok {
 		h.fetchChanges(ctx, p.Contact)
 	}
 }
--- a/internal/selector/entry/status.go
+++ b/internal/selector/entry/status.go
@@ -111,13 +111,11 @@
 
 func (h *Host) zoneStatus(v *config.View, zone string, free []member.Free) ZoneStatus {
 	z := ZoneStatus{Zone: zone, Region: v.Region(zone), Slots: v.ZoneSlots()[zone]}
-	h.mu.Lock()
-	defer h.mu.Unlock()
 	now := time.Now()
 	if zone == h.self.Zone {
 		z.Hosts, z.Up, z.Revision = 1, 1, v.Revision()
 		z.FreshMillis = (h.now() - h.freshAt.Load()) / int64(time.Millisecond)
-		z.add(h.zoneFree(free, now))
+		z.add(h.peers.ZoneFree(free))
 	}
 	newest := time.Time{}
 	for _, p := range h.peers.Zone(zone) {
--- a/internal/selector/entry/stop.go
+++ b/internal/selector/entry/stop.go
@@ -54,12 +54,8 @@
 
 // tellAll sends a heartbeat to every known host at once.
 func (h *Host) tellAll() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, zone := range h.peers.Zones() {
-		for _, p := range h.peers.Zone(zone) {
-			go h.beatOne(context.Background(), p.Contact)
-		}
+	for _, c := range h.peers.All() {
+		go h.beatOne(context.Background(), c)
 	}
 }
 
--- a/internal/selector/entry/tickets.go
+++ b/internal/selector/entry/tickets.go
@@ -49,7 +49,7 @@
 // askMinter passes a ticket's request to its minter, or to a host of the
 // minter's zone, which knows it and passes it on once.
 func (h *Host) askMinter(ctx context.Context, t ticket.Ticket, req *call.Request, passed bool) (*call.Answer, error) {
-	to, ok := h.minterOf(t, passed)
+	to, ok := h.peers.Issuer(t.Host, t.Incarnation, t.Zone, !passed)
 	if !ok {
 		return nil, verdict.New(verdict.MayHaveRun, verdict.TicketUnknown, "the ticket's host %s can't be reached", t.Host)
 	}
@@ -68,24 +68,6 @@
 	return h.adopted[t.Incarnation]
 }
 
-// minterOf finds the host that minted a ticket, or the one that a leaving
-// minter handed its tickets to; where neither is known, one of its zone,
-// unless this host was asked as such.
-func (h *Host) minterOf(t ticket.Ticket, passed bool) (member.Contact, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if successor, ok := h.peers.Successor(t.Incarnation); ok {
-		return successor, true
-	}
-	if p, ok := h.peers.Get(t.Host); ok {
-		return p.Contact, true
-	}
-	if contacts := h.peers.Contacts(t.Zone, time.Now(), true); !passed && len(contacts) > 0 {
-		return contacts[0], true
-	}
-	return member.Contact{}, false
-}
-
 // useTicket runs a ticket's request, or gives what became of it.
 func (h *Host) useTicket(ctx context.Context, store *ticket.Store, t ticket.Ticket, req *call.Request) (*call.Answer, error) {
 	digest := ticket.DigestOf(req.Service, req.Method, req.Target, req.Body)
@@ -222,7 +204,7 @@
 	h.tickets.Seal()
 	h.ticketsMu.Unlock()
 	first := true
-	for _, to := range h.successors() {
+	for _, to := range h.peers.NearestContacts() {
 		h.ticketsMu.Lock()
 		all := []ticket.Handover{h.tickets.Handover(first)}
 		for _, s := range h.adopted {
@@ -242,21 +224,6 @@
 	return false
 }
 
-// successors gives the hosts that may take this host's tickets, those of the own
-// zone first.
-func (h *Host) successors() []member.Contact {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	now := time.Now()
-	out := h.peers.Contacts(h.self.Zone, now, true)
-	for _, zone := range h.peers.Zones() {
-		if zone != h.self.Zone {
-			out = append(out, h.peers.Contacts(zone, now, true)...)
-		}
-	}
-	return out
-}
-
 // serveHandover goes on for another host's tickets and tells everybody.
 func (h *Host) serveHandover(stores []ticket.Handover, w *peer.Responder) {
 	h.ticketsMu.Lock()
