--- a/internal/selector/entry/capacity.go
+++ b/internal/selector/entry/capacity.go
@@ -1,15 +1,24 @@
 package entry
 
 import (
+	"context"
 	"time"
 
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry/services"
 	"cairndock/internal/selector/slot"
 	"cairndock/internal/selector/steer"
-	"cairndock/internal/selector/store"
 )
 
+// upstreamsChanged applies a change of an upstream's state that this host saw
+// first, and reports it to the zone at once.
+func (h *Host) upstreamsChanged() {
+	h.reconfigure()
+	h.tellZone()
+}
+
+func (h *Host) probeLoop(ctx context.Context) { h.upstreams.ProbeLoop(ctx, h.client) }
+
 // reconfigure works out anew what the host may use, after a change of the
 // configuration, the roster or an upstream's state.
 func (h *Host) reconfigure() {
@@ -36,24 +45,11 @@
 	specs := make([]slot.Spec, 0, len(svc.Local))
 	for _, u := range svc.Local {
 		held := h.holder.Held(u.Name, u.Slots, time.Duration(svc.MaxTimeout), now)
-		specs = append(specs, slot.Spec{Name: u.Name, Held: held.Count(), Leaving: h.isLeaving(u)})
+		specs = append(specs, slot.Spec{Name: u.Name, Held: held.Count(), Leaving: h.upstreams.Leaving(u)})
 	}
 	return specs
 }
 
-// isLeaving puts the three signs together: the configuration, the
-// platform's host list and the upstream's own word. h.mu is held.
-func (h *Host) isLeaving(u config.Upstream) bool {
-	if u.State == config.StateLeaving {
-		return true
-	}
-	if state := h.platHost[u.Name]; state == store.Leaving || state == store.Gone {
-		return true
-	}
-	_, departed := h.departed[instanceKey{u.Name, h.instances[u.Name]}]
-	return departed
-}
-
 // ruleSpecs gives the host's part of each rule's limits; h.mu is held.
 func (h *Host) ruleSpecs(svc *config.ServiceView, now time.Time) []slot.RuleSpec {
 	longest := time.Duration(svc.MaxTimeout)
--- a/internal/selector/entry/dispatch.go
+++ b/internal/selector/entry/dispatch.go
@@ -15,6 +15,7 @@
 	"cairndock/internal/selector/entry/services"
 	"cairndock/internal/selector/slot"
 	"cairndock/internal/selector/steer"
+	"cairndock/internal/selector/upstream"
 	"cairndock/internal/verdict"
 )
 
@@ -397,3 +398,11 @@
 	}
 	return answer, nil
 }
+
+func (h *Host) target(service, name string) (upstream.Target, bool) {
+	u, ok := h.View().LocalUpstream(name)
+	if !ok || u.Service != service {
+		return upstream.Target{}, false
+	}
+	return upstream.Target{Name: u.Name, Zone: u.Zone, Addr: u.Addr}, true
+}
--- a/internal/selector/entry/drain.go
+++ b/internal/selector/entry/drain.go
@@ -84,10 +84,7 @@
 		if !ok {
 			continue
 		}
-		h.mu.Lock()
-		leaving := h.isLeaving(u)
-		h.mu.Unlock()
-		if !leaving {
+		if !h.upstreams.Leaving(u) {
 			d.Taking++
 		}
 		h.services.Get(u.Service).Gate.Do(func(p *slot.Pool) { d.Outstanding += p.Outstanding(name) })
--- a/internal/selector/entry/heartbeat.go
+++ b/internal/selector/entry/heartbeat.go
@@ -159,7 +159,7 @@
 		Leaving: h.leaving.Load(), ZoneHosts: len(h.holder.Current().Active()), Handovers: handovers,
 	}
 	if zone == h.self.Zone {
-		b.Signs = h.ownSigns()
+		b.Signs = h.upstreams.Signs()
 	}
 	return b
 }
@@ -195,12 +195,8 @@
 		h.holder.Ack(b.Contact.Host, b.Incarnation, b.Acked)
 		newer = b.Epoch > h.holder.Current().Epoch
 	}
-	signed := false
-	for _, s := range b.Signs {
-		signed = h.noteSign(s) || signed
-	}
 	h.mu.Unlock()
-	if signed {
+	if h.upstreams.Merge(b.Signs) {
 		h.reconfigure()
 	}
 	if newer {
--- a/internal/selector/entry/host.go
+++ b/internal/selector/entry/host.go
@@ -19,6 +19,7 @@
 	"cairndock/internal/selector/entry/links"
 	"cairndock/internal/selector/entry/peers"
 	"cairndock/internal/selector/entry/services"
+	"cairndock/internal/selector/entry/upstreams"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/roster"
 	"cairndock/internal/selector/store"
@@ -49,9 +50,6 @@
 	Seed uint64
 }
 
-// instanceKey is one instance of an upstream.
-type instanceKey struct{ upstream, instance string }
-
 // Host is one entry host.
 type Host struct {
 	opts        Options
@@ -79,20 +77,15 @@
 	holder *roster.Holder
 	acked  uint64
 	joined bool
-	// instances holds each upstream's instance last seen, and departed the
-	// instances that are known to leave. An instance never comes back.
-	instances map[string]string
-	departed  map[instanceKey]struct{}
-	probing   map[string]struct{} // upstreams that this host probes
 	// settleStep is the last step seen of the holder on its way to settle.
 	settleStep int
 	// configured is the roster epoch that the gates were configured by.
 	configured uint64
-	platHost   map[string]store.State
 	goneAt     map[string]time.Time
 
-	peers    *peers.Table
-	services *services.Set
+	peers     *peers.Table
+	services  *services.Set
+	upstreams *upstreams.Tracker
 
 	ticketsMu sync.Mutex
 	tickets   *ticket.Store
@@ -159,10 +152,6 @@
 		configLog:   config.NewLog(o.Table, o.Objects),
 		limiter:     rate.NewLimiter(rate.Limit(s.Platform.CallsPerSecond), platformBurst),
 		random:      &lockedRand{r: rand.New(rand.NewPCG(o.Seed, uint64(len(s.Host.Name))))},
-		instances:   map[string]string{},
-		departed:    map[instanceKey]struct{}{},
-		probing:     map[string]struct{}{},
-		platHost:    map[string]store.State{},
 		goneAt:      map[string]time.Time{},
 		adopted:     map[string]*ticket.Store{},
 		adoptedAt:   map[string]time.Time{},
@@ -170,12 +159,16 @@
 	}
 	h.self = member.Contact{Host: s.Host.Name, Zone: s.Host.Zone, PeerAddr: s.Peers.Advertise, CallerAddr: s.Callers.Advertise}
 	h.peers = peers.New(h.self)
-	h.client = upstream.New(o.DialUpstream, h.hear)
+	h.services = services.NewSet(h.View, h.random.Float64)
+	h.upstreams = upstreams.New(upstreams.Options{
+		Host: s.Host.Name, View: h.View, Services: h.services, Peers: h.peers,
+		Answered: h.heard, Changed: h.upstreamsChanged, Log: h.log,
+	})
+	h.client = upstream.New(o.DialUpstream, h.upstreams.Observe)
 	h.tickets = ticket.NewStore(s.Host.Name, s.Host.Zone, incarnation, ticket.NewKey())
 	h.holder = roster.NewHolder(s.Host.Name, incarnation, s.Host.Zone)
 	hello := peer.Hello{Host: s.Host.Name, Zone: s.Host.Zone, Incarnation: incarnation}
 	h.mesh = peer.NewMesh(hello, o.Transport, h)
-	h.services = services.NewSet(h.View, h.random.Float64)
 	h.links = links.New(links.Options{Host: s.Host.Name, Region: h.region, View: h.View, Hosts: h, Mesh: h.mesh})
 	h.view.Store(config.NewView(config.NewState(), s.Host.Zone))
 	return h, nil
--- a/internal/selector/entry/rosterdead.go
+++ b/internal/selector/entry/rosterdead.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return eris.Wrap(err, "read host list")
 	}
-	h.noteHosts(hosts)
+	h.upstreams.MergeList(hosts)
 	listed := map[string]store.State{}
 	for _, s := range hosts {
 		listed[s.Name] = s.State
@@ -66,7 +66,7 @@
 func (h *Host) isGone(host string, listed map[string]store.State) bool {
 	silence := member.LostAfter
 	state, named := listed[host]
-	if _, before := h.platHost[host]; !named && !before {
+	if !named && !h.upstreams.Listed(host) {
 		silence = unlistedAfter
 	}
 	if named && state != store.Gone {
--- a/internal/selector/entry/status.go
+++ b/internal/selector/entry/status.go
@@ -90,7 +90,7 @@
 	s.Roster, s.Settled = h.holder.Current(), h.holder.Settled()
 	for _, svc := range v.Services() {
 		for _, u := range svc.Local {
-			if h.isLeaving(u) {
+			if h.upstreams.Leaving(u) {
 				s.Leavers = append(s.Leavers, u.Name)
 			}
 		}
