--- a/internal/selector/entry/configloop.go
+++ b/internal/selector/entry/configloop.go
@@ -8,6 +8,7 @@
 
 	"cairndock/internal/pause"
 	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/platformcalls"
 )
 
 const (
@@ -22,7 +23,7 @@
 
 // platformLoop looks for new changes and proves that there are none.
 func (h *Host) platformLoop(ctx context.Context) {
-	retry := newBackoff()
+	retry := platformcalls.NewBackoff()
 	failing := false
 	for {
 		wait := h.pollWait()
@@ -62,7 +63,7 @@
 		return h.loadAll(ctx, began)
 	}
 	var headRev uint64
-	err := h.call(ctx, func(ctx context.Context) (err error) {
+	err := h.platform.Do(ctx, func(ctx context.Context) (err error) {
 		headRev, err = h.configLog.Head(ctx)
 		return err
 	})
@@ -80,7 +81,7 @@
 
 func (h *Host) readLog(ctx context.Context) error {
 	var changes []config.Change
-	err := h.call(ctx, func(ctx context.Context) (err error) {
+	err := h.platform.Do(ctx, func(ctx context.Context) (err error) {
 		changes, err = h.configLog.Since(ctx, h.View().Revision())
 		return err
 	})
@@ -95,8 +96,8 @@
 
 // loadAll reads the newest snapshot and what came after it.
 func (h *Host) loadAll(ctx context.Context, began int64) error {
-	if err := h.limiter.Wait(ctx); err != nil {
-		return eris.Wrap(err, "wait for the platform's rate")
+	if err := h.platform.Wait(ctx); err != nil {
+		return err
 	}
 	s, err := h.configLog.Load(ctx)
 	if err != nil {
@@ -157,7 +158,7 @@
 	if rev == 0 || rev%snapshotEvery != 0 {
 		return nil
 	}
-	return h.call(ctx, func(ctx context.Context) error {
+	return h.platform.Do(ctx, func(ctx context.Context) error {
 		return h.configLog.SaveSnapshot(ctx, h.View().State())
 	})
 }
--- a/internal/selector/entry/dispatch.go
+++ b/internal/selector/entry/dispatch.go
@@ -364,7 +364,7 @@
 	gate := h.services.Get(name).Gate
 	lease, refusal := gate.Acquire(ctx, rule, until)
 	// Only now, as the host may have been paused while the request waited.
-	if refusal == slot.Granted && !h.validated() {
+	if refusal == slot.Granted && !h.fence.Open() {
 		gate.Release(lease, slot.Unused, 0)
 		return lease, verdict.New(verdict.NotRun, verdict.NotReady, "host was paused").WithRetryAfter(comeBack)
 	}
--- a/internal/selector/entry/export_test.go
+++ b/internal/selector/entry/export_test.go
@@ -15,7 +15,7 @@
 const Tick = tick
 
 // Validated reports whether the host may send new work to upstreams.
-func (h *Host) Validated() bool { return h.validated() }
+func (h *Host) Validated() bool { return h.fence.Open() }
 
 // CanSend reports whether the host has somewhere to send requests to.
 func (h *Host) CanSend() bool { return h.canSend() }
--- a/internal/selector/entry/heartbeat.go
+++ b/internal/selector/entry/heartbeat.go
@@ -32,7 +32,7 @@
 }
 
 func (h *Host) turn(ctx context.Context) {
-	h.keepValidated(ctx)
+	h.fence.Tick(ctx, h.revalidate)
 	now := time.Now()
 	due, alone := h.takeDue(now)
 	for _, c := range due {
@@ -94,7 +94,7 @@
 		}
 		return
 	}
-	h.heard()
+	h.fence.Answered()
 	h.unpack(&reply)
 	h.peers.Update(func(p *member.Peers) { p.Spent(size) })
 	h.takeIn(reply, asked, time.Since(asked))
--- a/internal/selector/entry/host.go
+++ b/internal/selector/entry/host.go
@@ -12,12 +12,13 @@
 	"github.com/oklog/ulid/v2"
 	"github.com/rs/zerolog"
 	"go.opentelemetry.io/otel/trace"
-	"golang.org/x/time/rate"
 
 	"cairndock/internal/peer"
 	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/fence"
 	"cairndock/internal/selector/entry/links"
 	"cairndock/internal/selector/entry/peers"
+	"cairndock/internal/selector/entry/platformcalls"
 	"cairndock/internal/selector/entry/services"
 	"cairndock/internal/selector/entry/upstreams"
 	"cairndock/internal/selector/member"
@@ -63,7 +64,6 @@
 	mesh        *peer.Mesh
 	client      *upstream.Client
 	configLog   *config.Log
-	limiter     *rate.Limiter
 	random      *lockedRand
 
 	view atomic.Pointer[config.View]
@@ -86,6 +86,8 @@
 	peers     *peers.Table
 	services  *services.Set
 	upstreams *upstreams.Tracker
+	fence     *fence.Fence
+	platform  *platformcalls.Caller
 
 	ticketsMu sync.Mutex
 	tickets   *ticket.Store
@@ -95,15 +97,10 @@
 
 	links *links.Links
 
-	// validatedAt is when the host's loop last turned with its slots known to be
-	// its own, and contactAt when anyone last answered; as read by now.
-	validatedAt  atomic.Int64
-	contactAt    atomic.Int64
-	revalidating atomic.Bool
-	leaving      atomic.Bool
-	inFlight     atomic.Int64
-	entries      entriesCache
-	wake         chan struct{}
+	leaving  atomic.Bool
+	inFlight atomic.Int64
+	entries  entriesCache
+	wake     chan struct{}
 
 	stop context.CancelFunc
 	wait sync.WaitGroup
@@ -123,14 +120,6 @@
 const (
 	// tick is the pace of the host's own loop.
 	tick = 250 * time.Millisecond
-	// maxPause is the longest gap between two turns of the loop before the
-	// host takes itself for paused and asks anew what it may still do.
-	maxPause = 2 * time.Second
-	// maxIsolation is the longest silence of peers, platform and upstreams
-	// all together before the host takes itself for cut off from everything.
-	// It is below member.LostAfter, the silence after which a host that the
-	// platform calls gone loses its slots.
-	maxIsolation = 4 * time.Second
 	// FreezeAfter is the age of the last proof that the configuration is
 	// the newest, after which the host freezes: ramps stand still and the
 	// own zone goes first.
@@ -150,7 +139,6 @@
 		tracer:      telemetry.Tracer(o.Traces),
 		metrics:     telemetry.NewMetrics(),
 		configLog:   config.NewLog(o.Table, o.Objects),
-		limiter:     rate.NewLimiter(rate.Limit(s.Platform.CallsPerSecond), platformBurst),
 		random:      &lockedRand{r: rand.New(rand.NewPCG(o.Seed, uint64(len(s.Host.Name))))},
 		goneAt:      map[string]time.Time{},
 		adopted:     map[string]*ticket.Store{},
@@ -158,11 +146,13 @@
 		wake:        make(chan struct{}, 1),
 	}
 	h.self = member.Contact{Host: s.Host.Name, Zone: s.Host.Zone, PeerAddr: s.Peers.Advertise, CallerAddr: s.Callers.Advertise}
+	h.fence = fence.New(h.now)
+	h.platform = platformcalls.New(s.Platform.CallsPerSecond, h.metrics, h.fence.Answered)
 	h.peers = peers.New(h.self)
 	h.services = services.NewSet(h.View, h.random.Float64)
 	h.upstreams = upstreams.New(upstreams.Options{
 		Host: s.Host.Name, View: h.View, Services: h.services, Peers: h.peers,
-		Answered: h.heard, Changed: h.upstreamsChanged, Log: h.log,
+		Answered: h.fence.Answered, Changed: h.upstreamsChanged, Log: h.log,
 	})
 	h.client = upstream.New(o.DialUpstream, h.upstreams.Observe)
 	h.tickets = ticket.NewStore(s.Host.Name, s.Host.Zone, incarnation, ticket.NewKey())
@@ -184,8 +174,7 @@
 	h.self.PeerAddr = settings.Default(h.self.PeerAddr, addr)
 	h.self.CallerAddr = settings.Default(h.self.CallerAddr, callerAddr)
 	h.peers.SetSelf(h.self)
-	h.validatedAt.Store(h.now())
-	h.contactAt.Store(h.now())
+	h.fence.Start()
 	ctx, h.stop = context.WithCancel(ctx)
 	h.registerMetrics()
 	for _, loop := range []func(context.Context){h.beatLoop, h.platformLoop, h.probeLoop, h.rosterLoop} {
@@ -199,6 +188,10 @@
 	return nil
 }
 
+// Distrust makes the host ask for its zone's roster before it sends anything
+// more, as it does when its own loop shows that it was paused.
+func (h *Host) Distrust() { h.fence.Close() }
+
 // Close stops the host at once.
 func (h *Host) Close() {
 	if h.stop != nil {
--- a/internal/selector/entry/progress.go
+++ b/internal/selector/entry/progress.go
@@ -6,8 +6,6 @@
 	"sync"
 	"time"
 
-	"github.com/rotisserie/eris"
-
 	"cairndock/internal/pause"
 	"cairndock/internal/peer"
 	"cairndock/internal/selector/config"
@@ -54,8 +52,8 @@
 func (h *Host) Apply(ctx context.Context, c config.Change, wait time.Duration) (Applied, error) {
 	appendCtx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	if err := h.limiter.Wait(appendCtx); err != nil {
-		return Applied{}, eris.Wrap(err, "wait for the platform's rate")
+	if err := h.platform.Wait(appendCtx); err != nil {
+		return Applied{}, err
 	}
 	state, rev, err := h.configLog.Append(appendCtx, h.View().State(), c)
 	if err != nil {
@@ -188,7 +186,7 @@
 func (h *Host) ChangeProgress(ctx context.Context, id string) (Applied, bool, error) {
 	var rev uint64
 	var found bool
-	err := h.call(ctx, func(ctx context.Context) (err error) {
+	err := h.platform.Do(ctx, func(ctx context.Context) (err error) {
 		rev, found, err = h.configLog.ByID(ctx, id)
 		return err
 	})
--- a/internal/selector/entry/rosterdead.go
+++ b/internal/selector/entry/rosterdead.go
@@ -15,7 +15,7 @@
 // roster that it says are gone and that are silent as well.
 func (h *Host) lookAtHosts(ctx context.Context) error {
 	var hosts []store.HostState
-	err := h.call(ctx, func(ctx context.Context) (err error) {
+	err := h.platform.Do(ctx, func(ctx context.Context) (err error) {
 		hosts, err = h.opts.Hosts.Hosts(ctx)
 		return err
 	})
--- a/internal/selector/entry/rosterjoin.go
+++ b/internal/selector/entry/rosterjoin.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	err = h.call(ctx, func(ctx context.Context) error {
+	err = h.platform.Do(ctx, func(ctx context.Context) error {
 		return h.opts.Table.Transact(ctx, []store.Write{{Key: rosterKey(r.Zone), IfVersion: version, Body: body}})
 	})
 	if err != nil {
--- a/internal/selector/entry/rosterloop.go
+++ b/internal/selector/entry/rosterloop.go
@@ -5,11 +5,11 @@
 	"errors"
 	"time"
 
-	"github.com/cenkalti/backoff/v5"
 	"github.com/rotisserie/eris"
 
 	"cairndock/internal/pause"
 	"cairndock/internal/peer"
+	"cairndock/internal/selector/entry/platformcalls"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/roster"
 	"cairndock/internal/selector/store"
@@ -30,12 +30,8 @@
 	// stays in the roster.
 	deadMargin = 2 * time.Second
 	// pollers is how many hosts of a zone look at the platform for all.
-	pollers = 2
-	// platformBurst is how many platform calls a host may make at once.
-	platformBurst = 10
-	// platformTimeout bounds one call to the platform.
-	platformTimeout = 2 * time.Second
-	maxRosterRows   = 1000
+	pollers       = 2
+	maxRosterRows = 1000
 	// memberBytes is about the size of one member in a roster's row.
 	memberBytes = 110
 	// discoverInterval is the time between the first two looks at all zones'
@@ -49,33 +45,9 @@
 	rosterBytes = 2000
 )
 
-// call makes one call to the platform, within the host's own rate.
-func (h *Host) call(ctx context.Context, f func(ctx context.Context) error) error {
-	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
-	defer cancel()
-	if err := h.limiter.Wait(ctx); err != nil {
-		return eris.Wrap(err, "wait for the platform's rate")
-	}
-	h.metrics.Count("cairndock_platform_calls_total")
-	err := f(ctx)
-	if err != nil && !errors.Is(err, store.ErrNotFound) && !errors.Is(err, store.ErrConflict) {
-		h.metrics.Count("cairndock_platform_failures_total")
-		return err
-	}
-	h.heard()
-	return err
-}
-
-func newBackoff() *backoff.ExponentialBackOff {
-	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = 250 * time.Millisecond
-	b.MaxInterval = 5 * time.Second
-	return b
-}
-
 // rosterLoop joins the zone's roster, follows it and takes dead members out.
 func (h *Host) rosterLoop(ctx context.Context) {
-	retry := newBackoff()
+	retry := platformcalls.NewBackoff()
 	var looked looks
 	for {
 		err := h.rosterTurn(ctx, &looked)
@@ -137,7 +109,7 @@
 	looked.zones = time.Now()
 	looked.every = max(discoverInterval, min(2*looked.every, maxDiscover))
 	var rows []store.Row
-	err := h.call(ctx, func(ctx context.Context) (err error) {
+	err := h.platform.Do(ctx, func(ctx context.Context) (err error) {
 		rows, err = h.opts.Table.List(ctx, partitionRoster, "", maxRosterRows)
 		return err
 	})
@@ -199,7 +171,7 @@
 // readRoster reads the zone's roster and takes it in.
 func (h *Host) readRoster(ctx context.Context) (roster.Roster, int64, error) {
 	var row store.Row
-	err := h.call(ctx, func(ctx context.Context) (err error) {
+	err := h.platform.Do(ctx, func(ctx context.Context) (err error) {
 		row, err = h.opts.Table.Get(ctx, rosterKey(h.self.Zone))
 		return err
 	})
