--- /dev/null
+++ b/internal/selector/entry/api.go
@@ -0,0 +1,39 @@
+package entry
+
+import (
+	"context"
+	"time"
+
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/configsync"
+)
+
+// What the host's duties give to operators and clients, under the names that
+// the commands and servers use.
+type (
+	// Applied is the response to a change.
+	Applied = configsync.Applied
+	// ZoneProgress says whether a zone has a change in force.
+	ZoneProgress = configsync.ZoneProgress
+)
+
+const (
+	// StateAccepted is the state of a change that is in force everywhere.
+	StateAccepted = configsync.StateAccepted
+	// StatePending is the state of a change that some zone may not have yet.
+	StatePending = configsync.StatePending
+	// FreezeAfter is the age of the last proof that the configuration is the
+	// newest, after which a host freezes.
+	FreezeAfter = configsync.FreezeAfter
+)
+
+// Apply accepts a change and waits, for the given time at most, for every
+// zone to have it in force.
+func (h *Host) Apply(ctx context.Context, c config.Change, wait time.Duration) (Applied, error) {
+	return h.config.Apply(ctx, c, wait)
+}
+
+// ChangeProgress gives the progress of a change by its id.
+func (h *Host) ChangeProgress(ctx context.Context, id string) (Applied, bool, error) {
+	return h.config.ChangeProgress(ctx, id)
+}
--- a/internal/selector/entry/bench_test.go
+++ b/internal/selector/entry/bench_test.go
@@ -15,6 +15,7 @@
 
 	"cairndock/internal/peer"
 	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/configsync"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/roster"
 	"cairndock/internal/selector/standin"
@@ -52,7 +53,7 @@
 	require.NoError(tb, err)
 	h.peers.SetSelf(h.self)
 	h.see(bigRoster(74))
-	h.adoptState(s)
+	h.config.Adopt(s)
 	for z := 1; z < 80; z++ {
 		for i := range 4 {
 			c := member.Contact{Host: fmt.Sprintf("zone-%02d-%02d", z, i), Zone: fmt.Sprintf("zone-%02d", z), PeerAddr: "10.0.0.1:1", CallerAddr: "10.0.0.1:2"}
@@ -111,7 +112,9 @@
 				doc := config.Document{Rules: []config.Rule{{Name: "service-0-all", Service: "service-0", Selector: "tier=main", Share: 1}}}
 				c, err := doc.Change("c", 0)
 				require.NoError(b, err)
-				require.NoError(b, h.putInForce(context.Background(), []config.Change{c.WithRevision(h.View().Revision() + 1)}))
+				c = c.WithRevision(h.View().Revision() + 1)
+				in := h.config.ServePush(context.Background(), "", configsync.Push{Changes: []config.Change{c}})
+				require.Equal(b, c.Revision, in.Revision)
 			}
 			b.ReportMetric(heap, "heap-MB")
 		})
@@ -127,7 +130,9 @@
 				doc := config.Document{Blocks: []config.Block{{CIDR: "1.0.0.0/24", Zone: "zone-03"}}}
 				c, err := doc.Change("c", 0)
 				require.NoError(b, err)
-				require.NoError(b, h.putInForce(context.Background(), []config.Change{c.WithRevision(h.View().Revision() + 1)}))
+				c = c.WithRevision(h.View().Revision() + 1)
+				in := h.config.ServePush(context.Background(), "", configsync.Push{Changes: []config.Change{c}})
+				require.Equal(b, c.Revision, in.Revision)
 			}
 		})
 	}
--- a/internal/selector/entry/progress.go
+++ b/internal/selector/entry/configsync/progress.go
@@ -1,23 +1,30 @@
-package entry
+package configsync
 
 import (
 	"context"
-	"slices"
 	"sync"
 	"time"
 
 	"cairndock/internal/pause"
 	"cairndock/internal/peer"
 	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/peers"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/roster"
 )
 
 const (
-	// confirmPause is the time between two looks at a change's progress.
+	// confirmPause is the time between two looks at a change's progress, and
+	// between two heartbeats to a host that lags. Chosen, not measured.
 	confirmPause = 100 * time.Millisecond
-	// appendTimeout bounds the acceptance of a change.
+	// appendTimeout bounds the acceptance of a change, retries at the table
+	// included. Chosen, not measured.
 	appendTimeout = 10 * time.Second
+	// lapseMargin is how long after FreezeAfter a host that can't be asked
+	// has certainly frozen itself: its last proof began before the change was
+	// accepted, and the margin covers its clock's rate
+	// (docs/design/configuration.md says 5 s in all).
+	lapseMargin = time.Second
 )
 
 // ZoneProgress says whether a zone has a change in force.
@@ -49,46 +56,49 @@
 
 // Apply accepts a change and waits, for the given time at most, for every
 // zone to have it in force.
-func (h *Host) Apply(ctx context.Context, c config.Change, wait time.Duration) (Applied, error) {
+func (r *Replica) Apply(ctx context.Context, c config.Change, wait time.Duration) (Applied, error) {
 	appendCtx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	if err := h.platform.Wait(appendCtx); err != nil {
+	if err := r.Platform.Wait(appendCtx); err != nil {
 		return Applied{}, err
 	}
-	state, rev, err := h.configLog.Append(appendCtx, h.View().State(), c)
+	state, rev, err := r.Log.Append(appendCtx, r.View().State(), c)
 	if err != nil {
 		return Applied{}, err
 	}
 	accepted := time.Now()
-	h.forceTo(ctx, state, c.WithRevision(rev))
+	r.forceTo(ctx, state, c.WithRevision(rev))
 	waitCtx, stop := context.WithTimeout(ctx, wait)
 	defer stop()
-	return h.await(waitCtx, rev, c.ID, accepted), nil
+	return r.await(waitCtx, rev, c.ID, accepted), nil
 }
 
 // forceTo puts the state that an append gave in force here and pushes the
 // change, with the revision it was accepted at, to every zone. After a lost
 // answer the state may end before the change; that comes by the log then.
-func (h *Host) forceTo(ctx context.Context, state *config.State, c config.Change) {
-	before := h.View().Revision()
+func (r *Replica) forceTo(ctx context.Context, state *config.State, c config.Change) {
+	before := r.View().Revision()
 	if state.Revision() <= before {
 		return
 	}
 	if before+1 == c.Revision {
-		_ = h.putInForce(ctx, []config.Change{c})
+		if err := r.putInForce(ctx, []config.Change{c}); err != nil {
+			// The log has it; the next poll reads it from there.
+			r.Logger.Debug().Err(err).Uint64("revision", c.Revision).Msg("config: accepted change not put in force yet")
+		}
 	} else {
-		h.adoptState(state)
+		r.Adopt(state)
 	}
-	for _, contact := range h.peers.OneOfEachZone() {
-		go h.push(context.WithoutCancel(ctx), contact, []config.Change{c})
+	for _, contact := range r.Peers.OneOfEachZone() {
+		go r.push(context.WithoutCancel(ctx), contact, []config.Change{c})
 	}
 }
 
 // await asks every zone until each has the revision in force, or can't be
 // asked and has frozen itself.
-func (h *Host) await(ctx context.Context, rev uint64, id string, accepted time.Time) Applied {
+func (r *Replica) await(ctx context.Context, rev uint64, id string, accepted time.Time) Applied {
 	for {
-		a := h.Progress(ctx, rev, id, accepted)
+		a := r.Progress(ctx, rev, id, accepted)
 		if a.State == StateAccepted || !pause.For(ctx, confirmPause) {
 			return a
 		}
@@ -97,14 +107,14 @@
 
 // Progress says which zones have a revision in force. Accepted is when it
 // was accepted, or a later time.
-func (h *Host) Progress(ctx context.Context, rev uint64, id string, accepted time.Time) Applied {
+func (r *Replica) Progress(ctx context.Context, rev uint64, id string, accepted time.Time) Applied {
 	a := Applied{State: StateAccepted, Revision: rev, Change: id}
-	lapsed := time.Since(accepted) > FreezeAfter+time.Second
-	zones := h.knownZones()
+	lapsed := time.Since(accepted) > FreezeAfter+lapseMargin
+	zones := r.KnownZones()
 	a.Zones = make([]ZoneProgress, len(zones))
 	var asked sync.WaitGroup
 	for i, zone := range zones {
-		asked.Go(func() { a.Zones[i] = h.zoneProgress(ctx, zone, rev) })
+		asked.Go(func() { a.Zones[i] = r.zoneProgress(ctx, zone, rev) })
 	}
 	asked.Wait()
 	for i := range a.Zones {
@@ -117,24 +127,13 @@
 	return a
 }
 
-// knownZones are the configured zones and those with hosts.
-func (h *Host) knownZones() []string {
-	zones := []string{h.self.Zone}
-	for _, z := range h.View().Zones() {
-		zones = append(zones, z.Name)
-	}
-	zones = append(zones, h.peers.Zones()...)
-	slices.Sort(zones)
-	return slices.Compact(zones)
-}
-
-func (h *Host) zoneProgress(ctx context.Context, zone string, rev uint64) ZoneProgress {
-	if zone == h.self.Zone {
-		return h.ownProgress(rev)
+func (r *Replica) zoneProgress(ctx context.Context, zone string, rev uint64) ZoneProgress {
+	if zone == r.Zone {
+		return r.ZoneProgress(rev)
 	}
-	for _, c := range h.peers.Contacts(zone, false) {
-		callCtx, cancel := context.WithTimeout(ctx, beatTimeout)
-		reply, err := peer.Call[ZoneProgress](callCtx, h.mesh, c.PeerAddr, peer.KindConfirm, rev)
+	for _, c := range r.Peers.Contacts(zone, false) {
+		callCtx, cancel := context.WithTimeout(ctx, peers.CallTimeout)
+		reply, err := peer.Call[ZoneProgress](callCtx, r.Mesh, c.PeerAddr, peer.KindConfirm, rev)
 		cancel()
 		if err == nil {
 			return reply
@@ -143,19 +142,19 @@
 	return ZoneProgress{Zone: zone}
 }
 
-// ownProgress looks at the zone's live members, as they said in their last
-// heartbeats or in reply to a push.
-func (h *Host) ownProgress(rev uint64) ZoneProgress {
-	p := ZoneProgress{Zone: h.self.Zone}
-	if h.View().Revision() < rev {
-		p.Lagging = append(p.Lagging, h.self.Host)
+// ZoneProgress says whether this host's zone has a revision in force, by what
+// its live members reported in heartbeats or in reply to a push.
+func (r *Replica) ZoneProgress(rev uint64) ZoneProgress {
+	p := ZoneProgress{Zone: r.Zone}
+	if r.View().Revision() < rev {
+		p.Lagging = append(p.Lagging, r.Host)
 	}
 	now := time.Now()
-	for _, m := range h.currentRoster().Members {
-		if m.Host == h.self.Host || m.State == roster.Gone {
+	for _, m := range r.Roster().Members {
+		if m.Host == r.Host || m.State == roster.Gone {
 			continue
 		}
-		other, known := h.peers.Get(m.Host)
+		other, known := r.Peers.Get(m.Host)
 		// A silent host may still serve, by an older configuration.
 		if !known || other.Beat.Revision < rev {
 			if known && now.Sub(other.HeardAt) > FreezeAfter+member.LostAfter {
@@ -166,33 +165,33 @@
 	}
 	p.Confirmed = len(p.Lagging) == 0
 	if !p.Confirmed {
-		h.askLagging(p.Lagging)
+		r.askLagging(p.Lagging)
 	}
 	return p
 }
 
 // askLagging asks hosts that seem to lag for a heartbeat now.
-func (h *Host) askLagging(hosts []string) {
+func (r *Replica) askLagging(hosts []string) {
 	for _, host := range hosts {
-		p, ok := h.peers.Get(host)
+		p, ok := r.Peers.Get(host)
 		if ok && time.Since(p.AskedAt) > confirmPause {
-			h.peers.Update(func(p *member.Peers) { p.Asking(host, time.Now()) })
-			go h.beatOne(context.Background(), p.Contact)
+			r.Peers.Update(func(p *member.Peers) { p.Asking(host, time.Now()) })
+			go r.SendHeartbeat(context.Background(), p.Contact)
 		}
 	}
 }
 
 // ChangeProgress gives the progress of a change by its id.
-func (h *Host) ChangeProgress(ctx context.Context, id string) (Applied, bool, error) {
+func (r *Replica) ChangeProgress(ctx context.Context, id string) (Applied, bool, error) {
 	var rev uint64
 	var found bool
-	err := h.platform.Do(ctx, func(ctx context.Context) (err error) {
-		rev, found, err = h.configLog.ByID(ctx, id)
+	err := r.Platform.Do(ctx, func(ctx context.Context) (err error) {
+		rev, found, err = r.Log.ByID(ctx, id)
 		return err
 	})
 	if err != nil || !found {
 		return Applied{}, false, err
 	}
 	// When it was accepted is not known here; now is later.
-	return h.Progress(ctx, rev, id, time.Now()), true, nil
+	return r.Progress(ctx, rev, id, time.Now()), true, nil
 }
--- a/internal/selector/entry/drain.go
+++ b/internal/selector/entry/drain.go
@@ -4,6 +4,7 @@
 	"context"
 
 	"cairndock/internal/peer"
+	"cairndock/internal/selector/entry/peers"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/roster"
 	"cairndock/internal/selector/slot"
@@ -53,7 +54,7 @@
 // askDrained asks the first of some hosts that answers.
 func (h *Host) askDrained(ctx context.Context, name string, hosts []member.Contact, msg drainMsg) Drained {
 	for _, c := range hosts {
-		callCtx, cancel := context.WithTimeout(ctx, beatTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, peers.CallTimeout)
 		reply, err := peer.Call[Drained](callCtx, h.mesh, c.PeerAddr, peer.KindDrain, msg)
 		cancel()
 		if err == nil {
@@ -66,7 +67,7 @@
 // zoneDrained asks every member of the own zone.
 func (h *Host) zoneDrained(ctx context.Context, names []string) Drained {
 	sum := h.ownDrained(names)
-	cur := h.currentRoster()
+	cur := h.roster()
 	for _, m := range cur.Members {
 		if m.Host == h.self.Host || m.State == roster.Gone {
 			continue
--- a/internal/selector/entry/export_test.go
+++ b/internal/selector/entry/export_test.go
@@ -34,19 +34,6 @@
 // SentTo is how many bytes the host put on its link to a region.
 func (h *Host) SentTo(region string) int64 { return h.links.Sent(region) }
 
-// Now reads the host's clock, and FreshAt when its configuration was last
-// known to be the newest.
-func (h *Host) Now() int64 { return h.now() }
-
-// FreshAt is when the configuration was last known to be the newest.
-func (h *Host) FreshAt() int64 { return h.freshAt.Load() }
-
-// SetFreshAt makes the proof of the configuration's age as old as that.
-func (h *Host) SetFreshAt(at int64) { h.freshAt.Store(at) }
-
-// NoteFresh takes in a peer's proof.
-func (h *Host) NoteFresh(b member.Heartbeat, askedAt int64) { h.noteFresh(b, askedAt) }
-
 // FillQueue takes every slot of a service that the host holds, and every
 // place in its queue, until the context ends.
 func (h *Host) FillQueue(ctx context.Context, service, rule string) {
--- a/internal/selector/entry/heartbeat.go
+++ b/internal/selector/entry/heartbeat.go
@@ -10,11 +10,6 @@
 	"cairndock/internal/selector/steer"
 )
 
-const (
-	// beatTimeout bounds one heartbeat.
-	beatTimeout = 1500 * time.Millisecond
-)
-
 // beatLoop is the host's own loop: it sends heartbeats, settles rosters,
 // moves ramps on and notices when the host was paused.
 func (h *Host) beatLoop(ctx context.Context) {
@@ -36,7 +31,7 @@
 	now := time.Now()
 	due, alone := h.takeDue(now)
 	for _, c := range due {
-		go h.beatOne(ctx, c)
+		go h.sendHeartbeat(ctx, c)
 	}
 	if alone {
 		h.askSeeds(ctx)
@@ -67,7 +62,7 @@
 func (h *Host) askSeeds(ctx context.Context) {
 	for _, addr := range h.opts.Settings.Peers.Seeds {
 		if addr != h.self.PeerAddr {
-			go h.beatOne(ctx, member.Contact{PeerAddr: addr})
+			go h.sendHeartbeat(ctx, member.Contact{PeerAddr: addr})
 		}
 	}
 }
@@ -80,8 +75,8 @@
 	}
 }
 
-func (h *Host) beatOne(ctx context.Context, c member.Contact) {
-	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
+func (h *Host) sendHeartbeat(ctx context.Context, c member.Contact) {
+	ctx, cancel := context.WithTimeout(ctx, peers.CallTimeout)
 	defer cancel()
 	asked, askedAt := time.Now(), h.now()
 	ask := h.ask(c)
@@ -99,7 +94,7 @@
 	h.peers.Update(func(p *member.Peers) { p.Spent(size) })
 	h.takeIn(reply, asked, time.Since(asked))
 	h.learn(ctx, reply)
-	h.noteFresh(reply, askedAt)
+	h.config.MergeFreshness(reply, askedAt)
 }
 
 // takeIn notes a heartbeat. A host that was not up may bring a zone within
@@ -143,10 +138,6 @@
 // basicBeat makes what every heartbeat to a host of a zone says.
 func (h *Host) basicBeat(zone string) member.Heartbeat {
 	v := h.View()
-	age := int64(-1)
-	if at := h.freshAt.Load(); at > 0 {
-		age = (h.now()-at)/int64(time.Millisecond) + 1
-	}
 	h.ticketsMu.Lock()
 	handovers := h.handovers
 	h.ticketsMu.Unlock()
@@ -155,7 +146,7 @@
 	b := member.Heartbeat{
 		Contact: h.self, Incarnation: h.holder.Incarnation(),
 		Epoch: h.holder.Current().Epoch, Acked: h.acked,
-		Revision: v.Revision(), Digest: v.State().Digest(), FreshAge: age,
+		Revision: v.Revision(), Digest: v.State().Digest(), FreshAge: h.config.FreshAge(),
 		Leaving: h.leaving.Load(), ZoneHosts: len(h.holder.Current().Active()), Handovers: handovers,
 	}
 	if zone == h.self.Zone {
@@ -203,7 +194,7 @@
 		h.fetchRoster(ctx, b.Contact)
 	}
 	if b.Revision > h.View().Revision() {
-		h.fetchChanges(ctx, b.Contact)
+		h.config.Fetch(ctx, b.Contact)
 	}
 }
 
@@ -236,7 +227,7 @@
 // news that all of them wait for: an acknowledgement, a new epoch, a sign.
 func (h *Host) tellZone() {
 	for _, p := range h.peers.Zone(h.self.Zone) {
-		go h.beatOne(context.Background(), p.Contact)
+		go h.sendHeartbeat(context.Background(), p.Contact)
 	}
 }
 
--- a/internal/selector/entry/host.go
+++ b/internal/selector/entry/host.go
@@ -15,6 +15,7 @@
 
 	"cairndock/internal/peer"
 	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/configsync"
 	"cairndock/internal/selector/entry/fence"
 	"cairndock/internal/selector/entry/links"
 	"cairndock/internal/selector/entry/peers"
@@ -63,15 +64,9 @@
 	metrics     *telemetry.Metrics
 	mesh        *peer.Mesh
 	client      *upstream.Client
-	configLog   *config.Log
 	random      *lockedRand
 
-	view atomic.Pointer[config.View]
-	// forced is held while a change is put into force.
-	forced  sync.Mutex
-	recent  []config.Change
-	freshAt atomic.Int64 // as read by now
-	ready   atomic.Bool
+	ready atomic.Bool
 
 	mu     sync.Mutex
 	holder *roster.Holder
@@ -84,6 +79,7 @@
 	goneAt     map[string]time.Time
 
 	peers     *peers.Table
+	config    *configsync.Replica
 	services  *services.Set
 	upstreams *upstreams.Tracker
 	fence     *fence.Fence
@@ -117,14 +113,9 @@
 	return l.r.Float64()
 }
 
-const (
-	// tick is the pace of the host's own loop.
-	tick = 250 * time.Millisecond
-	// FreezeAfter is the age of the last proof that the configuration is
-	// the newest, after which the host freezes: ramps stand still and the
-	// own zone goes first.
-	FreezeAfter = 4 * time.Second
-)
+// tick is the pace of the host's own loop. Chosen, not measured; it is a part
+// of member.Interval, the least time between two heartbeats to a host.
+const tick = 250 * time.Millisecond
 
 // New makes a host. Its settings must have been prepared.
 func New(o Options) (*Host, error) {
@@ -138,7 +129,6 @@
 		log:         o.Log.With().Str("host", s.Host.Name).Logger(),
 		tracer:      telemetry.Tracer(o.Traces),
 		metrics:     telemetry.NewMetrics(),
-		configLog:   config.NewLog(o.Table, o.Objects),
 		random:      &lockedRand{r: rand.New(rand.NewPCG(o.Seed, uint64(len(s.Host.Name))))},
 		goneAt:      map[string]time.Time{},
 		adopted:     map[string]*ticket.Store{},
@@ -146,10 +136,18 @@
 		wake:        make(chan struct{}, 1),
 	}
 	h.self = member.Contact{Host: s.Host.Name, Zone: s.Host.Zone, PeerAddr: s.Peers.Advertise, CallerAddr: s.Callers.Advertise}
+	hello := peer.Hello{Host: s.Host.Name, Zone: s.Host.Zone, Incarnation: incarnation}
+	h.mesh = peer.NewMesh(hello, o.Transport, h)
 	h.fence = fence.New(h.now)
 	h.platform = platformcalls.New(s.Platform.CallsPerSecond, h.metrics, h.fence.Answered)
 	h.peers = peers.New(h.self)
 	h.services = services.NewSet(h.View, h.random.Float64)
+	h.config = configsync.New(configsync.Options{
+		Host: s.Host.Name, Zone: s.Host.Zone, Now: h.now, Random: h.random.Float64,
+		IsPoller: h.isPoller, Roster: h.roster, Changed: h.reconfigure, Confirmed: h.becomeReady,
+		SendHeartbeat: h.sendHeartbeat, Log: config.NewLog(o.Table, o.Objects), Platform: h.platform,
+		Peers: h.peers, Services: h.services, Mesh: h.mesh, Metrics: h.metrics, Logger: h.log,
+	})
 	h.upstreams = upstreams.New(upstreams.Options{
 		Host: s.Host.Name, View: h.View, Services: h.services, Peers: h.peers,
 		Answered: h.fence.Answered, Changed: h.upstreamsChanged, Log: h.log,
@@ -157,10 +155,10 @@
 	h.client = upstream.New(o.DialUpstream, h.upstreams.Observe)
 	h.tickets = ticket.NewStore(s.Host.Name, s.Host.Zone, incarnation, ticket.NewKey())
 	h.holder = roster.NewHolder(s.Host.Name, incarnation, s.Host.Zone)
-	hello := peer.Hello{Host: s.Host.Name, Zone: s.Host.Zone, Incarnation: incarnation}
-	h.mesh = peer.NewMesh(hello, o.Transport, h)
-	h.links = links.New(links.Options{Host: s.Host.Name, Region: h.region, View: h.View, Hosts: h, Mesh: h.mesh})
-	h.view.Store(config.NewView(config.NewState(), s.Host.Zone))
+	h.links = links.New(links.Options{
+		Host: s.Host.Name, Zone: s.Host.Zone, Region: h.region, View: h.View, Peers: h.peers,
+		ZoneHosts: func() int { return len(h.roster().Members) }, Mesh: h.mesh,
+	})
 	return h, nil
 }
 
@@ -177,7 +175,7 @@
 	h.fence.Start()
 	ctx, h.stop = context.WithCancel(ctx)
 	h.registerMetrics()
-	for _, loop := range []func(context.Context){h.beatLoop, h.platformLoop, h.probeLoop, h.rosterLoop} {
+	for _, loop := range []func(context.Context){h.beatLoop, h.config.PollLoop, h.probeLoop, h.rosterLoop} {
 		h.wait.Add(1)
 		go func() {
 			defer h.wait.Done()
@@ -209,7 +207,7 @@
 func (h *Host) Metrics() *telemetry.Metrics { return h.metrics }
 
 // View is the configuration in force.
-func (h *Host) View() *config.View { return h.view.Load() }
+func (h *Host) View() *config.View { return h.config.View() }
 
 // Serving reports whether the host ever had a configuration that was known
 // to be the newest. An old one alone is never served from.
@@ -220,9 +218,7 @@
 func (h *Host) Ready() bool { return h.Serving() && !h.leaving.Load() }
 
 // Frozen reports whether the configuration may no longer be the newest.
-func (h *Host) Frozen() bool {
-	return h.now()-h.freshAt.Load() > int64(FreezeAfter)
-}
+func (h *Host) Frozen() bool { return h.config.Frozen() }
 
 // clockStart is what the host's clock reads when the host is made; above
 // zero, so that zero is always long ago.
--- a/internal/selector/entry/links/links.go
+++ b/internal/selector/entry/links/links.go
@@ -3,7 +3,8 @@
 //
 // It owns one pacer for each link that the host has sent on, and the loans of
 // unused rate between the hosts of a region. It relies on the configuration
-// for the limits and on the host for who else sends on the same links.
+// for the limits and on the roster and the peers for who else sends on the same
+// links.
 package links
 
 import (
@@ -14,6 +15,7 @@
 
 	"cairndock/internal/peer"
 	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/peers"
 	"cairndock/internal/selector/link"
 	"cairndock/internal/selector/member"
 )
@@ -22,21 +24,16 @@
 // measured.
 const maxLenders = 8
 
-// Region is the region whose hosts share the links.
-type Region interface {
-	// RegionHosts counts the region's hosts, this one included.
-	RegionHosts() int
-	// RegionPeers gives at most limit other hosts of the region that answer.
-	RegionPeers(limit int) []member.Contact
-}
-
 // Options are what Links are made of.
 type Options struct {
 	Host   string
+	Zone   string
 	Region string
 	View   func() *config.View
-	Hosts  Region
-	Mesh   *peer.Mesh
+	Peers  *peers.Table
+	// ZoneHosts counts the hosts of this host's zone.
+	ZoneHosts func() int
+	Mesh      *peer.Mesh
 }
 
 // Links are the links from this host's region to others, as this host sends
@@ -106,7 +103,40 @@
 // evenPart is this host's part of a link when the region's hosts share it
 // evenly, in bytes per second.
 func (l *Links) evenPart(limit config.Link) float64 {
-	return float64(limit.BytesPerSecond) / float64(l.Hosts.RegionHosts())
+	return float64(limit.BytesPerSecond) / float64(l.regionHosts())
+}
+
+// regionHosts counts the hosts that may send on the region's links. A zone
+// that has not reported yet counts as large as the own.
+func (l *Links) regionHosts() int {
+	own := max(1, l.ZoneHosts())
+	total := own
+	for _, z := range l.View().Zones() {
+		if z.Region != l.Region || z.Name == l.Zone {
+			continue
+		}
+		hosts := 0
+		for _, p := range l.Peers.Zone(z.Name) {
+			hosts = max(hosts, p.Beat.ZoneHosts)
+		}
+		if hosts == 0 {
+			hosts = own
+		}
+		total += hosts
+	}
+	return total
+}
+
+// lenders gives the other hosts of the region to ask for a loan.
+func (l *Links) lenders() []member.Contact {
+	v := l.View()
+	var out []member.Contact
+	for _, zone := range l.Peers.Zones() {
+		if v.Region(zone) == l.Region {
+			out = append(out, l.Peers.Up(zone)...)
+		}
+	}
+	return out[:min(maxLenders, len(out))]
 }
 
 // Retune applies changes of the limits, of the region's hosts and of loans,
@@ -141,7 +171,7 @@
 
 // borrow asks the region's hosts for what they do not use of a link.
 func (l *Links) borrow(ctx context.Context, p *pacedLink, to string) {
-	for _, c := range l.Hosts.RegionPeers(maxLenders) {
+	for _, c := range l.lenders() {
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, link.Term/2)
 			defer cancel()
--- a/internal/selector/entry/links/links_test.go
+++ b/internal/selector/entry/links/links_test.go
@@ -8,6 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/peers"
 	"cairndock/internal/selector/link"
 	"cairndock/internal/selector/member"
 )
@@ -31,12 +32,7 @@
 `
 )
 
-// region is a region of a fixed number of hosts, none of which answer.
-type region int
-
-func (r region) RegionHosts() int               { return int(r) }
-func (region) RegionPeers(int) []member.Contact { return nil }
-
+// newLinks are the links of one of a zone's hosts.
 func newLinks(t *testing.T, hosts int) *Links {
 	d, err := config.ParseDocument([]byte(doc))
 	require.NoError(t, err)
@@ -45,7 +41,11 @@
 	s, err := config.NewState().With(c.WithRevision(1))
 	require.NoError(t, err)
 	view := config.NewView(s, "costa-a")
-	return New(Options{Host: "costa-a-1", Region: "costa", View: func() *config.View { return view }, Hosts: region(hosts)})
+	return New(Options{
+		Host: "costa-a-1", Zone: "costa-a", Region: "costa", View: func() *config.View { return view },
+		Peers:     peers.New(member.Contact{Host: "costa-a-1", Zone: "costa-a"}),
+		ZoneHosts: func() int { return hosts },
+	})
 }
 
 // TestOnlyLimitedLinksArePaced: traffic within the region, to a region
@@ -72,6 +72,25 @@
 	}
 }
 
+// TestZonesOfARegionShareALink: a zone that has not reported its hosts counts
+// as large as the own; zones of other regions do not count.
+func TestZonesOfARegionShareALink(t *testing.T) {
+	l := newLinks(t, 3)
+	d, err := config.ParseDocument([]byte("[[zone]]\nname = \"costa-b\"\nregion = \"costa\"\n"))
+	require.NoError(t, err)
+	c, err := d.Change("second", 1)
+	require.NoError(t, err)
+	s, err := l.View().State().With(c.WithRevision(2))
+	require.NoError(t, err)
+	view := config.NewView(s, "costa-a")
+	l.View = func() *config.View { return view }
+	require.Equal(t, 3+3, l.regionHosts())
+	b := member.Heartbeat{Contact: member.Contact{Host: "costa-b-1", Zone: "costa-b", PeerAddr: "costa-b-1:2"}, ZoneHosts: 5, Slots: []uint32{}}
+	l.Peers.Update(func(p *member.Peers) { p.Heard(b, time.Now(), time.Millisecond) })
+	require.Equal(t, 3+5, l.regionHosts())
+	require.Len(t, l.lenders(), 1)
+}
+
 // TestLoansStayBelowTheEvenPart: what a host lends is less than its part, and
 // nothing is lent of a link that has no limit.
 func TestLoansStayBelowTheEvenPart(t *testing.T) {
--- a/internal/selector/entry/peers/peers.go
+++ b/internal/selector/entry/peers/peers.go
@@ -14,6 +14,10 @@
 	"cairndock/internal/selector/member"
 )
 
+// CallTimeout bounds one message to a peer and its reply, a heartbeat among
+// them. Chosen, not measured; it is below member.DownAfter.
+const CallTimeout = 1500 * time.Millisecond
+
 // Table is the other hosts as this host knows them.
 type Table struct {
 	zone string
--- a/internal/selector/entry/ready.go
+++ b/internal/selector/entry/ready.go
@@ -1,34 +1,5 @@
 package entry
 
-import (
-	"time"
-
-	"cairndock/internal/selector/member"
-)
-
-// noteFresh takes over a peer's proof that its revision is the newest. Its
-// age counts from when this host asked, so that a slow reply only makes the
-// proof older than it is.
-func (h *Host) noteFresh(b member.Heartbeat, askedAt int64) {
-	if b.FreshAge < 0 || h.View().Revision() < b.Revision {
-		return
-	}
-	h.setFresh(askedAt - b.FreshAge*int64(time.Millisecond))
-}
-
-func (h *Host) setFresh(at int64) {
-	for {
-		old := h.freshAt.Load()
-		if at <= old {
-			return
-		}
-		if h.freshAt.CompareAndSwap(old, at) {
-			break
-		}
-	}
-	h.becomeReady()
-}
-
 // becomeReady opens a starting host to callers once its configuration is
 // known to be the newest and there is somewhere to send requests to.
 func (h *Host) becomeReady() {
--- a/internal/selector/entry/rosterloop.go
+++ b/internal/selector/entry/rosterloop.go
@@ -9,6 +9,7 @@
 
 	"cairndock/internal/pause"
 	"cairndock/internal/peer"
+	"cairndock/internal/selector/entry/peers"
 	"cairndock/internal/selector/entry/platformcalls"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/roster"
@@ -127,7 +128,7 @@
 }
 
 func (h *Host) missesZone() bool {
-	for _, zone := range h.knownZones() {
+	for _, zone := range h.config.KnownZones() {
 		if zone != h.self.Zone && len(h.peers.Contacts(zone, false)) == 0 {
 			return true
 		}
@@ -215,7 +216,7 @@
 
 // fetchRoster takes the zone's roster from a host that has a newer one.
 func (h *Host) fetchRoster(ctx context.Context, from member.Contact) {
-	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peers.CallTimeout)
 	defer cancel()
 	r, err := peer.Call[roster.Roster](ctx, h.mesh, from.PeerAddr, peer.KindRoster, h.self.Zone)
 	if err != nil || r.Zone != h.self.Zone {
@@ -234,7 +235,7 @@
 		return true
 	}
 	for _, p := range h.peers.Zone(h.self.Zone) {
-		callCtx, cancel := context.WithTimeout(ctx, beatTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, peers.CallTimeout)
 		r, err := peer.Call[roster.Roster](callCtx, h.mesh, p.Contact.PeerAddr, peer.KindRoster, h.self.Zone)
 		cancel()
 		if err == nil && r.Zone == h.self.Zone {
--- a/internal/selector/entry/serve.go
+++ b/internal/selector/entry/serve.go
@@ -4,6 +4,7 @@
 	"context"
 
 	"cairndock/internal/peer"
+	"cairndock/internal/selector/entry/configsync"
 	"cairndock/internal/selector/entry/links"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/roster"
@@ -30,11 +31,11 @@
 	case peer.KindRoster:
 		serve(payload, func(string) { h.serveRoster(w) })
 	case peer.KindChanges:
-		serve(payload, func(after uint64) { h.serveChanges(after, w) })
+		serve(payload, func(after uint64) { h.config.ServeChanges(after, w) })
 	case peer.KindPush:
-		serve(payload, func(m pushMsg) { h.servePush(ctx, from, m, w) })
+		serve(payload, func(m configsync.Push) { reply(w, h.config.ServePush(ctx, from.Host, m)) })
 	case peer.KindConfirm:
-		serve(payload, func(rev uint64) { _ = w.Send(h.ownProgress(rev)) })
+		serve(payload, func(rev uint64) { reply(w, h.config.ZoneProgress(rev)) })
 	case peer.KindLend:
 		serve(payload, func(m links.LoanRequest) { reply(w, h.links.Lend(m)) })
 	case peer.KindDrain:
@@ -59,10 +60,10 @@
 func reply(w *peer.Responder, message any) { _ = w.Send(message) }
 
 func (h *Host) serveRoster(w *peer.Responder) {
-	reply(w, h.currentRoster())
+	reply(w, h.roster())
 }
 
-func (h *Host) currentRoster() roster.Roster {
+func (h *Host) roster() roster.Roster {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.holder.Current()
--- a/internal/selector/entry/spread_test.go
+++ b/internal/selector/entry/spread_test.go
@@ -13,7 +13,6 @@
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry"
 	"cairndock/internal/selector/entry/entrytest"
-	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/store"
 )
 
@@ -276,27 +275,6 @@
 	})
 }
 
-// TestFreshnessNeedsTheRevision: a peer that is ahead proves nothing about
-// this host's revision, and a proof is as old as the way it came was long.
-func TestFreshnessNeedsTheRevision(t *testing.T) {
-	inBubble(t, entrytest.Anywhere, func(c *cluster) {
-		h := c.Host("costa-a-1")
-		rev := h.View().Revision()
-		h.SetFreshAt(1)
-		asked := h.Now()
-		h.NoteFresh(member.Heartbeat{Revision: rev + 1, FreshAge: 0}, asked)
-		require.EqualValues(t, 1, h.FreshAt(), "the peer is ahead")
-		h.NoteFresh(member.Heartbeat{Revision: rev, FreshAge: -1}, asked)
-		require.EqualValues(t, 1, h.FreshAt(), "the peer was never fresh")
-		time.Sleep(3 * time.Second)
-		h.SetFreshAt(1)
-		h.NoteFresh(member.Heartbeat{Revision: rev, FreshAge: 500}, asked)
-		require.Equal(t, asked-int64(500*time.Millisecond), h.FreshAt())
-		h.NoteFresh(member.Heartbeat{Revision: rev, FreshAge: 1000}, asked)
-		require.Equal(t, asked-int64(500*time.Millisecond), h.FreshAt(), "never older")
-	})
-}
-
 // TestLostAnswerAfterAnothersChange: a host that is one change behind submits
 // its own, whose answer is lost. The other's revision must not be given to it.
 func TestLostAnswerAfterAnothersChange(t *testing.T) {
--- a/internal/selector/entry/status.go
+++ b/internal/selector/entry/status.go
@@ -69,7 +69,7 @@
 	h.ticketsMu.Unlock()
 	s := Status{
 		Host: h.self.Host, Zone: h.self.Zone, Revision: v.Revision(),
-		FreshMillis: (h.now() - h.freshAt.Load()) / int64(time.Millisecond),
+		FreshMillis: h.config.Age().Milliseconds(),
 		Frozen:      h.Frozen(), Ready: h.Ready(), Leaving: h.leaving.Load(),
 		InFlight: h.inFlight.Load(), Tickets: tickets,
 	}
@@ -77,7 +77,7 @@
 		s.Services = append(s.Services, h.serviceStatus(svc.Name))
 	}
 	free := h.services.Free()
-	for _, zone := range h.knownZones() {
+	for _, zone := range h.config.KnownZones() {
 		s.Zones = append(s.Zones, h.zoneStatus(v, zone, free))
 	}
 	for _, z := range s.Zones {
@@ -114,7 +114,7 @@
 	now := time.Now()
 	if zone == h.self.Zone {
 		z.Hosts, z.Up, z.Revision = 1, 1, v.Revision()
-		z.FreshMillis = (h.now() - h.freshAt.Load()) / int64(time.Millisecond)
+		z.FreshMillis = h.config.Age().Milliseconds()
 		z.add(h.peers.ZoneFree(free))
 	}
 	newest := time.Time{}
--- a/internal/selector/entry/stop.go
+++ b/internal/selector/entry/stop.go
@@ -55,7 +55,7 @@
 // tellAll sends a heartbeat to every known host at once.
 func (h *Host) tellAll() {
 	for _, c := range h.peers.All() {
-		go h.beatOne(context.Background(), c)
+		go h.sendHeartbeat(context.Background(), c)
 	}
 }
 
@@ -107,7 +107,7 @@
 func (h *Host) registerMetrics() {
 	m := h.metrics
 	m.Gauge("cairndock_config_revision", func() float64 { return float64(h.View().Revision()) })
-	m.Gauge("cairndock_config_age_seconds", func() float64 { return float64(h.now()-h.freshAt.Load()) / float64(time.Second) })
+	m.Gauge("cairndock_config_age_seconds", func() float64 { return h.config.Age().Seconds() })
 	m.Gauge("cairndock_frozen", func() float64 { return boolGauge(h.Frozen()) })
 	m.Gauge("cairndock_in_flight", func() float64 { return float64(h.inFlight.Load()) })
 	m.Gauge("cairndock_slots_outstanding", func() float64 { return float64(h.services.Outstanding()) })
--- a/internal/selector/entry/tickets.go
+++ b/internal/selector/entry/tickets.go
@@ -12,6 +12,7 @@
 
 	"cairndock/internal/call"
 	"cairndock/internal/peer"
+	"cairndock/internal/selector/entry/peers"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/ticket"
 	"cairndock/internal/verdict"
@@ -211,7 +212,7 @@
 			all = append(all, s.Handover(first))
 		}
 		h.ticketsMu.Unlock()
-		callCtx, cancel := context.WithTimeout(ctx, beatTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, peers.CallTimeout)
 		_, err := peer.Call[bool](callCtx, h.mesh, to.PeerAddr, peer.KindHandover, all)
 		cancel()
 		if err == nil {
