--- a/internal/selector/entry/bench_test.go
+++ b/internal/selector/entry/bench_test.go
@@ -52,7 +52,7 @@
 	})
 	require.NoError(tb, err)
 	h.peers.SetSelf(h.self)
-	h.see(bigRoster(74))
+	h.rosters.Merge(bigRoster(74))
 	h.config.Adopt(s)
 	for z := 1; z < 80; z++ {
 		for i := range 4 {
@@ -147,7 +147,7 @@
 			r.Epoch = 10
 			for b.Loop() {
 				r.Epoch++
-				h.see(r)
+				h.rosters.Merge(r)
 			}
 		})
 	}
@@ -185,7 +185,7 @@
 			h := bigHost(b, bigState(b, 1000, services, 80))
 			for b.Loop() {
 				h.peers.Update(func(p *member.Peers) { p.Due(time.Now()) })
-				h.settle()
+				h.rosters.Settle()
 				h.refreshDeciders()
 			}
 		})
--- a/internal/selector/entry/configsync/poll.go
+++ b/internal/selector/entry/configsync/poll.go
@@ -21,8 +21,8 @@
 	// measured.
 	pollJitter = 0.1
 	// selfPollAge is the age of the last proof of freshness at which a host
-	// that is no poller looks for itself: early enough to have the answer
-	// before FreezeAfter (docs/design/configuration.md).
+	// that is no poller looks for itself, below FreezeAfter
+	// (docs/design/configuration.md).
 	selfPollAge = 2500 * time.Millisecond
 	// snapshotEvery is how many changes lie between two snapshots; chosen,
 	// not measured.
--- a/internal/selector/entry/configsync/progress.go
+++ b/internal/selector/entry/configsync/progress.go
@@ -21,9 +21,9 @@
 	// included. Chosen, not measured.
 	appendTimeout = 10 * time.Second
 	// lapseMargin is how long after FreezeAfter a host that can't be asked
-	// has certainly frozen itself: its last proof began before the change was
-	// accepted, and the margin covers its clock's rate
-	// (docs/design/configuration.md says 5 s in all).
+	// has certainly frozen itself, as its last proof began before the change
+	// was accepted: 5 s in all (docs/design/configuration.md). The margin was
+	// chosen, not measured.
 	lapseMargin = time.Second
 )
 
--- a/internal/selector/entry/configsync/relay.go
+++ b/internal/selector/entry/configsync/relay.go
@@ -25,8 +25,8 @@
 	// fetchTimeout bounds the fetching of changes, or of the whole state,
 	// from a peer. Chosen, not measured.
 	fetchTimeout = 20 * time.Second
-	// maxChanges bounds the changes in one reply, in encoded bytes; more of
-	// them cost more than the whole state. Chosen, not measured.
+	// maxChanges bounds the changes in one reply, in encoded bytes. Above
+	// it the whole state is sent. Chosen, not measured.
 	maxChanges = 256 << 10
 )
 
--- a/internal/selector/entry/entrytest/leaving_test.go
+++ b/internal/selector/entry/entrytest/leaving_test.go
@@ -15,6 +15,7 @@
 
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry"
+	"cairndock/internal/selector/entry/rosters"
 	"cairndock/internal/selector/store"
 )
 
@@ -61,7 +62,7 @@
 				last := c.Upstreams[name].Ledger().LastNew.Sub(signed)
 				t.Logf("last new request %s after the sign", last)
 				// The platform's list is read every 2 s, the sign's age there.
-				require.Less(t, last, 2*time.Second+entry.HostsInterval)
+				require.Less(t, last, 2*time.Second+rosters.HostsInterval)
 				if strings.Contains(tc.name, "list") || strings.Contains(tc.name, "own word") {
 					c.restartUpstream(name)
 					c.Load(100, 6*time.Second)
--- a/internal/selector/entry/fence/fence.go
+++ b/internal/selector/entry/fence/fence.go
@@ -21,7 +21,8 @@
 	// maxIsolation is the longest silence of peers, platform and upstreams
 	// all together before the host takes itself for cut off from everything.
 	// It is below member.LostAfter, the silence after which a host that the
-	// platform calls gone loses its slots.
+	// platform calls gone loses its slots: a cut-off host stopped 4.15 s
+	// after the cut, of 5 s (commit 46dc213).
 	maxIsolation = 4 * time.Second
 )
 
--- a/internal/selector/entry/heartbeat.go
+++ b/internal/selector/entry/heartbeat.go
@@ -27,7 +27,7 @@
 }
 
 func (h *Host) turn(ctx context.Context) {
-	h.fence.Tick(ctx, h.revalidate)
+	h.fence.Tick(ctx, h.rosters.Prove)
 	now := time.Now()
 	due, alone := h.takeDue(now)
 	for _, c := range due {
@@ -36,7 +36,7 @@
 	if alone {
 		h.askSeeds(ctx)
 	}
-	h.settle()
+	h.rosters.Settle()
 	h.becomeReady()
 	h.refreshDeciders()
 	h.refreshEntries()
@@ -141,14 +141,12 @@
 	h.ticketsMu.Lock()
 	handovers := h.handovers
 	h.ticketsMu.Unlock()
-	h.mu.Lock()
-	defer h.mu.Unlock()
 	b := member.Heartbeat{
-		Contact: h.self, Incarnation: h.holder.Incarnation(),
-		Epoch: h.holder.Current().Epoch, Acked: h.acked,
+		Contact:  h.self,
 		Revision: v.Revision(), Digest: v.State().Digest(), FreshAge: h.config.FreshAge(),
-		Leaving: h.leaving.Load(), ZoneHosts: len(h.holder.Current().Active()), Handovers: handovers,
+		Leaving: h.leaving.Load(), Handovers: handovers,
 	}
+	h.rosters.Describe(&b)
 	if zone == h.self.Zone {
 		b.Signs = h.upstreams.Signs()
 	}
@@ -180,49 +178,18 @@
 func (h *Host) learn(ctx context.Context, b member.Heartbeat) {
 	h.peers.Learn(b.Contacts)
 	h.peers.Update(func(p *member.Peers) { p.NoteSuccessors(b.Handovers, time.Now()) })
-	h.mu.Lock()
-	newer := false
-	if b.Contact.Zone == h.self.Zone {
-		h.holder.Ack(b.Contact.Host, b.Incarnation, b.Acked)
-		newer = b.Epoch > h.holder.Current().Epoch
-	}
-	h.mu.Unlock()
+	newer := h.rosters.Acknowledged(b)
 	if h.upstreams.Merge(b.Signs) {
-		h.reconfigure()
+		h.rosters.Reconfigure()
 	}
 	if newer {
-		h.fetchRoster(ctx, b.Contact)
+		h.rosters.Fetch(ctx, b.Contact)
 	}
 	if b.Revision > h.View().Revision() {
 		h.config.Fetch(ctx, b.Contact)
 	}
 }
 
-// settle acknowledges the current roster once nothing is outstanding beyond
-// it, and takes up the slots that it gives when all have acknowledged.
-func (h *Host) settle() {
-	now := time.Now()
-	longest := h.services.MaxTimeout()
-	h.mu.Lock()
-	cur := h.holder.Current().Epoch
-	acks := h.acked != cur && h.configured == cur && h.services.Within()
-	if acks {
-		h.acked = cur
-	}
-	settled := h.holder.Settle(now, longest)
-	// Slots become usable service by service, as their deadlines pass.
-	step := h.holder.SettleStep(now)
-	moved := step != h.settleStep
-	h.settleStep = step
-	h.mu.Unlock()
-	if settled || moved {
-		h.reconfigure()
-	}
-	if acks {
-		h.tellZone()
-	}
-}
-
 // tellZone sends a heartbeat to every known host of the zone at once, with
 // news that all of them wait for: an acknowledgement, a new epoch, a sign.
 func (h *Host) tellZone() {
--- a/internal/selector/entry/host.go
+++ b/internal/selector/entry/host.go
@@ -9,7 +9,6 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/oklog/ulid/v2"
 	"github.com/rs/zerolog"
 	"go.opentelemetry.io/otel/trace"
 
@@ -20,28 +19,23 @@
 	"cairndock/internal/selector/entry/links"
 	"cairndock/internal/selector/entry/peers"
 	"cairndock/internal/selector/entry/platformcalls"
+	"cairndock/internal/selector/entry/rosters"
 	"cairndock/internal/selector/entry/services"
 	"cairndock/internal/selector/entry/upstreams"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/roster"
-	"cairndock/internal/selector/store"
 	"cairndock/internal/selector/ticket"
 	"cairndock/internal/selector/upstream"
 	"cairndock/internal/settings"
 	"cairndock/internal/telemetry"
 )
 
-// HostLister gives the platform's list of live and leaving hosts.
-type HostLister interface {
-	Hosts(ctx context.Context) ([]store.HostState, error)
-}
-
 // Options is what a host is made of.
 type Options struct {
 	Settings settings.Settings
 	Table    config.Table
 	Objects  config.Objects
-	Hosts    HostLister
+	Hosts    rosters.HostLister
 	// Transport carries peer connections, and DialUpstream those to
 	// upstreams; nil is TCP.
 	Transport    peer.Transport
@@ -68,20 +62,11 @@
 
 	ready atomic.Bool
 
-	mu     sync.Mutex
-	holder *roster.Holder
-	acked  uint64
-	joined bool
-	// settleStep is the last step seen of the holder on its way to settle.
-	settleStep int
-	// configured is the roster epoch that the gates were configured by.
-	configured uint64
-	goneAt     map[string]time.Time
-
 	peers     *peers.Table
 	config    *configsync.Replica
 	services  *services.Set
 	upstreams *upstreams.Tracker
+	rosters   *rosters.Membership
 	fence     *fence.Fence
 	platform  *platformcalls.Caller
 
@@ -120,7 +105,7 @@
 // New makes a host. Its settings must have been prepared.
 func New(o Options) (*Host, error) {
 	s := o.Settings
-	incarnation := ulid.Make().String()
+	incarnation := rosters.NewIncarnation()
 	h := &Host{
 		opts:        o,
 		region:      s.Host.Region,
@@ -130,7 +115,6 @@
 		tracer:      telemetry.Tracer(o.Traces),
 		metrics:     telemetry.NewMetrics(),
 		random:      &lockedRand{r: rand.New(rand.NewPCG(o.Seed, uint64(len(s.Host.Name))))},
-		goneAt:      map[string]time.Time{},
 		adopted:     map[string]*ticket.Store{},
 		adoptedAt:   map[string]time.Time{},
 		wake:        make(chan struct{}, 1),
@@ -144,7 +128,8 @@
 	h.services = services.NewSet(h.View, h.random.Float64)
 	h.config = configsync.New(configsync.Options{
 		Host: s.Host.Name, Zone: s.Host.Zone, Now: h.now, Random: h.random.Float64,
-		IsPoller: h.isPoller, Roster: h.roster, Changed: h.reconfigure, Confirmed: h.becomeReady,
+		IsPoller: func() bool { return h.rosters.IsPoller() }, Roster: h.roster,
+		Changed: func() { h.rosters.Reconfigure() }, Confirmed: h.becomeReady,
 		SendHeartbeat: h.sendHeartbeat, Log: config.NewLog(o.Table, o.Objects), Platform: h.platform,
 		Peers: h.peers, Services: h.services, Mesh: h.mesh, Metrics: h.metrics, Logger: h.log,
 	})
@@ -152,9 +137,14 @@
 		Host: s.Host.Name, View: h.View, Services: h.services, Peers: h.peers,
 		Answered: h.fence.Answered, Changed: h.upstreamsChanged, Log: h.log,
 	})
+	h.rosters = rosters.New(rosters.Options{
+		Host: s.Host.Name, Zone: s.Host.Zone, Region: s.Host.Region, Incarnation: incarnation,
+		View: h.View, KnownZones: h.config.KnownZones, Leaving: h.leaving.Load,
+		NewEpoch: h.turnNow, TellZone: h.tellZone, Table: o.Table, HostList: o.Hosts, Platform: h.platform,
+		Peers: h.peers, Services: h.services, Upstreams: h.upstreams, Mesh: h.mesh, Log: h.log,
+	})
 	h.client = upstream.New(o.DialUpstream, h.upstreams.Observe)
 	h.tickets = ticket.NewStore(s.Host.Name, s.Host.Zone, incarnation, ticket.NewKey())
-	h.holder = roster.NewHolder(s.Host.Name, incarnation, s.Host.Zone)
 	h.links = links.New(links.Options{
 		Host: s.Host.Name, Zone: s.Host.Zone, Region: h.region, View: h.View, Peers: h.peers,
 		ZoneHosts: func() int { return len(h.roster().Members) }, Mesh: h.mesh,
@@ -190,6 +180,19 @@
 // more, as it does when its own loop shows that it was paused.
 func (h *Host) Distrust() { h.fence.Close() }
 
+func (h *Host) probeLoop(ctx context.Context) { h.upstreams.ProbeLoop(ctx, h.client) }
+
+func (h *Host) rosterLoop(ctx context.Context) { h.rosters.Loop(ctx, h.self) }
+
+func (h *Host) roster() roster.Roster { return h.rosters.Current() }
+
+// upstreamsChanged applies a change of an upstream's state that this host saw
+// first, and reports it to the zone at once.
+func (h *Host) upstreamsChanged() {
+	h.rosters.Reconfigure()
+	h.tellZone()
+}
+
 // Close stops the host at once.
 func (h *Host) Close() {
 	if h.stop != nil {
--- a/internal/selector/entry/capacity.go
+++ b/internal/selector/entry/rosters/capacity.go
@@ -1,7 +1,6 @@
-package entry
+package rosters
 
 import (
-	"context"
 	"time"
 
 	"cairndock/internal/selector/config"
@@ -10,29 +9,20 @@
 	"cairndock/internal/selector/steer"
 )
 
-// upstreamsChanged applies a change of an upstream's state that this host saw
-// first, and reports it to the zone at once.
-func (h *Host) upstreamsChanged() {
-	h.reconfigure()
-	h.tellZone()
-}
-
-func (h *Host) probeLoop(ctx context.Context) { h.upstreams.ProbeLoop(ctx, h.client) }
-
-// reconfigure works out anew what the host may use, after a change of the
+// Reconfigure works out anew what the host may use, after a change of the
 // configuration, the roster or an upstream's state.
-func (h *Host) reconfigure() {
+func (m *Membership) Reconfigure() {
 	now := time.Now()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	v := h.View()
-	h.configured = h.holder.Current().Epoch
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	v := m.View()
+	m.configured = m.holder.Current().Epoch
 	for _, svc := range v.Services() {
-		s := h.services.Get(svc.Name)
-		s.Gate.Configure(h.specs(svc, now), h.ruleSpecs(svc, now))
-		s.Decide(func(d *steer.Decider) { d.Configure(svc, h.self.Zone, h.region, now) })
+		s := m.Services.Get(svc.Name)
+		s.Gate.Configure(m.specs(svc, now), m.ruleSpecs(svc, now))
+		s.Decide(func(d *steer.Decider) { d.Configure(svc, m.Zone, m.Region, now) })
 	}
-	h.services.All(func(name string, s *services.Service) bool {
+	m.Services.All(func(name string, s *services.Service) bool {
 		if _, ok := v.Service(name); !ok {
 			s.Gate.Configure(nil, nil)
 		}
@@ -40,27 +30,27 @@
 	})
 }
 
-// specs gives what the host holds of a service's upstreams; h.mu is held.
-func (h *Host) specs(svc *config.ServiceView, now time.Time) []slot.Spec {
+// specs gives what the host holds of a service's upstreams; m.mu is held.
+func (m *Membership) specs(svc *config.ServiceView, now time.Time) []slot.Spec {
 	specs := make([]slot.Spec, 0, len(svc.Local))
 	for _, u := range svc.Local {
-		held := h.holder.Held(u.Name, u.Slots, time.Duration(svc.MaxTimeout), now)
-		specs = append(specs, slot.Spec{Name: u.Name, Held: held.Count(), Leaving: h.upstreams.Leaving(u)})
+		held := m.holder.Held(u.Name, u.Slots, time.Duration(svc.MaxTimeout), now)
+		specs = append(specs, slot.Spec{Name: u.Name, Held: held.Count(), Leaving: m.Upstreams.Leaving(u)})
 	}
 	return specs
 }
 
-// ruleSpecs gives the host's part of each rule's limits; h.mu is held.
-func (h *Host) ruleSpecs(svc *config.ServiceView, now time.Time) []slot.RuleSpec {
+// ruleSpecs gives the host's part of each rule's limits; m.mu is held.
+func (m *Membership) ruleSpecs(svc *config.ServiceView, now time.Time) []slot.RuleSpec {
 	longest := time.Duration(svc.MaxTimeout)
 	specs := make([]slot.RuleSpec, 0, len(svc.Rules))
 	for _, r := range svc.Rules {
 		spec := slot.RuleSpec{Name: r.Name, Members: r.Local, InFlight: -1, Rate: -1}
 		if r.InFlight > 0 {
-			spec.InFlight = h.holder.Part("rule:"+r.Name, zonePart(r, h.self.Zone), longest, now)
+			spec.InFlight = m.holder.Part("rule:"+r.Name, zonePart(r, m.Zone), longest, now)
 		}
 		if r.Rate > 0 {
-			spec.Rate = r.Rate * zoneShare(r, h.self.Zone) * h.holder.Fraction(now, longest)
+			spec.Rate = r.Rate * zoneShare(r, m.Zone) * m.holder.Fraction(now, longest)
 		}
 		specs = append(specs, spec)
 	}
--- /dev/null
+++ b/internal/selector/entry/rosters/join.go
@@ -0,0 +1,80 @@
+package rosters
+
+import (
+	"context"
+	"time"
+
+	"github.com/rotisserie/eris"
+
+	"cairndock/internal/peer"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/roster"
+	"cairndock/internal/selector/store"
+)
+
+// rejoin drops every slot and joins again: the roster says that this host
+// died, so that its slots belong to others.
+func (m *Membership) rejoin() {
+	m.Log.Warn().Msg("roster: was taken for dead, joining again")
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	cur := m.holder.Current()
+	m.holder = roster.NewHolder(m.Host, NewIncarnation(), m.Zone)
+	m.holder.See(cur, time.Now())
+	m.joined = false
+}
+
+// join writes this host, reached as self says, into its zone's roster.
+func (m *Membership) join(ctx context.Context, self member.Contact) error {
+	r, version, err := m.readRoster(ctx)
+	if err != nil {
+		return err
+	}
+	old, known := r.Member(m.Host)
+	m.mu.Lock()
+	incarnation := m.holder.Incarnation()
+	m.mu.Unlock()
+	if known && old.Incarnation == incarnation && old.State == roster.Active {
+		return m.markJoined(false)
+	}
+	me := roster.Member{
+		Host: m.Host, Incarnation: incarnation, PeerAddr: self.PeerAddr,
+		CallerAddr: self.CallerAddr, State: roster.Active,
+	}
+	if err := m.writeRoster(ctx, r.WithMember(me), version); err != nil {
+		return err
+	}
+	return m.markJoined(known)
+}
+
+// markJoined notes the membership. Where an earlier incarnation was a
+// member, its requests may be outstanding still.
+func (m *Membership) markJoined(replaced bool) error {
+	m.mu.Lock()
+	m.joined = true
+	if replaced {
+		m.holder.Replaced(time.Now())
+	}
+	m.mu.Unlock()
+	m.Reconfigure()
+	m.NewEpoch()
+	return nil
+}
+
+// writeRoster writes the zone's next roster. When its answer is lost, the
+// next turn reads what became of it.
+func (m *Membership) writeRoster(ctx context.Context, r roster.Roster, version int64) error {
+	body, err := peer.Encode(r)
+	if err != nil {
+		return err
+	}
+	err = m.Platform.Do(ctx, func(ctx context.Context) error {
+		return m.Table.Transact(ctx, []store.Write{{Key: rosterKey(r.Zone), IfVersion: version, Body: body}})
+	})
+	if err != nil {
+		return eris.Wrap(err, "write roster")
+	}
+	m.Merge(r)
+	m.TellZone()
+	return nil
+}
--- /dev/null
+++ b/internal/selector/entry/rosters/loop.go
@@ -0,0 +1,216 @@
+package rosters
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/rotisserie/eris"
+
+	"cairndock/internal/pause"
+	"cairndock/internal/peer"
+	"cairndock/internal/selector/entry/peers"
+	"cairndock/internal/selector/entry/platformcalls"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/roster"
+	"cairndock/internal/selector/store"
+)
+
+const (
+	// partitionRoster is the table's partition of the rosters, by zone.
+	partitionRoster = "roster"
+	// rosterInterval is the least time between two looks of a poller at the
+	// zone's roster. Chosen, not measured.
+	rosterInterval = time.Second
+	// HostsInterval is the time between two looks of a poller at the
+	// platform's host list: the time that an upstream's leaving by the list
+	// may go unseen (0.8 s measured, docs/design/heartbeats.md).
+	HostsInterval = 2 * time.Second
+	// pollers is how many hosts of a zone look at the platform for all, so
+	// that one may fail (docs/design/configuration.md).
+	pollers = 2
+	// maxRosterRows bounds the zones read at once; chosen, not measured.
+	maxRosterRows = 1000
+	// memberBytes is about the size of one member in a roster's row.
+	memberBytes = 110
+	// rosterBytes is what a poller may spend on reading the roster, in
+	// bytes per second: a large one is read less often. Its writer sends
+	// the zone each new epoch anyway. Half of member.BytesPerSecond; chosen,
+	// not measured.
+	rosterBytes = 2000
+	// discoverInterval is the time between the first two looks at all zones'
+	// rosters while some zone can't be reached. It doubles up to
+	// maxDiscover. Chosen, not measured.
+	discoverInterval = 5 * time.Second
+	// maxDiscover is the longest time between two such looks, so that a zone
+	// that is gone for long costs little. Chosen, not measured.
+	maxDiscover = 5 * time.Minute
+)
+
+// Loop joins the zone's roster, follows it and takes dead members out, until
+// ctx ends. Self is how this host is reached.
+func (m *Membership) Loop(ctx context.Context, self member.Contact) {
+	retry := platformcalls.NewBackoff()
+	var looked looks
+	for {
+		err := m.tick(ctx, self, &looked)
+		wait := max(rosterInterval, time.Duration(looked.bytes)*time.Second/rosterBytes)
+		if err != nil {
+			wait = retry.NextBackOff()
+			m.Log.Debug().Err(err).Msg("roster: tick failed")
+		} else {
+			retry.Reset()
+		}
+		if !pause.For(ctx, wait) {
+			return
+		}
+	}
+}
+
+// looks is when the roster loop last read the host list and all rosters, and
+// what it found.
+type looks struct {
+	hosts, zones time.Time
+	// every is the time until the next look at all rosters.
+	every time.Duration
+	// bytes is the size of the zone's roster.
+	bytes int
+}
+
+func (m *Membership) tick(ctx context.Context, self member.Contact, looked *looks) error {
+	if !m.hasJoined() {
+		return m.join(ctx, self)
+	}
+	if err := m.discover(ctx, looked); err != nil {
+		return err
+	}
+	if !m.IsPoller() {
+		return nil
+	}
+	r, _, err := m.readRoster(ctx)
+	if err != nil {
+		return err
+	}
+	looked.bytes = memberBytes * len(r.Members)
+	if time.Since(looked.hosts) < HostsInterval {
+		return nil
+	}
+	looked.hosts = time.Now()
+	return m.lookAtHosts(ctx)
+}
+
+// discover learns the hosts of other zones from their rosters, as long as
+// some configured zone has no host that answers. Heartbeats name the rest.
+func (m *Membership) discover(ctx context.Context, looked *looks) error {
+	if !m.missesZone() {
+		looked.every = 0
+		return nil
+	}
+	if time.Since(looked.zones) < looked.every {
+		return nil
+	}
+	looked.zones = time.Now()
+	looked.every = max(discoverInterval, min(2*looked.every, maxDiscover))
+	var rows []store.Row
+	err := m.Platform.Do(ctx, func(ctx context.Context) (err error) {
+		rows, err = m.Table.List(ctx, partitionRoster, "", maxRosterRows)
+		return err
+	})
+	if err != nil {
+		return eris.Wrap(err, "read rosters")
+	}
+	for _, row := range rows {
+		r, err := peer.Decode[roster.Roster](row.Body)
+		if err != nil {
+			return err
+		}
+		m.Peers.Learn(contacts(r))
+	}
+	return nil
+}
+
+func (m *Membership) missesZone() bool {
+	for _, zone := range m.KnownZones() {
+		if zone != m.Zone && len(m.Peers.Contacts(zone, false)) == 0 {
+			return true
+		}
+	}
+	return false
+}
+
+func (m *Membership) hasJoined() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.joined || m.Leaving()
+}
+
+// IsPoller reports whether this host is among the first of its zone that
+// answer, in an order that differs from zone to zone.
+func (m *Membership) IsPoller() bool {
+	ranked := roster.Rank("poll:"+m.Zone, m.Peers.UpNames(m.Host))
+	for _, host := range ranked[:min(pollers, len(ranked))] {
+		if host == m.Host {
+			return true
+		}
+	}
+	return false
+}
+
+func rosterKey(zone string) store.Key {
+	return store.Key{Partition: partitionRoster, Sort: zone}
+}
+
+// readRoster reads the zone's roster and takes it in.
+func (m *Membership) readRoster(ctx context.Context) (roster.Roster, int64, error) {
+	var row store.Row
+	err := m.Platform.Do(ctx, func(ctx context.Context) (err error) {
+		row, err = m.Table.Get(ctx, rosterKey(m.Zone))
+		return err
+	})
+	if errors.Is(err, store.ErrNotFound) {
+		return roster.Roster{Zone: m.Zone}, 0, nil
+	}
+	if err != nil {
+		return roster.Roster{}, 0, eris.Wrap(err, "read roster")
+	}
+	r, err := peer.Decode[roster.Roster](row.Body)
+	if err != nil {
+		return r, 0, err
+	}
+	m.Merge(r)
+	return r, row.Version, nil
+}
+
+// Fetch takes the zone's roster from a host that has a newer one.
+func (m *Membership) Fetch(ctx context.Context, from member.Contact) {
+	ctx, cancel := context.WithTimeout(ctx, peers.CallTimeout)
+	defer cancel()
+	r, err := peer.Call[roster.Roster](ctx, m.Mesh, from.PeerAddr, peer.KindRoster, m.Zone)
+	if err != nil || r.Zone != m.Zone {
+		// Its next heartbeat shows the newer epoch again.
+		m.Log.Debug().Str("peer", from.Host).Err(err).Msg("roster: fetch failed")
+		return
+	}
+	m.Merge(r)
+}
+
+// Prove reads the roster from the table or from a host of the zone, after this
+// host was paused or cut off from everything, and reports whether it could.
+// Slots that were given away meanwhile are gone then. A host that is alone
+// waits for the table.
+func (m *Membership) Prove(ctx context.Context) bool {
+	m.Log.Warn().Msg("entry: host was paused or alone, asking for the roster")
+	if _, _, err := m.readRoster(ctx); err == nil {
+		return true
+	}
+	for _, p := range m.Peers.Zone(m.Zone) {
+		callCtx, cancel := context.WithTimeout(ctx, peers.CallTimeout)
+		r, err := peer.Call[roster.Roster](callCtx, m.Mesh, p.Contact.PeerAddr, peer.KindRoster, m.Zone)
+		cancel()
+		if err == nil && r.Zone == m.Zone {
+			m.Merge(r)
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/selector/entry/rosters/rosters_test.go
@@ -0,0 +1,236 @@
+package rosters
+
+import (
+	"context"
+	"fmt"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/rs/zerolog"
+	"github.com/stretchr/testify/require"
+
+	"cairndock/internal/peer"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/peers"
+	"cairndock/internal/selector/entry/platformcalls"
+	"cairndock/internal/selector/entry/services"
+	"cairndock/internal/selector/entry/upstreams"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/roster"
+	"cairndock/internal/selector/store"
+	"cairndock/internal/telemetry"
+)
+
+const (
+	slots      = 8
+	maxTimeout = 2 * time.Second
+	doc        = `
+[[zone]]
+name = "costa-a"
+region = "costa"
+[[service]]
+name = "planning"
+timeout = "1s"
+max_timeout = "2s"
+[[upstream]]
+name = "up-1"
+service = "planning"
+zone = "costa-a"
+addr = "up-1:1"
+slots = 8
+[[rule]]
+name = "all"
+service = "planning"
+selector = ""
+share = 1.0
+`
+)
+
+// host is a host of costa-a with its platform.
+type host struct {
+	*Membership
+	contact member.Contact
+	memory  *store.Memory
+	leaving bool
+	// told counts what the zone was told.
+	told int
+}
+
+func newHost(t *testing.T, memory *store.Memory, name string) *host {
+	d, err := config.ParseDocument([]byte(doc))
+	require.NoError(t, err)
+	c, err := d.Change("first", 0)
+	require.NoError(t, err)
+	state, err := config.NewState().With(c.WithRevision(1))
+	require.NoError(t, err)
+	current := config.NewView(state, "costa-a")
+	view := func() *config.View { return current }
+	h := &host{memory: memory, contact: member.Contact{Host: name, Zone: "costa-a", PeerAddr: name + ":2"}}
+	table := peers.New(h.contact)
+	set := services.NewSet(view, func() float64 { return 0.5 })
+	h.Membership = New(Options{
+		Host: name, Zone: "costa-a", Region: "costa", Incarnation: NewIncarnation(), View: view,
+		KnownZones: func() []string { return []string{"costa-a"} },
+		Leaving:    func() bool { return h.leaving }, NewEpoch: func() {}, TellZone: func() { h.told++ },
+		Table: memory, HostList: memory,
+		Platform: platformcalls.New(1000, telemetry.NewMetrics(), func() {}),
+		Peers:    table, Services: set,
+		Upstreams: upstreams.New(upstreams.Options{Host: name, View: view, Services: set, Peers: table, Log: zerolog.Nop()}),
+		Mesh:      peer.NewMesh(peer.Hello{Host: name}, nil, nil), Log: zerolog.Nop(),
+	})
+	return h
+}
+
+func (h *host) held() int { return h.Services.Get("planning").Gate.Load().Held }
+
+// follow has hosts read the roster and acknowledge it to each other.
+func follow(t *testing.T, hosts ...*host) {
+	for _, h := range hosts {
+		_, _, err := h.readRoster(context.Background())
+		require.NoError(t, err)
+		h.Settle()
+	}
+	for _, h := range hosts {
+		b := member.Heartbeat{Contact: h.contact}
+		h.Describe(&b)
+		for _, other := range hosts {
+			require.False(t, other.Acknowledged(b), "all have the newest epoch")
+		}
+	}
+	for _, h := range hosts {
+		h.Settle()
+	}
+}
+
+// TestSlotsPassBetweenMembers: the members of a zone hold all slots between
+// them, and a new member holds none until the others have acknowledged it.
+func TestSlotsPassBetweenMembers(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx := context.Background()
+		memory := store.NewMemory()
+		one, two := newHost(t, memory, "costa-a-1"), newHost(t, memory, "costa-a-2")
+		require.NoError(t, one.join(ctx, one.contact))
+		require.Equal(t, slots, one.held(), "nobody else can hold any")
+		follow(t, one)
+
+		require.NoError(t, two.join(ctx, two.contact))
+		two.Settle()
+		require.Zero(t, two.held(), "the first has not acknowledged")
+		follow(t, one, two)
+		require.Equal(t, slots, one.held()+two.held())
+		require.Positive(t, two.held())
+
+		one.leaving = true
+		one.Leave(ctx)
+		require.Zero(t, one.held())
+		follow(t, one, two)
+		require.Equal(t, slots, two.held())
+		one.Remove(ctx)
+		_, known := one.Current().Member("costa-a-1")
+		require.False(t, known)
+	})
+}
+
+// TestDeathNeedsListAndSilence: a member is dead when the list calls it gone,
+// or names it no more, and it is silent as well; one that was never listed
+// must be silent for longer.
+func TestDeathNeedsListAndSilence(t *testing.T) {
+	gone := []store.HostState{{Name: "costa-a-2", State: store.Gone}}
+	live := []store.HostState{{Name: "costa-a-2", State: store.Live}}
+	cases := []struct {
+		name    string
+		before  []store.HostState
+		list    []store.HostState
+		silence time.Duration
+		dead    bool
+	}{
+		{"gone, and silent", nil, gone, member.LostAfter + 1, true},
+		{"gone, and heard", nil, gone, member.LostAfter, false},
+		{"live, and silent", nil, live, unlistedAfter + 1, false},
+		{"dropped from the list, and silent", live, nil, member.LostAfter + 1, true},
+		{"never listed, and silent", nil, nil, member.LostAfter + 1, false},
+		{"never listed, and silent for long", nil, nil, unlistedAfter + 1, true},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				h := newHost(t, store.NewMemory(), "costa-a-1")
+				h.Upstreams.Changed = func() {}
+				h.Upstreams.MergeList(tc.before)
+				h.Upstreams.MergeList(tc.list)
+				other := member.Contact{Host: "costa-a-2", Zone: "costa-a", PeerAddr: "costa-a-2:2"}
+				h.Peers.Update(func(p *member.Peers) { p.Heard(member.Heartbeat{Contact: other}, time.Now(), time.Millisecond) })
+				time.Sleep(tc.silence)
+				listed := map[string]store.State{}
+				for _, s := range tc.list {
+					listed[s.Name] = s.State
+				}
+				require.Equal(t, tc.dead, h.isGone("costa-a-2", listed))
+			})
+		})
+	}
+}
+
+// TestGoneMembersRest: a gone member stays in the roster until every request
+// that it can have sent has met its deadline.
+func TestGoneMembersRest(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h := newHost(t, store.NewMemory(), "costa-a-1")
+		dead := roster.Member{Host: "costa-a-2", Incarnation: "2", State: roster.Gone}
+		r := roster.Roster{Zone: "costa-a"}.WithMember(dead)
+		h.Merge(r)
+		_, ok := h.withoutDead(r, dead, nil)
+		require.False(t, ok)
+		time.Sleep(maxTimeout + deadMargin)
+		next, ok := h.withoutDead(r, dead, nil)
+		require.True(t, ok)
+		require.Empty(t, next.Members)
+	})
+}
+
+// TestRejoin: a host that the roster calls gone drops every slot and joins
+// again as another incarnation.
+func TestRejoin(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx := context.Background()
+		h := newHost(t, store.NewMemory(), "costa-a-1")
+		require.NoError(t, h.join(ctx, h.contact))
+		follow(t, h)
+		before, _ := h.Current().Member("costa-a-1")
+		r, version, err := h.readRoster(ctx)
+		require.NoError(t, err)
+		require.NoError(t, h.writeRoster(ctx, r.WithState("costa-a-1", roster.Gone), version))
+		require.Zero(t, h.held())
+		require.False(t, h.hasJoined())
+		require.NoError(t, h.join(ctx, h.contact))
+		after, _ := h.Current().Member("costa-a-1")
+		require.NotEqual(t, before.Incarnation, after.Incarnation)
+	})
+}
+
+// TestZonePartsSumToTheLimit: a rule's in-flight limit is split over its zones
+// by their slots, to the last one.
+func TestZonePartsSumToTheLimit(t *testing.T) {
+	sites := [][]int{{4}, {4, 4}, {1, 2, 3}, {0, 5}, {7, 1, 1, 1}}
+	for _, slots := range sites {
+		for limit := range 12 {
+			t.Run(fmt.Sprintf("%d over %v", limit, slots), func(t *testing.T) {
+				r := config.RuleView{}
+				r.InFlight = limit
+				for i, n := range slots {
+					r.Sites = append(r.Sites, config.Site{Zone: fmt.Sprint(i), Slots: n})
+				}
+				sum, share := 0, 0.0
+				for i := range slots {
+					sum += zonePart(r, fmt.Sprint(i))
+					share += zoneShare(r, fmt.Sprint(i))
+				}
+				require.Equal(t, limit, sum)
+				require.InDelta(t, 1, share, 1e-9)
+			})
+		}
+	}
+	require.Zero(t, zonePart(config.RuleView{}, "nowhere"))
+	require.Zero(t, zoneShare(config.RuleView{}, "nowhere"))
+}
--- a/internal/selector/entry/serve.go
+++ b/internal/selector/entry/serve.go
@@ -7,7 +7,6 @@
 	"cairndock/internal/selector/entry/configsync"
 	"cairndock/internal/selector/entry/links"
 	"cairndock/internal/selector/member"
-	"cairndock/internal/selector/roster"
 	"cairndock/internal/selector/ticket"
 )
 
@@ -29,7 +28,7 @@
 	case peer.KindHeartbeat:
 		serve(payload, func(b member.Heartbeat) { h.serveHeartbeat(ctx, b, w) })
 	case peer.KindRoster:
-		serve(payload, func(string) { h.serveRoster(w) })
+		serve(payload, func(string) { reply(w, h.roster()) })
 	case peer.KindChanges:
 		serve(payload, func(after uint64) { h.config.ServeChanges(after, w) })
 	case peer.KindPush:
@@ -58,13 +57,3 @@
 // reply sends the reply to a message. Where it can't be sent, the connection
 // is lost, and the peer's own call fails.
 func reply(w *peer.Responder, message any) { _ = w.Send(message) }
-
-func (h *Host) serveRoster(w *peer.Responder) {
-	reply(w, h.roster())
-}
-
-func (h *Host) roster() roster.Roster {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.holder.Current()
-}
--- a/internal/selector/entry/status.go
+++ b/internal/selector/entry/status.go
@@ -85,9 +85,7 @@
 			s.CutOff = append(s.CutOff, z.Zone)
 		}
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	s.Roster, s.Settled = h.holder.Current(), h.holder.Settled()
+	s.Roster, s.Settled = h.rosters.Current(), h.rosters.Settled()
 	for _, svc := range v.Services() {
 		for _, u := range svc.Local {
 			if h.upstreams.Leaving(u) {
--- a/internal/selector/entry/stop.go
+++ b/internal/selector/entry/stop.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"cairndock/internal/pause"
-	"cairndock/internal/selector/roster"
 )
 
 // StopReport says how a planned stop went.
@@ -27,7 +26,7 @@
 	h.leaving.Store(true)
 	h.refreshEntries()
 	h.tellAll()
-	h.leaveRoster(ctx, func(r roster.Roster) roster.Roster { return r.WithState(h.self.Host, roster.Leaving) })
+	h.rosters.Leave(ctx)
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(h.opts.Settings.Stop.Window))
 	defer cancel()
 	pause.For(ctx, time.Duration(h.opts.Settings.Stop.Grace))
@@ -37,7 +36,7 @@
 	if report.Cut == 0 && h.services.Outstanding() == 0 {
 		// Whoever still has a slot out stays a member, and its slots unused,
 		// until the platform says that it is gone.
-		h.leaveRoster(context.WithoutCancel(ctx), func(r roster.Roster) roster.Roster { return r.Without(h.self.Host) })
+		h.rosters.Remove(context.WithoutCancel(ctx))
 	}
 	report.Waited = time.Since(began)
 	h.log.Info().Dur("waited", report.Waited).Int64("cut", report.Cut).Bool("handed_over", report.HandedOver).
@@ -59,35 +58,6 @@
 	}
 }
 
-// leaveRoster writes this host's own change of the roster, a few times when
-// others write at the same time.
-func (h *Host) leaveRoster(ctx context.Context, change func(roster.Roster) roster.Roster) {
-	const tries = 5
-	for range tries {
-		r, version, err := h.readRoster(ctx)
-		if err == nil {
-			if !h.inRoster(r) {
-				return
-			}
-			err = h.writeRoster(ctx, change(r), version)
-		}
-		if err == nil {
-			return
-		}
-		h.log.Warn().Err(err).Msg("roster: could not leave")
-		if !pause.For(ctx, tick) {
-			return
-		}
-	}
-}
-
-func (h *Host) inRoster(r roster.Roster) bool {
-	m, ok := r.Member(h.self.Host)
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return ok && m.Incarnation == h.holder.Incarnation()
-}
-
 // waitIdle waits until nothing is in flight.
 func (h *Host) waitIdle(ctx context.Context) {
 	const poll = 20 * time.Millisecond
--- a/internal/selector/entry/tickets.go
+++ b/internal/selector/entry/tickets.go
@@ -8,8 +8,6 @@
 	"slices"
 	"time"
 
-	"github.com/oklog/ulid/v2"
-
 	"cairndock/internal/call"
 	"cairndock/internal/peer"
 	"cairndock/internal/selector/entry/peers"
@@ -18,8 +16,6 @@
 	"cairndock/internal/verdict"
 )
 
-func newIncarnation() string { return ulid.Make().String() }
-
 // MintTicket makes a ticket for one request of a service.
 func (h *Host) MintTicket(service string) (ticket.Ticket, error) {
 	if _, ok := h.View().Service(service); !ok {
