--- /dev/null
+++ b/internal/selector/entry/admission/admission.go
@@ -0,0 +1,107 @@
+// Package admission admits requests to the upstreams of the host's own zone:
+// it takes a slot, sends the request and releases the slot when the upstream
+// is done with it.
+//
+// It owns no state. It relies on the services' gates for the slots, on the
+// fence for the proof that they are this host's, and on the upstream client
+// for what became of a request.
+package admission
+
+import (
+	"context"
+	"time"
+
+	"go.opentelemetry.io/otel/attribute"
+	"go.opentelemetry.io/otel/trace"
+
+	"cairndock/internal/call"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/fence"
+	"cairndock/internal/selector/entry/services"
+	"cairndock/internal/selector/slot"
+	"cairndock/internal/selector/upstream"
+	"cairndock/internal/telemetry"
+	"cairndock/internal/verdict"
+)
+
+// RetryAfter is when a client whose request was refused is asked to come back.
+// Chosen, not measured.
+const RetryAfter = time.Second
+
+// Client sends a request to an upstream, and calls done when the slot is free.
+type Client interface {
+	Send(ctx context.Context, t upstream.Target, req *call.Request, done upstream.Done) (*call.Answer, error)
+}
+
+// Options are what an Admitter is made of.
+type Options struct {
+	Zone     string
+	View     func() *config.View
+	Services *services.Set
+	Fence    *fence.Fence
+	Client   Client
+	Metrics  *telemetry.Metrics
+	Tracer   trace.Tracer
+}
+
+// Admitter admits requests to the zone's upstreams.
+type Admitter struct{ Options }
+
+// New makes an Admitter.
+func New(o Options) *Admitter { return &Admitter{o} }
+
+// Acquire takes a slot for a request by a rule. It waits for one until a time;
+// the zero time is not at all. Its error is a *verdict.Error: not run.
+func (a *Admitter) Acquire(ctx context.Context, service, rule string, until time.Time) (slot.Lease, error) {
+	gate := a.Services.Get(service).Gate
+	lease, refusal := gate.Acquire(ctx, rule, until)
+	// Only now, as the host may have been paused while the request waited.
+	if refusal == slot.Granted && !a.Fence.Open() {
+		gate.Release(lease, slot.Unused, 0)
+		return lease, verdict.New(verdict.NotRun, verdict.NotReady, "host was paused").WithRetryAfter(RetryAfter)
+	}
+	switch refusal {
+	case slot.Granted:
+		return lease, nil
+	case slot.Capped:
+		return lease, verdict.New(verdict.NotRun, verdict.Capped, "rule %q is at its limit here", rule).WithRetryAfter(RetryAfter)
+	case slot.NoRule:
+		return lease, verdict.New(verdict.NotRun, verdict.NoUpstream, "no rule %q here", rule)
+	default:
+		return lease, verdict.New(verdict.NotRun, verdict.Full, "no free slot in %s", a.Zone).WithRetryAfter(RetryAfter)
+	}
+}
+
+// Cancel releases a slot that no request was sent with.
+func (a *Admitter) Cancel(service string, lease slot.Lease) {
+	a.Services.Get(service).Gate.Release(lease, slot.Unused, 0)
+}
+
+// Send sends a request to the upstream of a slot, and releases the slot when
+// the upstream is done. Its error is a *verdict.Error.
+func (a *Admitter) Send(ctx context.Context, req *call.Request, lease slot.Lease) (*call.Answer, error) {
+	target, ok := a.target(req.Service, lease.Upstream())
+	if !ok {
+		a.Cancel(req.Service, lease)
+		return nil, verdict.New(verdict.NotRun, verdict.NoUpstream, "upstream was removed")
+	}
+	ctx, span := a.Tracer.Start(ctx, "upstream", trace.WithAttributes(attribute.String("upstream", target.Name)))
+	defer span.End()
+	gate := a.Services.Get(req.Service).Gate
+	answer, err := a.Client.Send(ctx, target, req, func(o slot.Outcome, latency time.Duration) {
+		gate.Release(lease, o, latency)
+	})
+	if err != nil {
+		a.Metrics.Count(`cairndock_upstream_failures_total{verdict="` + verdict.From(err).Verdict.String() + `"}`)
+		return nil, err
+	}
+	return answer, nil
+}
+
+func (a *Admitter) target(service, name string) (upstream.Target, bool) {
+	u, ok := a.View().LocalUpstream(name)
+	if !ok || u.Service != service {
+		return upstream.Target{}, false
+	}
+	return upstream.Target{Name: u.Name, Zone: u.Zone, Addr: u.Addr}, true
+}
--- /dev/null
+++ b/internal/selector/entry/admission/admission_test.go
@@ -0,0 +1,127 @@
+package admission
+
+import (
+	"context"
+	"errors"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"go.opentelemetry.io/otel/trace/noop"
+
+	"cairndock/internal/call"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/fence"
+	"cairndock/internal/selector/entry/services"
+	"cairndock/internal/selector/slot"
+	"cairndock/internal/selector/upstream"
+	"cairndock/internal/telemetry"
+	"cairndock/internal/verdict"
+)
+
+const doc = `
+[[zone]]
+name = "costa-a"
+region = "costa"
+[[service]]
+name = "planning"
+timeout = "1s"
+max_timeout = "2s"
+[[upstream]]
+name = "up-1"
+service = "planning"
+zone = "costa-a"
+addr = "up-1:1"
+slots = 4
+`
+
+// client answers every request, or fails it when err is set.
+type client struct{ err error }
+
+func (c client) Send(_ context.Context, _ upstream.Target, _ *call.Request, done upstream.Done) (*call.Answer, error) {
+	done(slot.Unused, 0)
+	if c.err != nil {
+		return nil, c.err
+	}
+	return &call.Answer{Status: 200}, nil
+}
+
+// newAdmitter holds one slot of up-1, which the rule "all" allows, and one of
+// an upstream that is not configured any more, which the rule "old" allows.
+func newAdmitter(t *testing.T, c Client) *Admitter {
+	d, err := config.ParseDocument([]byte(doc))
+	require.NoError(t, err)
+	change, err := d.Change("first", 0)
+	require.NoError(t, err)
+	state, err := config.NewState().With(change.WithRevision(1))
+	require.NoError(t, err)
+	current := config.NewView(state, "costa-a")
+	view := func() *config.View { return current }
+	set := services.NewSet(view, func() float64 { return 0.5 })
+	set.Get("planning").Gate.Configure([]slot.Spec{{Name: "up-1", Held: 1}, {Name: "up-removed", Held: 1}}, []slot.RuleSpec{
+		{Name: "all", Members: []int32{0}, InFlight: -1, Rate: -1},
+		{Name: "limited", Members: []int32{0}, InFlight: 0, Rate: -1},
+		{Name: "old", Members: []int32{1}, InFlight: -1, Rate: -1},
+	})
+	made := time.Now()
+	f := fence.New(func() int64 { return int64(time.Hour) + int64(time.Since(made)) })
+	f.Start()
+	return New(Options{
+		Zone: "costa-a", View: view, Services: set, Fence: f, Client: c,
+		Metrics: telemetry.NewMetrics(), Tracer: noop.NewTracerProvider().Tracer(""),
+	})
+}
+
+// TestRefusals: each refusal is not run, says why, and leaves no slot taken.
+func TestRefusals(t *testing.T) {
+	cases := []struct {
+		name, rule string
+		before     func(a *Admitter)
+		reason     verdict.Reason
+		retry      time.Duration
+	}{
+		{"paused", "all", func(a *Admitter) { a.Fence.Close() }, verdict.NotReady, RetryAfter},
+		{"limited", "limited", nil, verdict.Capped, RetryAfter},
+		{"no such rule", "none", nil, verdict.NoUpstream, 0},
+		{"full", "all", func(a *Admitter) { _, _ = a.Acquire(context.Background(), "planning", "all", time.Time{}) }, verdict.Full, RetryAfter},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			a := newAdmitter(t, client{})
+			if tc.before != nil {
+				tc.before(a)
+			}
+			taken := a.Services.Outstanding()
+			_, err := a.Acquire(context.Background(), "planning", tc.rule, time.Time{})
+			e := verdict.From(err)
+			require.Equal(t, verdict.NotRun, e.Verdict)
+			require.Equal(t, tc.reason, e.Reason)
+			require.Equal(t, tc.retry, e.RetryAfter)
+			require.Equal(t, taken, a.Services.Outstanding())
+		})
+	}
+}
+
+// TestSlotsAreReleased: however a request ends, its slot is free afterwards.
+func TestSlotsAreReleased(t *testing.T) {
+	cases := []struct {
+		name, rule string
+		client     client
+		fails      bool
+	}{
+		{"answered", "all", client{}, false},
+		{"failed", "all", client{errors.New("lost")}, true},
+		{"upstream was removed", "old", client{}, true},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			a := newAdmitter(t, tc.client)
+			lease, err := a.Acquire(context.Background(), "planning", tc.rule, time.Time{})
+			require.NoError(t, err)
+			require.Equal(t, 1, a.Services.Outstanding())
+			_, err = a.Send(context.Background(), &call.Request{Service: "planning"}, lease)
+			require.Equal(t, tc.fails, err != nil)
+			require.Zero(t, a.Services.Outstanding())
+		})
+	}
+}
--- a/internal/selector/entry/api.go
+++ b/internal/selector/entry/api.go
@@ -4,8 +4,10 @@
 	"context"
 	"time"
 
+	"cairndock/internal/call"
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry/configsync"
+	"cairndock/internal/selector/ticket"
 )
 
 // What the host's duties give to operators and clients, under the names that
@@ -37,3 +39,16 @@
 func (h *Host) ChangeProgress(ctx context.Context, id string) (Applied, bool, error) {
 	return h.config.ChangeProgress(ctx, id)
 }
+
+// Do serves a request that a client sent to this host. Its error is a
+// *verdict.Error.
+func (h *Host) Do(ctx context.Context, req *call.Request) (*call.Answer, error) {
+	if req.Ticket != "" {
+		return h.tickets.Do(ctx, req)
+	}
+	return h.dispatch.Dispatch(ctx, req)
+}
+
+// MintTicket makes a ticket for one request to a service. Its error is a
+// *verdict.Error.
+func (h *Host) MintTicket(service string) (ticket.Ticket, error) { return h.tickets.Mint(service) }
--- /dev/null
+++ b/internal/selector/entry/dispatch/dispatch.go
@@ -0,0 +1,346 @@
+// Package dispatch decides where a request goes, and sends it to one zone after
+// another until it is answered or must be given up.
+//
+// It owns the tries of one request at a time: how many there may be, whether
+// another may follow, where to wait and when to hedge. It relies on the
+// service's decider for the choice of zones, on admission for the slots of the
+// own zone and on forwarding for other hosts (docs/design/request.md).
+package dispatch
+
+import (
+	"context"
+	"io"
+	"sync"
+	"time"
+
+	"go.opentelemetry.io/otel/attribute"
+	"go.opentelemetry.io/otel/trace"
+
+	"cairndock/internal/call"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/admission"
+	"cairndock/internal/selector/entry/services"
+	"cairndock/internal/selector/slot"
+	"cairndock/internal/selector/steer"
+	"cairndock/internal/verdict"
+)
+
+const (
+	// maxTries bounds how often one request is sent to an upstream. Chosen,
+	// not measured.
+	maxTries = 4
+	// maxOffers bounds how often one request is offered to a zone, full ones
+	// included. Chosen, not measured.
+	maxOffers = 8
+	// queuePart is the part of the time left that a request may spend
+	// waiting for a slot: one in queuePart. Chosen, not measured.
+	queuePart = 4
+	// maxQueues bounds the full zones of a rule at which a request asks to
+	// wait: where the first one's queue is full as well, another's may have
+	// room (TestFullQueueIsPassedOver).
+	maxQueues = 2
+)
+
+// Admitter admits requests to the upstreams of the own zone.
+type Admitter interface {
+	Acquire(ctx context.Context, service, rule string, until time.Time) (slot.Lease, error)
+	Cancel(service string, lease slot.Lease)
+	Send(ctx context.Context, req *call.Request, lease slot.Lease) (*call.Answer, error)
+}
+
+// Forwarder forwards requests to other hosts.
+type Forwarder interface {
+	Forward(ctx context.Context, req *call.Request, zone, rule string, until time.Time) (*call.Answer, error)
+	// ZoneMayHelp reports whether a host of the own zone reported a free slot.
+	ZoneMayHelp(service string) bool
+}
+
+// Options are what a Dispatcher is made of.
+type Options struct {
+	View      func() *config.View
+	Services  *services.Set
+	Admitter  Admitter
+	Forwarder Forwarder
+	// Now reads the host's monotonic clock, in nanoseconds.
+	Now    func() int64
+	Tracer trace.Tracer
+}
+
+// Dispatcher dispatches requests.
+type Dispatcher struct{ Options }
+
+// New makes a Dispatcher.
+func New(o Options) *Dispatcher { return &Dispatcher{o} }
+
+// Dispatch decides where a request goes, and offers it to other zones as long
+// as it provably did not run, or may be repeated. Its error is a
+// *verdict.Error.
+func (d *Dispatcher) Dispatch(ctx context.Context, req *call.Request) (*call.Answer, error) {
+	ctx, span := d.Tracer.Start(ctx, "dispatch", trace.WithAttributes(attribute.String("service", req.Service)))
+	defer span.End()
+	svc, ok := d.View().Service(req.Service)
+	if !ok {
+		return nil, verdict.New(verdict.NotRun, verdict.UnknownService, "no service %q", req.Service)
+	}
+	answer, err := d.begin(svc, req).run(ctx)
+	if err != nil {
+		span.SetAttributes(attribute.String("verdict", verdict.From(err).Verdict.String()))
+	}
+	return answer, err
+}
+
+// begin counts a request as arrived and plans its tries.
+func (d *Dispatcher) begin(svc *config.ServiceView, req *call.Request) *request {
+	r := &request{Dispatcher: d, svc: svc, state: d.Services.Get(req.Service), req: req}
+	r.state.Decide(func(dec *steer.Decider) { dec.Begin(&r.plan) })
+	return r
+}
+
+// request takes one request through its tries.
+type request struct {
+	*Dispatcher
+	svc   *config.ServiceView
+	state *services.Service
+	req   *call.Request
+	plan  steer.Plan
+	last  *verdict.Error
+	// doubt is set when a try may have run: the final verdict can't be less.
+	doubt bool
+	// offers counts the zones asked, and sends those that did not refuse
+	// for being full: only these cost the budget of retries, since a zone
+	// that is full costs a hop, and is then not asked for a while. They and
+	// spent are used in state.Decide, as a hedge runs beside the first try.
+	offers int
+	sends  int
+	// spent is set when the budget of retries is used up.
+	spent bool
+	// queueAt holds the first full zones of each rule, where to wait at last.
+	queueAt []steer.Choice
+}
+
+func (r *request) run(ctx context.Context) (*call.Answer, error) {
+	for r.mayTry() {
+		choice, ok := r.next()
+		if !ok {
+			break
+		}
+		if choice.Full && !choice.Local {
+			r.mayQueueAt(choice)
+			continue
+		}
+		answer, err := r.try(ctx, choice)
+		if err == nil {
+			return answer, nil
+		}
+		if !r.goOn(ctx, choice, err) {
+			return nil, r.final()
+		}
+	}
+	return r.queue(ctx)
+}
+
+// mayTry reports whether the request may be sent once more.
+func (r *request) mayTry() bool {
+	may := false
+	r.state.Decide(func(*steer.Decider) { may = r.sends < maxTries && r.offers < maxOffers && !r.spent })
+	return may
+}
+
+// queue waits for a slot at the best zone that was full, until a part of
+// the time left has passed. A rule that has come to its cap meanwhile is
+// passed over, and so is a zone whose queue is full.
+func (r *request) queue(ctx context.Context) (*call.Answer, error) {
+	until := time.Now().Add(time.Until(r.req.Deadline) / queuePart)
+	for _, choice := range r.queueAt {
+		if ctx.Err() != nil || !r.mayTry() || time.Now().After(until) {
+			break
+		}
+		answer, err := bufferPrefix(r.offer(ctx, choice, until))
+		if err == nil {
+			return answer, nil
+		}
+		if !r.mayQueueElsewhere(choice, err) {
+			break
+		}
+	}
+	return nil, r.final()
+}
+
+// mayQueueElsewhere notes why a request may not wait at a zone, and says
+// whether it may ask another.
+func (r *request) mayQueueElsewhere(c steer.Choice, err error) bool {
+	switch r.note(err).Reason {
+	case verdict.Capped:
+		return true
+	case verdict.Full:
+		r.bounced(c)
+		return true
+	default:
+		return false
+	}
+}
+
+func (r *request) next() (choice steer.Choice, ok bool) {
+	now := r.Now()
+	held, out, latency := r.state.Usage()
+	r.state.Decide(func(dec *steer.Decider) {
+		dec.SetLocal(held, out, latency)
+		choice, ok = dec.Next(&r.plan, now)
+	})
+	return choice, ok
+}
+
+// commit counts a sending against the cap and, from the second on, against
+// the budget of retries.
+func (r *request) commit(c steer.Choice) (refusal *verdict.Error) {
+	r.state.Decide(func(dec *steer.Decider) {
+		switch {
+		case r.sends > 0 && !dec.Retries().Take():
+			r.spent = true
+			refusal = verdict.New(verdict.NotRun, verdict.Full, "no retries left")
+		case !dec.Commit(&r.plan, c):
+			refusal = verdict.New(verdict.NotRun, verdict.Capped, "rule %q is at its cap", c.Rule).WithRetryAfter(admission.RetryAfter)
+		default:
+			r.sends++
+			r.offers++
+		}
+	})
+	return refusal
+}
+
+// offer sends the request to a zone. Until says how long it may wait for a
+// slot there; the zero time is not at all.
+func (r *request) offer(ctx context.Context, c steer.Choice, until time.Time) (*call.Answer, error) {
+	if !c.Local {
+		return r.offerPeers(ctx, c, until)
+	}
+	// Locally the slot is taken first: a request that finds none was not
+	// sent, and uses no room under the cap.
+	lease, err := r.Admitter.Acquire(ctx, r.req.Service, c.Rule, until)
+	if err != nil {
+		if r.Forwarder.ZoneMayHelp(r.req.Service) {
+			return r.offerPeers(ctx, c, until)
+		}
+		return nil, err
+	}
+	if err := r.commit(c); err != nil {
+		r.Admitter.Cancel(r.req.Service, lease)
+		return nil, err
+	}
+	return r.untilEnd(c)(r.Admitter.Send(ctx, r.req, lease))
+}
+
+// offerPeers passes the request to a host of the choice's zone; of the own
+// zone, when this host is full, to one that said it has a free slot.
+func (r *request) offerPeers(ctx context.Context, c steer.Choice, until time.Time) (*call.Answer, error) {
+	if err := r.commit(c); err != nil {
+		return nil, err
+	}
+	return r.untilEnd(c)(r.Forwarder.Forward(ctx, r.req, c.Zone, c.Rule, until))
+}
+
+// untilEnd counts a committed request as outstanding until its answer is
+// read or it has failed.
+func (r *request) untilEnd(c steer.Choice) func(*call.Answer, error) (*call.Answer, error) {
+	var once sync.Once
+	ended := func() {
+		once.Do(func() {
+			r.state.Decide(func(dec *steer.Decider) { dec.Ended(c.Zone) })
+		})
+	}
+	return func(a *call.Answer, err error) (*call.Answer, error) {
+		if err != nil {
+			ended()
+			return nil, err
+		}
+		out := *a
+		out.Body = endBody{a.Body, ended}
+		return &out, nil
+	}
+}
+
+// endBody does something once its body is closed.
+type endBody struct {
+	io.ReadCloser
+	end func()
+}
+
+// Close closes the body and then does the rest.
+func (b endBody) Close() error {
+	err := b.ReadCloser.Close()
+	b.end()
+	return err
+}
+
+// goOn notes a failed try and says whether another may follow.
+func (r *request) goOn(ctx context.Context, c steer.Choice, err error) bool {
+	e := r.note(err)
+	if e.Reason == verdict.Full {
+		r.mayQueueAt(c)
+		r.bounced(c)
+	}
+	if e.Reason == verdict.UpstreamShed || e.Reason == verdict.Full {
+		r.slow(c.Rule)
+	}
+	if ctx.Err() != nil || time.Now().After(r.req.Deadline) {
+		return false
+	}
+	if e.Verdict == verdict.NotRun {
+		return true
+	}
+	return r.svc.Repeat.Allows(r.req.Method) && r.req.Ticket == ""
+}
+
+// bounced notes that a zone was full: nothing reached an upstream there.
+func (r *request) bounced(c steer.Choice) {
+	now := r.Now()
+	r.state.Decide(func(dec *steer.Decider) {
+		dec.Refused(c.Zone, now)
+		r.sends = max(0, r.sends-1)
+	})
+}
+
+// mayQueueAt remembers the first zones of a rule that were found full.
+func (r *request) mayQueueAt(c steer.Choice) {
+	ofRule := 0
+	for _, known := range r.queueAt {
+		if known.Rule == c.Rule {
+			ofRule++
+		}
+	}
+	if ofRule < maxQueues {
+		r.queueAt = append(r.queueAt, c)
+	}
+}
+
+func (r *request) slow(rule string) {
+	r.state.Decide(func(dec *steer.Decider) { dec.Meter().Slow(rule) })
+}
+
+func (r *request) note(err error) *verdict.Error {
+	e := verdict.From(err)
+	r.last = e
+	if e.Verdict != verdict.NotRun {
+		r.doubt = true
+	}
+	return e
+}
+
+// final is the verdict over all tries: one doubt is enough.
+func (r *request) final() error {
+	e := r.last
+	switch {
+	case e == nil && r.plan.Capped:
+		e = verdict.New(verdict.NotRun, verdict.Capped, "every rule is at its cap")
+	case e == nil:
+		e = verdict.New(verdict.NotRun, verdict.NoUpstream, "no zone has an upstream that can be reached")
+	}
+	out := *e
+	if r.doubt && out.Verdict == verdict.NotRun {
+		out.Verdict = verdict.MayHaveRun
+	}
+	if out.RetryAfter == 0 && out.Verdict == verdict.NotRun {
+		out.RetryAfter = admission.RetryAfter
+	}
+	return &out
+}
--- a/internal/selector/entry/hedge.go
+++ b/internal/selector/entry/dispatch/hedge.go
@@ -1,4 +1,4 @@
-package entry
+package dispatch
 
 import (
 	"context"
@@ -17,8 +17,8 @@
 	hedgeLeast = 10 * time.Millisecond
 )
 
-// attempt is how one of two tries ended.
-type attempt struct {
+// result is how one of two tries ended.
+type result struct {
 	answer *call.Answer
 	err    error
 	first  bool
@@ -27,43 +27,43 @@
 // try offers the request to a zone. A lookup that takes much longer than
 // usual is also offered to the next choice, within the budget of retries;
 // the first answer wins and the other try is cancelled.
-func (d *dispatcher) try(ctx context.Context, c steer.Choice) (*call.Answer, error) {
-	delay, ok := d.hedgeDelay()
+func (r *request) try(ctx context.Context, c steer.Choice) (*call.Answer, error) {
+	delay, ok := r.hedgeDelay()
 	if !ok {
-		return prime(d.offer(ctx, c, time.Time{}))
+		return bufferPrefix(r.offer(ctx, c, time.Time{}))
 	}
 	firstCtx, cancelFirst := context.WithCancel(ctx)
-	results := make(chan attempt, 2)
+	results := make(chan result, 2)
 	go func() {
-		answer, err := prime(d.offer(firstCtx, c, time.Time{}))
-		results <- attempt{answer, err, true}
+		answer, err := bufferPrefix(r.offer(firstCtx, c, time.Time{}))
+		results <- result{answer, err, true}
 	}()
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
-	case r := <-results:
-		return finish(r, cancelFirst)
+	case won := <-results:
+		return finish(won, cancelFirst)
 	case <-timer.C:
 	}
-	next, ok := d.next()
+	next, ok := r.next()
 	if !ok || next.Full {
 		return finish(<-results, cancelFirst)
 	}
 	secondCtx, cancelSecond := context.WithCancel(ctx)
 	go func() {
-		answer, err := prime(d.offer(secondCtx, next, time.Time{}))
-		results <- attempt{answer, err, false}
+		answer, err := bufferPrefix(r.offer(secondCtx, next, time.Time{}))
+		results <- result{answer, err, false}
 	}()
 	return race(results, cancelFirst, cancelSecond)
 }
 
 // hedgeDelay gives how long a lookup usually takes at most, and whether a
 // second one may follow at all.
-func (d *dispatcher) hedgeDelay() (time.Duration, bool) {
-	if d.req.Ticket != "" || d.svc.Class != config.Interactive || !d.svc.Repeat.Allows(d.req.Method) {
+func (r *request) hedgeDelay() (time.Duration, bool) {
+	if r.req.Ticket != "" || r.svc.Class != config.Interactive || !r.svc.Repeat.Allows(r.req.Method) {
 		return 0, false
 	}
-	_, _, latency := d.state.Usage()
+	_, _, latency := r.state.Usage()
 	if latency == 0 {
 		return 0, false
 	}
@@ -72,7 +72,7 @@
 
 // race waits for the first answer of two tries. When both fail, one that
 // may have run decides the verdict.
-func race(results <-chan attempt, cancelFirst, cancelSecond context.CancelFunc) (*call.Answer, error) {
+func race(results <-chan result, cancelFirst, cancelSecond context.CancelFunc) (*call.Answer, error) {
 	won := <-results
 	if won.err != nil {
 		other := <-results
@@ -106,7 +106,7 @@
 	}
 }
 
-func finish(a attempt, cancel context.CancelFunc) (*call.Answer, error) {
+func finish(a result, cancel context.CancelFunc) (*call.Answer, error) {
 	if a.err != nil {
 		cancel()
 		return nil, a.err
--- /dev/null
+++ b/internal/selector/entry/forward/forward.go
@@ -0,0 +1,156 @@
+// Package forward sends requests to other entry hosts that may admit them, and
+// serves those that other hosts send here (docs/design/request.md).
+//
+// It owns the message and its reply. It relies on the peers for who has free
+// slots, on admission for the own slots, and on the links for the pace of what
+// goes to other regions.
+package forward
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"go.opentelemetry.io/otel/attribute"
+	"go.opentelemetry.io/otel/trace"
+
+	"cairndock/internal/call"
+	"cairndock/internal/peer"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/links"
+	"cairndock/internal/selector/entry/peers"
+	"cairndock/internal/selector/entry/services"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/slot"
+	"cairndock/internal/telemetry"
+	"cairndock/internal/verdict"
+)
+
+// Admitter admits requests to the upstreams of the own zone.
+type Admitter interface {
+	Acquire(ctx context.Context, service, rule string, until time.Time) (slot.Lease, error)
+	Send(ctx context.Context, req *call.Request, lease slot.Lease) (*call.Answer, error)
+}
+
+// Options are what a Forwarder is made of.
+type Options struct {
+	Zone     string
+	View     func() *config.View
+	Services *services.Set
+	Peers    *peers.Table
+	Links    *links.Links
+	Admitter Admitter
+	Mesh     *peer.Mesh
+	// Random gives random numbers in [0, 1).
+	Random  func() float64
+	Metrics *telemetry.Metrics
+	Tracer  trace.Tracer
+}
+
+// Forwarder forwards requests between hosts.
+type Forwarder struct{ Options }
+
+// New makes a Forwarder.
+func New(o Options) *Forwarder { return &Forwarder{o} }
+
+// Forward sends a request to the host of a zone that has most free slots. Its
+// error is a *verdict.Error.
+func (f *Forwarder) Forward(ctx context.Context, req *call.Request, zone, rule string, until time.Time) (*call.Answer, error) {
+	target, ok := f.Peers.WithMostFree(zone, req.Service, f.Random)
+	if !ok {
+		return nil, verdict.New(verdict.NotRun, verdict.NoUpstream, "no host of %s can be reached", zone)
+	}
+	ctx, span := f.Tracer.Start(ctx, "peer", trace.WithAttributes(attribute.String("peer", target.Host)))
+	defer span.End()
+	msg := NewMessage(ctx, req, rule, until)
+	// A host of the own zone was asked since this one is full itself.
+	msg.Passed = zone == f.Zone
+	f.Metrics.Count("cairndock_forwards_total")
+	return f.Exchange(ctx, target, peer.KindForward, msg)
+}
+
+// Exchange sends a message to a host and gives its response. What was never
+// sent did not run; what was sent and got no response may have. Its error is a
+// *verdict.Error.
+func (f *Forwarder) Exchange(ctx context.Context, to member.Contact, kind peer.Kind, msg Message) (*call.Answer, error) {
+	payload, err := peer.Encode(msg)
+	if err != nil {
+		return nil, verdict.New(verdict.NotRun, verdict.BadRequest, "%v", err)
+	}
+	if err := f.Links.Wait(ctx, msg.Service, to.Zone, len(payload)); err != nil {
+		return nil, verdict.New(verdict.NotRun, verdict.DeadlineLapsed, "link to %s is busy", to.Zone)
+	}
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(msg.LeftMillis)*time.Millisecond)
+	stream, err := f.Mesh.Open(ctx, to.PeerAddr, kind, payload)
+	if err != nil {
+		cancel()
+		return nil, f.exchangeError(ctx, to, kind, err)
+	}
+	head, err := f.readHead(to, stream)
+	if err != nil {
+		cancel()
+		_ = stream.Close()
+		return nil, err
+	}
+	return &call.Answer{
+		Status: head.Status, Header: head.Header, Length: head.Length,
+		Upstream: head.Upstream, Verdict: head.Verdict,
+		Body: &streamBody{Stream: stream, cancel: cancel, stop: context.AfterFunc(ctx, func() { _ = stream.Close() })},
+	}, nil
+}
+
+// readHead reads the head of a response, and the peer's slots with it.
+func (f *Forwarder) readHead(from member.Contact, stream *peer.Stream) (reply, error) {
+	head, err := peer.Decode[reply](stream.Payload)
+	if err != nil {
+		return reply{}, verdict.New(verdict.MayHaveRun, verdict.PeerFailed, "%v", err)
+	}
+	f.noteFree(from, head.Free)
+	if head.Reason != "" {
+		return reply{}, head.err()
+	}
+	return head, nil
+}
+
+// exchangeError decides the verdict when a peer gave no reply. A ticket's
+// request may always have run before, at its issuer.
+func (f *Forwarder) exchangeError(ctx context.Context, to member.Contact, kind peer.Kind, err error) error {
+	if errors.Is(err, peer.ErrNotSent) {
+		f.Peers.Failed(to.Host)
+	}
+	if errors.Is(err, peer.ErrNotSent) && kind != peer.KindTicket {
+		return verdict.New(verdict.NotRun, verdict.PeerFailed, "%s can't be reached", to.Host)
+	}
+	if ctx.Err() != nil {
+		return verdict.New(verdict.MayHaveRun, verdict.DeadlineLapsed, "no reply from %s in time", to.Host)
+	}
+	return verdict.New(verdict.MayHaveRun, verdict.PeerFailed, "lost %s: %v", to.Host, err)
+}
+
+// streamBody is the body of a response that comes from a peer.
+type streamBody struct {
+	*peer.Stream
+	cancel context.CancelFunc
+	stop   func() bool
+}
+
+// Close aborts the response if it was not read whole.
+func (b *streamBody) Close() error {
+	b.stop()
+	b.cancel()
+	return b.Stream.Close()
+}
+
+// ZoneMayHelp reports whether a host of the own zone reported a free slot.
+func (f *Forwarder) ZoneMayHelp(service string) bool {
+	_, ok := f.Peers.WithMostFree(f.Zone, service, f.Random)
+	return ok
+}
+
+// noteFree takes in the slots that a peer reported with a reply.
+func (f *Forwarder) noteFree(from member.Contact, free member.Free) {
+	if free.Service == "" {
+		return
+	}
+	f.Peers.Update(func(p *member.Peers) { p.NoteFree(from.Host, free) })
+}
--- a/internal/selector/entry/heartbeat.go
+++ b/internal/selector/entry/heartbeat.go
@@ -40,7 +40,7 @@
 	h.becomeReady()
 	h.refreshDeciders()
 	h.refreshEntries()
-	h.forgetAdopted(now)
+	h.tickets.ForgetExpired()
 	h.links.Retune(ctx)
 }
 
@@ -138,13 +138,10 @@
 // basicBeat makes what every heartbeat to a host of a zone says.
 func (h *Host) basicBeat(zone string) member.Heartbeat {
 	v := h.View()
-	h.ticketsMu.Lock()
-	handovers := h.handovers
-	h.ticketsMu.Unlock()
 	b := member.Heartbeat{
 		Contact:  h.self,
 		Revision: v.Revision(), Digest: v.State().Digest(), FreshAge: h.config.FreshAge(),
-		Leaving: h.leaving.Load(), Handovers: handovers,
+		Leaving: h.leaving.Load(), Handovers: h.tickets.Handovers(),
 	}
 	h.rosters.Describe(&b)
 	if zone == h.self.Zone {
--- a/internal/selector/entry/host.go
+++ b/internal/selector/entry/host.go
@@ -14,17 +14,20 @@
 
 	"cairndock/internal/peer"
 	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/admission"
 	"cairndock/internal/selector/entry/configsync"
+	"cairndock/internal/selector/entry/dispatch"
 	"cairndock/internal/selector/entry/fence"
+	"cairndock/internal/selector/entry/forward"
 	"cairndock/internal/selector/entry/links"
 	"cairndock/internal/selector/entry/peers"
 	"cairndock/internal/selector/entry/platformcalls"
 	"cairndock/internal/selector/entry/rosters"
 	"cairndock/internal/selector/entry/services"
+	"cairndock/internal/selector/entry/tickets"
 	"cairndock/internal/selector/entry/upstreams"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/roster"
-	"cairndock/internal/selector/ticket"
 	"cairndock/internal/selector/upstream"
 	"cairndock/internal/settings"
 	"cairndock/internal/telemetry"
@@ -70,13 +73,11 @@
 	fence     *fence.Fence
 	platform  *platformcalls.Caller
 
-	ticketsMu sync.Mutex
-	tickets   *ticket.Store
-	adopted   map[string]*ticket.Store
-	adoptedAt map[string]time.Time
-	handovers []member.Handover
-
-	links *links.Links
+	links     *links.Links
+	admission *admission.Admitter
+	forward   *forward.Forwarder
+	dispatch  *dispatch.Dispatcher
+	tickets   *tickets.Issuer
 
 	leaving  atomic.Bool
 	inFlight atomic.Int64
@@ -115,8 +116,6 @@
 		tracer:      telemetry.Tracer(o.Traces),
 		metrics:     telemetry.NewMetrics(),
 		random:      &lockedRand{r: rand.New(rand.NewPCG(o.Seed, uint64(len(s.Host.Name))))},
-		adopted:     map[string]*ticket.Store{},
-		adoptedAt:   map[string]time.Time{},
 		wake:        make(chan struct{}, 1),
 	}
 	h.self = member.Contact{Host: s.Host.Name, Zone: s.Host.Zone, PeerAddr: s.Peers.Advertise, CallerAddr: s.Callers.Advertise}
@@ -144,11 +143,25 @@
 		Peers: h.peers, Services: h.services, Upstreams: h.upstreams, Mesh: h.mesh, Log: h.log,
 	})
 	h.client = upstream.New(o.DialUpstream, h.upstreams.Observe)
-	h.tickets = ticket.NewStore(s.Host.Name, s.Host.Zone, incarnation, ticket.NewKey())
 	h.links = links.New(links.Options{
 		Host: s.Host.Name, Zone: s.Host.Zone, Region: h.region, View: h.View, Peers: h.peers,
 		ZoneHosts: func() int { return len(h.roster().Members) }, Mesh: h.mesh,
 	})
+	h.admission = admission.New(admission.Options{
+		Zone: s.Host.Zone, View: h.View, Services: h.services, Fence: h.fence,
+		Client: h.client, Metrics: h.metrics, Tracer: h.tracer,
+	})
+	h.forward = forward.New(forward.Options{
+		Zone: s.Host.Zone, View: h.View, Services: h.services, Peers: h.peers, Links: h.links,
+		Admitter: h.admission, Mesh: h.mesh, Random: h.random.Float64, Metrics: h.metrics, Tracer: h.tracer,
+	})
+	h.dispatch = dispatch.New(dispatch.Options{
+		View: h.View, Services: h.services, Admitter: h.admission, Forwarder: h.forward, Now: h.now, Tracer: h.tracer,
+	})
+	h.tickets = tickets.New(tickets.Options{
+		Host: s.Host.Name, Zone: s.Host.Zone, Incarnation: incarnation, View: h.View,
+		Dispatch: h.dispatch.Dispatch, Forwarder: h.forward, Peers: h.peers, Mesh: h.mesh, Log: h.log,
+	})
 	return h, nil
 }
 
@@ -200,6 +213,7 @@
 	}
 	h.mesh.Close()
 	h.wait.Wait()
+	h.tickets.Wait()
 	h.client.Close()
 }
 
--- a/internal/selector/entry/serve.go
+++ b/internal/selector/entry/serve.go
@@ -5,6 +5,7 @@
 
 	"cairndock/internal/peer"
 	"cairndock/internal/selector/entry/configsync"
+	"cairndock/internal/selector/entry/forward"
 	"cairndock/internal/selector/entry/links"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/ticket"
@@ -14,16 +15,16 @@
 func (h *Host) ServePeer(ctx context.Context, from peer.Hello, kind peer.Kind, payload []byte, w *peer.Responder) {
 	switch kind {
 	case peer.KindForward:
-		serve(payload, func(m forwardMsg) {
+		serve(payload, func(m forward.Message) {
 			h.inFlight.Add(1)
 			defer h.inFlight.Add(-1)
-			h.serveForward(ctx, from, m, w)
+			h.forward.Serve(ctx, from, m, w)
 		})
 	case peer.KindTicket:
-		serve(payload, func(m forwardMsg) {
+		serve(payload, func(m forward.Message) {
 			h.inFlight.Add(1)
 			defer h.inFlight.Add(-1)
-			h.serveTicket(ctx, from, m, w)
+			h.tickets.Serve(ctx, from, m, w)
 		})
 	case peer.KindHeartbeat:
 		serve(payload, func(b member.Heartbeat) { h.serveHeartbeat(ctx, b, w) })
@@ -40,7 +41,11 @@
 	case peer.KindDrain:
 		serve(payload, func(m drainMsg) { h.serveDrain(ctx, m, w) })
 	case peer.KindHandover:
-		serve(payload, func(m []ticket.Handover) { h.serveHandover(m, w) })
+		serve(payload, func(m []ticket.Handover) {
+			h.tickets.Adopt(m)
+			reply(w, true)
+			h.turnNow() // every host is to know the successor
+		})
 	}
 }
 
--- a/internal/selector/entry/status.go
+++ b/internal/selector/entry/status.go
@@ -64,14 +64,11 @@
 // Status gives the host's view of the system.
 func (h *Host) Status() Status {
 	v := h.View()
-	h.ticketsMu.Lock()
-	tickets := h.tickets.Len()
-	h.ticketsMu.Unlock()
 	s := Status{
 		Host: h.self.Host, Zone: h.self.Zone, Revision: v.Revision(),
 		FreshMillis: h.config.Age().Milliseconds(),
 		Frozen:      h.Frozen(), Ready: h.Ready(), Leaving: h.leaving.Load(),
-		InFlight: h.inFlight.Load(), Tickets: tickets,
+		InFlight: h.inFlight.Load(), Tickets: h.tickets.Kept(),
 	}
 	for _, svc := range v.Services() {
 		s.Services = append(s.Services, h.serviceStatus(svc.Name))
--- a/internal/selector/entry/stop.go
+++ b/internal/selector/entry/stop.go
@@ -32,7 +32,7 @@
 	pause.For(ctx, time.Duration(h.opts.Settings.Stop.Grace))
 	h.waitIdle(ctx)
 	report := StopReport{Cut: h.inFlight.Load()}
-	report.HandedOver = h.handOver(context.WithoutCancel(ctx))
+	report.HandedOver = h.tickets.HandOver(context.WithoutCancel(ctx))
 	if report.Cut == 0 && h.services.Outstanding() == 0 {
 		// Whoever still has a slot out stays a member, and its slots unused,
 		// until the platform says that it is gone.
@@ -61,19 +61,13 @@
 // waitIdle waits until nothing is in flight.
 func (h *Host) waitIdle(ctx context.Context) {
 	const poll = 20 * time.Millisecond
-	for h.inFlight.Load() > 0 || h.services.Outstanding() > 0 || h.runningTickets() > 0 {
+	for h.inFlight.Load() > 0 || h.services.Outstanding() > 0 || h.tickets.Running() > 0 {
 		if !pause.For(ctx, poll) {
 			return
 		}
 	}
 }
 
-func (h *Host) runningTickets() int {
-	h.ticketsMu.Lock()
-	defer h.ticketsMu.Unlock()
-	return h.tickets.Running()
-}
-
 func (h *Host) registerMetrics() {
 	m := h.metrics
 	m.Gauge("cairndock_config_revision", func() float64 { return float64(h.View().Revision()) })
--- /dev/null
+++ b/internal/selector/entry/tickets/handover.go
@@ -0,0 +1,80 @@
+package tickets
+
+import (
+	"context"
+	"errors"
+	"slices"
+	"time"
+
+	"cairndock/internal/peer"
+	"cairndock/internal/selector/entry/peers"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/ticket"
+)
+
+// HandOver seals this host's tickets and gives them to a successor, the nearest
+// host that takes them, and reports whether one did. Only the first host asked
+// may get a copy that dispatches: whether it took it may never be known.
+func (i *Issuer) HandOver(ctx context.Context) bool {
+	i.mu.Lock()
+	i.own.Seal()
+	i.mu.Unlock()
+	first := true
+	for _, to := range i.Peers.NearestContacts() {
+		i.mu.Lock()
+		all := []ticket.Handover{i.own.Handover(first)}
+		for _, s := range i.adopted {
+			all = append(all, s.Handover(first))
+		}
+		i.mu.Unlock()
+		callCtx, cancel := context.WithTimeout(ctx, peers.CallTimeout)
+		_, err := peer.Call[bool](callCtx, i.Mesh, to.PeerAddr, peer.KindHandover, all)
+		cancel()
+		if err == nil {
+			i.Log.Info().Str("successor", to.Host).Int("tickets", len(all[0].Records)).Msg("ticket: handed over")
+			return true
+		}
+		// What was surely never sent leaves the next host the first.
+		first = first && errors.Is(err, peer.ErrNotSent)
+	}
+	return false
+}
+
+// Adopt makes this host the successor of a stopped host, for the tickets of its
+// stores.
+func (i *Issuer) Adopt(stores []ticket.Handover) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	for _, s := range stores {
+		// Asked again for the same store, this host keeps what it has done.
+		if i.adopted[s.Incarnation] == nil {
+			i.adopted[s.Incarnation] = ticket.FromHandover(s)
+			i.adoptedAt[s.Incarnation] = time.Now()
+			i.handovers = append(i.handovers[:len(i.handovers):len(i.handovers)],
+				member.Handover{Incarnation: s.Incarnation, Host: i.Host})
+		}
+	}
+}
+
+// Handovers gives whose successor this host is, for heartbeats.
+func (i *Issuer) Handovers() []member.Handover {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return i.handovers
+}
+
+// ForgetExpired drops the tickets of stopped hosts once all have expired.
+func (i *Issuer) ForgetExpired() {
+	now := time.Now()
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	for incarnation, at := range i.adoptedAt {
+		if now.Sub(at) < 2*ticket.Lifetime {
+			continue
+		}
+		delete(i.adopted, incarnation)
+		delete(i.adoptedAt, incarnation)
+		// Heartbeats on their way may still read the old slice.
+		i.handovers = slices.DeleteFunc(slices.Clone(i.handovers), func(o member.Handover) bool { return o.Incarnation == incarnation })
+	}
+}
--- /dev/null
+++ b/internal/selector/entry/tickets/run.go
@@ -0,0 +1,122 @@
+package tickets
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"time"
+
+	"cairndock/internal/call"
+	"cairndock/internal/selector/entry/admission"
+	"cairndock/internal/selector/ticket"
+	"cairndock/internal/verdict"
+)
+
+// maxAnswer bounds the response to a request with a ticket, in bytes. Chosen,
+// not measured.
+const maxAnswer = 4 << 20
+
+// use runs a ticket's request, or gives what became of it.
+func (i *Issuer) use(ctx context.Context, store *ticket.Store, t ticket.Ticket, req *call.Request) (*call.Answer, error) {
+	digest := ticket.DigestOf(req.Service, req.Method, req.Target, req.Body)
+	i.mu.Lock()
+	rec, dispatch, err := store.Begin(t, digest, time.Now())
+	i.mu.Unlock()
+	if err != nil {
+		return nil, ticketError(err)
+	}
+	if !dispatch {
+		return keptAnswer(rec)
+	}
+	return i.run(ctx, store, t, req)
+}
+
+func ticketError(err error) error {
+	switch {
+	case errors.Is(err, ticket.ErrOther):
+		return verdict.New(verdict.NotRun, verdict.TicketConflict, "%v", err)
+	case errors.Is(err, ticket.ErrForged):
+		return verdict.New(verdict.NotRun, verdict.BadTicket, "%s: %v", call.HeaderTicket, err)
+	default:
+		// Expired or closed: an earlier use may have run and be forgotten.
+		return verdict.New(verdict.MayHaveRun, verdict.TicketUnknown, "%v", err)
+	}
+}
+
+// keptAnswer gives the outcome of a request that was dispatched before.
+func keptAnswer(rec ticket.Record) (*call.Answer, error) {
+	o := rec.Outcome
+	switch {
+	case rec.Phase == ticket.Running:
+		return nil, verdict.New(verdict.MayHaveRun, verdict.TicketRunning, "the request is running").WithRetryAfter(admission.RetryAfter)
+	case rec.Phase == ticket.Doubtful:
+		return nil, verdict.New(verdict.MayHaveRun, verdict.TicketUnknown, "the request's outcome is not known")
+	case o.Partial:
+		return nil, verdict.New(verdict.Ran, verdict.AnswerNotKept, "the answer was too large to keep").WithUpstream(o.Upstream)
+	}
+	return &call.Answer{
+		Status: o.Status, Header: o.Header, Length: int64(len(o.Body)), Upstream: o.Upstream,
+		Body: io.NopCloser(bytes.NewReader(o.Body)), Verdict: verdict.Ran,
+	}, nil
+}
+
+type result struct {
+	answer *call.Answer
+	err    error
+}
+
+// run dispatches a ticket's request apart from the caller: one that
+// leaves, or whose deadline lapses, can ask for the outcome later.
+func (i *Issuer) run(ctx context.Context, store *ticket.Store, t ticket.Ticket, req *call.Request) (*call.Answer, error) {
+	done := make(chan result, 1)
+	run := *req
+	if svc, ok := i.View().Service(req.Service); ok {
+		run.Deadline = time.Now().Add(time.Duration(svc.MaxTimeout))
+	}
+	i.running.Add(1)
+	go func() {
+		defer i.running.Done()
+		runCtx, cancel := context.WithDeadline(context.WithoutCancel(ctx), run.Deadline)
+		defer cancel()
+		answer, err := i.Dispatch(runCtx, &run)
+		done <- i.settle(store, t, answer, err)
+	}()
+	select {
+	case r := <-done:
+		return r.answer, r.err
+	case <-ctx.Done():
+		return nil, verdict.New(verdict.MayHaveRun, verdict.DeadlineLapsed, "the request is still running")
+	}
+}
+
+// settle keeps the outcome of a ticket's request, whole or not at all.
+func (i *Issuer) settle(store *ticket.Store, t ticket.Ticket, a *call.Answer, err error) result {
+	var body []byte
+	if err == nil {
+		body, err = readWhole(a)
+	}
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if err != nil {
+		e := verdict.From(err)
+		store.Abandon(t, e.Verdict == verdict.NotRun)
+		return result{err: e}
+	}
+	store.Finish(t, ticket.Outcome{Status: a.Status, Header: a.Header, Body: body, Upstream: a.Upstream})
+	out := *a
+	out.Body, out.Length = io.NopCloser(bytes.NewReader(body)), int64(len(body))
+	return result{answer: &out}
+}
+
+func readWhole(a *call.Answer) ([]byte, error) {
+	defer a.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxAnswer+1))
+	if err != nil {
+		return nil, verdict.New(verdict.MayHaveRun, verdict.AnswerTruncated, "the answer broke off: %v", err).WithUpstream(a.Upstream)
+	}
+	if len(body) > maxAnswer {
+		return nil, verdict.New(verdict.Ran, verdict.AnswerTruncated, "the answer is above %d bytes", maxAnswer).WithUpstream(a.Upstream)
+	}
+	return body, nil
+}
--- /dev/null
+++ b/internal/selector/entry/tickets/tickets_test.go
@@ -0,0 +1,181 @@
+package tickets
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/rs/zerolog"
+	"github.com/stretchr/testify/require"
+
+	"cairndock/internal/call"
+	"cairndock/internal/peer"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/forward"
+	"cairndock/internal/selector/entry/peers"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/ticket"
+	"cairndock/internal/verdict"
+)
+
+const doc = `
+[[service]]
+name = "planning"
+timeout = "1s"
+max_timeout = "2s"
+`
+
+// forwarder notes where requests were sent.
+type forwarder struct{ sent []forward.Message }
+
+func (f *forwarder) Exchange(_ context.Context, _ member.Contact, _ peer.Kind, msg forward.Message) (*call.Answer, error) {
+	f.sent = append(f.sent, msg)
+	return answer("there"), nil
+}
+
+func (*forwarder) Respond(context.Context, peer.Hello, string, *call.Answer, error, *peer.Responder) {
+}
+
+func answer(body string) *call.Answer {
+	return &call.Answer{Status: 200, Length: int64(len(body)), Verdict: verdict.Ran, Body: io.NopCloser(strings.NewReader(body))}
+}
+
+// newIssuer is costa-a-1, which runs requests by a function.
+func newIssuer(tb testing.TB, run func(context.Context, *call.Request) (*call.Answer, error)) *Issuer {
+	d, err := config.ParseDocument([]byte(doc))
+	require.NoError(tb, err)
+	c, err := d.Change("first", 0)
+	require.NoError(tb, err)
+	state, err := config.NewState().With(c.WithRevision(1))
+	require.NoError(tb, err)
+	view := config.NewView(state, "costa-a")
+	return New(Options{
+		Host: "costa-a-1", Zone: "costa-a", Incarnation: "1", View: func() *config.View { return view },
+		Dispatch: run, Forwarder: &forwarder{},
+		Peers: peers.New(member.Contact{Host: "costa-a-1", Zone: "costa-a"}),
+		Mesh:  peer.NewMesh(peer.Hello{Host: "costa-a-1"}, nil, nil), Log: zerolog.Nop(),
+	})
+}
+
+func booking(t ticket.Ticket) *call.Request {
+	return &call.Request{
+		Service: "planning", Method: http.MethodPost, Target: "/bookings", Body: []byte("{}"),
+		Ticket: t.String(), Deadline: time.Now().Add(time.Second),
+	}
+}
+
+// TestOutcomeIsKept: a resend gets the outcome of the first use; only what
+// provably did not run is dispatched again.
+func TestOutcomeIsKept(t *testing.T) {
+	large := bytes.Repeat([]byte("x"), maxAnswer+1)
+	cases := []struct {
+		name  string
+		first func() (*call.Answer, error)
+		// runs is how often two uses run it; told is what the second is told.
+		runs int
+		told verdict.Verdict
+	}{
+		{"answered", func() (*call.Answer, error) { return answer("done"), nil }, 1, verdict.Ran},
+		{"proved not to have run", func() (*call.Answer, error) { return nil, verdict.New(verdict.NotRun, verdict.Full, "full") }, 2, verdict.NotRun},
+		{"in doubt", func() (*call.Answer, error) { return nil, verdict.New(verdict.MayHaveRun, verdict.PeerFailed, "lost") }, 1, verdict.MayHaveRun},
+		{"too large", func() (*call.Answer, error) { return answer(string(large)), nil }, 1, verdict.MayHaveRun},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			runs := 0
+			i := newIssuer(t, func(context.Context, *call.Request) (*call.Answer, error) {
+				runs++
+				return tc.first()
+			})
+			tk, err := i.Mint("planning")
+			require.NoError(t, err)
+			_, _ = i.Do(context.Background(), booking(tk))
+			_, err = i.Do(context.Background(), booking(tk))
+			told := verdict.Ran
+			if err != nil {
+				told = verdict.From(err).Verdict
+			}
+			require.Equal(t, tc.told.String(), told.String())
+			require.Equal(t, tc.runs, runs)
+		})
+	}
+}
+
+// TestRunsOnWithoutItsClient: the request of a client that left runs on, up
+// to the service's max_timeout, and a resend gets the response.
+func TestRunsOnWithoutItsClient(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		i := newIssuer(t, func(ctx context.Context, req *call.Request) (*call.Answer, error) {
+			require.Equal(t, 2*time.Second, time.Until(req.Deadline))
+			time.Sleep(1500 * time.Millisecond)
+			require.NoError(t, ctx.Err())
+			return answer("done"), nil
+		})
+		tk, err := i.Mint("planning")
+		require.NoError(t, err)
+		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+		defer cancel()
+		_, err = i.Do(ctx, booking(tk))
+		require.Equal(t, verdict.MayHaveRun, verdict.From(err).Verdict)
+		require.Equal(t, 1, i.Running())
+		_, err = i.Do(context.Background(), booking(tk))
+		require.Equal(t, verdict.TicketRunning, verdict.From(err).Reason)
+		i.Wait()
+		a, err := i.Do(context.Background(), booking(tk))
+		require.NoError(t, err)
+		body, err := io.ReadAll(a.Body)
+		require.NoError(t, err)
+		require.Equal(t, "done", string(body))
+	})
+}
+
+// TestSuccessorServesTheTickets: a ticket of a stopped host is served by its
+// successor until all of its tickets have expired, and elsewhere by asking.
+func TestSuccessorServesTheTickets(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		run := func(context.Context, *call.Request) (*call.Answer, error) { return answer("here"), nil }
+		stopped, successor := newIssuer(t, run), newIssuer(t, run)
+		stopped.Incarnation, stopped.Host = "2", "costa-a-2"
+		stopped.own = ticket.NewStore("costa-a-2", "costa-a", "2", ticket.NewKey())
+		tk, err := stopped.Mint("planning")
+		require.NoError(t, err)
+		_, err = successor.Do(context.Background(), booking(tk))
+		require.Equal(t, verdict.TicketUnknown, verdict.From(err).Reason, "nobody knows the issuer")
+
+		require.False(t, stopped.HandOver(context.Background()), "there is no other host")
+		_, err = stopped.Mint("planning")
+		require.Equal(t, verdict.Stopping, verdict.From(err).Reason)
+		successor.Adopt([]ticket.Handover{stopped.own.Handover(true)})
+		require.Equal(t, []member.Handover{{Incarnation: "2", Host: "costa-a-1"}}, successor.Handovers())
+		a, err := successor.Do(context.Background(), booking(tk))
+		require.NoError(t, err)
+		require.NoError(t, a.Body.Close())
+
+		time.Sleep(2*ticket.Lifetime - 1)
+		successor.ForgetExpired()
+		require.Len(t, successor.Handovers(), 1)
+		time.Sleep(time.Nanosecond)
+		successor.ForgetExpired()
+		require.Empty(t, successor.Handovers())
+	})
+}
+
+// TestAsksTheIssuer: a request with another host's ticket goes there once.
+func TestAsksTheIssuer(t *testing.T) {
+	i := newIssuer(t, nil)
+	b := member.Heartbeat{Contact: member.Contact{Host: "sierra-a-1", Zone: "sierra-a", PeerAddr: "sierra-a-1:2"}}
+	i.Peers.Update(func(p *member.Peers) { p.Heard(b, time.Now(), time.Millisecond) })
+	tk, err := ticket.NewStore("sierra-a-1", "sierra-a", "9", ticket.NewKey()).Mint(time.Now())
+	require.NoError(t, err)
+	_, err = i.Do(context.Background(), booking(tk))
+	require.NoError(t, err)
+	sent := i.Forwarder.(*forwarder).sent
+	require.Len(t, sent, 1)
+	require.False(t, sent[0].Passed)
+	require.Equal(t, tk.String(), sent[0].Ticket)
+}
