--- a/internal/selector/entry/api.go
+++ b/internal/selector/entry/api.go
@@ -2,11 +2,14 @@
 
 import (
 	"context"
+	"net/netip"
 	"time"
 
 	"cairndock/internal/call"
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry/configsync"
+	"cairndock/internal/selector/entry/directory"
+	"cairndock/internal/selector/entry/drain"
 	"cairndock/internal/selector/ticket"
 )
 
@@ -17,6 +20,12 @@
 	Applied = configsync.Applied
 	// ZoneProgress says whether a zone has a change in force.
 	ZoneProgress = configsync.ZoneProgress
+	// Drained says how far upstreams are from having no work.
+	Drained = drain.Drained
+	// Entry is one host that a client may use.
+	Entry = directory.Entry
+	// Entries is the response to which hosts a client may use.
+	Entries = directory.Entries
 )
 
 const (
@@ -52,3 +61,13 @@
 // MintTicket makes a ticket for one request to a service. Its error is a
 // *verdict.Error.
 func (h *Host) MintTicket(service string) (ticket.Ticket, error) { return h.tickets.Mint(service) }
+
+// EntriesFor gives the hosts that a client may use, as JSON.
+func (h *Host) EntriesFor(service string, client netip.Addr) ([]byte, error) {
+	return h.directory.JSON(service, client)
+}
+
+// DrainProgress asks every host that may have work at the upstreams.
+func (h *Host) DrainProgress(ctx context.Context, upstreams []string) Drained {
+	return h.drain.Count(ctx, upstreams)
+}
--- a/internal/selector/entry/bench_test.go
+++ b/internal/selector/entry/bench_test.go
@@ -13,7 +13,6 @@
 	"github.com/stretchr/testify/require"
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 
-	"cairndock/internal/peer"
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry/configsync"
 	"cairndock/internal/selector/member"
@@ -152,40 +151,15 @@
 	}
 }
 
-// BenchmarkHeartbeat is one heartbeat made, encoded, decoded and taken in.
-func BenchmarkHeartbeat(b *testing.B) {
-	for _, services := range []int{2, 10, 22} {
-		b.Run(fmt.Sprintf("services=%d", services), func(b *testing.B) {
-			h := bigHost(b, bigState(b, 1000, services, 80))
-			size := 0
-			for b.Loop() {
-				from := member.Contact{Host: "zone-01-01", Zone: "zone-01"}
-				ask, err := peer.Encode(h.ask(from))
-				require.NoError(b, err)
-				contacts := h.peers.Contacts(h.self.Zone, false)
-				payload, err := peer.Encode(h.answer(member.Heartbeat{Contact: from, ContactsHash: member.HashContacts(contacts)}))
-				require.NoError(b, err)
-				size = len(ask) + len(payload)
-				beat, err := peer.Decode[member.Heartbeat](payload)
-				require.NoError(b, err)
-				h.unpack(&beat)
-				beat.Contact.Host = "zone-01-01"
-				h.peers.Update(func(p *member.Peers) { p.Heard(beat, time.Now(), time.Millisecond) })
-			}
-			b.ReportMetric(float64(size), "exchange-bytes")
-		})
-	}
-}
-
-// BenchmarkTurn is one turn of a host's own loop, four of them a second.
-func BenchmarkTurn(b *testing.B) {
+// BenchmarkTick is one tick of a host's own loop, four of them a second.
+func BenchmarkTick(b *testing.B) {
 	for _, services := range []int{2, 10, 22} {
 		b.Run(fmt.Sprintf("services=%d", services), func(b *testing.B) {
 			h := bigHost(b, bigState(b, 1000, services, 80))
 			for b.Loop() {
 				h.peers.Update(func(p *member.Peers) { p.Due(time.Now()) })
 				h.rosters.Settle()
-				h.refreshDeciders()
+				h.refreshServices()
 			}
 		})
 	}
--- /dev/null
+++ b/internal/selector/entry/directory/directory_test.go
@@ -0,0 +1,113 @@
+package directory
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/netip"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/peers"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/verdict"
+)
+
+const doc = `
+[[zone]]
+name = "costa-a"
+region = "costa"
+[[zone]]
+name = "costa-b"
+region = "costa"
+[[zone]]
+name = "sierra-a"
+region = "sierra"
+[[service]]
+name = "planning"
+timeout = "1s"
+max_timeout = "2s"
+[[block]]
+cidr = "10.2.0.0/16"
+zone = "sierra-a"
+`
+
+var (
+	placed   = netip.MustParseAddr("10.2.0.1")
+	unplaced = netip.MustParseAddr("10.9.0.1")
+)
+
+// newDirectory is of costa-a-1, with hosts in three zones.
+func newDirectory(t *testing.T, others int) *Directory {
+	d, err := config.ParseDocument([]byte(doc))
+	require.NoError(t, err)
+	c, err := d.Change("first", 0)
+	require.NoError(t, err)
+	state, err := config.NewState().With(c.WithRevision(1))
+	require.NoError(t, err)
+	view := config.NewView(state, "costa-a")
+	table := peers.New(member.Contact{Host: "costa-a-1", Zone: "costa-a", CallerAddr: "costa-a-1:3"})
+	for _, zone := range []string{"costa-a", "costa-b", "sierra-a"} {
+		for i := range others {
+			name := fmt.Sprintf("%s-%d", zone, i+2)
+			b := member.Heartbeat{Contact: member.Contact{Host: name, Zone: zone, PeerAddr: name + ":2", CallerAddr: name + ":3"}}
+			table.Update(func(p *member.Peers) { p.Heard(b, time.Now(), time.Millisecond) })
+		}
+	}
+	return New(Options{
+		Zone: "costa-a", TTL: 5 * time.Second, View: func() *config.View { return view }, Peers: table,
+		Leaving: func() bool { return false },
+	})
+}
+
+func zones(e Entries) []string {
+	var out []string
+	for _, entry := range e.Entries {
+		out = append(out, entry.Zone)
+	}
+	return out
+}
+
+// TestNearestFirst: the client's zone, then its region, then the rest; a
+// client that is not placed is taken for one of this host's zone.
+func TestNearestFirst(t *testing.T) {
+	d := newDirectory(t, 1)
+	far := zones(d.Entries("planning", placed))
+	require.Equal(t, "sierra-a", far[0])
+	require.ElementsMatch(t, []string{"costa-a", "costa-a", "costa-b"}, far[1:], "all at the same distance")
+	require.Equal(t, []string{"costa-a", "costa-a", "costa-b", "sierra-a"}, zones(d.Entries("planning", unplaced)))
+}
+
+// TestEntriesAreBounded: a client is named maxEntries hosts at most.
+func TestEntriesAreBounded(t *testing.T) {
+	contacts := map[string][]member.Contact{}
+	for i := range maxEntries + 1 {
+		contacts["costa-a"] = append(contacts["costa-a"], member.Contact{Host: fmt.Sprint(i), Zone: "costa-a"})
+	}
+	require.Len(t, newDirectory(t, 0).entries(contacts, audience{zone: "costa-a"}).Entries, maxEntries)
+}
+
+// TestJSON: a kept response is given until the hosts that answer change, and
+// a service that is not known is refused.
+func TestJSON(t *testing.T) {
+	d := newDirectory(t, 1)
+	decode := func() (e Entries) {
+		body, err := d.JSON("planning", unplaced)
+		require.NoError(t, err)
+		require.NoError(t, json.Unmarshal(body, &e))
+		return e
+	}
+	first := decode()
+	require.Equal(t, d.Entries("planning", unplaced), first)
+	require.EqualValues(t, 5000, first.TTLMillis)
+	require.EqualValues(t, 1, first.Revision)
+	d.Peers.Failed("costa-a-2")
+	require.Equal(t, first, decode(), "kept")
+	d.Refresh()
+	require.Len(t, decode().Entries, len(first.Entries)-1)
+
+	_, err := d.JSON("none", unplaced)
+	require.Equal(t, verdict.UnknownService, verdict.From(err).Reason)
+}
--- /dev/null
+++ b/internal/selector/entry/heartbeats/bench_test.go
@@ -0,0 +1,73 @@
+package heartbeats
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"cairndock/internal/peer"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/peers"
+	"cairndock/internal/selector/entry/services"
+	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/standin"
+)
+
+// bigHost is a host of a zone of 74 with four hosts of each of 79 others, at a
+// configuration of the planned size but for its services.
+func bigHost(tb testing.TB, count int) *Exchanger {
+	size := standin.PlannedSize()
+	size.Blocks, size.Services, size.Zones = 1000, count, 80
+	state := config.NewState()
+	for _, doc := range []config.Document{size.Objects(), size.BlocksDocument()} {
+		c, err := doc.Change("c", 0)
+		require.NoError(tb, err)
+		state, err = state.With(c.WithRevision(state.Revision() + 1))
+		require.NoError(tb, err)
+	}
+	r := &replica{view: config.NewView(state, "zone-00")}
+	table := peers.New(member.Contact{Host: "zone-00-00", Zone: "zone-00"})
+	for _, m := range standin.PlannedSize().Roster(0, 74, 1).Members {
+		table.Learn([]member.Contact{{Host: m.Host, Zone: "zone-00", PeerAddr: m.PeerAddr, CallerAddr: m.CallerAddr}})
+	}
+	for z := 1; z < 80; z++ {
+		for i := range 4 {
+			c := member.Contact{Host: fmt.Sprintf("zone-%02d-%02d", z, i), Zone: fmt.Sprintf("zone-%02d", z), PeerAddr: "10.0.0.1:1", CallerAddr: "10.0.0.1:2"}
+			table.Update(func(p *member.Peers) {
+				p.Heard(member.Heartbeat{Contact: c}, time.Now().Add(time.Hour), time.Millisecond)
+			})
+		}
+	}
+	return New(Options{
+		Zone: "zone-00", Peers: table, Services: services.NewSet(r.View, func() float64 { return 0.5 }),
+		Config: r, Rosters: &membership{}, Upstreams: &states{},
+		Handovers: func() []member.Handover { return nil }, Leaving: func() bool { return false },
+	})
+}
+
+// BenchmarkHeartbeat is one heartbeat made, encoded, decoded and recorded.
+func BenchmarkHeartbeat(b *testing.B) {
+	for _, count := range []int{2, 10, 22} {
+		b.Run(fmt.Sprintf("services=%d", count), func(b *testing.B) {
+			e := bigHost(b, count)
+			size := 0
+			for b.Loop() {
+				from := member.Contact{Host: "zone-01-01", Zone: "zone-01"}
+				ask, err := peer.Encode(e.request(from))
+				require.NoError(b, err)
+				contacts := e.Peers.Contacts(e.Zone, false)
+				payload, err := peer.Encode(e.response(member.Heartbeat{Contact: from, ContactsHash: member.HashContacts(contacts)}))
+				require.NoError(b, err)
+				size = len(ask) + len(payload)
+				beat, err := peer.Decode[member.Heartbeat](payload)
+				require.NoError(b, err)
+				e.unpack(&beat)
+				beat.Contact.Host = "zone-01-01"
+				e.Peers.Update(func(p *member.Peers) { p.Heard(beat, time.Now(), time.Millisecond) })
+			}
+			b.ReportMetric(float64(size), "exchange-bytes")
+		})
+	}
+}
--- /dev/null
+++ b/internal/selector/entry/heartbeats/heartbeats_test.go
@@ -0,0 +1,145 @@
+package heartbeats
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/peers"
+	"cairndock/internal/selector/entry/services"
+	"cairndock/internal/selector/member"
+)
+
+// replica, membership and states are the host's duties; calls notes what they
+// were asked for, in order.
+type (
+	replica struct {
+		view  *config.View
+		calls *[]string
+	}
+	membership struct {
+		newer bool
+		calls *[]string
+	}
+	states struct {
+		changes bool
+		calls   *[]string
+	}
+)
+
+func (r *replica) View() *config.View                    { return r.view }
+func (*replica) FreshAge() int64                         { return 5 }
+func (*replica) MergeFreshness(member.Heartbeat, int64)  {}
+func (r *replica) Fetch(context.Context, member.Contact) { *r.calls = append(*r.calls, "changes") }
+func (*membership) Describe(b *member.Heartbeat) {
+	b.Incarnation, b.Epoch = "00VHNCZB00REXF12R7MW9Z7CEE", 1
+}
+func (m *membership) Acknowledged(member.Heartbeat) bool    { return m.newer }
+func (m *membership) Fetch(context.Context, member.Contact) { *m.calls = append(*m.calls, "roster") }
+func (m *membership) Reconfigure()                          { *m.calls = append(*m.calls, "reconfigure") }
+func (*states) Signs() []member.Sign                        { return []member.Sign{{Upstream: "up-1", Leaving: true}} }
+func (s *states) Merge([]member.Sign) bool                  { return s.changes }
+
+// newExchanger is costa-a-1. Up counts the peers that came within reach.
+func newExchanger(t *testing.T, m *membership, s *states) (e *Exchanger, calls *[]string, up *int) {
+	d, err := config.ParseDocument([]byte("[[service]]\nname = \"planning\"\ntimeout = \"1s\"\nmax_timeout = \"2s\"\n"))
+	require.NoError(t, err)
+	c, err := d.Change("first", 0)
+	require.NoError(t, err)
+	state, err := config.NewState().With(c.WithRevision(1))
+	require.NoError(t, err)
+	calls, up = new([]string), new(int)
+	r := &replica{view: config.NewView(state, "costa-a"), calls: calls}
+	m.calls, s.calls = calls, calls
+	return New(Options{
+		Zone: "costa-a", Peers: peers.New(member.Contact{Host: "costa-a-1", Zone: "costa-a", PeerAddr: "costa-a-1:2"}),
+		Services: services.NewSet(r.View, func() float64 { return 0.5 }), Config: r, Rosters: m, Upstreams: s,
+		Handovers: func() []member.Handover { return nil }, Leaving: func() bool { return false },
+		Answered: func() {}, PeerUp: func() { *up++ }, Now: func() int64 { return 1 },
+	}), calls, up
+}
+
+func heartbeat(host, zone string) member.Heartbeat {
+	return member.Heartbeat{Contact: member.Contact{Host: host, Zone: zone, PeerAddr: host + ":2"}, Revision: 1}
+}
+
+// TestUpstreamsAreReportedWithinTheZone: other zones do not hear of upstreams'
+// states, and get the zone's slots instead.
+func TestUpstreamsAreReportedWithinTheZone(t *testing.T) {
+	e, _, _ := newExchanger(t, &membership{}, &states{})
+	within, beyond := e.response(heartbeat("costa-a-2", "costa-a")), e.response(heartbeat("costa-b-1", "costa-b"))
+	require.NotEmpty(t, within.Signs)
+	require.Empty(t, within.ZoneSlots)
+	require.Empty(t, beyond.Signs)
+	require.NotEmpty(t, beyond.ZoneSlots)
+	require.EqualValues(t, 5, beyond.FreshAge)
+}
+
+// TestContactsTravelWhenTheyChanged: a peer that has the zone's hosts by their
+// hash gets the hash alone.
+func TestContactsTravelWhenTheyChanged(t *testing.T) {
+	e, _, _ := newExchanger(t, &membership{}, &states{})
+	asked := heartbeat("costa-b-1", "costa-b")
+	first := e.response(asked)
+	require.Len(t, first.Contacts, 1)
+	asked.ContactsHash = first.ContactsHash
+	require.Empty(t, e.response(asked).Contacts)
+	e.Peers.Update(func(p *member.Peers) { p.Heard(heartbeat("costa-a-2", "costa-a"), time.Now(), time.Millisecond) })
+	require.Len(t, e.response(asked).Contacts, 2)
+}
+
+// TestMergeFetchesWhatIsNewer: states are applied before anything is fetched,
+// and only what is newer at the peer is fetched.
+func TestMergeFetchesWhatIsNewer(t *testing.T) {
+	cases := []struct {
+		name     string
+		newer    bool
+		changes  bool
+		revision uint64
+		want     []string
+	}{
+		{"nothing new", false, false, 1, nil},
+		{"an upstream's state", false, true, 1, []string{"reconfigure"}},
+		{"a newer roster", true, false, 1, []string{"roster"}},
+		{"a newer configuration", false, false, 2, []string{"changes"}},
+		{"all", true, true, 2, []string{"reconfigure", "roster", "changes"}},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			e, calls, _ := newExchanger(t, &membership{newer: tc.newer}, &states{changes: tc.changes})
+			b := heartbeat("costa-a-2", "costa-a")
+			b.Revision = tc.revision
+			e.merge(context.Background(), b)
+			require.Equal(t, tc.want, append([]string(nil), *calls...))
+		})
+	}
+}
+
+// TestPeerUp: the services are told at once when a peer answers that did not.
+func TestPeerUp(t *testing.T) {
+	e, _, up := newExchanger(t, &membership{}, &states{})
+	b := heartbeat("costa-b-1", "costa-b")
+	e.record(b, time.Now(), time.Millisecond)
+	require.Equal(t, 1, *up)
+	e.record(b, time.Now(), time.Millisecond)
+	require.Equal(t, 1, *up)
+	e.Peers.Failed("costa-b-1")
+	e.record(b, time.Now(), time.Millisecond)
+	require.Equal(t, 2, *up)
+}
+
+// TestSlotsOfAnotherRevision: slots that belong to another configuration's
+// services are left packed.
+func TestSlotsOfAnotherRevision(t *testing.T) {
+	e, _, _ := newExchanger(t, &membership{}, &states{})
+	b := heartbeat("costa-b-1", "costa-b")
+	b.Slots = []uint32{1, 2, 3}
+	e.unpack(&b)
+	require.Equal(t, []member.Free{{Service: "planning", Free: 1, Held: 2, Warm: 3}}, b.Free)
+	b.Free, b.Revision = nil, 2
+	e.unpack(&b)
+	require.Empty(t, b.Free)
+}
--- a/internal/selector/entry/host.go
+++ b/internal/selector/entry/host.go
@@ -16,9 +16,12 @@
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry/admission"
 	"cairndock/internal/selector/entry/configsync"
+	"cairndock/internal/selector/entry/directory"
 	"cairndock/internal/selector/entry/dispatch"
+	"cairndock/internal/selector/entry/drain"
 	"cairndock/internal/selector/entry/fence"
 	"cairndock/internal/selector/entry/forward"
+	"cairndock/internal/selector/entry/heartbeats"
 	"cairndock/internal/selector/entry/links"
 	"cairndock/internal/selector/entry/peers"
 	"cairndock/internal/selector/entry/platformcalls"
@@ -73,15 +76,17 @@
 	fence     *fence.Fence
 	platform  *platformcalls.Caller
 
-	links     *links.Links
-	admission *admission.Admitter
-	forward   *forward.Forwarder
-	dispatch  *dispatch.Dispatcher
-	tickets   *tickets.Issuer
+	links      *links.Links
+	admission  *admission.Admitter
+	forward    *forward.Forwarder
+	dispatch   *dispatch.Dispatcher
+	tickets    *tickets.Issuer
+	heartbeats *heartbeats.Exchanger
+	directory  *directory.Directory
+	drain      *drain.Counter
 
 	leaving  atomic.Bool
 	inFlight atomic.Int64
-	entries  entriesCache
 	wake     chan struct{}
 
 	stop context.CancelFunc
@@ -99,10 +104,6 @@
 	return l.r.Float64()
 }
 
-// tick is the pace of the host's own loop. Chosen, not measured; it is a part
-// of member.Interval, the least time between two heartbeats to a host.
-const tick = 250 * time.Millisecond
-
 // New makes a host. Its settings must have been prepared.
 func New(o Options) (*Host, error) {
 	s := o.Settings
@@ -129,7 +130,7 @@
 		Host: s.Host.Name, Zone: s.Host.Zone, Now: h.now, Random: h.random.Float64,
 		IsPoller: func() bool { return h.rosters.IsPoller() }, Roster: h.roster,
 		Changed: func() { h.rosters.Reconfigure() }, Confirmed: h.becomeReady,
-		SendHeartbeat: h.sendHeartbeat, Log: config.NewLog(o.Table, o.Objects), Platform: h.platform,
+		SendHeartbeat: func(ctx context.Context, to member.Contact) { h.heartbeats.Send(ctx, to) }, Log: config.NewLog(o.Table, o.Objects), Platform: h.platform,
 		Peers: h.peers, Services: h.services, Mesh: h.mesh, Metrics: h.metrics, Logger: h.log,
 	})
 	h.upstreams = upstreams.New(upstreams.Options{
@@ -139,7 +140,7 @@
 	h.rosters = rosters.New(rosters.Options{
 		Host: s.Host.Name, Zone: s.Host.Zone, Region: s.Host.Region, Incarnation: incarnation,
 		View: h.View, KnownZones: h.config.KnownZones, Leaving: h.leaving.Load,
-		NewEpoch: h.turnNow, TellZone: h.tellZone, Table: o.Table, HostList: o.Hosts, Platform: h.platform,
+		NewEpoch: h.tickNow, TellZone: func() { h.heartbeats.TellZone() }, Table: o.Table, HostList: o.Hosts, Platform: h.platform,
 		Peers: h.peers, Services: h.services, Upstreams: h.upstreams, Mesh: h.mesh, Log: h.log,
 	})
 	h.client = upstream.New(o.DialUpstream, h.upstreams.Observe)
@@ -162,6 +163,18 @@
 		Host: s.Host.Name, Zone: s.Host.Zone, Incarnation: incarnation, View: h.View,
 		Dispatch: h.dispatch.Dispatch, Forwarder: h.forward, Peers: h.peers, Mesh: h.mesh, Log: h.log,
 	})
+	h.heartbeats = heartbeats.New(heartbeats.Options{
+		Zone: s.Host.Zone, Seeds: s.Peers.Seeds, Peers: h.peers, Services: h.services, Config: h.config,
+		Rosters: h.rosters, Upstreams: h.upstreams, Handovers: h.tickets.Handovers, Leaving: h.leaving.Load,
+		Answered: h.fence.Answered, PeerUp: h.refreshServices, Now: h.now, Mesh: h.mesh,
+	})
+	h.directory = directory.New(directory.Options{
+		Zone: s.Host.Zone, TTL: time.Duration(s.Callers.TTL), View: h.View, Peers: h.peers, Leaving: h.leaving.Load,
+	})
+	h.drain = drain.New(drain.Options{
+		Host: s.Host.Name, Zone: s.Host.Zone, View: h.View, Peers: h.peers, Services: h.services,
+		Roster: h.roster, Leaving: h.upstreams.Leaving, Mesh: h.mesh,
+	})
 	return h, nil
 }
 
@@ -178,7 +191,7 @@
 	h.fence.Start()
 	ctx, h.stop = context.WithCancel(ctx)
 	h.registerMetrics()
-	for _, loop := range []func(context.Context){h.beatLoop, h.config.PollLoop, h.probeLoop, h.rosterLoop} {
+	for _, loop := range []func(context.Context){h.loop, h.config.PollLoop, h.probeLoop, h.rosters.Loop} {
 		h.wait.Add(1)
 		go func() {
 			defer h.wait.Done()
@@ -195,15 +208,13 @@
 
 func (h *Host) probeLoop(ctx context.Context) { h.upstreams.ProbeLoop(ctx, h.client) }
 
-func (h *Host) rosterLoop(ctx context.Context) { h.rosters.Loop(ctx, h.self) }
-
 func (h *Host) roster() roster.Roster { return h.rosters.Current() }
 
 // upstreamsChanged applies a change of an upstream's state that this host saw
 // first, and reports it to the zone at once.
 func (h *Host) upstreamsChanged() {
 	h.rosters.Reconfigure()
-	h.tellZone()
+	h.heartbeats.TellZone()
 }
 
 // Close stops the host at once.
--- /dev/null
+++ b/internal/selector/entry/loop.go
@@ -0,0 +1,51 @@
+package entry
+
+import (
+	"context"
+	"time"
+)
+
+// tick is the pace of the host's own loop. Chosen, not measured; it is a part
+// of member.Interval, the least time between two heartbeats to a host.
+const tick = 250 * time.Millisecond
+
+// loop ticks until ctx ends, and at once when there is news to spread.
+func (h *Host) loop(ctx context.Context) {
+	ticker := time.NewTicker(tick)
+	defer ticker.Stop()
+	for {
+		h.tick(ctx)
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		case <-h.wake:
+		}
+	}
+}
+
+// tick does what every duty has to do from time to time.
+func (h *Host) tick(ctx context.Context) {
+	h.fence.Tick(ctx, h.rosters.Prove)
+	h.heartbeats.Tick(ctx)
+	h.rosters.Settle()
+	h.becomeReady()
+	h.refreshServices()
+	h.directory.Refresh()
+	h.tickets.ForgetExpired()
+	h.links.Retune(ctx)
+}
+
+// tickNow makes the loop tick early.
+func (h *Host) tickNow() {
+	select {
+	case h.wake <- struct{}{}:
+	default: // it is to tick already
+	}
+}
+
+// refreshServices tells the services what is known of the zones now.
+func (h *Host) refreshServices() {
+	now := time.Now()
+	h.services.Refresh(h.peers.ZoneReports(now), h.config.Frozen(), now, h.now())
+}
--- a/internal/selector/entry/peers/peers.go
+++ b/internal/selector/entry/peers/peers.go
@@ -23,19 +23,27 @@
 	zone string
 
 	mu    sync.Mutex
+	self  member.Contact
 	peers *member.Peers
 }
 
 // New makes a Table of a host that knows no other.
 func New(self member.Contact) *Table {
-	return &Table{zone: self.Zone, peers: member.NewPeers(self)}
+	return &Table{zone: self.Zone, self: self, peers: member.NewPeers(self)}
 }
 
 // SetSelf starts the table over, once it is known how this host is reached.
 func (t *Table) SetSelf(self member.Contact) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.peers = member.NewPeers(self)
+	t.self, t.peers = self, member.NewPeers(self)
+}
+
+// Self is how this host is reached.
+func (t *Table) Self() member.Contact {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.self
 }
 
 // Update runs f on the peers. It must not keep them.
--- a/internal/selector/entry/rosters/join.go
+++ b/internal/selector/entry/rosters/join.go
@@ -7,7 +7,6 @@
 	"github.com/rotisserie/eris"
 
 	"cairndock/internal/peer"
-	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/roster"
 	"cairndock/internal/selector/store"
 )
@@ -24,8 +23,8 @@
 	m.joined = false
 }
 
-// join writes this host, reached as self says, into its zone's roster.
-func (m *Membership) join(ctx context.Context, self member.Contact) error {
+// join writes this host into its zone's roster.
+func (m *Membership) join(ctx context.Context) error {
 	r, version, err := m.readRoster(ctx)
 	if err != nil {
 		return err
@@ -37,6 +36,7 @@
 	if known && old.Incarnation == incarnation && old.State == roster.Active {
 		return m.markJoined(false)
 	}
+	self := m.Peers.Self()
 	me := roster.Member{
 		Host: m.Host, Incarnation: incarnation, PeerAddr: self.PeerAddr,
 		CallerAddr: self.CallerAddr, State: roster.Active,
--- a/internal/selector/entry/rosters/loop.go
+++ b/internal/selector/entry/rosters/loop.go
@@ -48,12 +48,12 @@
 )
 
 // Loop joins the zone's roster, follows it and takes dead members out, until
-// ctx ends. Self is how this host is reached.
-func (m *Membership) Loop(ctx context.Context, self member.Contact) {
+// ctx ends.
+func (m *Membership) Loop(ctx context.Context) {
 	retry := platformcalls.NewBackoff()
 	var looked looks
 	for {
-		err := m.tick(ctx, self, &looked)
+		err := m.tick(ctx, &looked)
 		wait := max(rosterInterval, time.Duration(looked.bytes)*time.Second/rosterBytes)
 		if err != nil {
 			wait = retry.NextBackOff()
@@ -77,9 +77,9 @@
 	bytes int
 }
 
-func (m *Membership) tick(ctx context.Context, self member.Contact, looked *looks) error {
+func (m *Membership) tick(ctx context.Context, looked *looks) error {
 	if !m.hasJoined() {
-		return m.join(ctx, self)
+		return m.join(ctx)
 	}
 	if err := m.discover(ctx, looked); err != nil {
 		return err
--- a/internal/selector/entry/serve.go
+++ b/internal/selector/entry/serve.go
@@ -5,6 +5,7 @@
 
 	"cairndock/internal/peer"
 	"cairndock/internal/selector/entry/configsync"
+	"cairndock/internal/selector/entry/drain"
 	"cairndock/internal/selector/entry/forward"
 	"cairndock/internal/selector/entry/links"
 	"cairndock/internal/selector/member"
@@ -27,7 +28,7 @@
 			h.tickets.Serve(ctx, from, m, w)
 		})
 	case peer.KindHeartbeat:
-		serve(payload, func(b member.Heartbeat) { h.serveHeartbeat(ctx, b, w) })
+		serve(payload, func(b member.Heartbeat) { h.heartbeats.Serve(ctx, b, w) })
 	case peer.KindRoster:
 		serve(payload, func(string) { reply(w, h.roster()) })
 	case peer.KindChanges:
@@ -39,12 +40,12 @@
 	case peer.KindLend:
 		serve(payload, func(m links.LoanRequest) { reply(w, h.links.Lend(m)) })
 	case peer.KindDrain:
-		serve(payload, func(m drainMsg) { h.serveDrain(ctx, m, w) })
+		serve(payload, func(m drain.Request) { reply(w, h.drain.Serve(ctx, m)) })
 	case peer.KindHandover:
 		serve(payload, func(m []ticket.Handover) {
 			h.tickets.Adopt(m)
 			reply(w, true)
-			h.turnNow() // every host is to know the successor
+			h.tickNow() // every host is to know the successor
 		})
 	}
 }
--- a/internal/selector/entry/status.go
+++ b/internal/selector/entry/status.go
@@ -169,14 +169,9 @@
 		return Explanation{}, eris.Errorf("no service %q", service)
 	}
 	status := h.serviceStatus(service)
-	zone := v.CallerZone(caller)
-	key := entriesKey{service, zone, variantOf(caller)}
-	if zone == "" {
-		key.zone = h.self.Zone
-	}
 	e := Explanation{
-		Service: service, Caller: caller.String(), CallerZone: zone, Revision: v.Revision(),
-		Frozen: h.Frozen(), Sites: status.Sites, Entries: h.entriesNow(key).Entries,
+		Service: service, Caller: caller.String(), CallerZone: v.CallerZone(caller), Revision: v.Revision(),
+		Frozen: h.Frozen(), Sites: status.Sites, Entries: h.directory.Entries(service, caller).Entries,
 	}
 	for i, r := range svc.Rules {
 		if i < len(status.Shares) {
--- a/internal/selector/entry/stop.go
+++ b/internal/selector/entry/stop.go
@@ -24,8 +24,8 @@
 	began := time.Now()
 	h.log.Info().Msg("entry: stop began")
 	h.leaving.Store(true)
-	h.refreshEntries()
-	h.tellAll()
+	h.directory.Refresh()
+	h.heartbeats.TellAll()
 	h.rosters.Leave(ctx)
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(h.opts.Settings.Stop.Window))
 	defer cancel()
@@ -51,13 +51,6 @@
 	return func() { h.inFlight.Add(-1) }
 }
 
-// tellAll sends a heartbeat to every known host at once.
-func (h *Host) tellAll() {
-	for _, c := range h.peers.All() {
-		go h.sendHeartbeat(context.Background(), c)
-	}
-}
-
 // waitIdle waits until nothing is in flight.
 func (h *Host) waitIdle(ctx context.Context) {
 	const poll = 20 * time.Millisecond
