--- a/internal/selector/entry/bench_test.go
+++ b/internal/selector/entry/bench_test.go
@@ -49,7 +49,6 @@
 		Traces: sdktrace.NewTracerProvider(sdktrace.WithSampler(sdktrace.NeverSample())),
 	})
 	require.NoError(tb, err)
-	h.peers.SetSelf(h.self)
 	h.rosters.Merge(bigRoster(74))
 	h.config.Adopt(s)
 	for z := 1; z < 80; z++ {
--- a/internal/selector/entry/status.go
+++ b/internal/selector/entry/status.go
@@ -1,11 +1,8 @@
 package entry
 
 import (
-	"net/netip"
 	"time"
 
-	"github.com/rotisserie/eris"
-
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/roster"
@@ -65,7 +62,7 @@
 func (h *Host) Status() Status {
 	v := h.View()
 	s := Status{
-		Host: h.self.Host, Zone: h.self.Zone, Revision: v.Revision(),
+		Host: h.Self().Host, Zone: h.zone, Revision: v.Revision(),
 		FreshMillis: h.config.Age().Milliseconds(),
 		Frozen:      h.Frozen(), Ready: h.Ready(), Leaving: h.leaving.Load(),
 		InFlight: h.inFlight.Load(), Tickets: h.tickets.Kept(),
@@ -78,7 +75,7 @@
 		s.Zones = append(s.Zones, h.zoneStatus(v, zone, free))
 	}
 	for _, z := range s.Zones {
-		if z.Up == 0 && z.Zone != h.self.Zone {
+		if z.Up == 0 && z.Zone != h.zone {
 			s.CutOff = append(s.CutOff, z.Zone)
 		}
 	}
@@ -107,7 +104,7 @@
 func (h *Host) zoneStatus(v *config.View, zone string, free []member.Free) ZoneStatus {
 	z := ZoneStatus{Zone: zone, Region: v.Region(zone), Slots: v.ZoneSlots()[zone]}
 	now := time.Now()
-	if zone == h.self.Zone {
+	if zone == h.zone {
 		z.Hosts, z.Up, z.Revision = 1, 1, v.Revision()
 		z.FreshMillis = h.config.Age().Milliseconds()
 		z.add(h.peers.ZoneFree(free))
@@ -122,7 +119,7 @@
 		if z.Revision == 0 || p.Beat.Revision < z.Revision {
 			z.Revision = p.Beat.Revision
 		}
-		if zone != h.self.Zone && p.HeardAt.After(newest) {
+		if zone != h.zone && p.HeardAt.After(newest) {
 			newest = p.HeardAt
 			z.Free, z.Held = 0, 0
 			z.FreshMillis = p.Beat.FreshAge + now.Sub(p.HeardAt).Milliseconds()
@@ -138,74 +135,3 @@
 		z.Held += f.Held
 	}
 }
-
-// Explanation says how one caller's request to a service would be steered.
-type Explanation struct {
-	Service    string             `json:"service"`
-	Caller     string             `json:"caller"`
-	CallerZone string             `json:"caller_zone"`
-	Revision   uint64             `json:"revision"`
-	Frozen     bool               `json:"frozen"`
-	Rules      []RuleExplanation  `json:"rules"`
-	Sites      []steer.SiteStatus `json:"sites"`
-	Entries    []Entry            `json:"entries"`
-}
-
-// RuleExplanation says why a rule would or would not be chosen.
-type RuleExplanation struct {
-	Rule     string  `json:"rule"`
-	Selector string  `json:"selector"`
-	Share    float64 `json:"share"`
-	Target   float64 `json:"target"`
-	Cap      float64 `json:"cap"`
-	Why      string  `json:"why"`
-}
-
-// Explain says how a caller's request would be steered.
-func (h *Host) Explain(service string, caller netip.Addr) (Explanation, error) {
-	v := h.View()
-	svc, ok := v.Service(service)
-	if !ok {
-		return Explanation{}, eris.Errorf("no service %q", service)
-	}
-	status := h.serviceStatus(service)
-	e := Explanation{
-		Service: service, Caller: caller.String(), CallerZone: v.CallerZone(caller), Revision: v.Revision(),
-		Frozen: h.Frozen(), Sites: status.Sites, Entries: h.directory.Entries(service, caller).Entries,
-	}
-	for i, r := range svc.Rules {
-		if i < len(status.Shares) {
-			e.Rules = append(e.Rules, explainRule(r, status.Shares[i], status.Sites))
-		}
-	}
-	return e, nil
-}
-
-func explainRule(r config.RuleView, s shift.Status, sites []steer.SiteStatus) RuleExplanation {
-	e := RuleExplanation{Rule: r.Name, Selector: r.Selector, Share: s.Share, Target: s.Target, Cap: s.Cap}
-	reachable, free := 0, 0
-	for _, site := range sites {
-		if site.Rule != r.Name || !site.Reachable || site.Slots == 0 {
-			continue
-		}
-		reachable++
-		if site.Use < 1 {
-			free++
-		}
-	}
-	switch {
-	case len(r.Sites) == 0:
-		e.Why = "its selector matches no upstream"
-	case reachable == 0:
-		e.Why = "no zone with a matching upstream can be reached"
-	case free == 0:
-		e.Why = "every zone that it matches is full"
-	case s.Share == 0 && s.Target == 0:
-		e.Why = "its share is 0; it takes what the other rules can't, up to its cap"
-	case s.Share != s.Target:
-		e.Why = "its share is moving to its target"
-	default:
-		e.Why = "it is chosen for its share"
-	}
-	return e
-}
