--- a/internal/selector/entry/entrytest/cluster.go
+++ b/internal/selector/entry/clustertest/cluster.go
@@ -1,6 +1,4 @@
-// Package entrytest runs a small system of entry hosts on a network in
-// memory, in a bubble of fake time, for tests.
-package entrytest
+package clustertest
 
 import (
 	"context"
@@ -17,6 +15,7 @@
 
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry"
+	"cairndock/internal/selector/entry/clustertest/memnet"
 	"cairndock/internal/selector/standin"
 	"cairndock/internal/selector/store"
 	"cairndock/internal/settings"
@@ -51,7 +50,7 @@
 // Cluster is a small system on a fake network, in a synctest bubble.
 type Cluster struct {
 	T         *testing.T
-	Net       *Network
+	Net       *memnet.Network
 	Memory    *store.Memory
 	Upstreams map[string]*standin.Upstream
 
@@ -63,7 +62,7 @@
 func Run(t *testing.T, extra string, f func(c *Cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &Cluster{T: t, Memory: store.NewMemory(), hosts: map[string]*entry.Host{}, Upstreams: map[string]*standin.Upstream{}}
-		c.Net = newNetwork(testDelay)
+		c.Net = memnet.New(testDelay)
 		defer c.closeAll()
 		doc := c.startUpstreams() + extra
 		c.Apply("first", doc, 0)
@@ -105,7 +104,7 @@
 // StartUpstream starts an instance of an upstream.
 func (c *Cluster) StartUpstream(name, instance string) *standin.Upstream {
 	u := &standin.Upstream{Name: name, Instance: instance, Slots: UpstreamSlots, Latency: Latency}
-	l, err := end{c.Net, name}.Listen(name + ":1")
+	l, err := c.Net.End(name).Listen(name + ":1")
 	require.NoError(c.T, err)
 	go func() { _ = u.Serve(l) }()
 	c.Upstreams[name] = u
@@ -123,53 +122,6 @@
 	require.NoError(c.T, err)
 }
 
-// tableOf is the platform as one host reaches it: a cut link to the name
-// "platform" makes its calls hang until they time out.
-type tableOf struct {
-	*store.Memory
-	net  *Network
-	name string
-}
-
-func (p tableOf) reach(ctx context.Context) error {
-	for p.net.isCut(p.name, "platform") {
-		select {
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-time.After(50 * time.Millisecond):
-		}
-	}
-	return nil
-}
-
-func (p tableOf) Get(ctx context.Context, key store.Key) (store.Row, error) {
-	if err := p.reach(ctx); err != nil {
-		return store.Row{}, err
-	}
-	return p.Memory.Get(ctx, key)
-}
-
-func (p tableOf) Transact(ctx context.Context, writes []store.Write) error {
-	if err := p.reach(ctx); err != nil {
-		return err
-	}
-	return p.Memory.Transact(ctx, writes)
-}
-
-func (p tableOf) List(ctx context.Context, partition, after string, limit int) ([]store.Row, error) {
-	if err := p.reach(ctx); err != nil {
-		return nil, err
-	}
-	return p.Memory.List(ctx, partition, after, limit)
-}
-
-func (p tableOf) Hosts(ctx context.Context) ([]store.HostState, error) {
-	if err := p.reach(ctx); err != nil {
-		return nil, err
-	}
-	return p.Memory.Hosts(ctx)
-}
-
 // Start starts a host, or a new incarnation of one.
 func (c *Cluster) Start(name, zone, region string) *entry.Host {
 	set := settings.Settings{
@@ -180,8 +132,8 @@
 	entry.Prepare(&set)
 	table := tableOf{c.Memory, c.Net, name}
 	h, err := entry.New(entry.Options{
-		Settings: set, Table: table, Objects: table, Hosts: table, Transport: end{c.Net, name},
-		DialUpstream: end{c.Net, name}.dialUpstream, Log: zerolog.Nop(),
+		Settings: set, Table: table, Objects: table, Hosts: table, Transport: c.Net.End(name),
+		DialUpstream: c.Net.End(name).DialUpstream, Log: zerolog.Nop(),
 		Traces: sdktrace.NewTracerProvider(sdktrace.WithSampler(sdktrace.NeverSample())), Seed: uint64(len(name)),
 	})
 	require.NoError(c.T, err)
--- a/internal/selector/entry/entrytest/main_test.go
+++ b/internal/selector/entry/clustertest/main_test.go
@@ -1,4 +1,4 @@
-package entrytest
+package clustertest
 
 import (
 	"os"
--- a/internal/selector/entry/host_test.go
+++ b/internal/selector/entry/host_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"cairndock/internal/selector/entry"
-	"cairndock/internal/selector/entry/entrytest"
+	"cairndock/internal/selector/entry/clustertest"
 	"cairndock/internal/selector/member"
 )
 
@@ -16,7 +16,7 @@
 // upstreams before its silence can count against it, and starts again once
 // it has seen the roster.
 func TestIsolatedHostStopsInTime(t *testing.T) {
-	inBubble(t, entrytest.Anywhere, func(c *cluster) {
+	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		h := c.Host("costa-a-1")
 		others := append(c.Names(), "platform")
 		for _, o := range others {
@@ -34,7 +34,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		require.True(t, h.Validated())
-		_, err := entrytest.Ask(h, entrytest.Lookup("/x"))
+		_, err := clustertest.Ask(h, clustertest.Lookup("/x"))
 		require.NoError(t, err)
 	})
 }
@@ -42,7 +42,7 @@
 // TestStartingHostOpensOnceItCanSend: callers are told to come back until
 // the host holds slots or hears from a host that does.
 func TestStartingHostOpensOnceItCanSend(t *testing.T) {
-	inBubble(t, entrytest.Anywhere, func(c *cluster) {
+	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		h := c.Host("costa-a-1")
 		h.Stop(context.Background())
 		c.Forget("costa-a-1")
--- a/internal/selector/entry/links_test.go
+++ b/internal/selector/entry/links_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"cairndock/internal/call"
-	"cairndock/internal/selector/entry/entrytest"
+	"cairndock/internal/selector/entry/clustertest"
 	"cairndock/internal/verdict"
 )
 
@@ -105,7 +105,7 @@
 	for i := range int(d / (50 * time.Millisecond)) {
 		wait.Go(func() {
 			began := time.Now()
-			_, err := entrytest.Ask(c.Host("costa-a-1"), entrytest.Lookup(fmt.Sprintf("/tracks/%d", i)))
+			_, err := clustertest.Ask(c.Host("costa-a-1"), clustertest.Lookup(fmt.Sprintf("/tracks/%d", i)))
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
--- a/internal/selector/entry/main_test.go
+++ b/internal/selector/entry/main_test.go
@@ -5,7 +5,7 @@
 	"runtime"
 	"testing"
 
-	"cairndock/internal/selector/entry/entrytest"
+	"cairndock/internal/selector/entry/clustertest"
 )
 
 // TestMain keeps the tests on one processor. Time in a synctest bubble is
@@ -18,9 +18,9 @@
 }
 
 // cluster is a system under test, with what these tests do to it.
-type cluster struct{ *entrytest.Cluster }
+type cluster struct{ *clustertest.Cluster }
 
 // inBubble runs a test on a cluster whose time is fake.
 func inBubble(t *testing.T, rules string, f func(c *cluster)) {
-	entrytest.Run(t, rules, func(c *entrytest.Cluster) { f(&cluster{c}) })
+	clustertest.Run(t, rules, func(c *clustertest.Cluster) { f(&cluster{c}) })
 }
--- a/internal/selector/entry/policy_test.go
+++ b/internal/selector/entry/policy_test.go
@@ -11,7 +11,7 @@
 
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry"
-	"cairndock/internal/selector/entry/entrytest"
+	"cairndock/internal/selector/entry/clustertest"
 	"cairndock/internal/selector/standin"
 )
 
@@ -81,7 +81,7 @@
 				applied, err := c.Host("sierra-a-1").Apply(context.Background(), change, 10*time.Second)
 				require.NoError(t, err)
 				require.Equal(t, entry.StateAccepted, applied.State)
-				time.Sleep(entrytest.Timeout)
+				time.Sleep(clustertest.Timeout)
 				before := c.RunsIn("sierra-a")
 				out = c.Load(60, 10*time.Second)
 				offered = out.Good + out.Refused + out.Doubt
@@ -95,7 +95,7 @@
 
 // TestOverload offers twice the capacity.
 func TestOverload(t *testing.T) {
-	inBubble(t, entrytest.Anywhere, func(c *cluster) {
+	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		const capacity = 120
 		c.Load(capacity, 3*time.Second) // the upstreams warm up
 		before := c.RunsIn("")
@@ -134,7 +134,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inBubble(t, entrytest.Anywhere, func(c *cluster) {
+			inBubble(t, clustertest.Anywhere, func(c *cluster) {
 				lie(c)
 				out := c.Load(110, 10*time.Second)
 				goodput[name] = out.Good
@@ -150,7 +150,7 @@
 
 // TestSlowUpstream: one upstream in six is slow. Requests go around it.
 func TestSlowUpstream(t *testing.T) {
-	inBubble(t, entrytest.Anywhere, func(c *cluster) {
+	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		c.Load(60, 3*time.Second)
 		c.Upstreams["up-costa-a-1"].SetFaults(standin.Faults{Delay: 600 * time.Millisecond})
 		c.Load(60, 3*time.Second)
--- a/internal/selector/entry/spread_test.go
+++ b/internal/selector/entry/spread_test.go
@@ -12,7 +12,7 @@
 
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry"
-	"cairndock/internal/selector/entry/entrytest"
+	"cairndock/internal/selector/entry/clustertest"
 	"cairndock/internal/selector/store"
 )
 
@@ -109,7 +109,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			inBubble(t, entrytest.Anywhere, func(c *cluster) {
+			inBubble(t, clustertest.Anywhere, func(c *cluster) {
 				ctx, stop := context.WithCancel(context.Background())
 				defer stop()
 				went := c.watch(ctx.Done())
@@ -162,7 +162,7 @@
 
 // TestPlatformDownRefusesChanges: nothing is accepted, nothing is lost.
 func TestPlatformDownRefusesChanges(t *testing.T) {
-	inBubble(t, entrytest.Anywhere, func(c *cluster) {
+	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		go c.StoreDown(20 * time.Second)
 		time.Sleep(100 * time.Millisecond)
 		_, err := c.Host("costa-a-1").Apply(context.Background(), c.change("down", 1, 0.9), time.Second)
@@ -170,7 +170,7 @@
 		time.Sleep(7 * time.Second)
 		for _, h := range c.Live() {
 			require.True(t, h.Frozen(), "frozen: the newest revision can't be known")
-			_, err := entrytest.Ask(h, entrytest.Lookup("/x"))
+			_, err := clustertest.Ask(h, clustertest.Lookup("/x"))
 			require.NoError(t, err, "and serving")
 		}
 		calls := c.Memory.Calls("get")
@@ -185,7 +185,7 @@
 // TestRacingChanges: of changes to one object one wins, and the others are
 // told who; changes to different objects all pass; an id counts once.
 func TestRacingChanges(t *testing.T) {
-	inBubble(t, entrytest.Anywhere, func(c *cluster) {
+	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		hosts := c.Live()
 		type result struct {
 			applied entry.Applied
@@ -239,7 +239,7 @@
 
 // TestSpreadTime measures from accepted to in force on every host.
 func TestSpreadTime(t *testing.T) {
-	inBubble(t, entrytest.Anywhere, func(c *cluster) {
+	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		var slowest, sum time.Duration
 		const changes = 100
 		for i := range changes {
@@ -262,14 +262,14 @@
 // TestStartsFromPeers: a host that can't ask the platform takes the
 // configuration from peers that are known to be fresh.
 func TestStartsFromPeers(t *testing.T) {
-	inBubble(t, entrytest.Anywhere, func(c *cluster) {
+	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		c.Kill("costa-a-2")
 		c.Net.Cut("costa-a-2", "platform")
 		h := c.Start("costa-a-2", "costa-a", "costa")
 		time.Sleep(10 * time.Second)
 		require.True(t, h.Ready())
 		require.Equal(t, c.Revision(), h.View().Revision())
-		_, err := entrytest.Ask(h, entrytest.Lookup("/x"))
+		_, err := clustertest.Ask(h, clustertest.Lookup("/x"))
 		require.NoError(t, err)
 		c.Net.Heal("costa-a-2", "platform")
 	})
@@ -278,7 +278,7 @@
 // TestLostAnswerAfterAnothersChange: a host that is one change behind submits
 // its own, whose answer is lost. The other's revision must not be given to it.
 func TestLostAnswerAfterAnothersChange(t *testing.T) {
-	inBubble(t, entrytest.Anywhere, func(c *cluster) {
+	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		c.Apply("others", "[[zone]]\nname = \"new\"\nregion = \"costa\"\n", 1)
 		c.LoseAnswers(100 * time.Millisecond)
 		h := c.Host("costa-a-1")
--- a/internal/selector/entry/tickets_test.go
+++ b/internal/selector/entry/tickets_test.go
@@ -12,7 +12,7 @@
 
 	"cairndock/internal/call"
 	"cairndock/internal/selector/entry"
-	"cairndock/internal/selector/entry/entrytest"
+	"cairndock/internal/selector/entry/clustertest"
 	"cairndock/internal/selector/standin"
 	"cairndock/internal/verdict"
 )
@@ -21,7 +21,7 @@
 func booking(ticket string) *call.Request {
 	return &call.Request{
 		Service: "planning", Method: http.MethodPost, Target: "/bookings", Body: []byte("{}"),
-		Ticket: ticket, Deadline: time.Now().Add(entrytest.Timeout),
+		Ticket: ticket, Deadline: time.Now().Add(clustertest.Timeout),
 	}
 }
 
@@ -50,7 +50,7 @@
 // TestAtMostOnce breaks the way of one booking at every point and then
 // resends it by every host. The upstreams' ledger shows how often it ran.
 func TestAtMostOnce(t *testing.T) {
-	const minter = "costa-a-1"
+	const issuer = "costa-a-1"
 	cases := []struct {
 		name string
 		// first sends the booking; again comes before the resends.
@@ -62,91 +62,91 @@
 	}{
 		{name: "nothing fails", runs: 1, last: verdict.Ran},
 		{name: "first sent by another host", runs: 1, last: verdict.Ran, first: func(c *cluster, ticket string) error {
-			_, err := entrytest.Ask(c.Host("sierra-a-2"), booking(ticket))
+			_, err := clustertest.Ask(c.Host("sierra-a-2"), booking(ticket))
 			return err
 		}},
 		{name: "upstream refuses", runs: 1, last: verdict.Ran, first: func(c *cluster, ticket string) error {
 			c.FaultAll(standin.Faults{Shed: true})
-			_, err := entrytest.Ask(c.Host(minter), booking(ticket))
+			_, err := clustertest.Ask(c.Host(issuer), booking(ticket))
 			c.FaultAll(standin.Faults{})
 			return err
 		}},
 		{name: "upstream dies before it runs", runs: 0, last: verdict.MayHaveRun, first: func(c *cluster, ticket string) error {
 			c.FaultAll(standin.Faults{DropBefore: true})
-			_, err := entrytest.Ask(c.Host(minter), booking(ticket))
+			_, err := clustertest.Ask(c.Host(issuer), booking(ticket))
 			c.FaultAll(standin.Faults{})
 			return err
 		}},
 		{name: "upstream dies after it ran", runs: 1, last: verdict.MayHaveRun, first: func(c *cluster, ticket string) error {
 			c.FaultAll(standin.Faults{DropAfter: true})
-			_, err := entrytest.Ask(c.Host(minter), booking(ticket))
+			_, err := clustertest.Ask(c.Host(issuer), booking(ticket))
 			c.FaultAll(standin.Faults{})
 			return err
 		}},
 		{name: "answer breaks off", runs: 1, last: verdict.MayHaveRun, first: func(c *cluster, ticket string) error {
 			c.FaultAll(standin.Faults{Truncate: true})
-			_, err := entrytest.Ask(c.Host(minter), booking(ticket))
+			_, err := clustertest.Ask(c.Host(issuer), booking(ticket))
 			c.FaultAll(standin.Faults{})
 			return err
 		}},
 		{name: "caller leaves", runs: 1, last: verdict.Ran, first: func(c *cluster, ticket string) error {
-			ctx, cancel := context.WithTimeout(context.Background(), entrytest.Latency/2)
+			ctx, cancel := context.WithTimeout(context.Background(), clustertest.Latency/2)
 			defer cancel()
-			_, err := c.Host(minter).Do(ctx, booking(ticket))
+			_, err := c.Host(issuer).Do(ctx, booking(ticket))
 			return err
 		}},
 		{name: "upstream slower than the caller's deadline", runs: 1, last: verdict.Ran, first: func(c *cluster, ticket string) error {
-			c.FaultAll(standin.Faults{Delay: entrytest.Timeout})
-			_, err := entrytest.Ask(c.Host(minter), booking(ticket))
+			c.FaultAll(standin.Faults{Delay: clustertest.Timeout})
+			_, err := clustertest.Ask(c.Host(issuer), booking(ticket))
 			c.FaultAll(standin.Faults{})
 			return err
-		}, again: func(*cluster) { time.Sleep(entrytest.Timeout) }},
+		}, again: func(*cluster) { time.Sleep(clustertest.Timeout) }},
 		{name: "resends race each other", runs: 1, last: verdict.Ran, first: func(c *cluster, ticket string) error {
 			var wait sync.WaitGroup
 			for _, h := range c.Live() {
 				for range 3 {
-					wait.Go(func() { _, _ = entrytest.Ask(h, booking(ticket)) })
+					wait.Go(func() { _, _ = clustertest.Ask(h, booking(ticket)) })
 				}
 			}
 			wait.Wait()
 			return nil
 		}},
-		{name: "minter killed after", runs: 1, last: verdict.MayHaveRun, again: func(c *cluster) { c.Kill(minter) }},
-		{name: "minter killed and replaced", runs: 1, last: verdict.MayHaveRun, again: func(c *cluster) {
-			c.Kill(minter)
-			c.Start(minter, "costa-a", "costa")
+		{name: "issuer killed after", runs: 1, last: verdict.MayHaveRun, again: func(c *cluster) { c.Kill(issuer) }},
+		{name: "issuer killed and replaced", runs: 1, last: verdict.MayHaveRun, again: func(c *cluster) {
+			c.Kill(issuer)
+			c.Start(issuer, "costa-a", "costa")
 			time.Sleep(5 * time.Second)
 		}},
-		{name: "minter killed while it runs", runs: 1, last: verdict.MayHaveRun, first: func(c *cluster, ticket string) error {
+		{name: "issuer killed while it runs", runs: 1, last: verdict.MayHaveRun, first: func(c *cluster, ticket string) error {
 			go func() {
 				// The way there takes 35 ms.
-				time.Sleep(35*time.Millisecond + entrytest.Latency/2)
-				c.Kill(minter)
+				time.Sleep(35*time.Millisecond + clustertest.Latency/2)
+				c.Kill(issuer)
 			}()
-			_, err := entrytest.Ask(c.Host("sierra-a-1"), booking(ticket))
+			_, err := clustertest.Ask(c.Host("sierra-a-1"), booking(ticket))
 			return err
 		}},
-		{name: "minter cut off before the first use", runs: 0, last: verdict.MayHaveRun, first: func(c *cluster, ticket string) error {
+		{name: "issuer cut off before the first use", runs: 0, last: verdict.MayHaveRun, first: func(c *cluster, ticket string) error {
 			for _, n := range c.Names() {
-				c.Net.Cut(minter, n)
+				c.Net.Cut(issuer, n)
 			}
-			_, err := entrytest.Ask(c.Host("sierra-a-1"), booking(ticket))
+			_, err := clustertest.Ask(c.Host("sierra-a-1"), booking(ticket))
 			return err
 		}},
-		{name: "minter paused for 30 s", runs: 1, last: verdict.Ran, again: func(c *cluster) {
-			c.Freeze(minter, 30*time.Second)
+		{name: "issuer paused for 30 s", runs: 1, last: verdict.Ran, again: func(c *cluster) {
+			c.Freeze(issuer, 30*time.Second)
 			time.Sleep(5 * time.Second)
 		}},
-		{name: "minter stopped as planned", runs: 1, last: verdict.Ran, again: func(c *cluster) {
-			c.Host(minter).Stop(context.Background())
-			c.Kill(minter)
+		{name: "issuer stopped as planned", runs: 1, last: verdict.Ran, again: func(c *cluster) {
+			c.Host(issuer).Stop(context.Background())
+			c.Kill(issuer)
 			time.Sleep(2 * time.Second)
 		}},
-		{name: "minter stopped as planned before the first use", runs: 1, last: verdict.Ran, first: func(c *cluster, ticket string) error {
-			c.Host(minter).Stop(context.Background())
-			c.Kill(minter)
+		{name: "issuer stopped as planned before the first use", runs: 1, last: verdict.Ran, first: func(c *cluster, ticket string) error {
+			c.Host(issuer).Stop(context.Background())
+			c.Kill(issuer)
 			time.Sleep(2 * time.Second)
-			_, err := entrytest.Ask(c.Host("sierra-a-1"), booking(ticket))
+			_, err := clustertest.Ask(c.Host("sierra-a-1"), booking(ticket))
 			return err
 		}},
 		{name: "resend after expiry", runs: 1, last: verdict.MayHaveRun, again: func(*cluster) { time.Sleep(12 * time.Minute) }},
@@ -154,12 +154,12 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			inBubble(t, entrytest.Anywhere, func(c *cluster) {
-				ticket := c.mint(minter)
+			inBubble(t, clustertest.Anywhere, func(c *cluster) {
+				ticket := c.mint(issuer)
 				first := tc.first
 				if first == nil {
 					first = func(c *cluster, ticket string) error {
-						_, err := entrytest.Ask(c.Host(minter), booking(ticket))
+						_, err := clustertest.Ask(c.Host(issuer), booking(ticket))
 						return err
 					}
 				}
@@ -170,7 +170,7 @@
 				time.Sleep(time.Second)
 				var last verdict.Verdict
 				for _, h := range c.Live() {
-					_, err := entrytest.Ask(h, booking(ticket))
+					_, err := clustertest.Ask(h, booking(ticket))
 					last = told(err)
 					c.checkTold(ticket, last)
 				}
@@ -195,17 +195,17 @@
 }
 
 func TestTicketsServeOneRequest(t *testing.T) {
-	inBubble(t, entrytest.Anywhere, func(c *cluster) {
+	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		ticket := c.mint("costa-a-1")
-		one, err := entrytest.Ask(c.Host("costa-a-1"), booking(ticket))
+		one, err := clustertest.Ask(c.Host("costa-a-1"), booking(ticket))
 		require.NoError(t, err)
 		for _, h := range c.Live() {
-			same, err := entrytest.Ask(h, booking(ticket))
+			same, err := clustertest.Ask(h, booking(ticket))
 			require.NoError(t, err)
 			require.Equal(t, one, same)
 			other := booking(ticket)
 			other.Body = []byte(`{"other":1}`)
-			_, err = entrytest.Ask(h, other)
+			_, err = clustertest.Ask(h, other)
 			require.Equal(t, verdict.TicketConflict, verdict.From(err).Reason, fmt.Sprint(h.Self().Host))
 		}
 		require.Equal(t, 1, c.runs(ticket))
@@ -222,17 +222,17 @@
 	return false
 }
 
-// TestTicketsFindTheirMinterByZone: a host that does not know the minter
+// TestTicketsFindTheirIssuerByZone: a host that does not know the issuer
 // asks one of its zone.
-func TestTicketsFindTheirMinterByZone(t *testing.T) {
-	inBubble(t, entrytest.Anywhere, func(c *cluster) {
+func TestTicketsFindTheirIssuerByZone(t *testing.T) {
+	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		ticket := c.mint("costa-a-1")
 		far := c.Host("sierra-a-1")
-		require.True(t, hears(far, "costa-a-2", 5*time.Second), "no other host of the minter's zone is known")
+		require.True(t, hears(far, "costa-a-2", 5*time.Second), "no other host of the issuer's zone is known")
 		far.Forget("costa-a-1")
-		one, err := entrytest.Ask(far, booking(ticket))
+		one, err := clustertest.Ask(far, booking(ticket))
 		require.NoError(t, err)
-		two, err := entrytest.Ask(c.Host("costa-a-1"), booking(ticket))
+		two, err := clustertest.Ask(c.Host("costa-a-1"), booking(ticket))
 		require.NoError(t, err)
 		require.Equal(t, one, two)
 		require.Equal(t, 1, c.runs(ticket))
