--- a/internal/selector/entry/admission/admission.go
+++ b/internal/selector/entry/admission/admission.go
@@ -88,14 +88,14 @@
 	ctx, span := a.Tracer.Start(ctx, "upstream", trace.WithAttributes(attribute.String("upstream", target.Name)))
 	defer span.End()
 	gate := a.Services.Get(req.Service).Gate
-	answer, err := a.Client.Send(ctx, target, req, func(o slot.Outcome, latency time.Duration) {
+	resp, err := a.Client.Send(ctx, target, req, func(o slot.Outcome, latency time.Duration) {
 		gate.Release(lease, o, latency)
 	})
 	if err != nil {
 		a.Metrics.Count(`cairndock_upstream_failures_total{verdict="` + verdict.From(err).Verdict.String() + `"}`)
 		return nil, err
 	}
-	return answer, nil
+	return resp, nil
 }
 
 func (a *Admitter) target(service, name string) (upstream.Target, bool) {
--- a/internal/selector/entry/configsync/progress.go
+++ b/internal/selector/entry/configsync/progress.go
@@ -39,7 +39,7 @@
 	Lagging []string `json:"lagging,omitempty"`
 }
 
-// Applied is the answer to a change.
+// Applied is the response to a change.
 type Applied struct {
 	// State is accepted or pending.
 	State    string         `json:"state"`
@@ -48,10 +48,12 @@
 	Zones    []ZoneProgress `json:"zones"`
 }
 
-// The states of Applied.
 const (
+	// StateAccepted is the state of a change that each zone has in force, or
+	// whose hosts that may not have it have frozen themselves.
 	StateAccepted = "accepted"
-	StatePending  = "pending"
+	// StatePending is the state of a change that some zone may not have yet.
+	StatePending = "pending"
 )
 
 // Apply accepts a change and waits, for the given time at most, for every
@@ -75,7 +77,7 @@
 
 // forceTo puts the state that an append gave in force here and pushes the
 // change, with the revision it was accepted at, to every zone. After a lost
-// answer the state may end before the change; that comes by the log then.
+// response the state may end before the change; that comes by the log then.
 func (r *Replica) forceTo(ctx context.Context, state *config.State, c config.Change) {
 	before := r.View().Revision()
 	if state.Revision() <= before {
--- a/internal/selector/entry/dispatch/dispatch.go
+++ b/internal/selector/entry/dispatch/dispatch.go
@@ -25,22 +25,6 @@
 	"cairndock/internal/verdict"
 )
 
-const (
-	// maxTries bounds how often one request is sent to an upstream. Chosen,
-	// not measured.
-	maxTries = 4
-	// maxOffers bounds how often one request is offered to a zone, full ones
-	// included. Chosen, not measured.
-	maxOffers = 8
-	// queuePart is the part of the time left that a request may spend
-	// waiting for a slot: one in queuePart. Chosen, not measured.
-	queuePart = 4
-	// maxQueues bounds the full zones of a rule at which a request asks to
-	// wait: where the first one's queue is full as well, another's may have
-	// room (TestFullQueueIsPassedOver).
-	maxQueues = 2
-)
-
 // Admitter admits requests to the upstreams of the own zone.
 type Admitter interface {
 	Acquire(ctx context.Context, service, rule string, until time.Time) (slot.Lease, error)
@@ -82,11 +66,11 @@
 	if !ok {
 		return nil, verdict.New(verdict.NotRun, verdict.UnknownService, "no service %q", req.Service)
 	}
-	answer, err := d.begin(svc, req).run(ctx)
+	resp, err := d.begin(svc, req).run(ctx)
 	if err != nil {
 		span.SetAttributes(attribute.String("verdict", verdict.From(err).Verdict.String()))
 	}
-	return answer, err
+	return resp, err
 }
 
 // begin counts a request as arrived and plans its tries.
@@ -118,6 +102,8 @@
 	queueAt []steer.Choice
 }
 
+// run offers the request to one zone after another, and at last waits at one
+// that was full.
 func (r *request) run(ctx context.Context) (*call.Answer, error) {
 	for r.mayTry() {
 		choice, ok := r.next()
@@ -128,12 +114,12 @@
 			r.mayQueueAt(choice)
 			continue
 		}
-		answer, err := r.try(ctx, choice)
+		resp, err := r.try(ctx, choice)
 		if err == nil {
-			return answer, nil
+			return resp, nil
 		}
-		if !r.goOn(ctx, choice, err) {
-			return nil, r.final()
+		if !r.failed(ctx, choice, err) {
+			return nil, finalVerdict(r.last, r.doubt, r.plan.Capped)
 		}
 	}
 	return r.queue(ctx)
@@ -142,44 +128,33 @@
 // mayTry reports whether the request may be sent once more.
 func (r *request) mayTry() bool {
 	may := false
-	r.state.Decide(func(*steer.Decider) { may = r.sends < maxTries && r.offers < maxOffers && !r.spent })
+	r.state.Decide(func(*steer.Decider) { may = mayTry(r.sends, r.offers, r.spent) })
 	return may
 }
 
-// queue waits for a slot at the best zone that was full, until a part of
-// the time left has passed. A rule that has come to its cap meanwhile is
-// passed over, and so is a zone whose queue is full.
+// queue waits for a slot at the best zone that was full.
 func (r *request) queue(ctx context.Context) (*call.Answer, error) {
-	until := time.Now().Add(time.Until(r.req.Deadline) / queuePart)
+	until := queueUntil(time.Now(), r.req.Deadline)
 	for _, choice := range r.queueAt {
 		if ctx.Err() != nil || !r.mayTry() || time.Now().After(until) {
 			break
 		}
-		answer, err := bufferPrefix(r.offer(ctx, choice, until))
+		resp, err := bufferPrefix(r.offer(ctx, choice, until))
 		if err == nil {
-			return answer, nil
+			return resp, nil
 		}
-		if !r.mayQueueElsewhere(choice, err) {
+		reason := r.note(err).Reason
+		if reason == verdict.Full {
+			r.bounced(choice)
+		}
+		if !mayQueueElsewhere(reason) {
 			break
 		}
 	}
-	return nil, r.final()
-}
-
-// mayQueueElsewhere notes why a request may not wait at a zone, and says
-// whether it may ask another.
-func (r *request) mayQueueElsewhere(c steer.Choice, err error) bool {
-	switch r.note(err).Reason {
-	case verdict.Capped:
-		return true
-	case verdict.Full:
-		r.bounced(c)
-		return true
-	default:
-		return false
-	}
+	return nil, finalVerdict(r.last, r.doubt, r.plan.Capped)
 }
 
+// next gives the zone to try next.
 func (r *request) next() (choice steer.Choice, ok bool) {
 	now := r.Now()
 	held, out, latency := r.state.Usage()
@@ -230,8 +205,8 @@
 	return r.untilEnd(c)(r.Admitter.Send(ctx, r.req, lease))
 }
 
-// offerPeers passes the request to a host of the choice's zone; of the own
-// zone, when this host is full, to one that said it has a free slot.
+// offerPeers forwards the request to a host of the choice's zone; of the own
+// zone, when this host is full, to one that reported a free slot.
 func (r *request) offerPeers(ctx context.Context, c steer.Choice, until time.Time) (*call.Answer, error) {
 	if err := r.commit(c); err != nil {
 		return nil, err
@@ -239,7 +214,7 @@
 	return r.untilEnd(c)(r.Forwarder.Forward(ctx, r.req, c.Zone, c.Rule, until))
 }
 
-// untilEnd counts a committed request as outstanding until its answer is
+// untilEnd counts a committed request as outstanding until its response is
 // read or it has failed.
 func (r *request) untilEnd(c steer.Choice) func(*call.Answer, error) (*call.Answer, error) {
 	var once sync.Once
@@ -272,23 +247,20 @@
 	return err
 }
 
-// goOn notes a failed try and says whether another may follow.
-func (r *request) goOn(ctx context.Context, c steer.Choice, err error) bool {
+// failed notes a failed try and says whether another may follow.
+func (r *request) failed(ctx context.Context, c steer.Choice, err error) bool {
 	e := r.note(err)
 	if e.Reason == verdict.Full {
 		r.mayQueueAt(c)
 		r.bounced(c)
 	}
-	if e.Reason == verdict.UpstreamShed || e.Reason == verdict.Full {
-		r.slow(c.Rule)
+	if slowsRamp(e.Reason) {
+		r.state.Decide(func(dec *steer.Decider) { dec.Meter().Slow(c.Rule) })
 	}
 	if ctx.Err() != nil || time.Now().After(r.req.Deadline) {
 		return false
 	}
-	if e.Verdict == verdict.NotRun {
-		return true
-	}
-	return r.svc.Repeat.Allows(r.req.Method) && r.req.Ticket == ""
+	return mayRetry(e.Verdict, r.repeatable(), r.ticketed())
 }
 
 // bounced notes that a zone was full: nothing reached an upstream there.
@@ -313,10 +285,12 @@
 	}
 }
 
-func (r *request) slow(rule string) {
-	r.state.Decide(func(dec *steer.Decider) { dec.Meter().Slow(rule) })
-}
+// repeatable reports whether the service lets the request's method be repeated.
+func (r *request) repeatable() bool { return r.svc.Repeat.Allows(r.req.Method) }
 
+func (r *request) ticketed() bool { return r.req.Ticket != "" }
+
+// note remembers how a try failed.
 func (r *request) note(err error) *verdict.Error {
 	e := verdict.From(err)
 	r.last = e
@@ -325,22 +299,3 @@
 	}
 	return e
 }
-
-// final is the verdict over all tries: one doubt is enough.
-func (r *request) final() error {
-	e := r.last
-	switch {
-	case e == nil && r.plan.Capped:
-		e = verdict.New(verdict.NotRun, verdict.Capped, "every rule is at its cap")
-	case e == nil:
-		e = verdict.New(verdict.NotRun, verdict.NoUpstream, "no zone has an upstream that can be reached")
-	}
-	out := *e
-	if r.doubt && out.Verdict == verdict.NotRun {
-		out.Verdict = verdict.MayHaveRun
-	}
-	if out.RetryAfter == 0 && out.Verdict == verdict.NotRun {
-		out.RetryAfter = admission.RetryAfter
-	}
-	return &out
-}
--- a/internal/selector/entry/dispatch/hedge.go
+++ b/internal/selector/entry/dispatch/hedge.go
@@ -5,28 +5,20 @@
 	"time"
 
 	"cairndock/internal/call"
-	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/steer"
 	"cairndock/internal/verdict"
 )
 
-const (
-	// hedgeAfter is how many usual latencies a lookup may take before a
-	// second one is sent, and hedgeLeast the least time.
-	hedgeAfter = 4
-	hedgeLeast = 10 * time.Millisecond
-)
-
 // result is how one of two tries ended.
 type result struct {
-	answer *call.Answer
-	err    error
-	first  bool
+	resp  *call.Answer
+	err   error
+	first bool
 }
 
 // try offers the request to a zone. A lookup that takes much longer than
 // usual is also offered to the next choice, within the budget of retries;
-// the first answer wins and the other try is cancelled.
+// the first response wins and the other try is cancelled.
 func (r *request) try(ctx context.Context, c steer.Choice) (*call.Answer, error) {
 	delay, ok := r.hedgeDelay()
 	if !ok {
@@ -35,8 +27,8 @@
 	firstCtx, cancelFirst := context.WithCancel(ctx)
 	results := make(chan result, 2)
 	go func() {
-		answer, err := bufferPrefix(r.offer(firstCtx, c, time.Time{}))
-		results <- result{answer, err, true}
+		resp, err := bufferPrefix(r.offer(firstCtx, c, time.Time{}))
+		results <- result{resp, err, true}
 	}()
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
@@ -51,26 +43,23 @@
 	}
 	secondCtx, cancelSecond := context.WithCancel(ctx)
 	go func() {
-		answer, err := bufferPrefix(r.offer(secondCtx, next, time.Time{}))
-		results <- result{answer, err, false}
+		resp, err := bufferPrefix(r.offer(secondCtx, next, time.Time{}))
+		results <- result{resp, err, false}
 	}()
 	return race(results, cancelFirst, cancelSecond)
 }
 
-// hedgeDelay gives how long a lookup usually takes at most, and whether a
-// second one may follow at all.
+// hedgeDelay gives when to hedge the first try, and whether to hedge at all:
+// not before the upstreams' usual latency is known.
 func (r *request) hedgeDelay() (time.Duration, bool) {
-	if r.req.Ticket != "" || r.svc.Class != config.Interactive || !r.svc.Repeat.Allows(r.req.Method) {
+	if !mayHedge(r.svc.Class, r.repeatable(), r.ticketed()) {
 		return 0, false
 	}
 	_, _, latency := r.state.Usage()
-	if latency == 0 {
-		return 0, false
-	}
-	return max(hedgeLeast, hedgeAfter*latency), true
+	return hedgeDelay(latency), latency != 0
 }
 
-// race waits for the first answer of two tries. When both fail, one that
+// race waits for the first response of two tries. When both fail, one that
 // may have run decides the verdict.
 func race(results <-chan result, cancelFirst, cancelSecond context.CancelFunc) (*call.Answer, error) {
 	won := <-results
@@ -93,7 +82,7 @@
 	cancelLost()
 	go func() {
 		if lost := <-results; lost.err == nil {
-			_ = lost.answer.Body.Close()
+			_ = lost.resp.Body.Close()
 		}
 	}()
 	return finish(won, cancelWon)
@@ -111,7 +100,7 @@
 		cancel()
 		return nil, a.err
 	}
-	out := *a.answer
-	out.Body = endBody{a.answer.Body, cancel}
+	out := *a.resp
+	out.Body = endBody{a.resp.Body, cancel}
 	return &out, nil
 }
--- /dev/null
+++ b/internal/selector/entry/dispatch/rules_test.go
@@ -0,0 +1,108 @@
+package dispatch
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/admission"
+	"cairndock/internal/verdict"
+)
+
+// TestMayTry: sends, offers and the budget of retries each bound the tries.
+func TestMayTry(t *testing.T) {
+	require.True(t, mayTry(maxTries-1, maxOffers-1, false))
+	require.False(t, mayTry(maxTries, 0, false))
+	require.False(t, mayTry(0, maxOffers, false))
+	require.False(t, mayTry(0, 0, true))
+}
+
+// TestMayRetry: what may have run is repeated only where the service says so,
+// and never with a ticket.
+func TestMayRetry(t *testing.T) {
+	cases := []struct {
+		verdict              verdict.Verdict
+		repeatable, ticketed bool
+		want                 bool
+	}{
+		{verdict.NotRun, false, false, true},
+		{verdict.NotRun, false, true, true},
+		{verdict.MayHaveRun, true, false, true},
+		{verdict.MayHaveRun, false, false, false},
+		{verdict.MayHaveRun, true, true, false},
+		{verdict.Ran, false, false, false},
+	}
+	for _, tc := range cases {
+		require.Equal(t, tc.want, mayRetry(tc.verdict, tc.repeatable, tc.ticketed), "%+v", tc)
+	}
+}
+
+// TestReasons: which reasons slow a ramp, and which let a request ask for a
+// place in another zone's queue.
+func TestReasons(t *testing.T) {
+	cases := []struct {
+		reason           verdict.Reason
+		slows, elsewhere bool
+	}{
+		{verdict.Full, true, true},
+		{verdict.UpstreamShed, true, false},
+		{verdict.Capped, false, true},
+		{verdict.UpstreamFailed, false, false},
+		{verdict.NoUpstream, false, false},
+	}
+	for _, tc := range cases {
+		require.Equal(t, tc.slows, slowsRamp(tc.reason), tc.reason)
+		require.Equal(t, tc.elsewhere, mayQueueElsewhere(tc.reason), tc.reason)
+	}
+}
+
+// TestQueueUntil: a part of the time left, and none after the deadline.
+func TestQueueUntil(t *testing.T) {
+	now := time.Now()
+	require.Equal(t, now.Add(time.Second), queueUntil(now, now.Add(4*time.Second)))
+	require.False(t, queueUntil(now, now.Add(-time.Second)).After(now))
+}
+
+// TestHedge: lookups alone are hedged, after several usual latencies.
+func TestHedge(t *testing.T) {
+	require.True(t, mayHedge(config.Interactive, true, false))
+	require.False(t, mayHedge(config.Bulk, true, false))
+	require.False(t, mayHedge(config.Interactive, false, false))
+	require.False(t, mayHedge(config.Interactive, true, true))
+	require.Equal(t, hedgeLeast, hedgeDelay(time.Millisecond))
+	require.Equal(t, 400*time.Millisecond, hedgeDelay(100*time.Millisecond))
+}
+
+// TestFinalVerdict: one try in doubt leaves all in doubt, and only a request
+// that did not run is asked to come back.
+func TestFinalVerdict(t *testing.T) {
+	full := verdict.New(verdict.NotRun, verdict.Full, "full")
+	later := full.WithRetryAfter(time.Minute)
+	lost := verdict.New(verdict.MayHaveRun, verdict.PeerFailed, "lost")
+	cases := []struct {
+		name          string
+		last          *verdict.Error
+		doubt, capped bool
+		verdict       verdict.Verdict
+		reason        verdict.Reason
+		retry         time.Duration
+	}{
+		{"no try", nil, false, false, verdict.NotRun, verdict.NoUpstream, admission.RetryAfter},
+		{"no try, as all rules are at their caps", nil, false, true, verdict.NotRun, verdict.Capped, admission.RetryAfter},
+		{"full", full, false, false, verdict.NotRun, verdict.Full, admission.RetryAfter},
+		{"full, and says when to come back", later, false, false, verdict.NotRun, verdict.Full, time.Minute},
+		{"full, after one in doubt", full, true, false, verdict.MayHaveRun, verdict.Full, 0},
+		{"lost", lost, true, false, verdict.MayHaveRun, verdict.PeerFailed, 0},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			e := finalVerdict(tc.last, tc.doubt, tc.capped)
+			require.Equal(t, tc.verdict.String(), e.Verdict.String())
+			require.Equal(t, tc.reason, e.Reason)
+			require.Equal(t, tc.retry, e.RetryAfter)
+		})
+	}
+	require.Zero(t, full.RetryAfter, "the try's own verdict is not changed")
+}
--- a/internal/selector/entry/forward/serve.go
+++ b/internal/selector/entry/forward/serve.go
@@ -22,8 +22,8 @@
 	ctx = otel.GetTextMapPropagator().Extract(ctx, propagation.MapCarrier(msg.Trace))
 	ctx, span := f.Tracer.Start(ctx, "admit", trace.WithAttributes(attribute.String("from", from.Host)))
 	defer span.End()
-	answer, err := f.admit(ctx, msg)
-	f.Respond(ctx, from, msg.Service, answer, err, w)
+	resp, err := f.admit(ctx, msg)
+	f.Respond(ctx, from, msg.Service, resp, err, w)
 }
 
 // admit takes a slot for a peer's request, here or, when this host is full
@@ -36,9 +36,9 @@
 	until := time.Now().Add(time.Duration(msg.WaitMillis) * time.Millisecond)
 	lease, err := f.Admitter.Acquire(ctx, msg.Service, msg.Rule, time.Time{})
 	if err != nil && verdict.From(err).Reason == verdict.Full && !msg.Passed && f.ZoneMayHelp(msg.Service) {
-		answer, err := f.Forward(ctx, req, f.Zone, msg.Rule, time.Time{})
+		resp, err := f.Forward(ctx, req, f.Zone, msg.Rule, time.Time{})
 		if err == nil || verdict.From(err).Verdict != verdict.NotRun {
-			return answer, err
+			return resp, err
 		}
 	}
 	if err != nil && msg.WaitMillis > 0 && verdict.From(err).Reason == verdict.Full {
--- a/internal/selector/entry/platformcalls/platformcalls.go
+++ b/internal/selector/entry/platformcalls/platformcalls.go
@@ -41,8 +41,8 @@
 	return &Caller{limiter: rate.NewLimiter(rate.Limit(callsPerSecond), burst), metrics: metrics, answered: answered}
 }
 
-// Do makes one call, within the host's rate and the time for one call. An
-// answer that there is no such row, or that it has changed, is an answer.
+// Do makes one call, within the host's rate and the time for one call. That
+// there is no such row, or that it has changed, is an answer of the platform.
 func (c *Caller) Do(ctx context.Context, f func(ctx context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/selector/entry/rosters/dead.go
+++ b/internal/selector/entry/rosters/dead.go
@@ -20,8 +20,8 @@
 	deadMargin = 2 * time.Second
 )
 
-// lookAtHosts reads the platform's host list and takes members out of the
-// roster that it says are gone and that are silent as well.
+// lookAtHosts reads the platform's host list and takes one member out of the
+// roster that it calls gone and that is silent as well.
 func (m *Membership) lookAtHosts(ctx context.Context) error {
 	var hosts []store.HostState
 	err := m.Platform.Do(ctx, func(ctx context.Context) (err error) {
@@ -48,7 +48,8 @@
 	return nil
 }
 
-// withoutDead gives the roster that follows when a member is gone.
+// withoutDead gives the roster that follows when a member is dead, or when all
+// its requests must have ended since, and whether either is so.
 func (m *Membership) withoutDead(r roster.Roster, other roster.Member, listed map[string]store.State) (roster.Roster, bool) {
 	if other.Host == m.Host {
 		return r, false
@@ -70,8 +71,10 @@
 	return r.WithState(other.Host, roster.Gone), true
 }
 
-// isGone puts silence and the host list together. The list may name the dead
-// or drop them; one that it does not name yet was just started. m.mu is held.
+// isGone says whether a member is dead: the platform's list calls it gone or
+// names it no more, and it has been silent for member.LostAfter. One that the
+// list never named may just have started, and gets unlistedAfter. Silence alone
+// proves nothing (docs/design/slots.md).
 func (m *Membership) isGone(host string, listed map[string]store.State) bool {
 	silence := member.LostAfter
 	state, named := listed[host]
--- a/internal/selector/entry/rosters/join.go
+++ b/internal/selector/entry/rosters/join.go
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// writeRoster writes the zone's next roster. When its answer is lost, the
-// next turn reads what became of it.
+// writeRoster writes the zone's next roster. When the response is lost, the
+// next tick reads what became of it.
 func (m *Membership) writeRoster(ctx context.Context, r roster.Roster, version int64) error {
 	body, err := peer.Encode(r)
 	if err != nil {
--- a/internal/selector/entry/serve.go
+++ b/internal/selector/entry/serve.go
@@ -12,7 +12,7 @@
 	"cairndock/internal/selector/ticket"
 )
 
-// ServePeer answers one stream of another entry host.
+// ServePeer serves one stream of another entry host.
 func (h *Host) ServePeer(ctx context.Context, from peer.Hello, kind peer.Kind, payload []byte, w *peer.Responder) {
 	switch kind {
 	case peer.KindForward:
@@ -50,8 +50,8 @@
 	}
 }
 
-// serve decodes a message. One that can't be read gets no answer; the
-// asker's deadline ends it.
+// serve decodes a message and serves it. One that can't be decoded gets no
+// reply: the sender's deadline ends its call.
 func serve[T any](payload []byte, f func(T)) {
 	m, err := peer.Decode[T](payload)
 	if err != nil {
--- a/internal/selector/entry/settings.go
+++ b/internal/selector/entry/settings.go
@@ -6,11 +6,23 @@
 	"cairndock/internal/settings"
 )
 
+const (
+	// stopWindow is how long a planned stop may take at most, by default.
+	// Chosen, not measured.
+	stopWindow = 5 * time.Minute
+	// stopGrace is how long a stopping host waits for requests on their way
+	// before it looks whether it is idle, by default. Chosen, not measured.
+	stopGrace = 2 * time.Second
+	// callsPerSecond is a host's rate of calls to the platform, by default.
+	// Chosen, not measured.
+	callsPerSecond = 5
+)
+
 // Prepare fills the defaults of a host's settings.
 func Prepare(s *settings.Settings) {
-	s.Stop.Window = settings.Default(s.Stop.Window, settings.Seconds(5*time.Minute))
-	s.Stop.Grace = settings.Default(s.Stop.Grace, settings.Seconds(2*time.Second))
-	s.Platform.CallsPerSecond = settings.Default(s.Platform.CallsPerSecond, 5)
+	s.Stop.Window = settings.Default(s.Stop.Window, settings.Seconds(stopWindow))
+	s.Stop.Grace = settings.Default(s.Stop.Grace, settings.Seconds(stopGrace))
+	s.Platform.CallsPerSecond = settings.Default(s.Platform.CallsPerSecond, callsPerSecond)
 	s.Platform.Region = settings.Default(s.Platform.Region, "local")
 	s.Platform.Table = settings.Default(s.Platform.Table, "cairndock")
 	s.Platform.Bucket = settings.Default(s.Platform.Bucket, "cairndock")
--- a/internal/selector/entry/stop.go
+++ b/internal/selector/entry/stop.go
@@ -13,13 +13,13 @@
 	Waited time.Duration
 	// Cut is how many requests were in flight when the window ended.
 	Cut int64
-	// HandedOver says that another host goes on for the tickets.
+	// HandedOver is set when another host is the successor for the tickets.
 	HandedOver bool
 }
 
-// Stop takes the host out of service: it leaves the answers on entries and
-// the zone's roster, serves what still comes, waits for what is in flight
-// and hands its tickets over. It ends early when ctx does.
+// Stop takes the host out of service: it is no longer named to clients, leaves
+// the zone's roster, serves what still comes, waits for what is in flight and
+// hands its tickets over. It ends early when ctx does.
 func (h *Host) Stop(ctx context.Context) StopReport {
 	began := time.Now()
 	h.log.Info().Msg("entry: stop began")
@@ -34,8 +34,8 @@
 	report := StopReport{Cut: h.inFlight.Load()}
 	report.HandedOver = h.tickets.HandOver(context.WithoutCancel(ctx))
 	if report.Cut == 0 && h.services.Outstanding() == 0 {
-		// Whoever still has a slot out stays a member, and its slots unused,
-		// until the platform says that it is gone.
+		// A host with a slot still taken stays a member, and its slots unused,
+		// until the platform calls it gone.
 		h.rosters.Remove(context.WithoutCancel(ctx))
 	}
 	report.Waited = time.Since(began)
@@ -44,18 +44,21 @@
 	return report
 }
 
-// InFlight counts a caller's request for as long as it is served. The
-// function given back ends it.
+// InFlight counts a client's request as in flight until the function that it
+// returns is called.
 func (h *Host) InFlight() func() {
 	h.inFlight.Add(1)
 	return func() { h.inFlight.Add(-1) }
 }
 
-// waitIdle waits until nothing is in flight.
+// idlePoll is the time between two looks whether a stopping host is idle.
+// Chosen, not measured.
+const idlePoll = 20 * time.Millisecond
+
+// waitIdle waits until nothing is in flight, or ctx ends.
 func (h *Host) waitIdle(ctx context.Context) {
-	const poll = 20 * time.Millisecond
 	for h.inFlight.Load() > 0 || h.services.Outstanding() > 0 || h.tickets.Running() > 0 {
-		if !pause.For(ctx, poll) {
+		if !pause.For(ctx, idlePoll) {
 			return
 		}
 	}
--- a/internal/selector/entry/tickets/run.go
+++ b/internal/selector/entry/tickets/run.go
@@ -62,8 +62,8 @@
 }
 
 type result struct {
-	answer *call.Answer
-	err    error
+	resp *call.Answer
+	err  error
 }
 
 // run dispatches a ticket's request apart from the caller: one that
@@ -79,12 +79,12 @@
 		defer i.running.Done()
 		runCtx, cancel := context.WithDeadline(context.WithoutCancel(ctx), run.Deadline)
 		defer cancel()
-		answer, err := i.Dispatch(runCtx, &run)
-		done <- i.settle(store, t, answer, err)
+		resp, err := i.Dispatch(runCtx, &run)
+		done <- i.settle(store, t, resp, err)
 	}()
 	select {
 	case r := <-done:
-		return r.answer, r.err
+		return r.resp, r.err
 	case <-ctx.Done():
 		return nil, verdict.New(verdict.MayHaveRun, verdict.DeadlineLapsed, "the request is still running")
 	}
@@ -106,7 +106,7 @@
 	store.Finish(t, ticket.Outcome{Status: a.Status, Header: a.Header, Body: body, Upstream: a.Upstream})
 	out := *a
 	out.Body, out.Length = io.NopCloser(bytes.NewReader(body)), int64(len(body))
-	return result{answer: &out}
+	return result{resp: &out}
 }
 
 func readWhole(a *call.Answer) ([]byte, error) {
--- a/internal/selector/entry/tickets/tickets.go
+++ b/internal/selector/entry/tickets/tickets.go
@@ -143,16 +143,16 @@
 	defer cancel()
 	t, err := ticket.Parse(req.Ticket)
 	store := i.storeOf(t)
-	var answer *call.Answer
+	var resp *call.Answer
 	switch {
 	case err != nil:
 		err = verdict.New(verdict.NotRun, verdict.BadTicket, "%s: %v", call.HeaderTicket, err)
 	case store == nil && !msg.Passed:
-		answer, err = i.askIssuer(ctx, t, req, true)
+		resp, err = i.askIssuer(ctx, t, req, true)
 	case store == nil:
 		err = verdict.New(verdict.MayHaveRun, verdict.TicketUnknown, "%s has not the ticket", i.Host)
 	default:
-		answer, err = i.use(ctx, store, t, req)
+		resp, err = i.use(ctx, store, t, req)
 	}
-	i.Forwarder.Respond(ctx, from, msg.Service, answer, err, w)
+	i.Forwarder.Respond(ctx, from, msg.Service, resp, err, w)
 }
