--- a/internal/selector/entry/configsync/progress.go
+++ b/internal/selector/entry/configsync/progress.go
@@ -100,16 +100,16 @@
 // asked and has frozen itself.
 func (r *Replica) await(ctx context.Context, rev uint64, id string, accepted time.Time) Applied {
 	for {
-		a := r.Progress(ctx, rev, id, accepted)
+		a := r.progress(ctx, rev, id, accepted)
 		if a.State == StateAccepted || !pause.For(ctx, confirmPause) {
 			return a
 		}
 	}
 }
 
-// Progress says which zones have a revision in force. Accepted is when it
+// progress says which zones have a revision in force. Accepted is when it
 // was accepted, or a later time.
-func (r *Replica) Progress(ctx context.Context, rev uint64, id string, accepted time.Time) Applied {
+func (r *Replica) progress(ctx context.Context, rev uint64, id string, accepted time.Time) Applied {
 	a := Applied{State: StateAccepted, Revision: rev, Change: id}
 	lapsed := time.Since(accepted) > FreezeAfter+lapseMargin
 	zones := r.KnownZones()
@@ -129,6 +129,8 @@
 	return a
 }
 
+// zoneProgress asks the first host of a zone that answers. A zone none of whose
+// hosts can be asked has not confirmed the change.
 func (r *Replica) zoneProgress(ctx context.Context, zone string, rev uint64) ZoneProgress {
 	if zone == r.Zone {
 		return r.ZoneProgress(rev)
@@ -195,5 +197,5 @@
 		return Applied{}, false, err
 	}
 	// When it was accepted is not known here; now is later.
-	return r.Progress(ctx, rev, id, time.Now()), true, nil
+	return r.progress(ctx, rev, id, time.Now()), true, nil
 }
--- a/internal/selector/entry/dispatch/hedge.go
+++ b/internal/selector/entry/dispatch/hedge.go
@@ -82,7 +82,7 @@
 	cancelLost()
 	go func() {
 		if lost := <-results; lost.err == nil {
-			_ = lost.resp.Body.Close()
+			_ = lost.resp.Body.Close() // nobody reads it
 		}
 	}()
 	return finish(won, cancelWon)
--- a/internal/selector/entry/dispatch/prefix.go
+++ b/internal/selector/entry/dispatch/prefix.go
@@ -45,7 +45,7 @@
 		}
 	}
 	if readErr != nil && readErr != io.EOF {
-		_ = a.Body.Close()
+		_ = a.Body.Close() // the read error is the verdict
 		return nil, verdict.New(verdict.MayHaveRun, verdict.AnswerTruncated, "the answer broke off: %v", readErr).WithUpstream(a.Upstream)
 	}
 	out := *a
--- a/internal/selector/entry/doc.go
+++ b/internal/selector/entry/doc.go
@@ -11,7 +11,7 @@
 //	platformcalls calls to the platform, within the host's rate
 //	admission     a slot and an upstream for one request
 //	forward       requests to and from other hosts
-//	dispatch      where a request goes, and whether it goes on
+//	dispatch      where a request goes, and whether it is tried again
 //	tickets       requests that run at most once
 //	links         the pace of traffic to other regions
 //	directory     the hosts that clients may use
@@ -29,5 +29,5 @@
 //	links.Links, a link's pacer
 //
 // All other locks are held alone. What one duty starts in another through its
-// Options (Changed, NewEpoch, TellZone and so on) it starts without a lock.
+// Options (Changed, NewEpoch, NotifyZone and so on) it starts without a lock.
 package entry
--- a/internal/selector/entry/drain/drain.go
+++ b/internal/selector/entry/drain/drain.go
@@ -89,8 +89,8 @@
 	return c.countOwn(req.Upstreams)
 }
 
-// ask asks the first of some hosts that answers. When none does, name stands
-// for what is unknown.
+// ask asks the first of some hosts that answers. When none does, name is
+// reported as unknown.
 func (c *Counter) ask(ctx context.Context, name string, hosts []member.Contact, req Request) Drained {
 	for _, h := range hosts {
 		callCtx, cancel := context.WithTimeout(ctx, peers.CallTimeout)
--- a/internal/selector/entry/heartbeats/heartbeats.go
+++ b/internal/selector/entry/heartbeats/heartbeats.go
@@ -110,17 +110,17 @@
 	return due, alone
 }
 
-// TellZone sends a heartbeat to every known host of the zone at once, with
+// NotifyZone sends a heartbeat to every known host of the zone at once, with
 // news that all of them wait for: an acknowledgement, a new epoch, an
 // upstream's state.
-func (e *Exchanger) TellZone() {
+func (e *Exchanger) NotifyZone() {
 	for _, p := range e.Peers.Zone(e.Zone) {
 		go e.Send(context.Background(), p.Contact)
 	}
 }
 
-// TellAll sends a heartbeat to every known host at once.
-func (e *Exchanger) TellAll() {
+// NotifyAll sends a heartbeat to every known host at once.
+func (e *Exchanger) NotifyAll() {
 	for _, c := range e.Peers.All() {
 		go e.Send(context.Background(), c)
 	}
@@ -133,6 +133,7 @@
 	asked, askedAt := time.Now(), e.Now()
 	resp, size, err := peer.CallSized[member.Heartbeat](ctx, e.Mesh, to.PeerAddr, peer.KindHeartbeat, e.request(to))
 	if err != nil {
+		// The status shows hosts that do not answer.
 		e.Peers.Failed(to.Host)
 		if ctx.Err() != nil {
 			// The connection may be cut without a sign; make a new one.
--- a/internal/selector/entry/loop.go
+++ b/internal/selector/entry/loop.go
@@ -9,7 +9,7 @@
 // of member.Interval, the least time between two heartbeats to a host.
 const tick = 250 * time.Millisecond
 
-// loop ticks until ctx ends, and at once when there is news to spread.
+// loop ticks until ctx ends, and early when tickNow asks for it.
 func (h *Host) loop(ctx context.Context) {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
@@ -36,7 +36,7 @@
 	h.links.Retune(ctx)
 }
 
-// tickNow makes the loop tick early.
+// tickNow makes the loop tick early, to send news to other hosts at once.
 func (h *Host) tickNow() {
 	select {
 	case h.wake <- struct{}{}:
@@ -44,7 +44,7 @@
 	}
 }
 
-// refreshServices tells the services what is known of the zones now.
+// refreshServices gives the services the latest reports of the zones.
 func (h *Host) refreshServices() {
 	now := time.Now()
 	h.services.Refresh(h.peers.ZoneReports(now), h.config.Frozen(), now, h.now())
--- a/internal/selector/entry/rosters/join.go
+++ b/internal/selector/entry/rosters/join.go
@@ -11,8 +11,8 @@
 	"cairndock/internal/selector/store"
 )
 
-// rejoin drops every slot and joins again: the roster says that this host
-// died, so that its slots belong to others.
+// rejoin drops every slot and makes the host join again, as another incarnation:
+// by the roster this one died, so that its slots belong to others.
 func (m *Membership) rejoin() {
 	m.Log.Warn().Msg("roster: was taken for dead, joining again")
 	m.mu.Lock()
@@ -75,6 +75,6 @@
 		return eris.Wrap(err, "write roster")
 	}
 	m.Merge(r)
-	m.TellZone()
+	m.NotifyZone()
 	return nil
 }
--- a/internal/selector/entry/rosters/loop.go
+++ b/internal/selector/entry/rosters/loop.go
@@ -183,15 +183,25 @@
 
 // Fetch takes the zone's roster from a host that has a newer one.
 func (m *Membership) Fetch(ctx context.Context, from member.Contact) {
+	if err := m.fetch(ctx, from); err != nil {
+		// Its next heartbeat shows the newer epoch again.
+		m.Log.Debug().Str("peer", from.Host).Err(err).Msg("roster: fetch failed")
+	}
+}
+
+// fetch merges a peer's roster of this host's zone.
+func (m *Membership) fetch(ctx context.Context, from member.Contact) error {
 	ctx, cancel := context.WithTimeout(ctx, peers.CallTimeout)
 	defer cancel()
 	r, err := peer.Call[roster.Roster](ctx, m.Mesh, from.PeerAddr, peer.KindRoster, m.Zone)
-	if err != nil || r.Zone != m.Zone {
-		// Its next heartbeat shows the newer epoch again.
-		m.Log.Debug().Str("peer", from.Host).Err(err).Msg("roster: fetch failed")
-		return
+	if err != nil {
+		return err
+	}
+	if r.Zone != m.Zone {
+		return eris.Errorf("%s has the roster of %q", from.Host, r.Zone)
 	}
 	m.Merge(r)
+	return nil
 }
 
 // Prove reads the roster from the table or from a host of the zone, after this
@@ -200,15 +210,13 @@
 // waits for the table.
 func (m *Membership) Prove(ctx context.Context) bool {
 	m.Log.Warn().Msg("entry: host was paused or alone, asking for the roster")
-	if _, _, err := m.readRoster(ctx); err == nil {
+	_, _, err := m.readRoster(ctx)
+	if err == nil {
 		return true
 	}
+	m.Log.Debug().Err(err).Msg("roster: the platform can't be asked, asking the zone")
 	for _, p := range m.Peers.Zone(m.Zone) {
-		callCtx, cancel := context.WithTimeout(ctx, peers.CallTimeout)
-		r, err := peer.Call[roster.Roster](callCtx, m.Mesh, p.Contact.PeerAddr, peer.KindRoster, m.Zone)
-		cancel()
-		if err == nil && r.Zone == m.Zone {
-			m.Merge(r)
+		if m.fetch(ctx, p.Contact) == nil {
 			return true
 		}
 	}
--- a/internal/selector/entry/rosters/membership.go
+++ b/internal/selector/entry/rosters/membership.go
@@ -53,16 +53,16 @@
 	// NewEpoch is called, without a lock, when there is a new roster or this
 	// host has joined one.
 	NewEpoch func()
-	// TellZone sends a heartbeat to each host of the zone now.
-	TellZone  func()
-	Table     Table
-	HostList  HostLister
-	Platform  *platformcalls.Caller
-	Peers     *peers.Table
-	Services  *services.Set
-	Upstreams *upstreams.Tracker
-	Mesh      *peer.Mesh
-	Log       zerolog.Logger
+	// NotifyZone sends a heartbeat to each host of the zone at once.
+	NotifyZone func()
+	Table      Table
+	HostList   HostLister
+	Platform   *platformcalls.Caller
+	Peers      *peers.Table
+	Services   *services.Set
+	Upstreams  *upstreams.Tracker
+	Mesh       *peer.Mesh
+	Log        zerolog.Logger
 }
 
 // Membership is this host's membership in its zone's roster.
@@ -139,7 +139,7 @@
 		m.Reconfigure()
 	}
 	if acked {
-		m.TellZone()
+		m.NotifyZone()
 	}
 }
 
--- a/internal/selector/entry/rosters/rosters_test.go
+++ b/internal/selector/entry/rosters/rosters_test.go
@@ -72,7 +72,7 @@
 	h.Membership = New(Options{
 		Host: name, Zone: "costa-a", Region: "costa", Incarnation: NewIncarnation(), View: view,
 		KnownZones: func() []string { return []string{"costa-a"} },
-		Leaving:    func() bool { return h.leaving }, NewEpoch: func() {}, TellZone: func() { h.told++ },
+		Leaving:    func() bool { return h.leaving }, NewEpoch: func() {}, NotifyZone: func() { h.told++ },
 		Table: memory, HostList: memory,
 		Platform: platformcalls.New(1000, telemetry.NewMetrics(), func() {}),
 		Peers:    table, Services: set,
--- a/internal/selector/entry/services/services.go
+++ b/internal/selector/entry/services/services.go
@@ -44,7 +44,7 @@
 	return held, out, latency
 }
 
-// Free gives the service's slots as other hosts are told of them.
+// Free gives the service's slots as they are reported to other hosts.
 func (s *Service) Free(name string) member.Free {
 	load := s.Gate.Load()
 	return member.Free{Service: name, Free: load.Free, Held: load.Held, Warm: load.Warm}
--- a/internal/selector/entry/services/zones.go
+++ b/internal/selector/entry/services/zones.go
@@ -7,8 +7,8 @@
 	"cairndock/internal/selector/steer"
 )
 
-// Refresh tells each service what is known of the zones now, and moves its
-// ramps on unless the configuration is frozen. Clock is the reading of the
+// Refresh gives each service the latest reports of the zones, and advances its
+// ramps unless the configuration is frozen. Clock is the reading of the
 // host's monotonic clock, in nanoseconds, at the time now.
 func (s *Set) Refresh(zones []peers.ZoneReport, frozen bool, now time.Time, clock int64) {
 	for _, svc := range s.view().Services() {
--- a/internal/selector/entry/stop.go
+++ b/internal/selector/entry/stop.go
@@ -25,7 +25,7 @@
 	h.log.Info().Msg("entry: stop began")
 	h.leaving.Store(true)
 	h.directory.Refresh()
-	h.heartbeats.TellAll()
+	h.heartbeats.NotifyAll()
 	h.rosters.Leave(ctx)
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(h.opts.Settings.Stop.Window))
 	defer cancel()
--- a/internal/selector/entry/upstreams/probe.go
+++ b/internal/selector/entry/upstreams/probe.go
@@ -26,7 +26,7 @@
 }
 
 // ProbeLoop probes the zone's upstreams until ctx ends. Each is probed by one
-// host, which tells the others when it is leaving.
+// host, which reports a change to the others.
 func (t *Tracker) ProbeLoop(ctx context.Context, p Prober) {
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
--- a/internal/selector/entry/wiring.go
+++ b/internal/selector/entry/wiring.go
@@ -76,7 +76,7 @@
 	h.rosters = rosters.New(rosters.Options{
 		Host: id.Name, Zone: id.Zone, Region: id.Region, Incarnation: h.incarnation,
 		View: h.View, KnownZones: h.config.KnownZones, Leaving: h.leaving.Load,
-		NewEpoch: h.tickNow, TellZone: func() { h.heartbeats.TellZone() },
+		NewEpoch: h.tickNow, NotifyZone: func() { h.heartbeats.NotifyZone() },
 		Table: o.Table, HostList: o.Hosts, Platform: h.platform,
 		Peers: h.peers, Services: h.services, Upstreams: h.upstreams, Mesh: h.mesh, Log: h.log,
 	})
@@ -136,7 +136,7 @@
 // first, and reports it to the zone at once.
 func (h *Host) upstreamsChanged() {
 	h.rosters.Reconfigure()
-	h.heartbeats.TellZone()
+	h.heartbeats.NotifyZone()
 }
 
 // lockedRand is a random source for many goroutines.
