--- a/internal/selector/entry/admission/admission.go
+++ b/internal/selector/entry/admission/admission.go
@@ -98,6 +98,7 @@
 	return resp, nil
 }
 
+// target gives how to reach an upstream that a service still has here.
 func (a *Admitter) target(service, name string) (upstream.Target, bool) {
 	u, ok := a.View().LocalUpstream(name)
 	if !ok || u.Service != service {
--- a/internal/selector/entry/configsync/poll.go
+++ b/internal/selector/entry/configsync/poll.go
@@ -57,6 +57,8 @@
 	return time.Duration(float64(pollInterval) * (1 - pollJitter + 2*pollJitter*r.Random()))
 }
 
+// pollIfDue polls when this host does so for its zone, or when its last proof is
+// too old to wait for one from a peer.
 func (r *Replica) pollIfDue(ctx context.Context) error {
 	if !r.IsPoller() && r.Age() <= selfPollAge {
 		return nil
@@ -87,6 +89,7 @@
 	return r.snapshotIfDue(ctx)
 }
 
+// readLog puts the next changes of the log in force.
 func (r *Replica) readLog(ctx context.Context) error {
 	var changes []config.Change
 	err := r.Platform.Do(ctx, func(ctx context.Context) (err error) {
--- a/internal/selector/entry/configsync/relay.go
+++ b/internal/selector/entry/configsync/relay.go
@@ -37,7 +37,7 @@
 	Changes []config.Change `msgpack:"c"`
 }
 
-// PushReply is the revision that the host has in force then.
+// PushReply is the revision that a host has in force after a push.
 type PushReply struct {
 	Revision uint64 `msgpack:"r"`
 }
@@ -62,8 +62,8 @@
 	ranked := roster.Rank("push:"+strconv.FormatUint(rev, 10), names)
 	place := slices.Index(ranked, r.Host)
 	var out []member.Contact
-	// A host at place p passes on to the places f*p+1 to f*p+f. A host that
-	// was not reached by the tree starts one of its own at the root.
+	// The host ranked p relays to those ranked f*p+1 to f*p+f. A host that has
+	// a change before the tree reached it starts a tree at its root as well.
 	for i := place*relayFanout + 1; i <= place*relayFanout+relayFanout && i < len(ranked); i++ {
 		out = append(out, contacts[ranked[i]])
 	}
@@ -73,6 +73,7 @@
 	return out
 }
 
+// push sends changes to a host, and notes the revision that it then has.
 func (r *Replica) push(ctx context.Context, to member.Contact, changes []config.Change) {
 	ctx, cancel := context.WithTimeout(ctx, peers.CallTimeout)
 	defer cancel()
@@ -114,6 +115,8 @@
 	}
 }
 
+// tryFetch puts in force what a peer has after this host's revision, and starts
+// the ramps from the peer's shares.
 func (r *Replica) tryFetch(ctx context.Context, from member.Contact) error {
 	payload, err := peer.Encode(r.View().Revision())
 	if err != nil {
--- a/internal/selector/entry/doc.go
+++ b/internal/selector/entry/doc.go
@@ -17,6 +17,7 @@
 //	directory     the hosts that clients may use
 //	drain         work outstanding at upstreams
 //
+// Each part is made by its New from Options, which do not change afterwards.
 // The host itself owns its loop, whether it is ready or leaving, and its
 // status. docs/design has the reasons, one page a duty.
 //
--- a/internal/selector/entry/explain.go
+++ b/internal/selector/entry/explain.go
@@ -52,6 +52,8 @@
 	return e, nil
 }
 
+// explainRule says why a rule would or would not be chosen, by the first reason
+// that applies.
 func explainRule(r config.RuleView, s shift.Status, sites []steer.SiteStatus) RuleExplanation {
 	e := RuleExplanation{Rule: r.Name, Selector: r.Selector, Share: s.Share, Target: s.Target, Cap: s.Cap}
 	reachable, free := 0, 0
--- a/internal/selector/entry/links/links.go
+++ b/internal/selector/entry/links/links.go
@@ -88,6 +88,7 @@
 	return v.Link(l.Region, region)
 }
 
+// pacer gives the pacer of a link, making it when there is none.
 func (l *Links) pacer(limit config.Link) *pacedLink {
 	part := l.evenPart(limit)
 	l.mu.Lock()
--- a/internal/selector/entry/peers/slots.go
+++ b/internal/selector/entry/peers/slots.go
@@ -90,6 +90,7 @@
 	return out
 }
 
+// newestReport gives what the hosts of a zone that answer reported last.
 func newestReport(zone string, hosts []member.Peer, now time.Time) ZoneReport {
 	z := ZoneReport{Zone: zone}
 	for _, p := range hosts {
--- a/internal/selector/entry/rosters/loop.go
+++ b/internal/selector/entry/rosters/loop.go
@@ -48,7 +48,7 @@
 )
 
 // Loop joins the zone's roster, follows it and takes dead members out, until
-// ctx ends.
+// ctx ends. A failed tick is tried again after a pause that grows.
 func (m *Membership) Loop(ctx context.Context) {
 	retry := platformcalls.NewBackoff()
 	var looked looks
@@ -77,6 +77,7 @@
 	bytes int
 }
 
+// tick joins the roster or, as a member, reads what is due.
 func (m *Membership) tick(ctx context.Context, looked *looks) error {
 	if !m.hasJoined() {
 		return m.join(ctx)
@@ -129,6 +130,7 @@
 	return nil
 }
 
+// missesZone reports whether no host of some other zone answers.
 func (m *Membership) missesZone() bool {
 	for _, zone := range m.KnownZones() {
 		if zone != m.Zone && len(m.Peers.Contacts(zone, false)) == 0 {
@@ -138,6 +140,8 @@
 	return false
 }
 
+// hasJoined reports whether there is nothing to join: this host is a member, or
+// it is stopping.
 func (m *Membership) hasJoined() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -156,11 +160,13 @@
 	return false
 }
 
+// rosterKey is where a zone's roster is in the table.
 func rosterKey(zone string) store.Key {
 	return store.Key{Partition: partitionRoster, Sort: zone}
 }
 
-// readRoster reads the zone's roster and takes it in.
+// readRoster reads the zone's roster and its row's version from the table, and
+// merges it. A zone without a row has an empty roster at version 0.
 func (m *Membership) readRoster(ctx context.Context) (roster.Roster, int64, error) {
 	var row store.Row
 	err := m.Platform.Do(ctx, func(ctx context.Context) (err error) {
@@ -175,7 +181,7 @@
 	}
 	r, err := peer.Decode[roster.Roster](row.Body)
 	if err != nil {
-		return r, 0, err
+		return roster.Roster{}, 0, err
 	}
 	m.Merge(r)
 	return r, row.Version, nil
--- a/internal/selector/entry/rosters/membership.go
+++ b/internal/selector/entry/rosters/membership.go
@@ -143,6 +143,8 @@
 	}
 }
 
+// settle reports whether this host has acknowledged the newest roster now, and
+// whether the slots that it may use have changed.
 func (m *Membership) settle() (acked, changed bool) {
 	now := time.Now()
 	longest := m.Services.MaxTimeout()
--- a/internal/selector/entry/status.go
+++ b/internal/selector/entry/status.go
@@ -90,6 +90,7 @@
 	return s
 }
 
+// serviceStatus gives a service's slots and shares on this host.
 func (h *Host) serviceStatus(name string) ServiceStatus {
 	svc := h.services.Get(name)
 	load := svc.Gate.Load()
@@ -101,6 +102,8 @@
 	return out
 }
 
+// zoneStatus gives what is known of a zone: of the own one by this host and its
+// peers, of another by the newest heartbeat of a host there that answers.
 func (h *Host) zoneStatus(v *config.View, zone string, free []member.Free) ZoneStatus {
 	z := ZoneStatus{Zone: zone, Region: v.Region(zone), Slots: v.ZoneSlots()[zone]}
 	now := time.Now()
--- a/internal/selector/entry/stop.go
+++ b/internal/selector/entry/stop.go
@@ -64,6 +64,7 @@
 	}
 }
 
+// registerMetrics adds the gauges that read the host's state when asked.
 func (h *Host) registerMetrics() {
 	m := h.metrics
 	m.Gauge("cairndock_config_revision", func() float64 { return float64(h.View().Revision()) })
--- a/internal/selector/entry/tickets/handover.go
+++ b/internal/selector/entry/tickets/handover.go
@@ -34,7 +34,8 @@
 			i.Log.Info().Str("successor", to.Host).Int("tickets", len(all[0].Records)).Msg("ticket: handed over")
 			return true
 		}
-		// What was surely never sent leaves the next host the first.
+		i.Log.Debug().Str("successor", to.Host).Err(err).Msg("ticket: handing over failed, asking the next host")
+		// After a message that was never sent the next host is still the first.
 		first = first && errors.Is(err, peer.ErrNotSent)
 	}
 	return false
@@ -46,7 +47,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for _, s := range stores {
-		// Asked again for the same store, this host keeps what it has done.
+		// A repeated handover must not undo what was dispatched since.
 		if i.adopted[s.Incarnation] == nil {
 			i.adopted[s.Incarnation] = ticket.FromHandover(s)
 			i.adoptedAt[s.Incarnation] = time.Now()
@@ -56,7 +57,8 @@
 	}
 }
 
-// Handovers gives whose successor this host is, for heartbeats.
+// Handovers gives the incarnations whose successor this host is, for
+// heartbeats.
 func (i *Issuer) Handovers() []member.Handover {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/selector/entry/tickets/run.go
+++ b/internal/selector/entry/tickets/run.go
@@ -17,7 +17,7 @@
 // not measured.
 const maxAnswer = 4 << 20
 
-// use runs a ticket's request, or gives what became of it.
+// use runs a ticket's request, or gives the outcome of its first use.
 func (i *Issuer) use(ctx context.Context, store *ticket.Store, t ticket.Ticket, req *call.Request) (*call.Answer, error) {
 	digest := ticket.DigestOf(req.Service, req.Method, req.Target, req.Body)
 	i.mu.Lock()
@@ -32,6 +32,7 @@
 	return i.run(ctx, store, t, req)
 }
 
+// ticketError gives the verdict on a ticket that its store refuses.
 func ticketError(err error) error {
 	switch {
 	case errors.Is(err, ticket.ErrOther):
@@ -61,13 +62,15 @@
 	}, nil
 }
 
+// result is how a ticket's request ended.
 type result struct {
 	resp *call.Answer
 	err  error
 }
 
-// run dispatches a ticket's request apart from the caller: one that
-// leaves, or whose deadline lapses, can ask for the outcome later.
+// run dispatches a ticket's request detached from its client, up to the
+// service's max_timeout: a client that leaves, or whose deadline lapses, can ask
+// for the outcome later.
 func (i *Issuer) run(ctx context.Context, store *ticket.Store, t ticket.Ticket, req *call.Request) (*call.Answer, error) {
 	done := make(chan result, 1)
 	run := *req
@@ -109,6 +112,7 @@
 	return result{resp: &out}
 }
 
+// readWhole reads the body of a response, which must be kept whole.
 func readWhole(a *call.Answer) ([]byte, error) {
 	defer a.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(a.Body, maxAnswer+1))
--- a/internal/selector/entry/tickets/tickets.go
+++ b/internal/selector/entry/tickets/tickets.go
@@ -136,7 +136,8 @@
 	return i.adopted[t.Incarnation]
 }
 
-// Serve serves a ticket's request that came by another host.
+// Serve serves a ticket's request that another host forwarded. It forwards it
+// once more when it is not the issuer but may know it.
 func (i *Issuer) Serve(ctx context.Context, from peer.Hello, msg forward.Message, w *peer.Responder) {
 	req := msg.Request()
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
--- a/internal/selector/entry/upstreams/probe.go
+++ b/internal/selector/entry/upstreams/probe.go
@@ -63,6 +63,7 @@
 	return out
 }
 
+// probe asks one upstream for its state.
 func (t *Tracker) probe(ctx context.Context, p Prober, u config.Upstream) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/internal/selector/entry/wiring.go
+++ b/internal/selector/entry/wiring.go
@@ -107,6 +107,7 @@
 	})
 }
 
+// makeHeartbeats makes the exchange of what the parts know with other hosts.
 func (h *Host) makeHeartbeats() {
 	s := h.opts.Settings
 	h.heartbeats = heartbeats.New(heartbeats.Options{
