--- a/internal/selector/entry/serve.go
+++ b/internal/selector/entry/serve.go
@@ -4,46 +4,54 @@
 	"context"
 
 	"cairndock/internal/peer"
+	"cairndock/internal/selector/entry/configsync"
+	"cairndock/internal/selector/entry/drain"
+	"cairndock/internal/selector/entry/forward"
+	"cairndock/internal/selector/entry/links"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/ticket"
 )
 
-// ServePeer answers one stream of another entry host.
+// ServePeer serves one stream of another entry host.
 func (h *Host) ServePeer(ctx context.Context, from peer.Hello, kind peer.Kind, payload []byte, w *peer.Responder) {
 	switch kind {
 	case peer.KindForward:
-		serve(payload, func(m forwardMsg) {
+		serve(payload, func(m forward.Message) {
 			h.inFlight.Add(1)
 			defer h.inFlight.Add(-1)
-			h.serveForward(ctx, from, m, w)
+			h.forward.Serve(ctx, from, m, w)
 		})
 	case peer.KindTicket:
-		serve(payload, func(m forwardMsg) {
+		serve(payload, func(m forward.Message) {
 			h.inFlight.Add(1)
 			defer h.inFlight.Add(-1)
-			h.serveTicket(ctx, from, m, w)
+			h.tickets.Serve(ctx, from, m, w)
 		})
 	case peer.KindHeartbeat:
-		serve(payload, func(b member.Heartbeat) { h.serveHeartbeat(ctx, b, w) })
+		serve(payload, func(b member.Heartbeat) { h.heartbeats.Serve(ctx, b, w) })
 	case peer.KindRoster:
-		serve(payload, func(string) { h.serveRoster(w) })
+		serve(payload, func(string) { reply(w, h.roster()) })
 	case peer.KindChanges:
-		serve(payload, func(after uint64) { h.serveChanges(after, w) })
+		serve(payload, func(after uint64) { h.config.ServeChanges(after, w) })
 	case peer.KindPush:
-		serve(payload, func(m pushMsg) { h.servePush(ctx, from, m, w) })
+		serve(payload, func(m configsync.Push) { reply(w, h.config.ServePush(ctx, from.Host, m)) })
 	case peer.KindConfirm:
-		serve(payload, func(rev uint64) { _ = w.Send(h.ownProgress(rev)) })
+		serve(payload, func(rev uint64) { reply(w, h.config.ZoneProgress(rev)) })
 	case peer.KindLend:
-		serve(payload, func(m lendMsg) { h.serveLend(m, w) })
+		serve(payload, func(m links.LoanRequest) { reply(w, h.links.Lend(m)) })
 	case peer.KindDrain:
-		serve(payload, func(m drainMsg) { h.serveDrain(ctx, m, w) })
+		serve(payload, func(m drain.Request) { reply(w, h.drain.Serve(ctx, m)) })
 	case peer.KindHandover:
-		serve(payload, func(m []ticket.Handover) { h.serveHandover(m, w) })
+		serve(payload, func(m []ticket.Handover) {
+			h.tickets.Adopt(m)
+			reply(w, true)
+			h.tickNow() // every host is to know the successor
+		})
 	}
 }
 
-// serve decodes a message. One that can't be read gets no answer; the
-// asker's deadline ends it.
+// serve decodes a message and serves it. One that can't be decoded gets no
+// reply: the sender's deadline ends its call.
 func serve[T any](payload []byte, f func(T)) {
 	m, err := peer.Decode[T](payload)
 	if err != nil {
@@ -52,9 +60,6 @@
 	f(m)
 }
 
-func (h *Host) serveRoster(w *peer.Responder) {
-	h.mu.Lock()
-	r := h.holder.Current()
-	h.mu.Unlock()
-	_ = w.Send(r)
-}
+// reply sends the reply to a message. Where it can't be sent, the connection
+// is lost, and the peer's own call fails.
+func reply(w *peer.Responder, message any) { _ = w.Send(message) }
--- a/internal/selector/entry/status.go
+++ b/internal/selector/entry/status.go
@@ -1,11 +1,8 @@
 package entry
 
 import (
-	"net/netip"
 	"time"
 
-	"github.com/rotisserie/eris"
-
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/roster"
@@ -64,33 +61,28 @@
 // Status gives the host's view of the system.
 func (h *Host) Status() Status {
 	v := h.View()
-	h.ticketsMu.Lock()
-	tickets := h.tickets.Len()
-	h.ticketsMu.Unlock()
 	s := Status{
-		Host: h.self.Host, Zone: h.self.Zone, Revision: v.Revision(),
-		FreshMillis: (h.now() - h.freshAt.Load()) / int64(time.Millisecond),
+		Host: h.Self().Host, Zone: h.zone, Revision: v.Revision(),
+		FreshMillis: h.config.Age().Milliseconds(),
 		Frozen:      h.Frozen(), Ready: h.Ready(), Leaving: h.leaving.Load(),
-		InFlight: h.inFlight.Load(), Tickets: tickets,
+		InFlight: h.inFlight.Load(), Tickets: h.tickets.Kept(),
 	}
 	for _, svc := range v.Services() {
 		s.Services = append(s.Services, h.serviceStatus(svc.Name))
 	}
-	free := h.free()
-	for _, zone := range h.knownZones() {
+	free := h.services.Free()
+	for _, zone := range h.config.KnownZones() {
 		s.Zones = append(s.Zones, h.zoneStatus(v, zone, free))
 	}
 	for _, z := range s.Zones {
-		if z.Up == 0 && z.Zone != h.self.Zone {
+		if z.Up == 0 && z.Zone != h.zone {
 			s.CutOff = append(s.CutOff, z.Zone)
 		}
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	s.Roster, s.Settled = h.holder.Current(), h.holder.Settled()
+	s.Roster, s.Settled = h.rosters.Current(), h.rosters.Settled()
 	for _, svc := range v.Services() {
 		for _, u := range svc.Local {
-			if h.isLeaving(u) {
+			if h.upstreams.Leaving(u) {
 				s.Leavers = append(s.Leavers, u.Name)
 			}
 		}
@@ -98,26 +90,27 @@
 	return s
 }
 
+// serviceStatus gives a service's slots and shares on this host.
 func (h *Host) serviceStatus(name string) ServiceStatus {
-	svc := h.serviceFor(name)
-	load := svc.gate.Load()
-	out := ServiceStatus{Service: name, Free: load.Free, Held: load.Held, Out: load.Out, Waiting: svc.gate.Waiting()}
-	svc.mu.Lock()
-	defer svc.mu.Unlock()
-	out.Shares = svc.decider.Meter().Status()
-	out.Sites = svc.decider.Status(h.now())
+	svc := h.services.Get(name)
+	load := svc.Gate.Load()
+	out := ServiceStatus{Service: name, Free: load.Free, Held: load.Held, Out: load.Out, Waiting: svc.Gate.Waiting()}
+	svc.Decide(func(d *steer.Decider) {
+		out.Shares = d.Meter().Status()
+		out.Sites = d.Status(h.now())
+	})
 	return out
 }
 
+// zoneStatus gives what is known of a zone: of the own one by this host and its
+// peers, of another by the newest heartbeat of a host there that answers.
 func (h *Host) zoneStatus(v *config.View, zone string, free []member.Free) ZoneStatus {
 	z := ZoneStatus{Zone: zone, Region: v.Region(zone), Slots: v.ZoneSlots()[zone]}
-	h.mu.Lock()
-	defer h.mu.Unlock()
 	now := time.Now()
-	if zone == h.self.Zone {
+	if zone == h.zone {
 		z.Hosts, z.Up, z.Revision = 1, 1, v.Revision()
-		z.FreshMillis = (h.now() - h.freshAt.Load()) / int64(time.Millisecond)
-		z.add(h.zoneFree(free, now))
+		z.FreshMillis = h.config.Age().Milliseconds()
+		z.add(h.peers.ZoneFree(free))
 	}
 	newest := time.Time{}
 	for _, p := range h.peers.Zone(zone) {
@@ -129,7 +122,7 @@
 		if z.Revision == 0 || p.Beat.Revision < z.Revision {
 			z.Revision = p.Beat.Revision
 		}
-		if zone != h.self.Zone && p.HeardAt.After(newest) {
+		if zone != h.zone && p.HeardAt.After(newest) {
 			newest = p.HeardAt
 			z.Free, z.Held = 0, 0
 			z.FreshMillis = p.Beat.FreshAge + now.Sub(p.HeardAt).Milliseconds()
@@ -145,79 +138,3 @@
 		z.Held += f.Held
 	}
 }
-
-// Explanation says how one caller's request to a service would be steered.
-type Explanation struct {
-	Service    string             `json:"service"`
-	Caller     string             `json:"caller"`
-	CallerZone string             `json:"caller_zone"`
-	Revision   uint64             `json:"revision"`
-	Frozen     bool               `json:"frozen"`
-	Rules      []RuleExplanation  `json:"rules"`
-	Sites      []steer.SiteStatus `json:"sites"`
-	Entries    []Entry            `json:"entries"`
-}
-
-// RuleExplanation says why a rule would or would not be chosen.
-type RuleExplanation struct {
-	Rule     string  `json:"rule"`
-	Selector string  `json:"selector"`
-	Share    float64 `json:"share"`
-	Target   float64 `json:"target"`
-	Cap      float64 `json:"cap"`
-	Why      string  `json:"why"`
-}
-
-// Explain says how a caller's request would be steered.
-func (h *Host) Explain(service string, caller netip.Addr) (Explanation, error) {
-	v := h.View()
-	svc, ok := v.Service(service)
-	if !ok {
-		return Explanation{}, eris.Errorf("no service %q", service)
-	}
-	status := h.serviceStatus(service)
-	zone := v.CallerZone(caller)
-	key := entriesKey{service, zone, variantOf(caller)}
-	if zone == "" {
-		key.zone = h.self.Zone
-	}
-	e := Explanation{
-		Service: service, Caller: caller.String(), CallerZone: zone, Revision: v.Revision(),
-		Frozen: h.Frozen(), Sites: status.Sites, Entries: h.entriesNow(key).Entries,
-	}
-	for i, r := range svc.Rules {
-		if i < len(status.Shares) {
-			e.Rules = append(e.Rules, explainRule(r, status.Shares[i], status.Sites))
-		}
-	}
-	return e, nil
-}
-
-func explainRule(r config.RuleView, s shift.Status, sites []steer.SiteStatus) RuleExplanation {
-	e := RuleExplanation{Rule: r.Name, Selector: r.Selector, Share: s.Share, Target: s.Target, Cap: s.Cap}
-	reachable, free := 0, 0
-	for _, site := range sites {
-		if site.Rule != r.Name || !site.Reachable || site.Slots == 0 {
-			continue
-		}
-		reachable++
-		if site.Use < 1 {
-			free++
-		}
-	}
-	switch {
-	case len(r.Sites) == 0:
-		e.Why = "its selector matches no upstream"
-	case reachable == 0:
-		e.Why = "no zone with a matching upstream can be reached"
-	case free == 0:
-		e.Why = "every zone that it matches is full"
-	case s.Share == 0 && s.Target == 0:
-		e.Why = "its share is 0; it takes what the other rules can't, up to its cap"
-	case s.Share != s.Target:
-		e.Why = "its share is moving to its target"
-	default:
-		e.Why = "it is chosen for its share"
-	}
-	return e
-}
--- a/internal/selector/entry/stop.go
+++ b/internal/selector/entry/stop.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"cairndock/internal/pause"
-	"cairndock/internal/selector/roster"
 )
 
 // StopReport says how a planned stop went.
@@ -14,30 +13,30 @@
 	Waited time.Duration
 	// Cut is how many requests were in flight when the window ended.
 	Cut int64
-	// HandedOver says that another host goes on for the tickets.
+	// HandedOver is set when another host is the successor for the tickets.
 	HandedOver bool
 }
 
-// Stop takes the host out of service: it leaves the answers on entries and
-// the zone's roster, serves what still comes, waits for what is in flight
-// and hands its tickets over. It ends early when ctx does.
+// Stop takes the host out of service: it is no longer named to clients, leaves
+// the zone's roster, serves what still comes, waits for what is in flight and
+// hands its tickets over. It ends early when ctx does.
 func (h *Host) Stop(ctx context.Context) StopReport {
 	began := time.Now()
 	h.log.Info().Msg("entry: stop began")
 	h.leaving.Store(true)
-	h.refreshEntries()
-	h.tellAll()
-	h.leaveRoster(ctx, func(r roster.Roster) roster.Roster { return r.WithState(h.self.Host, roster.Leaving) })
+	h.directory.Refresh()
+	h.heartbeats.NotifyAll()
+	h.rosters.Leave(ctx)
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(h.opts.Settings.Stop.Window))
 	defer cancel()
 	pause.For(ctx, time.Duration(h.opts.Settings.Stop.Grace))
 	h.waitIdle(ctx)
 	report := StopReport{Cut: h.inFlight.Load()}
-	report.HandedOver = h.handOver(context.WithoutCancel(ctx))
-	if report.Cut == 0 && h.outstanding() == 0 {
-		// Whoever still has a slot out stays a member, and its slots unused,
-		// until the platform says that it is gone.
-		h.leaveRoster(context.WithoutCancel(ctx), func(r roster.Roster) roster.Roster { return r.Without(h.self.Host) })
+	report.HandedOver = h.tickets.HandOver(context.WithoutCancel(ctx))
+	if report.Cut == 0 && h.services.Outstanding() == 0 {
+		// A host with a slot still taken stays a member, and its slots unused,
+		// until the platform calls it gone.
+		h.rosters.Remove(context.WithoutCancel(ctx))
 	}
 	report.Waited = time.Since(began)
 	h.log.Info().Dur("waited", report.Waited).Int64("cut", report.Cut).Bool("handed_over", report.HandedOver).
@@ -45,88 +44,37 @@
 	return report
 }
 
-// InFlight counts a caller's request for as long as it is served. The
-// function given back ends it.
+// InFlight counts a client's request as in flight until the function that it
+// returns is called.
 func (h *Host) InFlight() func() {
 	h.inFlight.Add(1)
 	return func() { h.inFlight.Add(-1) }
 }
 
-// tellAll sends a heartbeat to every known host at once.
-func (h *Host) tellAll() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, zone := range h.peers.Zones() {
-		for _, p := range h.peers.Zone(zone) {
-			go h.beatOne(context.Background(), p.Contact)
-		}
-	}
-}
-
-// leaveRoster writes this host's own change of the roster, a few times when
-// others write at the same time.
-func (h *Host) leaveRoster(ctx context.Context, change func(roster.Roster) roster.Roster) {
-	const tries = 5
-	for range tries {
-		r, version, err := h.readRoster(ctx)
-		if err == nil {
-			if !h.inRoster(r) {
-				return
-			}
-			err = h.writeRoster(ctx, change(r), version)
-		}
-		if err == nil {
-			return
-		}
-		h.log.Warn().Err(err).Msg("roster: could not leave")
-		if !pause.For(ctx, tick) {
-			return
-		}
-	}
-}
+// idlePoll is the time between two looks whether a stopping host is idle.
+// Chosen, not measured.
+const idlePoll = 20 * time.Millisecond
 
-func (h *Host) inRoster(r roster.Roster) bool {
-	m, ok := r.Member(h.self.Host)
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return ok && m.Incarnation == h.holder.Incarnation()
-}
-
-// waitIdle waits until nothing is in flight.
+// waitIdle waits until nothing is in flight, or ctx ends.
 func (h *Host) waitIdle(ctx context.Context) {
-	const poll = 20 * time.Millisecond
-	for h.inFlight.Load() > 0 || h.outstanding() > 0 || h.runningTickets() > 0 {
-		if !pause.For(ctx, poll) {
+	for h.inFlight.Load() > 0 || h.services.Outstanding() > 0 || h.tickets.Running() > 0 {
+		if !pause.For(ctx, idlePoll) {
 			return
 		}
 	}
 }
 
-func (h *Host) outstanding() int {
-	out := 0
-	h.services.Range(func(_, s any) bool {
-		out += s.(*service).gate.Load().Out
-		return true
-	})
-	return out
-}
-
-func (h *Host) runningTickets() int {
-	h.ticketsMu.Lock()
-	defer h.ticketsMu.Unlock()
-	return h.tickets.Running()
-}
-
+// registerMetrics adds the gauges that read the host's state when asked.
 func (h *Host) registerMetrics() {
 	m := h.metrics
 	m.Gauge("cairndock_config_revision", func() float64 { return float64(h.View().Revision()) })
-	m.Gauge("cairndock_config_age_seconds", func() float64 { return float64(h.now()-h.freshAt.Load()) / float64(time.Second) })
+	m.Gauge("cairndock_config_age_seconds", func() float64 { return h.config.Age().Seconds() })
 	m.Gauge("cairndock_frozen", func() float64 { return boolGauge(h.Frozen()) })
 	m.Gauge("cairndock_in_flight", func() float64 { return float64(h.inFlight.Load()) })
-	m.Gauge("cairndock_slots_outstanding", func() float64 { return float64(h.outstanding()) })
+	m.Gauge("cairndock_slots_outstanding", func() float64 { return float64(h.services.Outstanding()) })
 	m.Gauge("cairndock_slots_held", func() float64 {
 		held := 0
-		for _, f := range h.free() {
+		for _, f := range h.services.Free() {
 			held += f.Held
 		}
 		return float64(held)
