--- /dev/null
+++ b/internal/gateway/routing/main_test.go
@@ -0,0 +1,9 @@
+package routing_test
+
+import (
+	"testing"
+
+	"cairndock/internal/testmain"
+)
+
+func TestMain(m *testing.M) { testmain.OneProcessor(m) }
