--- a/cmd/apply.go
+++ b/cmd/apply.go
@@ -15,7 +15,7 @@
 	"github.com/oklog/ulid/v2"
 
 	"cairndock/internal/selector/config"
-	"cairndock/internal/selector/entry"
+	"cairndock/internal/selector/entry/configsync"
 	"cairndock/internal/selector/operator"
 )
 
@@ -63,7 +63,7 @@
 
 const submitTries = 3
 
-func (c *applyCmd) submit(ctx context.Context, data []byte) (entry.Applied, subcommands.ExitStatus) {
+func (c *applyCmd) submit(ctx context.Context, data []byte) (configsync.Applied, subcommands.ExitStatus) {
 	if c.change == "" {
 		c.change = ulid.Make().String()
 	}
@@ -84,13 +84,13 @@
 		time.Sleep(time.Second)
 	}
 	if err != nil {
-		return entry.Applied{}, fail(err)
+		return configsync.Applied{}, fail(err)
 	}
 	return c.report(a)
 }
 
-func (c *applyCmd) report(a answer) (entry.Applied, subcommands.ExitStatus) {
-	var applied entry.Applied
+func (c *applyCmd) report(a answer) (configsync.Applied, subcommands.ExitStatus) {
+	var applied configsync.Applied
 	switch a.Status {
 	case http.StatusOK, http.StatusAccepted:
 		if err := json.Unmarshal(a.Body, &applied); err != nil {
@@ -110,7 +110,7 @@
 	return applied, subcommands.ExitFailure
 }
 
-func (c *applyCmd) print(body []byte, a entry.Applied) {
+func (c *applyCmd) print(body []byte, a configsync.Applied) {
 	if c.json {
 		printJSON(body)
 		return
@@ -121,7 +121,7 @@
 	}
 }
 
-func zoneWord(z entry.ZoneProgress) string {
+func zoneWord(z configsync.ZoneProgress) string {
 	switch {
 	case z.Confirmed:
 		return "in force"
@@ -140,10 +140,10 @@
 )
 
 // follow shows the progress until every zone has the change in force.
-func (c *applyCmd) follow(ctx context.Context, a entry.Applied) subcommands.ExitStatus {
+func (c *applyCmd) follow(ctx context.Context, a configsync.Applied) subcommands.ExitStatus {
 	began := time.Now()
 	for range followTries {
-		if a.State == entry.StateAccepted || time.Since(began) > entry.FreezeAfter+time.Second {
+		if a.State == configsync.StateAccepted || time.Since(began) > configsync.FreezeAfter+time.Second {
 			return subcommands.ExitSuccess
 		}
 		time.Sleep(followPause)
--- a/cmd/check.go
+++ b/cmd/check.go
@@ -11,7 +11,7 @@
 
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/server"
-	"cairndock/internal/settings"
+	"cairndock/internal/selector/servesettings"
 )
 
 type checkCmd struct {
@@ -45,7 +45,7 @@
 
 func (c *checkCmd) check() error {
 	if c.settings != "" {
-		set, err := settings.Load(c.settings)
+		set, err := servesettings.Load(c.settings)
 		if err != nil {
 			return err
 		}
--- a/cmd/client.go
+++ b/cmd/client.go
@@ -14,8 +14,8 @@
 
 	"github.com/rotisserie/eris"
 
-	"cairndock/internal/settings"
-	"cairndock/internal/tlsfiles"
+	"cairndock/internal/selector/servesettings"
+	"cairndock/internal/selector/tlsfiles"
 )
 
 // envToken names the environment variable that holds the operator's token,
@@ -28,7 +28,7 @@
 type client struct {
 	addr  string
 	token string
-	tls   settings.TLS
+	tls   servesettings.TLS
 	json  bool
 }
 
--- a/cmd/drain.go
+++ b/cmd/drain.go
@@ -16,7 +16,7 @@
 	"k8s.io/apimachinery/pkg/labels"
 
 	"cairndock/internal/selector/config"
-	"cairndock/internal/selector/entry"
+	"cairndock/internal/selector/entry/drain"
 	"cairndock/internal/selector/operator"
 )
 
@@ -107,7 +107,7 @@
 func (c *drainCmd) await(ctx context.Context, names []string) subcommands.ExitStatus {
 	began := time.Now()
 	path := "/v1/drain?upstreams=" + url.QueryEscape(strings.Join(names, ","))
-	var d entry.Drained
+	var d drain.Drained
 	for time.Since(began) < c.timeout {
 		if _, err := c.get(ctx, path, &d); err != nil {
 			return fail(err)
--- a/cmd/load.go
+++ b/cmd/load.go
@@ -77,7 +77,7 @@
 	} else {
 		report.Print(os.Stdout)
 	}
-	if report.Broken() {
+	if report.HasViolations() {
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
--- a/cmd/quickstart.go
+++ b/cmd/quickstart.go
@@ -82,7 +82,7 @@
 		return fail(err)
 	}
 	report.Print(os.Stdout)
-	if report.Broken() {
+	if report.HasViolations() {
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
--- a/cmd/serve.go
+++ b/cmd/serve.go
@@ -12,7 +12,7 @@
 
 	"cairndock/internal/selector/entry"
 	"cairndock/internal/selector/server"
-	"cairndock/internal/settings"
+	"cairndock/internal/selector/servesettings"
 	"cairndock/internal/telemetry"
 )
 
@@ -31,7 +31,7 @@
 	if c.settings == "" {
 		return usage("serve: --settings must be given")
 	}
-	set, err := settings.Load(c.settings)
+	set, err := servesettings.Load(c.settings)
 	if err == nil {
 		err = server.Prepare(&set)
 	}
@@ -45,7 +45,7 @@
 	return serve(ctx, set, log, signals)
 }
 
-func serve(ctx context.Context, set settings.Settings, log zerolog.Logger, signals <-chan os.Signal) subcommands.ExitStatus {
+func serve(ctx context.Context, set servesettings.Settings, log zerolog.Logger, signals <-chan os.Signal) subcommands.ExitStatus {
 	tp, err := telemetry.NewProvider(ctx, set.Telemetry, os.Stdout)
 	if err != nil {
 		return fail(err)
--- a/internal/gateway/proxy/request.go
+++ b/internal/gateway/proxy/request.go
@@ -6,8 +6,8 @@
 	"net/http"
 	"time"
 
-	"cairndock/internal/call"
 	"cairndock/internal/gateway/exchange"
+	"cairndock/internal/httpheader"
 	"cairndock/internal/verdict"
 )
 
@@ -55,7 +55,7 @@
 // upstreamRequest is what upstreams receive: the request as the client sent it,
 // without the headers that concern the client's connection only.
 func upstreamRequest(id string, r *http.Request, body []byte) *exchange.Request {
-	header := call.EndToEnd(r.Header)
+	header := httpheader.EndToEnd(r.Header)
 	header.Del("Content-Length") // set anew for each attempt, by the body
 	return &exchange.Request{ID: id, Method: r.Method, Target: r.URL.RequestURI(), Host: r.Host, Header: header, Body: body}
 }
--- a/internal/gateway/proxy/response.go
+++ b/internal/gateway/proxy/response.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"cairndock/internal/call"
 	"cairndock/internal/gateway/exchange"
+	"cairndock/internal/httpheader"
 	"cairndock/internal/verdict"
 )
 
@@ -61,7 +61,7 @@
 func (r *response) writeHeader(w http.ResponseWriter, method string) {
 	h := w.Header()
 	connection := h.Get("Connection")
-	for name, values := range call.EndToEnd(r.Header) {
+	for name, values := range httpheader.EndToEnd(r.Header) {
 		h[name] = values
 	}
 	if connection != "" {
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -127,9 +127,7 @@
 
 func (s *Settings) check() error {
 	var f settings.Faults
-	f.Require(s.Host.Name != "", "host.name", "must be set")
-	f.Require(s.Host.Zone != "", "host.zone", "must be set")
-	f.Require(s.Host.Region != "", "host.region", "must be set")
+	s.Host.Check(&f)
 	f.Require(s.Listen.Callers != "", "listen.callers", "must be set")
 	f.Require(s.Listen.Readiness != "", "listen.readiness", "must be set")
 	f.Require(s.Listen.Directory != "", "listen.directory", "must be set")
--- a/internal/selector/caller/caller.go
+++ b/internal/selector/caller/caller.go
@@ -21,8 +21,9 @@
 	"go.opentelemetry.io/otel/propagation"
 	"go.opentelemetry.io/otel/trace"
 
-	"cairndock/internal/call"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/servesettings"
 	"cairndock/internal/selector/ticket"
 	"cairndock/internal/settings"
 	"cairndock/internal/telemetry"
@@ -66,23 +67,23 @@
 	// called.
 	InFlight() func()
 	// Do runs a request. Its error is a *verdict.Error.
-	Do(ctx context.Context, req *call.Request) (*call.Answer, error)
+	Do(ctx context.Context, req *call.Request) (*call.Response, error)
 	// EntriesFor returns, as JSON, the hosts that a client at an address should
 	// use for a service.
 	EntriesFor(service string, caller netip.Addr) ([]byte, error)
-	// MintTicket issues a ticket for a request to a service.
-	MintTicket(service string) (ticket.Ticket, error)
+	// IssueTicket issues a ticket for a request to a service.
+	IssueTicket(service string) (ticket.Ticket, error)
 }
 
 // Default applies the defaults of the settings' section [callers].
-func Default(s *settings.Callers) {
+func Default(s *servesettings.Callers) {
 	s.MaxBody = settings.Default(s.MaxBody, defaultMaxBody)
 	s.MaxHeader = settings.Default(s.MaxHeader, defaultMaxHeader)
 	s.TTL = settings.Default(s.TTL, settings.Seconds(defaultTTL))
 }
 
 // Check adds the section's faults to f.
-func Check(s settings.Callers, f *settings.Faults) {
+func Check(s servesettings.Callers, f *settings.Faults) {
 	f.Require(s.Listen != "", "callers.listen", "must be set")
 	f.Require(s.MaxBody > 0 && s.MaxBody <= largestMaxBody, "callers.max_body", "must be from 1 to "+strconv.Itoa(largestMaxBody))
 	f.Require(s.MaxHeader > 0, "callers.max_header", "must be above 0")
@@ -91,7 +92,7 @@
 
 // Server serves clients.
 type Server struct {
-	settings settings.Callers
+	settings servesettings.Callers
 	host     Host
 	tracer   trace.Tracer
 	metrics  *telemetry.Metrics
@@ -99,7 +100,7 @@
 }
 
 // New makes a server; Serve starts it.
-func New(s settings.Callers, h Host, tp trace.TracerProvider, m *telemetry.Metrics) *Server {
+func New(s servesettings.Callers, h Host, tp trace.TracerProvider, m *telemetry.Metrics) *Server {
 	srv := &Server{settings: s, host: h, tracer: telemetry.Tracer(tp), metrics: m}
 	e := echo.New()
 	e.HideBanner = true
@@ -164,7 +165,7 @@
 	if !s.host.Serving() {
 		return s.reject(c, notReady())
 	}
-	t, err := s.host.MintTicket(c.QueryParam("service"))
+	t, err := s.host.IssueTicket(c.QueryParam("service"))
 	if err != nil {
 		return s.reject(c, err)
 	}
--- a/internal/selector/caller/caller_test.go
+++ b/internal/selector/caller/caller_test.go
@@ -17,10 +17,10 @@
 	"github.com/stretchr/testify/require"
 	"go.opentelemetry.io/otel/trace/noop"
 
-	"cairndock/internal/call"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/servesettings"
 	"cairndock/internal/selector/ticket"
-	"cairndock/internal/settings"
 	"cairndock/internal/telemetry"
 	"cairndock/internal/verdict"
 )
@@ -28,7 +28,7 @@
 // fakeHost returns a fixed response or error and keeps the last request.
 type fakeHost struct {
 	view *config.View
-	resp *call.Answer
+	resp *call.Response
 	err  error
 	got  *call.Request
 }
@@ -37,7 +37,7 @@
 func (h *fakeHost) View() *config.View { return h.view }
 func (h *fakeHost) InFlight() func()   { return func() {} }
 
-func (h *fakeHost) Do(_ context.Context, req *call.Request) (*call.Answer, error) {
+func (h *fakeHost) Do(_ context.Context, req *call.Request) (*call.Response, error) {
 	h.got = req
 	return h.resp, h.err
 }
@@ -46,11 +46,11 @@
 	return fmt.Appendf(nil, "%s for %s", service, caller), nil
 }
 
-func (h *fakeHost) MintTicket(string) (ticket.Ticket, error) {
-	return ticket.NewStore("h", "z", "1", ticket.NewKey()).Mint(time.Now())
+func (h *fakeHost) IssueTicket(string) (ticket.Ticket, error) {
+	return ticket.NewStore("h", "z", "1", ticket.NewKey()).Issue(time.Now())
 }
 
-func newServer(t *testing.T, h *fakeHost, change func(s *settings.Callers)) string {
+func newServer(t *testing.T, h *fakeHost, change func(s *servesettings.Callers)) string {
 	doc, err := config.ParseDocument([]byte("[[service]]\nname = \"s\"\nrepeat = \"safe\"\ntimeout = \"300ms\"\nmax_timeout = \"2s\""))
 	require.NoError(t, err)
 	c, err := doc.Change("c", 0)
@@ -60,7 +60,7 @@
 	if h.view == nil {
 		h.view = config.NewView(state, "z")
 	}
-	set := settings.Callers{Listen: "127.0.0.1:0"}
+	set := servesettings.Callers{Listen: "127.0.0.1:0"}
 	Default(&set)
 	set.MaxBody, set.MaxHeader = 1000, 2000
 	if change != nil {
@@ -74,8 +74,8 @@
 	return l.Addr().String()
 }
 
-func ok(body string) *call.Answer {
-	return &call.Answer{
+func ok(body string) *call.Response {
+	return &call.Response{
 		Status: 200, Header: http.Header{"X-Mine": {"1"}, "Cairndock-Verdict": {"not-run"}}, Upstream: "z/up",
 		Body: io.NopCloser(strings.NewReader(body)), Length: int64(len(body)), Verdict: verdict.Ran,
 	}
@@ -224,7 +224,7 @@
 
 func TestCallerAddress(t *testing.T) {
 	for trust, want := range map[bool]string{false: "s for 127.0.0.1", true: "s for 10.2.0.9"} {
-		addr := newServer(t, &fakeHost{}, func(s *settings.Callers) { s.TrustForwarded = trust })
+		addr := newServer(t, &fakeHost{}, func(s *servesettings.Callers) { s.TrustForwarded = trust })
 		req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/v1/entries?service=s", nil)
 		require.NoError(t, err)
 		req.Header.Set("X-Forwarded-For", "10.2.0.9, 10.0.0.1")
--- a/internal/selector/caller/request.go
+++ b/internal/selector/caller/request.go
@@ -11,7 +11,8 @@
 
 	"github.com/labstack/echo/v4"
 
-	"cairndock/internal/call"
+	"cairndock/internal/httpheader"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/ticket"
 	"cairndock/internal/verdict"
@@ -126,7 +127,7 @@
 // forwardedHeader returns the headers to send to the upstream: the end-to-end
 // ones without those reserved for hosts.
 func forwardedHeader(h http.Header) http.Header {
-	out := call.EndToEnd(h)
+	out := httpheader.EndToEnd(h)
 	for name := range out {
 		if strings.HasPrefix(name, reservedPrefix) {
 			delete(out, name)
--- a/internal/selector/caller/response.go
+++ b/internal/selector/caller/response.go
@@ -9,7 +9,7 @@
 
 	"github.com/labstack/echo/v4"
 
-	"cairndock/internal/call"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/verdict"
 )
 
@@ -48,7 +48,7 @@
 
 // writeResponse writes an upstream's response. If its body breaks off, the
 // client's connection is closed, so that the response can't look complete.
-func (s *Server) writeResponse(w *echo.Response, resp *call.Answer) {
+func (s *Server) writeResponse(w *echo.Response, resp *call.Response) {
 	for name, values := range resp.Header {
 		if !strings.HasPrefix(name, reservedPrefix) {
 			w.Header()[name] = values
@@ -67,7 +67,7 @@
 
 // copyBody copies a body. One of unknown length may be a stream, and is flushed
 // after each part.
-func copyBody(w *echo.Response, resp *call.Answer) error {
+func copyBody(w *echo.Response, resp *call.Response) error {
 	pooled := buffers.Get().(*[copyBuffer]byte)
 	defer buffers.Put(pooled)
 	buf := pooled[:]
--- a/internal/selector/config/config_test.go
+++ b/internal/selector/config/config_test.go
@@ -128,8 +128,8 @@
 	rule, ok = ruleOf(svc, "none")
 	require.True(t, ok)
 	require.Zero(t, rule.MaxShare(), "a cap of 0 is not taken for one that is not set")
-	require.Equal(t, "costa-a", v.CallerZone(netip.MustParseAddr("10.1.2.3")))
-	require.Empty(t, v.CallerZone(netip.MustParseAddr("10.2.0.1")))
+	require.Equal(t, "costa-a", v.ClientZone(netip.MustParseAddr("10.1.2.3")))
+	require.Empty(t, v.ClientZone(netip.MustParseAddr("10.2.0.1")))
 }
 
 // TestViewFollows: a view moved on by changes equals one made anew.
--- a/internal/selector/config/view.go
+++ b/internal/selector/config/view.go
@@ -288,6 +288,6 @@
 	return l.value, ok
 }
 
-// CallerZone returns the zone of the longest block that contains a client's
+// ClientZone returns the zone of the longest block that contains a client's
 // address, or "".
-func (v *View) CallerZone(addr netip.Addr) string { return v.state.blocks.zoneOf(addr) }
+func (v *View) ClientZone(addr netip.Addr) string { return v.state.blocks.zoneOf(addr) }
--- a/internal/selector/entry/admission/admission.go
+++ b/internal/selector/entry/admission/admission.go
@@ -14,7 +14,7 @@
 	"go.opentelemetry.io/otel/attribute"
 	"go.opentelemetry.io/otel/trace"
 
-	"cairndock/internal/call"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry/fence"
 	"cairndock/internal/selector/entry/services"
@@ -30,7 +30,7 @@
 
 // Client sends a request to an upstream, and calls done when the slot is free.
 type Client interface {
-	Send(ctx context.Context, t upstream.Target, req *call.Request, done upstream.Done) (*call.Answer, error)
+	Send(ctx context.Context, t upstream.Target, req *call.Request, done upstream.Done) (*call.Response, error)
 }
 
 // Options are what an Admitter is made of.
@@ -79,7 +79,7 @@
 
 // Send sends a request to the upstream of a slot, and releases the slot when
 // the upstream is done. Its error is a *verdict.Error.
-func (a *Admitter) Send(ctx context.Context, req *call.Request, lease slot.Lease) (*call.Answer, error) {
+func (a *Admitter) Send(ctx context.Context, req *call.Request, lease slot.Lease) (*call.Response, error) {
 	target, ok := a.target(req.Service, lease.Upstream())
 	if !ok {
 		a.Cancel(req.Service, lease)
--- a/internal/selector/entry/admission/admission_test.go
+++ b/internal/selector/entry/admission/admission_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 	"go.opentelemetry.io/otel/trace/noop"
 
-	"cairndock/internal/call"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/selector/entry/configtest"
 	"cairndock/internal/selector/entry/fence"
 	"cairndock/internal/selector/entry/services"
@@ -22,12 +22,12 @@
 // client answers every request, or fails it when err is set.
 type client struct{ err error }
 
-func (c client) Send(_ context.Context, _ upstream.Target, _ *call.Request, done upstream.Done) (*call.Answer, error) {
+func (c client) Send(_ context.Context, _ upstream.Target, _ *call.Request, done upstream.Done) (*call.Response, error) {
 	done(slot.Unused, 0)
 	if c.err != nil {
 		return nil, c.err
 	}
-	return &call.Answer{Status: 200}, nil
+	return &call.Response{Status: 200}, nil
 }
 
 // newAdmitter holds one slot of up-1, which the rule "all" allows, and one of
@@ -36,9 +36,9 @@
 	view := configtest.View(t, configtest.Planning)
 	set := services.NewSet(view, func() float64 { return 0.5 })
 	set.Get("planning").Gate.Configure([]slot.Spec{{Name: "up-1", Held: 1}, {Name: "up-removed", Held: 1}}, []slot.RuleSpec{
-		{Name: "all", Members: []int32{0}, InFlight: -1, Rate: -1},
-		{Name: "limited", Members: []int32{0}, InFlight: 0, Rate: -1},
-		{Name: "old", Members: []int32{1}, InFlight: -1, Rate: -1},
+		{Name: "all", Upstreams: []int32{0}, InFlight: -1, Rate: -1},
+		{Name: "limited", Upstreams: []int32{0}, InFlight: 0, Rate: -1},
+		{Name: "old", Upstreams: []int32{1}, InFlight: -1, Rate: -1},
 	})
 	made := time.Now()
 	f := fence.New(func() int64 { return int64(time.Hour) + int64(time.Since(made)) })
--- a/internal/selector/entry/bench_test.go
+++ b/internal/selector/entry/bench_test.go
@@ -17,6 +17,7 @@
 	"cairndock/internal/selector/entry/configsync"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/roster"
+	"cairndock/internal/selector/servesettings"
 	"cairndock/internal/selector/standin"
 	"cairndock/internal/selector/store"
 	"cairndock/internal/settings"
@@ -39,9 +40,9 @@
 // bigHost is a host with a configuration of a given size in force.
 func bigHost(tb testing.TB, s *config.State) *Host {
 	memory := store.NewMemory()
-	set := settings.Settings{
+	set := servesettings.Settings{
 		Host:    settings.Host{Name: "zone-00-00", Zone: "zone-00", Region: "region-00"},
-		Callers: settings.Callers{TTL: settings.Seconds(5 * time.Second)},
+		Callers: servesettings.Callers{TTL: settings.Seconds(5 * time.Second)},
 	}
 	Prepare(&set)
 	h, err := New(Options{
@@ -53,9 +54,9 @@
 	h.config.Adopt(s)
 	for z := 1; z < 80; z++ {
 		for i := range 4 {
-			c := member.Contact{Host: fmt.Sprintf("zone-%02d-%02d", z, i), Zone: fmt.Sprintf("zone-%02d", z), PeerAddr: "10.0.0.1:1", CallerAddr: "10.0.0.1:2"}
+			c := member.Contact{Host: fmt.Sprintf("zone-%02d-%02d", z, i), Zone: fmt.Sprintf("zone-%02d", z), PeerAddr: "10.0.0.1:1", ClientAddr: "10.0.0.1:2"}
 			h.peers.Update(func(p *member.Peers) {
-				p.Heard(member.Heartbeat{Contact: c}, time.Now().Add(time.Hour), time.Millisecond)
+				p.RecordHeartbeat(member.Heartbeat{Contact: c}, time.Now().Add(time.Hour), time.Millisecond)
 			})
 		}
 	}
--- a/internal/selector/entry/changes_test.go
+++ b/internal/selector/entry/changes_test.go
@@ -13,6 +13,7 @@
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry"
 	"cairndock/internal/selector/entry/clustertest"
+	"cairndock/internal/selector/entry/configsync"
 	"cairndock/internal/selector/store"
 )
 
@@ -72,13 +73,13 @@
 		fault func(c *cluster) // runs beside the change
 		state string
 	}{
-		{name: "nothing fails", state: entry.StateAccepted},
-		{name: "one zone cut off from the platform", state: entry.StateAccepted, fault: func(c *cluster) {
+		{name: "nothing fails", state: configsync.StateAccepted},
+		{name: "one zone cut off from the platform", state: configsync.StateAccepted, fault: func(c *cluster) {
 			c.cutFromPlatform("sierra-a", 15*time.Second)
 		}},
-		{name: "one zone cut off from everything", state: entry.StateAccepted, fault: func(c *cluster) { c.CutZone("sierra-a", 15*time.Second) }},
-		{name: "a host paused", state: entry.StateAccepted, fault: func(c *cluster) { c.Freeze("sierra-a-2", 15*time.Second) }},
-		{name: "platform slow to answer", state: entry.StateAccepted, fault: func(c *cluster) {
+		{name: "one zone cut off from everything", state: configsync.StateAccepted, fault: func(c *cluster) { c.CutZone("sierra-a", 15*time.Second) }},
+		{name: "a host paused", state: configsync.StateAccepted, fault: func(c *cluster) { c.Freeze("sierra-a-2", 15*time.Second) }},
+		{name: "platform slow to answer", state: configsync.StateAccepted, fault: func(c *cluster) {
 			c.Memory.SetFault(func(_ string, after bool) error {
 				if after {
 					time.Sleep(300 * time.Millisecond)
@@ -88,8 +89,8 @@
 			time.Sleep(10 * time.Second)
 			c.Memory.SetFault(nil)
 		}},
-		{name: "the write's answer lost", state: entry.StateAccepted, fault: func(c *cluster) { c.LoseAnswers(time.Second) }},
-		{name: "platform throttles every second call", state: entry.StateAccepted, fault: func(c *cluster) {
+		{name: "the write's answer lost", state: configsync.StateAccepted, fault: func(c *cluster) { c.LoseAnswers(time.Second) }},
+		{name: "platform throttles every second call", state: configsync.StateAccepted, fault: func(c *cluster) {
 			var n atomic.Int64
 			c.Memory.SetFault(func(op string, after bool) error {
 				if n.Add(1)%2 == 0 && !after && op != "transact" {
@@ -100,7 +101,7 @@
 			time.Sleep(10 * time.Second)
 			c.Memory.SetFault(nil)
 		}},
-		{name: "cut off and a host restarted elsewhere", state: entry.StateAccepted, fault: func(c *cluster) {
+		{name: "cut off and a host restarted elsewhere", state: configsync.StateAccepted, fault: func(c *cluster) {
 			go c.CutZone("sierra-a", 15*time.Second)
 			c.Kill("costa-b-1")
 			c.Start("costa-b-1", "costa-b", "costa")
@@ -137,8 +138,8 @@
 
 // applyTrying submits a change by the first host and, as the command does,
 // again with the same id while its outcome is not known.
-func (c *cluster) applyTrying(id string, base uint64) (entry.Applied, error) {
-	var applied entry.Applied
+func (c *cluster) applyTrying(id string, base uint64) (configsync.Applied, error) {
+	var applied configsync.Applied
 	var err error
 	for range 10 {
 		applied, err = c.Host("costa-a-1").Apply(context.Background(), c.change(id, base, 0.9), 10*time.Second)
@@ -178,7 +179,7 @@
 		t.Logf("platform calls over the 20 s around its return: %d by %d hosts", c.Memory.Calls("get")-calls, len(c.Live()))
 		applied, err := c.applyTrying("down", 1)
 		require.NoError(t, err)
-		require.Equal(t, entry.StateAccepted, applied.State)
+		require.Equal(t, configsync.StateAccepted, applied.State)
 	})
 }
 
@@ -188,7 +189,7 @@
 	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		hosts := c.Live()
 		type result struct {
-			applied entry.Applied
+			applied configsync.Applied
 			err     error
 		}
 		results := make(chan result, len(hosts))
--- a/internal/selector/entry/clustertest/cluster.go
+++ b/internal/selector/entry/clustertest/cluster.go
@@ -16,6 +16,7 @@
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry"
 	"cairndock/internal/selector/entry/clustertest/memnet"
+	"cairndock/internal/selector/servesettings"
 	"cairndock/internal/selector/standin"
 	"cairndock/internal/selector/store"
 	"cairndock/internal/settings"
@@ -124,10 +125,10 @@
 
 // Start starts a host, or a new incarnation of one.
 func (c *Cluster) Start(name, zone, region string) *entry.Host {
-	set := settings.Settings{
+	set := servesettings.Settings{
 		Host:    settings.Host{Name: name, Zone: zone, Region: region},
-		Callers: settings.Callers{TTL: settings.Seconds(5 * time.Second)},
-		Peers:   settings.Peers{Listen: name + ":2", Seeds: []string{"costa-b-1:2"}},
+		Callers: servesettings.Callers{TTL: settings.Seconds(5 * time.Second)},
+		Peers:   servesettings.Peers{Listen: name + ":2", Seeds: []string{"costa-b-1:2"}},
 	}
 	entry.Prepare(&set)
 	table := tableOf{c.Memory, c.Net, name}
--- a/internal/selector/entry/clustertest/leaving_test.go
+++ b/internal/selector/entry/clustertest/leaving_test.go
@@ -15,6 +15,7 @@
 
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry"
+	"cairndock/internal/selector/entry/directory"
 	"cairndock/internal/selector/entry/rosters"
 	"cairndock/internal/selector/store"
 )
@@ -118,7 +119,7 @@
 	asked := hosts[i%len(hosts)]
 	answer, err := asked.EntriesFor("planning", netip.MustParseAddr("127.0.0.1"))
 	require.NoError(c.T, err)
-	var named entry.Entries
+	var named directory.Entries
 	require.NoError(c.T, json.Unmarshal(answer, &named))
 	for _, e := range named.Entries {
 		if h := c.Host(e.Host); h != nil {
--- a/internal/selector/entry/clustertest/load.go
+++ b/internal/selector/entry/clustertest/load.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"cairndock/internal/call"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/selector/entry"
 	"cairndock/internal/verdict"
 )
--- a/internal/selector/entry/configsync/configsync_test.go
+++ b/internal/selector/entry/configsync/configsync_test.go
@@ -138,7 +138,7 @@
 		for j := range hosts {
 			if j != i {
 				b := member.Heartbeat{Contact: member.Contact{Host: name(j), Zone: r.Zone, PeerAddr: name(j)}}
-				r.Peers.Update(func(p *member.Peers) { p.Heard(b, time.Now(), time.Millisecond) })
+				r.Peers.Update(func(p *member.Peers) { p.RecordHeartbeat(b, time.Now(), time.Millisecond) })
 			}
 		}
 		targets := r.relayTargets(revision)
--- a/internal/selector/entry/configsync/progress.go
+++ b/internal/selector/entry/configsync/progress.go
@@ -160,7 +160,7 @@
 		}
 		other, known := r.Peers.Get(m.Host)
 		// A silent host may still serve, by an older configuration.
-		if !known || other.Beat.Revision < rev {
+		if !known || other.Heartbeat.Revision < rev {
 			if known && now.Sub(other.HeardAt) > FreezeAfter+member.LostAfter {
 				continue
 			}
@@ -179,7 +179,7 @@
 	for _, host := range hosts {
 		p, ok := r.Peers.Get(host)
 		if ok && time.Since(p.AskedAt) > confirmPause {
-			r.Peers.Update(func(p *member.Peers) { p.Asking(host, time.Now()) })
+			r.Peers.Update(func(p *member.Peers) { p.RecordSent(host, time.Now()) })
 			go r.SendHeartbeat(context.Background(), p.Contact)
 		}
 	}
--- a/internal/selector/entry/configsync/relay.go
+++ b/internal/selector/entry/configsync/relay.go
@@ -83,7 +83,7 @@
 		r.Logger.Debug().Str("peer", to.Host).Err(err).Msg("config: push failed")
 		return
 	}
-	r.Peers.Update(func(p *member.Peers) { p.NoteRevision(to.Host, reply.Revision) })
+	r.Peers.Update(func(p *member.Peers) { p.RecordRevision(to.Host, reply.Revision) })
 }
 
 // ServePush puts pushed changes in force. Where earlier ones are missing, it
--- a/internal/selector/entry/directory/directory.go
+++ b/internal/selector/entry/directory/directory.go
@@ -86,7 +86,7 @@
 
 // audienceOf gives the audience that a client belongs to.
 func (d *Directory) audienceOf(v *config.View, service string, client netip.Addr) audience {
-	zone := v.CallerZone(client)
+	zone := v.ClientZone(client)
 	if zone == "" {
 		zone = d.Zone
 	}
@@ -168,7 +168,7 @@
 			if len(out.Entries) == maxEntries {
 				return out
 			}
-			out.Entries = append(out.Entries, Entry{Host: c.Host, Zone: c.Zone, Addr: c.CallerAddr})
+			out.Entries = append(out.Entries, Entry{Host: c.Host, Zone: c.Zone, Addr: c.ClientAddr})
 		}
 	}
 	return out
--- a/internal/selector/entry/directory/directory_test.go
+++ b/internal/selector/entry/directory/directory_test.go
@@ -42,12 +42,12 @@
 // newDirectory is of costa-a-1, with hosts in three zones.
 func newDirectory(t *testing.T, others int) *Directory {
 	view := configtest.View(t, doc)
-	table := peers.New(member.Contact{Host: "costa-a-1", Zone: "costa-a", CallerAddr: "costa-a-1:3"})
+	table := peers.New(member.Contact{Host: "costa-a-1", Zone: "costa-a", ClientAddr: "costa-a-1:3"})
 	for _, zone := range []string{"costa-a", "costa-b", "sierra-a"} {
 		for i := range others {
 			name := fmt.Sprintf("%s-%d", zone, i+2)
-			b := member.Heartbeat{Contact: member.Contact{Host: name, Zone: zone, PeerAddr: name + ":2", CallerAddr: name + ":3"}}
-			table.Update(func(p *member.Peers) { p.Heard(b, time.Now(), time.Millisecond) })
+			b := member.Heartbeat{Contact: member.Contact{Host: name, Zone: zone, PeerAddr: name + ":2", ClientAddr: name + ":3"}}
+			table.Update(func(p *member.Peers) { p.RecordHeartbeat(b, time.Now(), time.Millisecond) })
 		}
 	}
 	return New(Options{
--- a/internal/selector/entry/dispatch/dispatch.go
+++ b/internal/selector/entry/dispatch/dispatch.go
@@ -14,7 +14,7 @@
 	"go.opentelemetry.io/otel/attribute"
 	"go.opentelemetry.io/otel/trace"
 
-	"cairndock/internal/call"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry/services"
 	"cairndock/internal/selector/slot"
@@ -26,12 +26,12 @@
 type Admitter interface {
 	Acquire(ctx context.Context, service, rule string, until time.Time) (slot.Lease, error)
 	Cancel(service string, lease slot.Lease)
-	Send(ctx context.Context, req *call.Request, lease slot.Lease) (*call.Answer, error)
+	Send(ctx context.Context, req *call.Request, lease slot.Lease) (*call.Response, error)
 }
 
 // Forwarder forwards requests to other hosts.
 type Forwarder interface {
-	Forward(ctx context.Context, req *call.Request, zone, rule string, until time.Time) (*call.Answer, error)
+	Forward(ctx context.Context, req *call.Request, zone, rule string, until time.Time) (*call.Response, error)
 	// ZoneMayHelp reports whether a host of the own zone reported a free slot.
 	ZoneMayHelp(service string) bool
 }
@@ -56,7 +56,7 @@
 // Dispatch decides where a request goes, and offers it to other zones as long
 // as it provably did not run, or may be repeated. Its error is a
 // *verdict.Error.
-func (d *Dispatcher) Dispatch(ctx context.Context, req *call.Request) (*call.Answer, error) {
+func (d *Dispatcher) Dispatch(ctx context.Context, req *call.Request) (*call.Response, error) {
 	ctx, span := d.Tracer.Start(ctx, "dispatch", trace.WithAttributes(attribute.String("service", req.Service)))
 	defer span.End()
 	svc, ok := d.View().Service(req.Service)
--- a/internal/selector/entry/dispatch/dispatch_test.go
+++ b/internal/selector/entry/dispatch/dispatch_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 	"go.opentelemetry.io/otel/trace/noop"
 
-	"cairndock/internal/call"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/selector/entry/admission"
 	"cairndock/internal/selector/entry/configtest"
 	"cairndock/internal/selector/entry/fence"
@@ -52,7 +52,7 @@
 	tries []string
 }
 
-func (s *system) end(zone string, from *[]outcome) (*call.Answer, error) {
+func (s *system) end(zone string, from *[]outcome) (*call.Response, error) {
 	s.tries = append(s.tries, zone)
 	if len(*from) > 0 {
 		next := (*from)[0]
@@ -61,7 +61,7 @@
 			return nil, (*verdict.Error)(next)
 		}
 	}
-	return &call.Answer{Status: 200, Length: 2, Verdict: verdict.Ran, Body: io.NopCloser(strings.NewReader("ok"))}, nil
+	return &call.Response{Status: 200, Length: 2, Verdict: verdict.Ran, Body: io.NopCloser(strings.NewReader("ok"))}, nil
 }
 
 // sender is the client of the own zone's upstreams.
@@ -70,12 +70,12 @@
 	s *system
 }
 
-func (a sender) Send(_ context.Context, req *call.Request, lease slot.Lease) (*call.Answer, error) {
+func (a sender) Send(_ context.Context, req *call.Request, lease slot.Lease) (*call.Response, error) {
 	a.Cancel(req.Service, lease)
 	return a.s.end("costa-a", &a.s.own)
 }
 
-func (s *system) Forward(_ context.Context, _ *call.Request, zone, _ string, _ time.Time) (*call.Answer, error) {
+func (s *system) Forward(_ context.Context, _ *call.Request, zone, _ string, _ time.Time) (*call.Response, error) {
 	return s.end(zone, &s.other)
 }
 
@@ -91,7 +91,7 @@
 	svc, ok := view().Service("planning")
 	require.True(t, ok)
 	planning := set.Get("planning")
-	planning.Gate.Configure([]slot.Spec{{Name: "up-1", Held: 1}}, []slot.RuleSpec{{Name: "all", Members: []int32{0}, InFlight: -1, Rate: -1}})
+	planning.Gate.Configure([]slot.Spec{{Name: "up-1", Held: 1}}, []slot.RuleSpec{{Name: "all", Upstreams: []int32{0}, InFlight: -1, Rate: -1}})
 	planning.Decide(func(d *steer.Decider) {
 		d.Configure(svc, "costa-a", "costa", time.Now())
 		d.SetLocal(1, 0, 0)
@@ -204,7 +204,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			a, err := bufferPrefix(&call.Answer{Length: tc.length, Body: tc.body}, nil)
+			a, err := bufferPrefix(&call.Response{Length: tc.length, Body: tc.body}, nil)
 			if tc.reason != "" {
 				require.Equal(t, tc.reason, verdict.From(err).Reason)
 				return
--- a/internal/selector/entry/dispatch/hedge.go
+++ b/internal/selector/entry/dispatch/hedge.go
@@ -4,14 +4,14 @@
 	"context"
 	"time"
 
-	"cairndock/internal/call"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/selector/steer"
 	"cairndock/internal/verdict"
 )
 
 // result is how one of two tries ended.
 type result struct {
-	resp  *call.Answer
+	resp  *call.Response
 	err   error
 	first bool
 }
@@ -19,7 +19,7 @@
 // try offers the request to a zone. A lookup that takes much longer than
 // usual is also offered to the next choice, within the budget of retries;
 // the first response wins and the other try is cancelled.
-func (r *request) try(ctx context.Context, c steer.Choice) (*call.Answer, error) {
+func (r *request) try(ctx context.Context, c steer.Choice) (*call.Response, error) {
 	delay, ok := r.hedgeDelay()
 	if !ok {
 		return bufferPrefix(r.offer(ctx, c, time.Time{}))
@@ -61,7 +61,7 @@
 
 // race waits for the first response of two tries. When both fail, one that
 // may have run decides the verdict.
-func race(results <-chan result, cancelFirst, cancelSecond context.CancelFunc) (*call.Answer, error) {
+func race(results <-chan result, cancelFirst, cancelSecond context.CancelFunc) (*call.Response, error) {
 	won := <-results
 	if won.err != nil {
 		other := <-results
@@ -95,7 +95,7 @@
 	}
 }
 
-func finish(a result, cancel context.CancelFunc) (*call.Answer, error) {
+func finish(a result, cancel context.CancelFunc) (*call.Response, error) {
 	if a.err != nil {
 		cancel()
 		return nil, a.err
--- a/internal/selector/entry/dispatch/prefix.go
+++ b/internal/selector/entry/dispatch/prefix.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"io"
 
-	"cairndock/internal/call"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/verdict"
 )
 
@@ -29,7 +29,7 @@
 
 // bufferPrefix reads the beginning of a response ahead. The gateway does the
 // same to its responses in proxy; those are HTTP bodies without a verdict.
-func bufferPrefix(a *call.Answer, err error) (*call.Answer, error) {
+func bufferPrefix(a *call.Response, err error) (*call.Response, error) {
 	if err != nil {
 		return nil, err
 	}
--- a/internal/selector/entry/dispatch/request.go
+++ b/internal/selector/entry/dispatch/request.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"cairndock/internal/call"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry/admission"
 	"cairndock/internal/selector/entry/services"
@@ -38,7 +38,7 @@
 
 // run offers the request to one zone after another, and at last waits at one
 // that was full.
-func (r *request) run(ctx context.Context) (*call.Answer, error) {
+func (r *request) run(ctx context.Context) (*call.Response, error) {
 	for r.mayTry() {
 		choice, ok := r.next()
 		if !ok {
@@ -67,7 +67,7 @@
 }
 
 // queue waits for a slot at the best zone that was full.
-func (r *request) queue(ctx context.Context) (*call.Answer, error) {
+func (r *request) queue(ctx context.Context) (*call.Response, error) {
 	until := queueUntil(time.Now(), r.req.Deadline)
 	for _, choice := range r.queueAt {
 		if ctx.Err() != nil || !r.mayTry() || time.Now().After(until) {
@@ -119,7 +119,7 @@
 
 // offer sends the request to a zone. Until says how long it may wait for a
 // slot there; the zero time is not at all.
-func (r *request) offer(ctx context.Context, c steer.Choice, until time.Time) (*call.Answer, error) {
+func (r *request) offer(ctx context.Context, c steer.Choice, until time.Time) (*call.Response, error) {
 	if !c.Local {
 		return r.offerPeers(ctx, c, until)
 	}
@@ -141,7 +141,7 @@
 
 // offerPeers forwards the request to a host of the choice's zone; of the own
 // zone, when this host is full, to one that reported a free slot.
-func (r *request) offerPeers(ctx context.Context, c steer.Choice, until time.Time) (*call.Answer, error) {
+func (r *request) offerPeers(ctx context.Context, c steer.Choice, until time.Time) (*call.Response, error) {
 	if err := r.commit(c); err != nil {
 		return nil, err
 	}
@@ -150,14 +150,14 @@
 
 // untilEnd counts a committed request as outstanding until its response is
 // read or it has failed.
-func (r *request) untilEnd(c steer.Choice) func(*call.Answer, error) (*call.Answer, error) {
+func (r *request) untilEnd(c steer.Choice) func(*call.Response, error) (*call.Response, error) {
 	var once sync.Once
 	ended := func() {
 		once.Do(func() {
 			r.state.Decide(func(dec *steer.Decider) { dec.Ended(c.Zone) })
 		})
 	}
-	return func(a *call.Answer, err error) (*call.Answer, error) {
+	return func(a *call.Response, err error) (*call.Response, error) {
 		if err != nil {
 			ended()
 			return nil, err
--- a/internal/selector/entry/drain/drain_test.go
+++ b/internal/selector/entry/drain/drain_test.go
@@ -34,7 +34,7 @@
 	view := configtest.View(t, doc)
 	set := services.NewSet(view, func() float64 { return 0.5 })
 	gate := set.Get("planning").Gate
-	gate.Configure([]slot.Spec{{Name: "up-1", Held: 2}}, []slot.RuleSpec{{Name: "all", Members: []int32{0}, InFlight: -1, Rate: -1}})
+	gate.Configure([]slot.Spec{{Name: "up-1", Held: 2}}, []slot.RuleSpec{{Name: "all", Upstreams: []int32{0}, InFlight: -1, Rate: -1}})
 	_, refusal := gate.Acquire(context.Background(), "all", time.Time{})
 	require.Equal(t, slot.Granted, refusal)
 	mesh := peer.NewMesh(peer.Hello{Host: "costa-a-1"}, nil, nil)
--- a/internal/selector/entry/explain.go
+++ b/internal/selector/entry/explain.go
@@ -6,6 +6,7 @@
 	"github.com/rotisserie/eris"
 
 	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/directory"
 	"cairndock/internal/selector/shift"
 	"cairndock/internal/selector/steer"
 )
@@ -19,7 +20,7 @@
 	Frozen     bool               `json:"frozen"`
 	Rules      []RuleExplanation  `json:"rules"`
 	Sites      []steer.SiteStatus `json:"sites"`
-	Entries    []Entry            `json:"entries"`
+	Entries    []directory.Entry  `json:"entries"`
 }
 
 // RuleExplanation says why a rule would or would not be chosen.
@@ -41,7 +42,7 @@
 	}
 	status := h.serviceStatus(service)
 	e := Explanation{
-		Service: service, Caller: caller.String(), CallerZone: v.CallerZone(caller), Revision: v.Revision(),
+		Service: service, Caller: caller.String(), CallerZone: v.ClientZone(caller), Revision: v.Revision(),
 		Frozen: h.Frozen(), Sites: status.Sites, Entries: h.directory.Entries(service, caller).Entries,
 	}
 	for i, r := range svc.Rules {
--- a/internal/selector/entry/forward/forward.go
+++ b/internal/selector/entry/forward/forward.go
@@ -14,8 +14,8 @@
 	"go.opentelemetry.io/otel/attribute"
 	"go.opentelemetry.io/otel/trace"
 
-	"cairndock/internal/call"
 	"cairndock/internal/peer"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry/links"
 	"cairndock/internal/selector/entry/peers"
@@ -29,7 +29,7 @@
 // Admitter admits requests to the upstreams of the own zone.
 type Admitter interface {
 	Acquire(ctx context.Context, service, rule string, until time.Time) (slot.Lease, error)
-	Send(ctx context.Context, req *call.Request, lease slot.Lease) (*call.Answer, error)
+	Send(ctx context.Context, req *call.Request, lease slot.Lease) (*call.Response, error)
 }
 
 // Options are what a Forwarder is made of.
@@ -55,7 +55,7 @@
 
 // Forward sends a request to the host of a zone that has most free slots. Its
 // error is a *verdict.Error.
-func (f *Forwarder) Forward(ctx context.Context, req *call.Request, zone, rule string, until time.Time) (*call.Answer, error) {
+func (f *Forwarder) Forward(ctx context.Context, req *call.Request, zone, rule string, until time.Time) (*call.Response, error) {
 	target, ok := f.Peers.WithMostFree(zone, req.Service, f.Random)
 	if !ok {
 		return nil, verdict.New(verdict.NotRun, verdict.NoUpstream, "no host of %s can be reached", zone)
@@ -72,7 +72,7 @@
 // Exchange sends a message to a host and gives its response. What was never
 // sent did not run; what was sent and got no response may have. Its error is a
 // *verdict.Error.
-func (f *Forwarder) Exchange(ctx context.Context, to member.Contact, kind peer.Kind, msg Message) (*call.Answer, error) {
+func (f *Forwarder) Exchange(ctx context.Context, to member.Contact, kind peer.Kind, msg Message) (*call.Response, error) {
 	payload, err := peer.Encode(msg)
 	if err != nil {
 		return nil, verdict.New(verdict.NotRun, verdict.BadRequest, "%v", err)
@@ -92,7 +92,7 @@
 		_ = stream.Close()
 		return nil, err
 	}
-	return &call.Answer{
+	return &call.Response{
 		Status: head.Status, Header: head.Header, Length: head.Length,
 		Upstream: head.Upstream, Verdict: head.Verdict,
 		Body: &streamBody{Stream: stream, cancel: cancel, stop: context.AfterFunc(ctx, func() { _ = stream.Close() })},
@@ -148,9 +148,9 @@
 }
 
 // noteFree takes in the slots that a peer reported with a reply.
-func (f *Forwarder) noteFree(from member.Contact, free member.Free) {
+func (f *Forwarder) noteFree(from member.Contact, free member.ServiceSlots) {
 	if free.Service == "" {
 		return
 	}
-	f.Peers.Update(func(p *member.Peers) { p.NoteFree(from.Host, free) })
+	f.Peers.Update(func(p *member.Peers) { p.RecordSlots(from.Host, free) })
 }
--- a/internal/selector/entry/forward/forward_test.go
+++ b/internal/selector/entry/forward/forward_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 	"go.opentelemetry.io/otel/trace/noop"
 
-	"cairndock/internal/call"
 	"cairndock/internal/peer"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/selector/entry/configtest"
 	"cairndock/internal/selector/entry/peers"
 	"cairndock/internal/selector/member"
@@ -35,8 +35,8 @@
 	return slot.Lease{}, verdict.New(verdict.NotRun, a.reason, "refused")
 }
 
-func (*admitter) Send(context.Context, *call.Request, slot.Lease) (*call.Answer, error) {
-	return &call.Answer{Status: 200}, nil
+func (*admitter) Send(context.Context, *call.Request, slot.Lease) (*call.Response, error) {
+	return &call.Response{Status: 200}, nil
 }
 
 func newForwarder(t *testing.T, a Admitter) *Forwarder {
--- a/internal/selector/entry/forward/message.go
+++ b/internal/selector/entry/forward/message.go
@@ -8,7 +8,7 @@
 	"go.opentelemetry.io/otel"
 	"go.opentelemetry.io/otel/propagation"
 
-	"cairndock/internal/call"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/verdict"
 )
@@ -44,7 +44,7 @@
 	Detail      string         `msgpack:"d"`
 	RetryMillis int64          `msgpack:"y"`
 	// Free is the admitting host's slots, in every reply.
-	Free member.Free `msgpack:"f"`
+	Free member.ServiceSlots `msgpack:"f"`
 }
 
 func (r reply) err() *verdict.Error {
--- a/internal/selector/entry/forward/serve.go
+++ b/internal/selector/entry/forward/serve.go
@@ -11,8 +11,8 @@
 	"go.opentelemetry.io/otel/propagation"
 	"go.opentelemetry.io/otel/trace"
 
-	"cairndock/internal/call"
 	"cairndock/internal/peer"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/selector/link"
 	"cairndock/internal/verdict"
 )
@@ -28,7 +28,7 @@
 
 // admit takes a slot for a peer's request, here or, when this host is full
 // and another of the zone is not, there.
-func (f *Forwarder) admit(ctx context.Context, msg Message) (*call.Answer, error) {
+func (f *Forwarder) admit(ctx context.Context, msg Message) (*call.Response, error) {
 	req := msg.Request()
 	if _, ok := f.View().Service(msg.Service); !ok {
 		return nil, verdict.New(verdict.NotRun, verdict.NoUpstream, "service is not known in %s yet", f.Zone)
@@ -52,7 +52,7 @@
 
 // Respond sends a response, or the verdict err, to the peer that sent the
 // request, at the pace of the link to it.
-func (f *Forwarder) Respond(ctx context.Context, from peer.Hello, name string, a *call.Answer, err error, w *peer.Responder) {
+func (f *Forwarder) Respond(ctx context.Context, from peer.Hello, name string, a *call.Response, err error, w *peer.Responder) {
 	free := f.Services.Get(name).Free(name)
 	if err != nil {
 		e := verdict.From(err)
--- a/internal/selector/entry/heartbeats/bench_test.go
+++ b/internal/selector/entry/heartbeats/bench_test.go
@@ -30,13 +30,13 @@
 	r := &replica{view: config.NewView(state, "zone-00")}
 	table := peers.New(member.Contact{Host: "zone-00-00", Zone: "zone-00"})
 	for _, m := range standin.PlannedSize().Roster(0, 74, 1).Members {
-		table.Learn([]member.Contact{{Host: m.Host, Zone: "zone-00", PeerAddr: m.PeerAddr, CallerAddr: m.CallerAddr}})
+		table.Learn([]member.Contact{{Host: m.Host, Zone: "zone-00", PeerAddr: m.PeerAddr, ClientAddr: m.ClientAddr}})
 	}
 	for z := 1; z < 80; z++ {
 		for i := range 4 {
-			c := member.Contact{Host: fmt.Sprintf("zone-%02d-%02d", z, i), Zone: fmt.Sprintf("zone-%02d", z), PeerAddr: "10.0.0.1:1", CallerAddr: "10.0.0.1:2"}
+			c := member.Contact{Host: fmt.Sprintf("zone-%02d-%02d", z, i), Zone: fmt.Sprintf("zone-%02d", z), PeerAddr: "10.0.0.1:1", ClientAddr: "10.0.0.1:2"}
 			table.Update(func(p *member.Peers) {
-				p.Heard(member.Heartbeat{Contact: c}, time.Now().Add(time.Hour), time.Millisecond)
+				p.RecordHeartbeat(member.Heartbeat{Contact: c}, time.Now().Add(time.Hour), time.Millisecond)
 			})
 		}
 	}
@@ -65,7 +65,7 @@
 				require.NoError(b, err)
 				e.unpack(&beat)
 				beat.Contact.Host = "zone-01-01"
-				e.Peers.Update(func(p *member.Peers) { p.Heard(beat, time.Now(), time.Millisecond) })
+				e.Peers.Update(func(p *member.Peers) { p.RecordHeartbeat(beat, time.Now(), time.Millisecond) })
 			}
 			b.ReportMetric(float64(size), "exchange-bytes")
 		})
--- a/internal/selector/entry/heartbeats/heartbeats.go
+++ b/internal/selector/entry/heartbeats/heartbeats.go
@@ -45,9 +45,9 @@
 // Upstreams are the states of the zone's upstreams.
 type Upstreams interface {
 	// Signs gives what this host reports of them.
-	Signs() []member.Sign
+	Signs() []member.UpstreamStatus
 	// Merge takes in a peer's reports and says whether any changed a state.
-	Merge(signs []member.Sign) bool
+	Merge(signs []member.UpstreamStatus) bool
 }
 
 // Options are what an Exchanger is made of.
@@ -103,7 +103,7 @@
 	e.Peers.Update(func(p *member.Peers) {
 		due = p.Due(now)
 		for _, c := range due {
-			p.Asking(c.Host, now)
+			p.RecordSent(c.Host, now)
 		}
 		alone = len(p.Zones()) == 0
 	})
@@ -143,7 +143,7 @@
 	}
 	e.Answered()
 	e.unpack(&resp)
-	e.Peers.Update(func(p *member.Peers) { p.Spent(size) })
+	e.Peers.Update(func(p *member.Peers) { p.RecordExchange(size) })
 	e.record(resp, asked, time.Since(asked))
 	e.merge(ctx, resp)
 	e.Config.MergeFreshness(resp, askedAt)
@@ -194,7 +194,7 @@
 	}
 	e.Rosters.Describe(&b)
 	if zone == e.Zone {
-		b.Signs = e.Upstreams.Signs()
+		b.UpstreamStatuses = e.Upstreams.Signs()
 	}
 	return b
 }
@@ -217,7 +217,7 @@
 	var before member.Peer
 	e.Peers.Update(func(p *member.Peers) {
 		before, _ = p.Get(b.Contact.Host)
-		p.Heard(b, asked, rtt)
+		p.RecordHeartbeat(b, asked, rtt)
 	})
 	if !before.Up(time.Now()) {
 		e.PeerUp()
@@ -228,9 +228,9 @@
 // peer.
 func (e *Exchanger) merge(ctx context.Context, b member.Heartbeat) {
 	e.Peers.Learn(b.Contacts)
-	e.Peers.Update(func(p *member.Peers) { p.NoteSuccessors(b.Handovers, time.Now()) })
+	e.Peers.Update(func(p *member.Peers) { p.RecordSuccessors(b.Handovers, time.Now()) })
 	newer := e.Rosters.Acknowledged(b)
-	if e.Upstreams.Merge(b.Signs) {
+	if e.Upstreams.Merge(b.UpstreamStatuses) {
 		e.Rosters.Reconfigure()
 	}
 	if newer {
--- a/internal/selector/entry/heartbeats/heartbeats_test.go
+++ b/internal/selector/entry/heartbeats/heartbeats_test.go
@@ -41,8 +41,10 @@
 func (m *membership) Acknowledged(member.Heartbeat) bool    { return m.newer }
 func (m *membership) Fetch(context.Context, member.Contact) { *m.calls = append(*m.calls, "roster") }
 func (m *membership) Reconfigure()                          { *m.calls = append(*m.calls, "reconfigure") }
-func (*states) Signs() []member.Sign                        { return []member.Sign{{Upstream: "up-1", Leaving: true}} }
-func (s *states) Merge([]member.Sign) bool                  { return s.changes }
+func (*states) Signs() []member.UpstreamStatus {
+	return []member.UpstreamStatus{{Upstream: "up-1", Leaving: true}}
+}
+func (s *states) Merge([]member.UpstreamStatus) bool { return s.changes }
 
 // newExchanger is costa-a-1. Up counts the peers that came within reach.
 func newExchanger(t *testing.T, m *membership, s *states) (e *Exchanger, calls *[]string, up *int) {
@@ -67,9 +69,9 @@
 func TestUpstreamsAreReportedWithinTheZone(t *testing.T) {
 	e, _, _ := newExchanger(t, &membership{}, &states{})
 	within, beyond := e.response(heartbeat("costa-a-2", "costa-a")), e.response(heartbeat("costa-b-1", "costa-b"))
-	require.NotEmpty(t, within.Signs)
+	require.NotEmpty(t, within.UpstreamStatuses)
 	require.Empty(t, within.ZoneSlots)
-	require.Empty(t, beyond.Signs)
+	require.Empty(t, beyond.UpstreamStatuses)
 	require.NotEmpty(t, beyond.ZoneSlots)
 	require.EqualValues(t, 5, beyond.FreshAge)
 }
@@ -83,7 +85,9 @@
 	require.Len(t, first.Contacts, 1)
 	asked.ContactsHash = first.ContactsHash
 	require.Empty(t, e.response(asked).Contacts)
-	e.Peers.Update(func(p *member.Peers) { p.Heard(heartbeat("costa-a-2", "costa-a"), time.Now(), time.Millisecond) })
+	e.Peers.Update(func(p *member.Peers) {
+		p.RecordHeartbeat(heartbeat("costa-a-2", "costa-a"), time.Now(), time.Millisecond)
+	})
 	require.Len(t, e.response(asked).Contacts, 2)
 }
 
@@ -134,7 +138,7 @@
 	b := heartbeat("costa-b-1", "costa-b")
 	b.Slots = []uint32{1, 2, 3}
 	e.unpack(&b)
-	require.Equal(t, []member.Free{{Service: "planning", Free: 1, Held: 2, Warm: 3}}, b.Free)
+	require.Equal(t, []member.ServiceSlots{{Service: "planning", Free: 1, Held: 2, Warm: 3}}, b.Free)
 	b.Free, b.Revision = nil, 2
 	e.unpack(&b)
 	require.Empty(t, b.Free)
--- a/internal/selector/entry/host.go
+++ b/internal/selector/entry/host.go
@@ -27,6 +27,7 @@
 	"cairndock/internal/selector/entry/tickets"
 	"cairndock/internal/selector/entry/upstreams"
 	"cairndock/internal/selector/member"
+	"cairndock/internal/selector/servesettings"
 	"cairndock/internal/selector/upstream"
 	"cairndock/internal/settings"
 	"cairndock/internal/telemetry"
@@ -34,7 +35,7 @@
 
 // Options are what a Host is made of.
 type Options struct {
-	Settings settings.Settings
+	Settings servesettings.Settings
 	Table    config.Table
 	Objects  config.Objects
 	Hosts    rosters.HostLister
@@ -100,7 +101,7 @@
 	}
 	self := h.Self()
 	self.PeerAddr = settings.Default(self.PeerAddr, addr)
-	self.CallerAddr = settings.Default(self.CallerAddr, callerAddr)
+	self.ClientAddr = settings.Default(self.ClientAddr, callerAddr)
 	h.peers.SetSelf(self)
 	h.fence.Start()
 	ctx, h.stop = context.WithCancel(ctx)
--- a/internal/selector/entry/links/links.go
+++ b/internal/selector/entry/links/links.go
@@ -118,7 +118,7 @@
 		}
 		hosts := 0
 		for _, p := range l.Peers.Zone(z.Name) {
-			hosts = max(hosts, p.Beat.ZoneHosts)
+			hosts = max(hosts, p.Heartbeat.ZoneHosts)
 		}
 		if hosts == 0 {
 			hosts = own
--- a/internal/selector/entry/links/links_test.go
+++ b/internal/selector/entry/links/links_test.go
@@ -81,7 +81,7 @@
 	l.View = func() *config.View { return view }
 	require.Equal(t, 3+3, l.regionHosts())
 	b := member.Heartbeat{Contact: member.Contact{Host: "costa-b-1", Zone: "costa-b", PeerAddr: "costa-b-1:2"}, ZoneHosts: 5, Slots: []uint32{}}
-	l.Peers.Update(func(p *member.Peers) { p.Heard(b, time.Now(), time.Millisecond) })
+	l.Peers.Update(func(p *member.Peers) { p.RecordHeartbeat(b, time.Now(), time.Millisecond) })
 	require.Equal(t, 3+5, l.regionHosts())
 	require.Len(t, l.lenders(), 1)
 }
--- a/internal/selector/entry/links_test.go
+++ b/internal/selector/entry/links_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/call"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/selector/entry/clustertest"
 	"cairndock/internal/verdict"
 )
--- a/internal/selector/entry/peers/peers.go
+++ b/internal/selector/entry/peers/peers.go
@@ -195,14 +195,14 @@
 
 // Failed notes that a host did not answer.
 func (t *Table) Failed(host string) {
-	t.Update(func(p *member.Peers) { p.Failed(host, time.Now()) })
+	t.Update(func(p *member.Peers) { p.RecordFailure(host, time.Now()) })
 }
 
 // Learn notes that hosts exist.
 func (t *Table) Learn(contacts []member.Contact) {
 	t.Update(func(p *member.Peers) {
 		for _, c := range contacts {
-			p.Learn(c)
+			p.AddKnown(c)
 		}
 	})
 }
--- a/internal/selector/entry/peers/peers_test.go
+++ b/internal/selector/entry/peers/peers_test.go
@@ -17,13 +17,13 @@
 func newTable(reports ...member.Heartbeat) *Table {
 	t := New(contact("costa-a-1", "costa-a"))
 	for _, r := range reports {
-		t.Update(func(p *member.Peers) { p.Heard(r, time.Now(), time.Millisecond) })
+		t.Update(func(p *member.Peers) { p.RecordHeartbeat(r, time.Now(), time.Millisecond) })
 	}
 	return t
 }
 
 func report(host, zone string, free int) member.Heartbeat {
-	f := []member.Free{{Service: "planning", Free: free, Held: 4, Warm: 2}}
+	f := []member.ServiceSlots{{Service: "planning", Free: free, Held: 4, Warm: 2}}
 	return member.Heartbeat{Contact: contact(host, zone), Free: f, ZoneFree: f, Slots: member.Pack(f), ZoneSlots: member.Pack(f)}
 }
 
@@ -51,7 +51,7 @@
 func TestIssuer(t *testing.T) {
 	handover := []member.Handover{{Incarnation: "stopped", Host: "costa-b-2"}}
 	table := newTable(report("costa-b-1", "costa-b", 1), report("costa-b-2", "costa-b", 1))
-	table.Update(func(p *member.Peers) { p.NoteSuccessors(handover, time.Now()) })
+	table.Update(func(p *member.Peers) { p.RecordSuccessors(handover, time.Now()) })
 	cases := []struct {
 		name, host, incarnation string
 		anyOfZone               bool
@@ -76,8 +76,8 @@
 func TestZoneFreeSumsTheOwnZone(t *testing.T) {
 	table := newTable(report("costa-a-2", "costa-a", 1), report("costa-a-3", "costa-a", 1), report("costa-b-1", "costa-b", 1))
 	table.Failed("costa-a-3")
-	own := []member.Free{{Service: "planning", Free: 2, Held: 4, Warm: 3}}
-	require.Equal(t, []member.Free{{Service: "planning", Free: 3, Held: 8, Warm: 5}}, table.ZoneFree(own))
+	own := []member.ServiceSlots{{Service: "planning", Free: 2, Held: 4, Warm: 3}}
+	require.Equal(t, []member.ServiceSlots{{Service: "planning", Free: 3, Held: 8, Warm: 5}}, table.ZoneFree(own))
 	require.Equal(t, 2, own[0].Free, "the argument is not changed")
 }
 
--- a/internal/selector/entry/peers/slots.go
+++ b/internal/selector/entry/peers/slots.go
@@ -20,7 +20,7 @@
 		if !p.Up(now) {
 			continue
 		}
-		free := freeOf(p.Beat.Free, service)
+		free := freeOf(p.Heartbeat.Free, service)
 		if zone == t.zone && free <= 0 {
 			continue
 		}
@@ -31,7 +31,7 @@
 	return best, bestFree >= 0
 }
 
-func freeOf(free []member.Free, service string) int {
+func freeOf(free []member.ServiceSlots, service string) int {
 	n := 0
 	for _, f := range free {
 		if f.Service == service {
@@ -42,18 +42,18 @@
 }
 
 // ZoneFree sums the slots of this host's zone; own are this host's.
-func (t *Table) ZoneFree(own []member.Free) []member.Free {
+func (t *Table) ZoneFree(own []member.ServiceSlots) []member.ServiceSlots {
 	now := time.Now()
 	sum := slices.Clone(own)
 	for _, p := range t.Zone(t.zone) {
 		if p.Up(now) {
-			addFree(sum, p.Beat.Free)
+			addFree(sum, p.Heartbeat.Free)
 		}
 	}
 	return sum
 }
 
-func addFree(sum, more []member.Free) {
+func addFree(sum, more []member.ServiceSlots) {
 	for _, f := range more {
 		for i := range sum {
 			if sum[i].Service == f.Service {
@@ -69,7 +69,7 @@
 type ZoneReport struct {
 	Zone string
 	// Free are the zone's slots, and At is when they were asked for.
-	Free []member.Free
+	Free []member.ServiceSlots
 	At   time.Time
 	// RTT is the shortest round trip to a host of the zone; zero is unknown.
 	RTT time.Duration
@@ -98,8 +98,8 @@
 			continue
 		}
 		z.Up = true
-		if p.ToldAt.After(z.At) {
-			z.At, z.Free = p.ToldAt, p.Beat.ZoneFree
+		if p.SlotsAt.After(z.At) {
+			z.At, z.Free = p.SlotsAt, p.Heartbeat.ZoneFree
 		}
 		if z.RTT == 0 || (p.RTT > 0 && p.RTT < z.RTT) {
 			z.RTT = p.RTT
--- a/internal/selector/entry/policy_test.go
+++ b/internal/selector/entry/policy_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 
 	"cairndock/internal/selector/config"
-	"cairndock/internal/selector/entry"
 	"cairndock/internal/selector/entry/clustertest"
+	"cairndock/internal/selector/entry/configsync"
 	"cairndock/internal/selector/standin"
 )
 
@@ -80,7 +80,7 @@
 				require.NoError(t, err)
 				applied, err := c.Host("sierra-a-1").Apply(context.Background(), change, 10*time.Second)
 				require.NoError(t, err)
-				require.Equal(t, entry.StateAccepted, applied.State)
+				require.Equal(t, configsync.StateAccepted, applied.State)
 				time.Sleep(clustertest.Timeout)
 				before := c.RunsIn("sierra-a")
 				out = c.Load(60, 10*time.Second)
--- a/internal/selector/entry/rosters/capacity.go
+++ b/internal/selector/entry/rosters/capacity.go
@@ -45,7 +45,7 @@
 	longest := time.Duration(svc.MaxTimeout)
 	specs := make([]slot.RuleSpec, 0, len(svc.Rules))
 	for _, r := range svc.Rules {
-		spec := slot.RuleSpec{Name: r.Name, Members: r.Local, InFlight: -1, Rate: -1}
+		spec := slot.RuleSpec{Name: r.Name, Upstreams: r.Local, InFlight: -1, Rate: -1}
 		if r.InFlight > 0 {
 			spec.InFlight = m.holder.Part("rule:"+r.Name, zonePart(r, m.Zone), longest, now)
 		}
--- a/internal/selector/entry/rosters/join.go
+++ b/internal/selector/entry/rosters/join.go
@@ -19,7 +19,7 @@
 	defer m.mu.Unlock()
 	cur := m.holder.Current()
 	m.holder = roster.NewHolder(m.Host, NewIncarnation(), m.Zone)
-	m.holder.See(cur, time.Now())
+	m.holder.Observe(cur, time.Now())
 	m.joined = false
 }
 
@@ -39,7 +39,7 @@
 	self := m.Peers.Self()
 	me := roster.Member{
 		Host: m.Host, Incarnation: incarnation, PeerAddr: self.PeerAddr,
-		CallerAddr: self.CallerAddr, State: roster.Active,
+		ClientAddr: self.ClientAddr, State: roster.Active,
 	}
 	if err := m.writeRoster(ctx, r.WithMember(me), version); err != nil {
 		return err
--- a/internal/selector/entry/rosters/membership.go
+++ b/internal/selector/entry/rosters/membership.go
@@ -184,7 +184,7 @@
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	isNew = m.holder.See(r, now)
+	isNew = m.holder.Observe(r, now)
 	for _, other := range r.Members {
 		if _, seen := m.goneAt[other.Host]; other.State == roster.Gone && !seen {
 			m.goneAt[other.Host] = now
@@ -200,7 +200,7 @@
 	var out []member.Contact
 	for _, m := range r.Members {
 		if m.State != roster.Gone {
-			out = append(out, member.Contact{Host: m.Host, Zone: r.Zone, PeerAddr: m.PeerAddr, CallerAddr: m.CallerAddr})
+			out = append(out, member.Contact{Host: m.Host, Zone: r.Zone, PeerAddr: m.PeerAddr, ClientAddr: m.ClientAddr})
 		}
 	}
 	return out
--- a/internal/selector/entry/rosters/rosters_test.go
+++ b/internal/selector/entry/rosters/rosters_test.go
@@ -141,7 +141,9 @@
 				h.Upstreams.MergeList(tc.before)
 				h.Upstreams.MergeList(tc.list)
 				other := member.Contact{Host: "costa-a-2", Zone: "costa-a", PeerAddr: "costa-a-2:2"}
-				h.Peers.Update(func(p *member.Peers) { p.Heard(member.Heartbeat{Contact: other}, time.Now(), time.Millisecond) })
+				h.Peers.Update(func(p *member.Peers) {
+					p.RecordHeartbeat(member.Heartbeat{Contact: other}, time.Now(), time.Millisecond)
+				})
 				time.Sleep(tc.silence)
 				listed := map[string]store.State{}
 				for _, s := range tc.list {
--- a/internal/selector/entry/services/services.go
+++ b/internal/selector/entry/services/services.go
@@ -45,9 +45,9 @@
 }
 
 // Free gives the service's slots as they are reported to other hosts.
-func (s *Service) Free(name string) member.Free {
+func (s *Service) Free(name string) member.ServiceSlots {
 	load := s.Gate.Load()
-	return member.Free{Service: name, Free: load.Free, Held: load.Held, Warm: load.Warm}
+	return member.ServiceSlots{Service: name, Free: load.Free, Held: load.Held, Warm: load.Warm}
 }
 
 // adoptShares starts from the shares of another host of the zone, once.
@@ -91,8 +91,8 @@
 }
 
 // Free gives the slots of each configured service.
-func (s *Set) Free() []member.Free {
-	var out []member.Free
+func (s *Set) Free() []member.ServiceSlots {
+	var out []member.ServiceSlots
 	for _, svc := range s.view().Services() {
 		out = append(out, s.Get(svc.Name).Free(svc.Name))
 	}
@@ -103,7 +103,7 @@
 func (s *Set) Outstanding() int {
 	out := 0
 	s.All(func(_ string, svc *Service) bool {
-		out += svc.Gate.Load().Out
+		out += svc.Gate.Load().Outstanding
 		return true
 	})
 	return out
--- a/internal/selector/entry/services/services_test.go
+++ b/internal/selector/entry/services/services_test.go
@@ -42,7 +42,7 @@
 // hold gives a service some slots at its upstream.
 func hold(s *Set, held int) {
 	s.Get("planning").Gate.Configure([]slot.Spec{{Name: "up-1", Held: held}},
-		[]slot.RuleSpec{{Name: "all", Members: []int32{0}, InFlight: -1, Rate: -1}})
+		[]slot.RuleSpec{{Name: "all", Upstreams: []int32{0}, InFlight: -1, Rate: -1}})
 }
 
 // TestTakenSlotsAreCounted: a slot that is taken away while a request has it
--- a/internal/selector/entry/settings.go
+++ b/internal/selector/entry/settings.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"cairndock/internal/selector/servesettings"
 	"cairndock/internal/settings"
 )
 
@@ -19,7 +20,7 @@
 )
 
 // Prepare fills the defaults of a host's settings.
-func Prepare(s *settings.Settings) {
+func Prepare(s *servesettings.Settings) {
 	s.Stop.Window = settings.Default(s.Stop.Window, settings.Seconds(stopWindow))
 	s.Stop.Grace = settings.Default(s.Stop.Grace, settings.Seconds(stopGrace))
 	s.Platform.CallsPerSecond = settings.Default(s.Platform.CallsPerSecond, callsPerSecond)
@@ -29,10 +30,8 @@
 }
 
 // Check notes the faults of a host's settings.
-func Check(s settings.Settings, f *settings.Faults) {
-	f.Require(s.Host.Name != "", "host.name", "must be set")
-	f.Require(s.Host.Zone != "", "host.zone", "must be set")
-	f.Require(s.Host.Region != "", "host.region", "must be set")
+func Check(s servesettings.Settings, f *settings.Faults) {
+	s.Host.Check(f)
 	f.Require(s.Peers.Listen != "", "peers.listen", "must be set")
 	f.Require(s.Platform.CallsPerSecond > 0, "platform.calls_per_second", "must be above 0")
 	f.Require(s.Stop.Window > 0, "stop.window", "must be above 0")
--- a/internal/selector/entry/status.go
+++ b/internal/selector/entry/status.go
@@ -94,7 +94,7 @@
 func (h *Host) serviceStatus(name string) ServiceStatus {
 	svc := h.services.Get(name)
 	load := svc.Gate.Load()
-	out := ServiceStatus{Service: name, Free: load.Free, Held: load.Held, Out: load.Out, Waiting: svc.Gate.Waiting()}
+	out := ServiceStatus{Service: name, Free: load.Free, Held: load.Held, Out: load.Outstanding, Waiting: svc.Gate.Waiting()}
 	svc.Decide(func(d *steer.Decider) {
 		out.Shares = d.Meter().Status()
 		out.Sites = d.Status(h.now())
@@ -104,7 +104,7 @@
 
 // zoneStatus gives what is known of a zone: of the own one by this host and its
 // peers, of another by the newest heartbeat of a host there that answers.
-func (h *Host) zoneStatus(v *config.View, zone string, free []member.Free) ZoneStatus {
+func (h *Host) zoneStatus(v *config.View, zone string, free []member.ServiceSlots) ZoneStatus {
 	z := ZoneStatus{Zone: zone, Region: v.Region(zone), Slots: v.ZoneSlots()[zone]}
 	now := time.Now()
 	if zone == h.zone {
@@ -119,20 +119,20 @@
 			continue
 		}
 		z.Up++
-		if z.Revision == 0 || p.Beat.Revision < z.Revision {
-			z.Revision = p.Beat.Revision
+		if z.Revision == 0 || p.Heartbeat.Revision < z.Revision {
+			z.Revision = p.Heartbeat.Revision
 		}
 		if zone != h.zone && p.HeardAt.After(newest) {
 			newest = p.HeardAt
 			z.Free, z.Held = 0, 0
-			z.FreshMillis = p.Beat.FreshAge + now.Sub(p.HeardAt).Milliseconds()
-			z.add(p.Beat.ZoneFree)
+			z.FreshMillis = p.Heartbeat.FreshAge + now.Sub(p.HeardAt).Milliseconds()
+			z.add(p.Heartbeat.ZoneFree)
 		}
 	}
 	return z
 }
 
-func (z *ZoneStatus) add(free []member.Free) {
+func (z *ZoneStatus) add(free []member.ServiceSlots) {
 	for _, f := range free {
 		z.Free += f.Free
 		z.Held += f.Held
--- a/internal/selector/entry/tickets/bench_test.go
+++ b/internal/selector/entry/tickets/bench_test.go
@@ -25,7 +25,7 @@
 	before, n := heapMB(), 0
 	b.ReportAllocs()
 	for b.Loop() {
-		t, err := i.Mint("planning")
+		t, err := i.Issue("planning")
 		require.NoError(b, err)
 		i.useForBench(t.String())
 		n++
--- a/internal/selector/entry/tickets/run.go
+++ b/internal/selector/entry/tickets/run.go
@@ -7,7 +7,7 @@
 	"io"
 	"time"
 
-	"cairndock/internal/call"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/selector/entry/admission"
 	"cairndock/internal/selector/ticket"
 	"cairndock/internal/verdict"
@@ -18,7 +18,7 @@
 const maxAnswer = 4 << 20
 
 // use runs a ticket's request, or gives the outcome of its first use.
-func (i *Issuer) use(ctx context.Context, store *ticket.Store, t ticket.Ticket, req *call.Request) (*call.Answer, error) {
+func (i *Issuer) use(ctx context.Context, store *ticket.Store, t ticket.Ticket, req *call.Request) (*call.Response, error) {
 	digest := ticket.DigestOf(req.Service, req.Method, req.Target, req.Body)
 	i.mu.Lock()
 	rec, dispatch, err := store.Begin(t, digest, time.Now())
@@ -46,17 +46,17 @@
 }
 
 // keptAnswer gives the outcome of a request that was dispatched before.
-func keptAnswer(rec ticket.Record) (*call.Answer, error) {
+func keptAnswer(rec ticket.Record) (*call.Response, error) {
 	o := rec.Outcome
 	switch {
 	case rec.Phase == ticket.Running:
 		return nil, verdict.New(verdict.MayHaveRun, verdict.TicketRunning, "the request is running").WithRetryAfter(admission.RetryAfter)
-	case rec.Phase == ticket.Doubtful:
+	case rec.Phase == ticket.InDoubt:
 		return nil, verdict.New(verdict.MayHaveRun, verdict.TicketUnknown, "the request's outcome is not known")
 	case o.Partial:
 		return nil, verdict.New(verdict.Ran, verdict.AnswerNotKept, "the answer was too large to keep").WithUpstream(o.Upstream)
 	}
-	return &call.Answer{
+	return &call.Response{
 		Status: o.Status, Header: o.Header, Length: int64(len(o.Body)), Upstream: o.Upstream,
 		Body: io.NopCloser(bytes.NewReader(o.Body)), Verdict: verdict.Ran,
 	}, nil
@@ -64,14 +64,14 @@
 
 // result is how a ticket's request ended.
 type result struct {
-	resp *call.Answer
+	resp *call.Response
 	err  error
 }
 
 // run dispatches a ticket's request detached from its client, up to the
 // service's max_timeout: a client that leaves, or whose deadline lapses, can ask
 // for the outcome later.
-func (i *Issuer) run(ctx context.Context, store *ticket.Store, t ticket.Ticket, req *call.Request) (*call.Answer, error) {
+func (i *Issuer) run(ctx context.Context, store *ticket.Store, t ticket.Ticket, req *call.Request) (*call.Response, error) {
 	done := make(chan result, 1)
 	run := *req
 	if svc, ok := i.View().Service(req.Service); ok {
@@ -94,7 +94,7 @@
 }
 
 // settle keeps the outcome of a ticket's request, whole or not at all.
-func (i *Issuer) settle(store *ticket.Store, t ticket.Ticket, a *call.Answer, err error) result {
+func (i *Issuer) settle(store *ticket.Store, t ticket.Ticket, a *call.Response, err error) result {
 	var body []byte
 	if err == nil {
 		body, err = readWhole(a)
@@ -113,7 +113,7 @@
 }
 
 // readWhole reads the body of a response, which must be kept whole.
-func readWhole(a *call.Answer) ([]byte, error) {
+func readWhole(a *call.Response) ([]byte, error) {
 	defer a.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(a.Body, maxAnswer+1))
 	if err != nil {
--- a/internal/selector/entry/tickets/tickets.go
+++ b/internal/selector/entry/tickets/tickets.go
@@ -13,8 +13,8 @@
 
 	"github.com/rs/zerolog"
 
-	"cairndock/internal/call"
 	"cairndock/internal/peer"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry/admission"
 	"cairndock/internal/selector/entry/forward"
@@ -26,8 +26,8 @@
 
 // Forwarder exchanges requests and responses with other hosts.
 type Forwarder interface {
-	Exchange(ctx context.Context, to member.Contact, kind peer.Kind, msg forward.Message) (*call.Answer, error)
-	Respond(ctx context.Context, from peer.Hello, service string, a *call.Answer, err error, w *peer.Responder)
+	Exchange(ctx context.Context, to member.Contact, kind peer.Kind, msg forward.Message) (*call.Response, error)
+	Respond(ctx context.Context, from peer.Hello, service string, a *call.Response, err error, w *peer.Responder)
 }
 
 // Options are what an Issuer is made of.
@@ -37,7 +37,7 @@
 	Incarnation string
 	View        func() *config.View
 	// Dispatch runs a request.
-	Dispatch  func(ctx context.Context, req *call.Request) (*call.Answer, error)
+	Dispatch  func(ctx context.Context, req *call.Request) (*call.Response, error)
 	Forwarder Forwarder
 	Peers     *peers.Table
 	Mesh      *peer.Mesh
@@ -86,15 +86,15 @@
 	return i.own.Running()
 }
 
-// Mint makes a ticket for one request to a service. Its error is a
+// Issue makes a ticket for one request to a service. Its error is a
 // *verdict.Error.
-func (i *Issuer) Mint(service string) (ticket.Ticket, error) {
+func (i *Issuer) Issue(service string) (ticket.Ticket, error) {
 	if _, ok := i.View().Service(service); !ok {
 		return ticket.Ticket{}, verdict.New(verdict.NotRun, verdict.UnknownService, "no service %q", service)
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	t, err := i.own.Mint(time.Now())
+	t, err := i.own.Issue(time.Now())
 	if err != nil {
 		return t, verdict.New(verdict.NotRun, verdict.Stopping, "host is stopping").WithRetryAfter(admission.RetryAfter)
 	}
@@ -103,7 +103,7 @@
 
 // Do serves a request with a ticket: here when this host issued it or is the
 // successor of the host that did, else there. Its error is a *verdict.Error.
-func (i *Issuer) Do(ctx context.Context, req *call.Request) (*call.Answer, error) {
+func (i *Issuer) Do(ctx context.Context, req *call.Request) (*call.Response, error) {
 	t, err := ticket.Parse(req.Ticket)
 	if err != nil {
 		return nil, verdict.New(verdict.NotRun, verdict.BadTicket, "%s: %v", call.HeaderTicket, err)
@@ -116,7 +116,7 @@
 
 // askIssuer forwards a ticket's request to its issuer, or to a host of the
 // issuer's zone, which knows the issuer and forwards it once more.
-func (i *Issuer) askIssuer(ctx context.Context, t ticket.Ticket, req *call.Request, passed bool) (*call.Answer, error) {
+func (i *Issuer) askIssuer(ctx context.Context, t ticket.Ticket, req *call.Request, passed bool) (*call.Response, error) {
 	to, ok := i.Peers.Issuer(t.Host, t.Incarnation, t.Zone, !passed)
 	if !ok {
 		return nil, verdict.New(verdict.MayHaveRun, verdict.TicketUnknown, "the ticket's host %s can't be reached", t.Host)
@@ -144,7 +144,7 @@
 	defer cancel()
 	t, err := ticket.Parse(req.Ticket)
 	store := i.storeOf(t)
-	var resp *call.Answer
+	var resp *call.Response
 	switch {
 	case err != nil:
 		err = verdict.New(verdict.NotRun, verdict.BadTicket, "%s: %v", call.HeaderTicket, err)
--- a/internal/selector/entry/tickets/tickets_test.go
+++ b/internal/selector/entry/tickets/tickets_test.go
@@ -13,8 +13,8 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/call"
 	"cairndock/internal/peer"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/selector/entry/configtest"
 	"cairndock/internal/selector/entry/forward"
 	"cairndock/internal/selector/entry/peers"
@@ -26,20 +26,20 @@
 // forwarder notes where requests were sent.
 type forwarder struct{ sent []forward.Message }
 
-func (f *forwarder) Exchange(_ context.Context, _ member.Contact, _ peer.Kind, msg forward.Message) (*call.Answer, error) {
+func (f *forwarder) Exchange(_ context.Context, _ member.Contact, _ peer.Kind, msg forward.Message) (*call.Response, error) {
 	f.sent = append(f.sent, msg)
 	return answer("there"), nil
 }
 
-func (*forwarder) Respond(context.Context, peer.Hello, string, *call.Answer, error, *peer.Responder) {
+func (*forwarder) Respond(context.Context, peer.Hello, string, *call.Response, error, *peer.Responder) {
 }
 
-func answer(body string) *call.Answer {
-	return &call.Answer{Status: 200, Length: int64(len(body)), Verdict: verdict.Ran, Body: io.NopCloser(strings.NewReader(body))}
+func answer(body string) *call.Response {
+	return &call.Response{Status: 200, Length: int64(len(body)), Verdict: verdict.Ran, Body: io.NopCloser(strings.NewReader(body))}
 }
 
 // newIssuer is costa-a-1, which runs requests by a function.
-func newIssuer(tb testing.TB, run func(context.Context, *call.Request) (*call.Answer, error)) *Issuer {
+func newIssuer(tb testing.TB, run func(context.Context, *call.Request) (*call.Response, error)) *Issuer {
 	view := configtest.View(tb, configtest.Planning)
 	return New(Options{
 		Host: "costa-a-1", Zone: "costa-a", Incarnation: "1", View: view,
@@ -62,24 +62,26 @@
 	large := bytes.Repeat([]byte("x"), maxAnswer+1)
 	cases := []struct {
 		name  string
-		first func() (*call.Answer, error)
+		first func() (*call.Response, error)
 		// runs is how often two uses run it; told is what the second is told.
 		runs int
 		told verdict.Verdict
 	}{
-		{"answered", func() (*call.Answer, error) { return answer("done"), nil }, 1, verdict.Ran},
-		{"proved not to have run", func() (*call.Answer, error) { return nil, verdict.New(verdict.NotRun, verdict.Full, "full") }, 2, verdict.NotRun},
-		{"in doubt", func() (*call.Answer, error) { return nil, verdict.New(verdict.MayHaveRun, verdict.PeerFailed, "lost") }, 1, verdict.MayHaveRun},
-		{"too large", func() (*call.Answer, error) { return answer(string(large)), nil }, 1, verdict.MayHaveRun},
+		{"answered", func() (*call.Response, error) { return answer("done"), nil }, 1, verdict.Ran},
+		{"proved not to have run", func() (*call.Response, error) { return nil, verdict.New(verdict.NotRun, verdict.Full, "full") }, 2, verdict.NotRun},
+		{"in doubt", func() (*call.Response, error) {
+			return nil, verdict.New(verdict.MayHaveRun, verdict.PeerFailed, "lost")
+		}, 1, verdict.MayHaveRun},
+		{"too large", func() (*call.Response, error) { return answer(string(large)), nil }, 1, verdict.MayHaveRun},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			runs := 0
-			i := newIssuer(t, func(context.Context, *call.Request) (*call.Answer, error) {
+			i := newIssuer(t, func(context.Context, *call.Request) (*call.Response, error) {
 				runs++
 				return tc.first()
 			})
-			tk, err := i.Mint("planning")
+			tk, err := i.Issue("planning")
 			require.NoError(t, err)
 			_, _ = i.Do(context.Background(), booking(tk))
 			_, err = i.Do(context.Background(), booking(tk))
@@ -97,13 +99,13 @@
 // to the service's max_timeout, and a resend gets the response.
 func TestRunsOnWithoutItsClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		i := newIssuer(t, func(ctx context.Context, req *call.Request) (*call.Answer, error) {
+		i := newIssuer(t, func(ctx context.Context, req *call.Request) (*call.Response, error) {
 			require.Equal(t, 2*time.Second, time.Until(req.Deadline))
 			time.Sleep(1500 * time.Millisecond)
 			require.NoError(t, ctx.Err())
 			return answer("done"), nil
 		})
-		tk, err := i.Mint("planning")
+		tk, err := i.Issue("planning")
 		require.NoError(t, err)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -125,17 +127,17 @@
 // successor until all of its tickets have expired, and elsewhere by asking.
 func TestSuccessorServesTheTickets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		run := func(context.Context, *call.Request) (*call.Answer, error) { return answer("here"), nil }
+		run := func(context.Context, *call.Request) (*call.Response, error) { return answer("here"), nil }
 		stopped, successor := newIssuer(t, run), newIssuer(t, run)
 		stopped.Incarnation, stopped.Host = "2", "costa-a-2"
 		stopped.own = ticket.NewStore("costa-a-2", "costa-a", "2", ticket.NewKey())
-		tk, err := stopped.Mint("planning")
+		tk, err := stopped.Issue("planning")
 		require.NoError(t, err)
 		_, err = successor.Do(context.Background(), booking(tk))
 		require.Equal(t, verdict.TicketUnknown, verdict.From(err).Reason, "nobody knows the issuer")
 
 		require.False(t, stopped.HandOver(context.Background()), "there is no other host")
-		_, err = stopped.Mint("planning")
+		_, err = stopped.Issue("planning")
 		require.Equal(t, verdict.Stopping, verdict.From(err).Reason)
 		successor.Adopt([]ticket.Handover{stopped.own.Handover(true)})
 		require.Equal(t, []member.Handover{{Incarnation: "2", Host: "costa-a-1"}}, successor.Handovers())
@@ -156,8 +158,8 @@
 func TestAsksTheIssuer(t *testing.T) {
 	i := newIssuer(t, nil)
 	b := member.Heartbeat{Contact: member.Contact{Host: "sierra-a-1", Zone: "sierra-a", PeerAddr: "sierra-a-1:2"}}
-	i.Peers.Update(func(p *member.Peers) { p.Heard(b, time.Now(), time.Millisecond) })
-	tk, err := ticket.NewStore("sierra-a-1", "sierra-a", "9", ticket.NewKey()).Mint(time.Now())
+	i.Peers.Update(func(p *member.Peers) { p.RecordHeartbeat(b, time.Now(), time.Millisecond) })
+	tk, err := ticket.NewStore("sierra-a-1", "sierra-a", "9", ticket.NewKey()).Issue(time.Now())
 	require.NoError(t, err)
 	_, err = i.Do(context.Background(), booking(tk))
 	require.NoError(t, err)
--- a/internal/selector/entry/tickets_test.go
+++ b/internal/selector/entry/tickets_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/call"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/selector/entry"
 	"cairndock/internal/selector/entry/clustertest"
 	"cairndock/internal/selector/standin"
@@ -26,7 +26,7 @@
 }
 
 func (c *cluster) mint(host string) string {
-	t, err := c.Host(host).MintTicket("planning")
+	t, err := c.Host(host).IssueTicket("planning")
 	require.NoError(c.T, err)
 	return t.String()
 }
--- a/internal/selector/entry/upstreams/probe.go
+++ b/internal/selector/entry/upstreams/probe.go
@@ -22,7 +22,7 @@
 
 // Prober asks an upstream for its state.
 type Prober interface {
-	Probe(ctx context.Context, target upstream.Target) (upstream.Word, error)
+	Probe(ctx context.Context, target upstream.Target) (upstream.Status, error)
 }
 
 // ProbeLoop probes the zone's upstreams until ctx ends. Each is probed by one
--- a/internal/selector/entry/upstreams/tracker.go
+++ b/internal/selector/entry/upstreams/tracker.go
@@ -79,23 +79,23 @@
 }
 
 // Signs gives what this host reports of the upstreams to its zone.
-func (t *Tracker) Signs() []member.Sign {
+func (t *Tracker) Signs() []member.UpstreamStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []member.Sign
+	var out []member.UpstreamStatus
 	for name := range t.probing {
 		if instance := t.instances[name]; instance != "" {
-			out = append(out, member.Sign{Upstream: name, Instance: instance, Seen: true})
+			out = append(out, member.UpstreamStatus{Upstream: name, Instance: instance, Seen: true})
 		}
 	}
 	for key := range t.departed {
-		out = append(out, member.Sign{Upstream: key.upstream, Instance: key.instance, Leaving: true})
+		out = append(out, member.UpstreamStatus{Upstream: key.upstream, Instance: key.instance, Leaving: true})
 	}
 	return out
 }
 
 // Merge takes in what another host reports, and says whether anything changed.
-func (t *Tracker) Merge(signs []member.Sign) bool {
+func (t *Tracker) Merge(signs []member.UpstreamStatus) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	changed := false
@@ -106,11 +106,11 @@
 }
 
 // Observe takes in what an upstream reported with a response or a probe.
-func (t *Tracker) Observe(name string, w upstream.Word) {
+func (t *Tracker) Observe(name string, w upstream.Status) {
 	t.Answered()
 	t.mu.Lock()
 	before := t.instances[name]
-	changed := t.note(member.Sign{Upstream: name, Instance: w.Instance, Leaving: w.Leaving, Seen: true})
+	changed := t.note(member.UpstreamStatus{Upstream: name, Instance: w.Incarnation, Leaving: w.Leaving, Seen: true})
 	t.mu.Unlock()
 	if changed {
 		t.Changed()
@@ -123,7 +123,7 @@
 	if w.Load >= 0 {
 		gate.Report(name, w.Load)
 	}
-	if before != "" && w.Instance != "" && before != w.Instance {
+	if before != "" && w.Incarnation != "" && before != w.Incarnation {
 		gate.Do(func(p *slot.Pool) { p.Restarted(name) })
 	}
 }
@@ -140,7 +140,7 @@
 		t.listed[s.Name] = s.State
 		changed = changed || old != s.State
 		if _, local := v.LocalUpstream(s.Name); local && s.State != store.Live {
-			t.note(member.Sign{Upstream: s.Name, Instance: t.instances[s.Name], Leaving: true})
+			t.note(member.UpstreamStatus{Upstream: s.Name, Instance: t.instances[s.Name], Leaving: true})
 		}
 	}
 	t.mu.Unlock()
@@ -159,7 +159,7 @@
 
 // note takes in what is known of an instance and reports whether anything
 // changed; t.mu is held.
-func (t *Tracker) note(s member.Sign) bool {
+func (t *Tracker) note(s member.UpstreamStatus) bool {
 	changed := false
 	if s.Seen && s.Instance != "" && t.instances[s.Upstream] != s.Instance {
 		t.adoptInstance(s)
@@ -175,7 +175,7 @@
 
 // adoptInstance notes the instance seen. A report of leaving that came before
 // any instance was seen belongs to the first one seen; t.mu is held.
-func (t *Tracker) adoptInstance(s member.Sign) {
+func (t *Tracker) adoptInstance(s member.UpstreamStatus) {
 	unseen := instanceKey{s.Upstream, ""}
 	if _, leaving := t.departed[unseen]; leaving && t.instances[s.Upstream] == "" {
 		delete(t.departed, unseen)
--- a/internal/selector/entry/upstreams/tracker_test.go
+++ b/internal/selector/entry/upstreams/tracker_test.go
@@ -32,12 +32,12 @@
 	type step func(tr *Tracker)
 	seen := func(instance string, leaving bool) step {
 		return func(tr *Tracker) {
-			tr.Observe("up-1", upstream.Word{Instance: instance, Leaving: leaving, Load: -1})
+			tr.Observe("up-1", upstream.Status{Incarnation: instance, Leaving: leaving, Load: -1})
 		}
 	}
 	told := func(instance string) step {
 		return func(tr *Tracker) {
-			tr.Merge([]member.Sign{{Upstream: "up-1", Instance: instance, Leaving: true}})
+			tr.Merge([]member.UpstreamStatus{{Upstream: "up-1", Instance: instance, Leaving: true}})
 		}
 	}
 	listed := func(state store.State) step {
@@ -76,19 +76,19 @@
 // and not of what it learned from the zone.
 func TestOnlyNewsIsSpread(t *testing.T) {
 	tr, changes := newTracker(t)
-	tr.Observe("up-1", upstream.Word{Instance: "1", Load: -1})
-	tr.Observe("up-1", upstream.Word{Instance: "1", Load: -1})
+	tr.Observe("up-1", upstream.Status{Incarnation: "1", Load: -1})
+	tr.Observe("up-1", upstream.Status{Incarnation: "1", Load: -1})
 	require.Equal(t, 1, *changes)
-	require.True(t, tr.Merge([]member.Sign{{Upstream: "up-1", Instance: "1", Leaving: true}}))
-	require.False(t, tr.Merge([]member.Sign{{Upstream: "up-1", Instance: "1", Leaving: true}}))
+	require.True(t, tr.Merge([]member.UpstreamStatus{{Upstream: "up-1", Instance: "1", Leaving: true}}))
+	require.False(t, tr.Merge([]member.UpstreamStatus{{Upstream: "up-1", Instance: "1", Leaving: true}}))
 	require.Equal(t, 1, *changes)
 }
 
 type prober chan string
 
-func (p prober) Probe(_ context.Context, target upstream.Target) (upstream.Word, error) {
+func (p prober) Probe(_ context.Context, target upstream.Target) (upstream.Status, error) {
 	p <- target.Addr
-	return upstream.Word{Instance: "1", Load: -1}, nil
+	return upstream.Status{Incarnation: "1", Load: -1}, nil
 }
 
 // TestProbesAreSharedOut: a host probes the upstreams that fall to it, and
@@ -101,5 +101,5 @@
 	p := make(prober, 1)
 	tr.probe(context.Background(), p, all[0])
 	require.Equal(t, "up-1:1", <-p)
-	require.Equal(t, []member.Sign{{Upstream: "up-1", Instance: "1", Seen: true}}, tr.Signs())
+	require.Equal(t, []member.UpstreamStatus{{Upstream: "up-1", Instance: "1", Seen: true}}, tr.Signs())
 }
--- a/internal/selector/entry/wiring.go
+++ b/internal/selector/entry/wiring.go
@@ -48,7 +48,7 @@
 	h.fence = fence.New(h.now)
 	h.platform = platformcalls.New(s.Platform.CallsPerSecond, h.metrics, h.fence.Answered)
 	h.peers = peers.New(member.Contact{
-		Host: s.Host.Name, Zone: s.Host.Zone, PeerAddr: s.Peers.Advertise, CallerAddr: s.Callers.Advertise,
+		Host: s.Host.Name, Zone: s.Host.Zone, PeerAddr: s.Peers.Advertise, ClientAddr: s.Callers.Advertise,
 	})
 	h.services = services.NewSet(h.View, h.random.Float64)
 	h.makeReplicas()
--- a/internal/selector/load/load_test.go
+++ b/internal/selector/load/load_test.go
@@ -69,7 +69,7 @@
 		Classes: []Class{{Name: "bookings", Service: "s", Method: "POST", Path: "/", Rate: 100, Ticket: true}},
 	})
 	require.NoError(t, err)
-	require.True(t, report.Broken())
+	require.True(t, report.HasViolations())
 	require.Zero(t, report.Wrong)
 	require.Equal(t, 1, report.RanTwice)
 	require.Equal(t, 1, report.RanDespiteNotRun)
--- a/internal/selector/load/report.go
+++ b/internal/selector/load/report.go
@@ -47,8 +47,8 @@
 	Changes *ChangeResult `json:"changes,omitempty"`
 }
 
-// Broken reports whether there was any violation.
-func (r Report) Broken() bool { return r.Wrong+r.RanTwice+r.RanDespiteNotRun+r.Over > 0 }
+// HasViolations reports whether there was any violation.
+func (r Report) HasViolations() bool { return r.Wrong+r.RanTwice+r.RanDespiteNotRun+r.Over > 0 }
 
 // Print writes the report as a table.
 func (r Report) Print(w io.Writer) {
--- a/internal/selector/load/request.go
+++ b/internal/selector/load/request.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"strings"
 
-	"cairndock/internal/call"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/verdict"
 )
 
--- a/internal/selector/member/heartbeat.go
+++ b/internal/selector/member/heartbeat.go
@@ -2,17 +2,17 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Contact is how to reach a host: PeerAddr for other hosts, CallerAddr for
+// Contact is how to reach a host: PeerAddr for other hosts, ClientAddr for
 // clients.
 type Contact struct {
 	Host       string `msgpack:"h"`
 	Zone       string `msgpack:"z"`
 	PeerAddr   string `msgpack:"p"`
-	CallerAddr string `msgpack:"c"`
+	ClientAddr string `msgpack:"c"`
 }
 
-// Free is a host's slots for one service, as in slot.Load.
-type Free struct {
+// ServiceSlots is a host's slots for one service, as in slot.Load.
+type ServiceSlots struct {
 	Service string `msgpack:"s"`
 	// Free is how many could be taken now, Held how many the host holds, Warm
 	// how many of these the upstreams' concurrency limits allow.
@@ -26,7 +26,7 @@
 
 // Pack writes slots without the services' names, in the order of the services at
 // the heartbeat's revision.
-func Pack(free []Free) []uint32 {
+func Pack(free []ServiceSlots) []uint32 {
 	out := make([]uint32, 0, numbersPerService*len(free))
 	for _, f := range free {
 		out = append(out, uint32(f.Free), uint32(f.Held), uint32(f.Warm))
@@ -36,14 +36,14 @@
 
 // Unpack reads what Pack wrote, for the services of the same revision. Slots of
 // another number of services are of another revision, and give none.
-func Unpack(packed []uint32, services []string) []Free {
+func Unpack(packed []uint32, services []string) []ServiceSlots {
 	if len(packed) != numbersPerService*len(services) {
 		return nil
 	}
-	out := make([]Free, 0, len(services))
+	out := make([]ServiceSlots, 0, len(services))
 	for i, name := range services {
 		n := packed[numbersPerService*i:]
-		out = append(out, Free{Service: name, Free: int(n[0]), Held: int(n[1]), Warm: int(n[2])})
+		out = append(out, ServiceSlots{Service: name, Free: int(n[0]), Held: int(n[1]), Warm: int(n[2])})
 	}
 	return out
 }
@@ -54,8 +54,8 @@
 	Host        string `msgpack:"h"`
 }
 
-// Sign is what a host knows of an upstream's instance, one run of its process.
-type Sign struct {
+// UpstreamStatus is what a host knows of an upstream's instance, one run of its process.
+type UpstreamStatus struct {
 	Upstream string `msgpack:"u"`
 	Instance string `msgpack:"i"`
 	// Leaving says that this instance takes no new requests.
@@ -86,17 +86,17 @@
 	Slots     []uint32 `msgpack:"s,omitempty"`
 	ZoneSlots []uint32 `msgpack:"z,omitempty"`
 	// Free and ZoneFree are the same unpacked; they are not sent.
-	Free     []Free `msgpack:"-"`
-	ZoneFree []Free `msgpack:"-"`
+	Free     []ServiceSlots `msgpack:"-"`
+	ZoneFree []ServiceSlots `msgpack:"-"`
 	// ZoneHosts is how many hosts of the zone hold slots.
 	ZoneHosts int `msgpack:"n"`
 	// Contacts are hosts of the own zone. They are in a response only when their
 	// hash is not the one in the request.
 	Contacts     []Contact `msgpack:"o,omitempty"`
 	ContactsHash uint64    `msgpack:"q"`
-	// Signs are sent within the zone only.
-	Signs     []Sign     `msgpack:"g,omitempty"`
-	Handovers []Handover `msgpack:"t,omitempty"`
+	// UpstreamStatuses are sent within the zone only.
+	UpstreamStatuses []UpstreamStatus `msgpack:"g,omitempty"`
+	Handovers        []Handover       `msgpack:"t,omitempty"`
 }
 
 // HashContacts gives a hash of the hosts that a zone names. Hosts of all versions
@@ -104,7 +104,7 @@
 func HashContacts(contacts []Contact) uint64 {
 	h := xxhash.New()
 	for _, c := range contacts {
-		_, _ = h.WriteString(c.Host + "\x00" + c.PeerAddr + "\x00" + c.CallerAddr + "\x00") // never fails
+		_, _ = h.WriteString(c.Host + "\x00" + c.PeerAddr + "\x00" + c.ClientAddr + "\x00") // never fails
 	}
 	return h.Sum64()
 }
--- a/internal/selector/member/pace.go
+++ b/internal/selector/member/pace.go
@@ -32,8 +32,10 @@
 	farFanout = 2
 )
 
-// Spent notes the size of an exchange in bytes.
-func (p *Peers) Spent(bytes int) { p.exchange += (float64(bytes) - p.exchange) / exchangeSamples }
+// RecordExchange notes the size of an exchange in bytes.
+func (p *Peers) RecordExchange(bytes int) {
+	p.exchange += (float64(bytes) - p.exchange) / exchangeSamples
+}
 
 // intervals gives how often to ask near and far hosts, as many as given, so that
 // asking them and being asked stay within the budget. exchange is the size of
@@ -45,8 +47,8 @@
 	return max(nearInterval, nearEvery), max(farInterval, farEvery)
 }
 
-// Asking notes that a heartbeat goes out to a host.
-func (p *Peers) Asking(host string, now time.Time) {
+// RecordSent notes that a heartbeat goes out to a host.
+func (p *Peers) RecordSent(host string, now time.Time) {
 	if peer, ok := p.peers[host]; ok {
 		peer.AskedAt = now
 		peer.Every = p.farEvery
--- a/internal/selector/member/peer.go
+++ b/internal/selector/member/peer.go
@@ -20,12 +20,12 @@
 // Peer is what a host knows of another one. It is immutable.
 type Peer struct {
 	Contact Contact
-	// Beat is its last heartbeat; zero before the first.
-	Beat Heartbeat
-	// HeardAt is when Beat was asked for, and ToldAt when the slots in it were:
+	// Heartbeat is its last heartbeat; zero before the first.
+	Heartbeat Heartbeat
+	// HeardAt is when it was asked for, and SlotsAt when the slots in it were:
 	// a heartbeat that asks has none, and keeps those of the one before.
 	HeardAt time.Time
-	ToldAt  time.Time
+	SlotsAt time.Time
 	// AskedAt is when a heartbeat was last sent to it, and Every how often that
 	// is done now.
 	AskedAt time.Time
@@ -46,7 +46,7 @@
 // that one of another zone may come every 40 s.
 func (p Peer) Up(now time.Time) bool {
 	return !p.HeardAt.IsZero() && now.Sub(p.HeardAt) < allowedSilence(p.Every, p.RTT) &&
-		p.FailedSince.IsZero() && !p.Beat.Leaving
+		p.FailedSince.IsZero() && !p.Heartbeat.Leaving
 }
 
 // allowedSilence is how long a peer may be silent that is asked at an interval,
--- a/internal/selector/member/peers.go
+++ b/internal/selector/member/peers.go
@@ -52,9 +52,9 @@
 	}
 }
 
-// Learn notes that a host exists. Of another zone only maxFarHosts are kept: a
+// AddKnown notes that a host exists. Of another zone only maxFarHosts are kept: a
 // new one takes the place of one that does not respond, or is not kept.
-func (p *Peers) Learn(c Contact) {
+func (p *Peers) AddKnown(c Contact) {
 	if c.Host == "" || c.Host == p.self.Host || c.PeerAddr == "" {
 		return
 	}
@@ -103,22 +103,22 @@
 	p.byZone[c.Zone] = slices.Insert(hosts, i, c.Host)
 }
 
-// Heard notes a heartbeat that was asked for at a time, with its round trip, or
+// RecordHeartbeat notes a heartbeat that was asked for at a time, with its round trip, or
 // one that asks, which came at that time and has none. An older one than known is
 // dropped.
-func (p *Peers) Heard(b Heartbeat, askedAt time.Time, rtt time.Duration) {
-	p.Learn(b.Contact)
+func (p *Peers) RecordHeartbeat(b Heartbeat, askedAt time.Time, rtt time.Duration) {
+	p.AddKnown(b.Contact)
 	peer, ok := p.peers[b.Contact.Host]
 	if !ok || askedAt.Before(peer.HeardAt) {
 		return
 	}
 	if b.Slots == nil {
 		// A heartbeat that asks has no slots: the last ones still count.
-		b.Free, b.ZoneFree, b.ZoneHosts = peer.Beat.Free, peer.Beat.ZoneFree, peer.Beat.ZoneHosts
+		b.Free, b.ZoneFree, b.ZoneHosts = peer.Heartbeat.Free, peer.Heartbeat.ZoneFree, peer.Heartbeat.ZoneHosts
 	}
-	peer.Beat, peer.HeardAt, peer.FailedSince = b, askedAt, time.Time{}
+	peer.Heartbeat, peer.HeardAt, peer.FailedSince = b, askedAt, time.Time{}
 	if b.Slots != nil {
-		peer.ContactsHash, peer.ToldAt = b.ContactsHash, askedAt
+		peer.ContactsHash, peer.SlotsAt = b.ContactsHash, askedAt
 	}
 	if rtt > 0 {
 		peer.RTT = smooth(peer.RTT, rtt)
@@ -126,8 +126,8 @@
 	p.peers[b.Contact.Host] = peer
 }
 
-// Failed notes that a host did not respond, to a heartbeat or a request.
-func (p *Peers) Failed(host string, now time.Time) {
+// RecordFailure notes that a host did not respond, to a heartbeat or a request.
+func (p *Peers) RecordFailure(host string, now time.Time) {
 	peer, ok := p.peers[host]
 	if ok && peer.FailedSince.IsZero() {
 		peer.FailedSince = now
@@ -182,27 +182,27 @@
 	return out
 }
 
-// NoteFree notes a service's slots that a host sent with a response.
-func (p *Peers) NoteFree(host string, f Free) {
+// RecordSlots notes a service's slots that a host sent with a response.
+func (p *Peers) RecordSlots(host string, f ServiceSlots) {
 	peer, ok := p.peers[host]
 	if !ok {
 		return
 	}
-	free := slices.Clone(peer.Beat.Free)
+	free := slices.Clone(peer.Heartbeat.Free)
 	for i := range free {
 		if free[i].Service == f.Service {
 			free[i] = f
 		}
 	}
-	peer.Beat.Free = free
+	peer.Heartbeat.Free = free
 	p.peers[host] = peer
 }
 
-// NoteRevision notes a configuration's revision that a host sent with a response.
-func (p *Peers) NoteRevision(host string, revision uint64) {
+// RecordRevision notes a configuration's revision that a host sent with a response.
+func (p *Peers) RecordRevision(host string, revision uint64) {
 	peer, ok := p.peers[host]
-	if ok && peer.Beat.Revision < revision {
-		peer.Beat.Revision = revision
+	if ok && peer.Heartbeat.Revision < revision {
+		peer.Heartbeat.Revision = revision
 		p.peers[host] = peer
 	}
 }
--- a/internal/selector/member/peers_test.go
+++ b/internal/selector/member/peers_test.go
@@ -10,18 +10,18 @@
 
 func contact(zone string, i int) Contact {
 	name := fmt.Sprintf("%s-%02d", zone, i)
-	return Contact{Host: name, Zone: zone, PeerAddr: name + ":1", CallerAddr: name + ":2"}
+	return Contact{Host: name, Zone: zone, PeerAddr: name + ":1", ClientAddr: name + ":2"}
 }
 
 // fleet makes a host that knows a zone of its own and others.
 func fleet(hosts, zones int) *Peers {
 	p := NewPeers(contact("own", 0))
 	for i := 1; i < hosts; i++ {
-		p.Learn(contact("own", i))
+		p.AddKnown(contact("own", i))
 	}
 	for z := range zones {
 		for i := range hosts {
-			p.Learn(contact(fmt.Sprintf("zone-%02d", z), i))
+			p.AddKnown(contact(fmt.Sprintf("zone-%02d", z), i))
 		}
 	}
 	return p
@@ -34,12 +34,12 @@
 	} {
 		p := fleet(tc.hosts, tc.zones)
 		for range 100 {
-			p.Spent(tc.exchange)
+			p.RecordExchange(tc.exchange)
 		}
 		start, asked := time.Now(), 0
 		for now := start; now.Before(start.Add(time.Minute)); now = now.Add(250 * time.Millisecond) {
 			for _, c := range p.Due(now) {
-				p.Asking(c.Host, now)
+				p.RecordSent(c.Host, now)
 				asked++
 			}
 		}
@@ -55,8 +55,8 @@
 	require.Len(t, p.Zone("own"), 73)
 	require.Len(t, p.Zone("zone-01"), maxFarHosts)
 	failed := p.Zone("zone-01")[0].Contact.Host
-	p.Failed(failed, time.Now())
-	p.Learn(contact("zone-01", 73))
+	p.RecordFailure(failed, time.Now())
+	p.AddKnown(contact("zone-01", 73))
 	_, known := p.Get(failed)
 	require.False(t, known, "one that does not respond makes room")
 	require.Len(t, p.Zone("zone-01"), maxFarHosts)
@@ -69,7 +69,7 @@
 func TestUp(t *testing.T) {
 	now := time.Now()
 	c := contact("zone-00", 1)
-	heard := func(p *Peers) { p.Heard(Heartbeat{Contact: c}, now, time.Millisecond) }
+	heard := func(p *Peers) { p.RecordHeartbeat(Heartbeat{Contact: c}, now, time.Millisecond) }
 	cases := []struct {
 		name    string
 		prepare func(p *Peers)
@@ -79,17 +79,17 @@
 		{"known only", func(*Peers) {}, 0, false},
 		{"heard", heard, time.Second, true},
 		{"silent", heard, downAfter + time.Second, false},
-		{"failed", func(p *Peers) { heard(p); p.Failed(c.Host, now) }, 0, false},
-		{"heard again", func(p *Peers) { heard(p); p.Failed(c.Host, now); heard(p) }, 0, true},
-		{"leaving", func(p *Peers) { p.Heard(Heartbeat{Contact: c, Leaving: true}, now, 0) }, 0, false},
+		{"failed", func(p *Peers) { heard(p); p.RecordFailure(c.Host, now) }, 0, false},
+		{"heard again", func(p *Peers) { heard(p); p.RecordFailure(c.Host, now); heard(p) }, 0, true},
+		{"leaving", func(p *Peers) { p.RecordHeartbeat(Heartbeat{Contact: c, Leaving: true}, now, 0) }, 0, false},
 		{"an old heartbeat after a newer one", func(p *Peers) {
-			p.Heard(Heartbeat{Contact: c, Leaving: true}, now, 0)
-			p.Heard(Heartbeat{Contact: c}, now.Add(-time.Second), 0)
+			p.RecordHeartbeat(Heartbeat{Contact: c, Leaving: true}, now, 0)
+			p.RecordHeartbeat(Heartbeat{Contact: c}, now.Add(-time.Second), 0)
 		}, 0, false},
 	}
 	for _, tc := range cases {
 		p := NewPeers(contact("own", 0))
-		p.Learn(c)
+		p.AddKnown(c)
 		tc.prepare(p)
 		peer, ok := p.Get(c.Host)
 		require.True(t, ok)
@@ -98,27 +98,27 @@
 }
 
 func TestSlotsAreSentPacked(t *testing.T) {
-	free := []Free{{"a", 1, 2, 3}, {"b", 0, 5, 4}}
+	free := []ServiceSlots{{"a", 1, 2, 3}, {"b", 0, 5, 4}}
 	require.Equal(t, free, Unpack(Pack(free), []string{"a", "b"}))
 	require.Nil(t, Unpack(Pack(free), []string{"a"}), "of another revision")
 	p := NewPeers(contact("own", 0))
 	c := contact("zone-00", 1)
 	now := time.Now()
-	p.Heard(Heartbeat{Contact: c, Slots: Pack(free), Free: free, ZoneHosts: 3}, now, time.Millisecond)
-	p.Heard(Heartbeat{Contact: c}, now.Add(time.Second), 0)
+	p.RecordHeartbeat(Heartbeat{Contact: c, Slots: Pack(free), Free: free, ZoneHosts: 3}, now, time.Millisecond)
+	p.RecordHeartbeat(Heartbeat{Contact: c}, now.Add(time.Second), 0)
 	peer, _ := p.Get(c.Host)
-	require.Equal(t, free, peer.Beat.Free, "a heartbeat that asks has no slots and clears none")
+	require.Equal(t, free, peer.Heartbeat.Free, "a heartbeat that asks has no slots and clears none")
 }
 
 func TestSuccessors(t *testing.T) {
 	p := NewPeers(contact("own", 0))
 	now := time.Now()
-	p.Learn(contact("own", 1))
-	p.NoteSuccessors([]Handover{{Incarnation: "gone", Host: "own-01"}}, now)
+	p.AddKnown(contact("own", 1))
+	p.RecordSuccessors([]Handover{{Incarnation: "gone", Host: "own-01"}}, now)
 	c, ok := p.Successor("gone")
 	require.True(t, ok)
 	require.Equal(t, "own-01", c.Host)
-	p.NoteSuccessors([]Handover{{Incarnation: "other", Host: "own-01"}}, now.Add(successorAge+time.Second))
+	p.RecordSuccessors([]Handover{{Incarnation: "other", Host: "own-01"}}, now.Add(successorAge+time.Second))
 	_, ok = p.Successor("gone")
 	require.False(t, ok, "forgotten when no longer named")
 }
@@ -128,7 +128,7 @@
 	now := time.Now()
 	hear := func(p *Peers, zone string, hosts ...int) {
 		for _, i := range hosts {
-			p.Heard(Heartbeat{Contact: contact(zone, i)}, now, time.Millisecond)
+			p.RecordHeartbeat(Heartbeat{Contact: contact(zone, i)}, now, time.Millisecond)
 		}
 	}
 	cases := []struct {
@@ -148,8 +148,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			p := NewPeers(contact("own", 0))
 			for i := 1; i < 7; i++ {
-				p.Learn(contact("own", i))
-				p.Learn(contact("far", i))
+				p.AddKnown(contact("own", i))
+				p.AddKnown(contact("far", i))
 			}
 			hear(p, tc.zone, tc.heard...)
 			var want []Contact
@@ -165,37 +165,37 @@
 // last heartbeat said, and never goes back.
 func TestNotesBetweenHeartbeats(t *testing.T) {
 	p, c := NewPeers(contact("own", 0)), contact("far", 1)
-	p.NoteFree(c.Host, Free{Service: "a"})
-	p.NoteRevision(c.Host, 9)
+	p.RecordSlots(c.Host, ServiceSlots{Service: "a"})
+	p.RecordRevision(c.Host, 9)
 	_, known := p.Get(c.Host)
 	require.False(t, known, "of an unknown host")
 
-	before := []Free{{"a", 1, 2, 3}, {"b", 4, 5, 6}}
-	p.Heard(Heartbeat{Contact: c, Slots: Pack(before), Free: before, Revision: 5}, time.Now(), time.Millisecond)
-	p.NoteFree(c.Host, Free{"b", 0, 5, 6})
-	p.NoteFree(c.Host, Free{"not in the heartbeat", 1, 1, 1})
-	p.NoteRevision(c.Host, 4)
+	before := []ServiceSlots{{"a", 1, 2, 3}, {"b", 4, 5, 6}}
+	p.RecordHeartbeat(Heartbeat{Contact: c, Slots: Pack(before), Free: before, Revision: 5}, time.Now(), time.Millisecond)
+	p.RecordSlots(c.Host, ServiceSlots{"b", 0, 5, 6})
+	p.RecordSlots(c.Host, ServiceSlots{"not in the heartbeat", 1, 1, 1})
+	p.RecordRevision(c.Host, 4)
 	peer, _ := p.Get(c.Host)
-	require.Equal(t, []Free{{"a", 1, 2, 3}, {"b", 0, 5, 6}}, peer.Beat.Free)
+	require.Equal(t, []ServiceSlots{{"a", 1, 2, 3}, {"b", 0, 5, 6}}, peer.Heartbeat.Free)
 	require.Equal(t, 4, before[1].Free, "the heartbeat's own slots are not changed")
-	require.Equal(t, uint64(5), peer.Beat.Revision)
-	p.NoteRevision(c.Host, 6)
+	require.Equal(t, uint64(5), peer.Heartbeat.Revision)
+	p.RecordRevision(c.Host, 6)
 	peer, _ = p.Get(c.Host)
-	require.Equal(t, uint64(6), peer.Beat.Revision)
+	require.Equal(t, uint64(6), peer.Heartbeat.Revision)
 }
 
 // TestAHostThatMovesIsInOneZone: a host that is learnt of in another zone is no
 // longer in the one before.
 func TestAHostThatMovesIsInOneZone(t *testing.T) {
 	p, c := NewPeers(contact("own", 0)), contact("far", 1)
-	p.Learn(c)
+	p.AddKnown(c)
 	c.Zone = "other"
-	p.Learn(c)
+	p.AddKnown(c)
 	require.Equal(t, []string{"other"}, p.Zones())
 	require.Empty(t, p.Zone("far"))
 	require.Len(t, p.Zone("other"), 1)
-	p.Learn(contact("own", 0))
-	p.Learn(Contact{Host: "without an address", Zone: "other"})
+	p.AddKnown(contact("own", 0))
+	p.AddKnown(Contact{Host: "without an address", Zone: "other"})
 	require.Equal(t, []string{"other"}, p.Zones(), "not the host itself")
 	require.Len(t, p.Zone("other"), 1, "nor one that can't be reached")
 }
--- a/internal/selector/member/successor.go
+++ b/internal/selector/member/successor.go
@@ -26,9 +26,9 @@
 	return peer.Contact, ok
 }
 
-// NoteSuccessors adds the successors that a heartbeat names, and forgets those
+// RecordSuccessors adds the successors that a heartbeat names, and forgets those
 // that no heartbeat has named for long.
-func (p *Peers) NoteSuccessors(hs []Handover, now time.Time) {
+func (p *Peers) RecordSuccessors(hs []Handover, now time.Time) {
 	for _, h := range hs {
 		p.successors[h.Incarnation] = successor{h.Host, now}
 	}
--- a/internal/selector/member/wire_test.go
+++ b/internal/selector/member/wire_test.go
@@ -11,12 +11,12 @@
 // so that the keys and types of each field stay.
 func TestHeartbeatsFormOnTheWire(t *testing.T) {
 	raw, err := msgpack.Marshal(Heartbeat{
-		Contact:     Contact{Host: "host", Zone: "zone", PeerAddr: "peer:1", CallerAddr: "caller:2"},
+		Contact:     Contact{Host: "host", Zone: "zone", PeerAddr: "peer:1", ClientAddr: "caller:2"},
 		Incarnation: "incarnation", Epoch: 1, Acked: 2, Revision: 3, Digest: 4, FreshAge: -1, Leaving: true,
-		Slots: []uint32{5}, ZoneSlots: []uint32{6}, Free: []Free{{Service: "not sent"}}, ZoneFree: []Free{{Service: "not sent"}},
+		Slots: []uint32{5}, ZoneSlots: []uint32{6}, Free: []ServiceSlots{{Service: "not sent"}}, ZoneFree: []ServiceSlots{{Service: "not sent"}},
 		ZoneHosts: 7, Contacts: []Contact{{Host: "other"}}, ContactsHash: 8,
-		Signs:     []Sign{{Upstream: "upstream", Instance: "instance", Leaving: true, Seen: true}},
-		Handovers: []Handover{{Incarnation: "stopped", Host: "successor"}},
+		UpstreamStatuses: []UpstreamStatus{{Upstream: "upstream", Instance: "instance", Leaving: true, Seen: true}},
+		Handovers:        []Handover{{Incarnation: "stopped", Host: "successor"}},
 	})
 	require.NoError(t, err)
 	var sent map[string]any
@@ -36,7 +36,7 @@
 	require.NoError(t, msgpack.Unmarshal(raw, &sent))
 	require.Len(t, sent, 9, "what has nothing to say is left out")
 
-	raw, err = msgpack.Marshal(Free{Service: "service", Free: 1, Held: 2, Warm: 3})
+	raw, err = msgpack.Marshal(ServiceSlots{Service: "service", Free: 1, Held: 2, Warm: 3})
 	require.NoError(t, err)
 	sent = nil
 	require.NoError(t, msgpack.Unmarshal(raw, &sent))
@@ -45,7 +45,7 @@
 
 // TestHashOfContacts: the hash is compared between hosts.
 func TestHashOfContacts(t *testing.T) {
-	contacts := []Contact{{Host: "a", Zone: "z", PeerAddr: "a:1", CallerAddr: "a:2"}, {Host: "b"}}
+	contacts := []Contact{{Host: "a", Zone: "z", PeerAddr: "a:1", ClientAddr: "a:2"}, {Host: "b"}}
 	require.Equal(t, uint64(0x14b1722e6f230226), HashContacts(contacts))
 	require.NotEqual(t, HashContacts(contacts), HashContacts(contacts[:1]))
 }
--- a/internal/selector/operator/config.go
+++ b/internal/selector/operator/config.go
@@ -13,7 +13,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"cairndock/internal/selector/config"
-	"cairndock/internal/selector/entry"
+	"cairndock/internal/selector/entry/configsync"
 	"cairndock/internal/tomlfile"
 )
 
@@ -84,7 +84,7 @@
 	s.log.Info().Str("change", change.ID).Uint64("revision", applied.Revision).Str("state", applied.State).
 		Msg("operator: change accepted")
 	status := http.StatusOK
-	if applied.State == entry.StatePending {
+	if applied.State == configsync.StatePending {
 		status = http.StatusAccepted
 	}
 	return c.JSON(status, applied)
--- a/internal/selector/operator/operator.go
+++ b/internal/selector/operator/operator.go
@@ -24,9 +24,12 @@
 
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry"
+	"cairndock/internal/selector/entry/configsync"
+	"cairndock/internal/selector/entry/drain"
+	"cairndock/internal/selector/servesettings"
+	"cairndock/internal/selector/tlsfiles"
 	"cairndock/internal/settings"
 	"cairndock/internal/telemetry"
-	"cairndock/internal/tlsfiles"
 )
 
 const (
@@ -49,17 +52,17 @@
 	Explain(service string, caller netip.Addr) (entry.Explanation, error)
 	// Apply appends a change to the log, and waits at most wait until it is in
 	// force everywhere. Its errors are those of config.Log.Append.
-	Apply(ctx context.Context, c config.Change, wait time.Duration) (entry.Applied, error)
+	Apply(ctx context.Context, c config.Change, wait time.Duration) (configsync.Applied, error)
 	// ChangeProgress returns how far an accepted change is, and whether there
 	// is one with this id.
-	ChangeProgress(ctx context.Context, id string) (entry.Applied, bool, error)
+	ChangeProgress(ctx context.Context, id string) (configsync.Applied, bool, error)
 	// DrainProgress returns what all hosts together still have at the named
 	// upstreams.
-	DrainProgress(ctx context.Context, names []string) entry.Drained
+	DrainProgress(ctx context.Context, names []string) drain.Drained
 }
 
 // Check adds the faults of the settings' section [operators] to f.
-func Check(s settings.Operators, f *settings.Faults) {
+func Check(s servesettings.Operators, f *settings.Faults) {
 	f.Require(s.Listen != "", "operators.listen", "must be set")
 	f.Require(len(s.Token) >= minToken, "operators.token", "must have at least "+strconv.Itoa(minToken)+" characters")
 	tlsfiles.Check("operators.tls", s.TLS, f)
@@ -67,7 +70,7 @@
 
 // Server serves operators.
 type Server struct {
-	settings settings.Operators
+	settings servesettings.Operators
 	host     Host
 	log      zerolog.Logger
 	metrics  *telemetry.Metrics
@@ -75,7 +78,7 @@
 }
 
 // New makes a server; Serve starts it.
-func New(s settings.Operators, h Host, log zerolog.Logger, m *telemetry.Metrics) *Server {
+func New(s servesettings.Operators, h Host, log zerolog.Logger, m *telemetry.Metrics) *Server {
 	srv := &Server{settings: s, host: h, log: log, metrics: m}
 	e := echo.New()
 	e.HideBanner = true
--- a/internal/selector/operator/operator_test.go
+++ b/internal/selector/operator/operator_test.go
@@ -16,7 +16,9 @@
 
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry"
-	"cairndock/internal/settings"
+	"cairndock/internal/selector/entry/configsync"
+	"cairndock/internal/selector/entry/drain"
+	"cairndock/internal/selector/servesettings"
 	"cairndock/internal/telemetry"
 )
 
@@ -27,7 +29,7 @@
 
 // fakeHost returns a fixed result of a change and keeps the last change.
 type fakeHost struct {
-	applied entry.Applied
+	applied configsync.Applied
 	err     error
 	got     *config.Change
 }
@@ -40,19 +42,19 @@
 	return entry.Explanation{}, errors.New("no service")
 }
 
-func (h *fakeHost) Apply(_ context.Context, c config.Change, _ time.Duration) (entry.Applied, error) {
+func (h *fakeHost) Apply(_ context.Context, c config.Change, _ time.Duration) (configsync.Applied, error) {
 	h.got = &c
 	return h.applied, h.err
 }
 
-func (h *fakeHost) ChangeProgress(context.Context, string) (entry.Applied, bool, error) {
-	return entry.Applied{}, false, nil
+func (h *fakeHost) ChangeProgress(context.Context, string) (configsync.Applied, bool, error) {
+	return configsync.Applied{}, false, nil
 }
 
-func (h *fakeHost) DrainProgress(context.Context, []string) entry.Drained { return entry.Drained{} }
+func (h *fakeHost) DrainProgress(context.Context, []string) drain.Drained { return drain.Drained{} }
 
 func newServer(t *testing.T, h *fakeHost) string {
-	srv := New(settings.Operators{Token: testToken}, h, zerolog.Nop(), telemetry.NewMetrics())
+	srv := New(servesettings.Operators{Token: testToken}, h, zerolog.Nop(), telemetry.NewMetrics())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	go func() { _ = srv.Serve(l) }()
@@ -78,9 +80,9 @@
 		{name: "bad document", auth: auth, match: "1", doc: "[[zone]]\nname = \"a\"\ncolour = 1", status: 400, want: "colour"},
 		{name: "nothing in it", auth: auth, match: "1", doc: "", status: 400, want: "names no object"},
 		{name: "bad wait", auth: auth, match: "1", doc: goodDoc, query: "?wait=long", status: 400, want: "wait"},
-		{name: "accepted", auth: auth, match: `"1"`, doc: goodDoc, host: fakeHost{applied: entry.Applied{State: entry.StateAccepted}}, status: 200, want: "accepted", reached: true},
-		{name: "pending", auth: auth, match: "1", doc: goodDoc, host: fakeHost{applied: entry.Applied{State: entry.StatePending}}, status: 202, want: "pending", reached: true},
-		{name: "versions in place of a base", auth: auth, doc: goodDoc + "[versions]\n\"zone/a\" = 3\n", host: fakeHost{applied: entry.Applied{State: entry.StateAccepted}}, status: 200, reached: true},
+		{name: "accepted", auth: auth, match: `"1"`, doc: goodDoc, host: fakeHost{applied: configsync.Applied{State: configsync.StateAccepted}}, status: 200, want: "accepted", reached: true},
+		{name: "pending", auth: auth, match: "1", doc: goodDoc, host: fakeHost{applied: configsync.Applied{State: configsync.StatePending}}, status: 202, want: "pending", reached: true},
+		{name: "versions in place of a base", auth: auth, doc: goodDoc + "[versions]\n\"zone/a\" = 3\n", host: fakeHost{applied: configsync.Applied{State: configsync.StateAccepted}}, status: 200, reached: true},
 		{name: "conflict", auth: auth, match: "1", doc: goodDoc, host: fakeHost{err: conflict}, status: 409, want: `"winner_change":"theirs"`, reached: true},
 		{name: "outcome unknown", auth: auth, match: "1", doc: goodDoc, host: fakeHost{err: errors.New("lost")}, status: 503, want: "same id: mine", reached: true},
 	}
--- a/internal/selector/quickstart/quickstart.go
+++ b/internal/selector/quickstart/quickstart.go
@@ -17,6 +17,7 @@
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry"
 	"cairndock/internal/selector/server"
+	"cairndock/internal/selector/servesettings"
 	"cairndock/internal/selector/standin"
 	"cairndock/internal/selector/store"
 	"cairndock/internal/settings"
@@ -81,7 +82,7 @@
 	Upstreams     []*standin.Upstream
 	UpstreamAddrs []string
 	// Platform are a host's settings to reach the platform stand-in.
-	Platform settings.Platform
+	Platform servesettings.Platform
 
 	memory  *store.Memory // the platform's state
 	options Options
@@ -191,11 +192,11 @@
 
 // startHost starts one more entry host; the first one at the options' addresses.
 func (s *System) startHost(name, zone, region string) error {
-	set := settings.Settings{
+	set := servesettings.Settings{
 		Host:      settings.Host{Name: name, Zone: zone, Region: region},
-		Callers:   settings.Callers{Listen: loopback},
-		Operators: settings.Operators{Listen: loopback, Token: s.Token},
-		Peers:     settings.Peers{Listen: loopback},
+		Callers:   servesettings.Callers{Listen: loopback},
+		Operators: servesettings.Operators{Listen: loopback, Token: s.Token},
+		Peers:     servesettings.Peers{Listen: loopback},
 		Platform:  s.Platform,
 	}
 	if len(s.Servers) == 0 {
--- a/internal/selector/quickstart/session_test.go
+++ b/internal/selector/quickstart/session_test.go
@@ -21,7 +21,8 @@
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 	"go.opentelemetry.io/otel/sdk/trace/tracetest"
 
-	"cairndock/internal/selector/entry"
+	"cairndock/internal/selector/entry/configsync"
+	"cairndock/internal/selector/entry/directory"
 	"cairndock/internal/selector/server"
 	"cairndock/internal/selector/standin"
 	"cairndock/internal/telemetry"
@@ -60,7 +61,7 @@
 				continue
 			}
 			body, err := srv.Host().EntriesFor(planning, netip.MustParseAddr("127.0.0.1"))
-			var e entry.Entries
+			var e directory.Entries
 			return err == nil && json.Unmarshal(body, &e) == nil && len(e.Entries) == len(s.system.Servers)
 		}
 		return false
@@ -98,7 +99,7 @@
 // apply submits a change and waits until it is in force everywhere.
 func (s *session) apply(doc string) {
 	status, body := s.put(s.t, doc)
-	var a entry.Applied
+	var a configsync.Applied
 	require.NoError(s.t, json.Unmarshal([]byte(body), &a))
 	s.say("PUT /v1/config -> %d %s revision %d", status, a.State, a.Revision)
 }
@@ -188,7 +189,7 @@
 	s := newSession(t)
 
 	s.say("# which hosts to use")
-	var entries entry.Entries
+	var entries directory.Entries
 	s.waitForAll("costa-a-1")
 	require.NoError(t, json.Unmarshal(s.ask("costa-a-1", "GET", "/v1/entries?service=planning", nil, ""), &entries))
 	var first []string
--- a/internal/selector/roster/holder.go
+++ b/internal/selector/roster/holder.go
@@ -44,9 +44,9 @@
 // Current is the newest roster seen.
 func (h *Holder) Current() Roster { return h.chain[len(h.chain)-1] }
 
-// See adds a roster to the chain, unless one as new is known, and reports whether
+// Observe adds a roster to the chain, unless one as new is known, and reports whether
 // it did.
-func (h *Holder) See(r Roster, now time.Time) bool {
+func (h *Holder) Observe(r Roster, now time.Time) bool {
 	before := h.Current()
 	if r.Epoch <= before.Epoch {
 		return false
--- a/internal/selector/roster/parts_test.go
+++ b/internal/selector/roster/parts_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 	now := time.Now()
 	h := NewHolder(host, host+"-1", "z")
-	h.See(rosterOf(1, hosts...), now)
+	h.Observe(rosterOf(1, hosts...), now)
 	for _, other := range hosts {
 		h.Ack(other, other+"-1", 1)
 	}
@@ -61,7 +61,7 @@
 				after = settled(t, "a", tc.next...).Part("k", units, longest, now)
 			}
 			h := settled(t, "a", tc.before...)
-			h.See(rosterOf(2, tc.next...), now)
+			h.Observe(rosterOf(2, tc.next...), now)
 			require.False(t, h.Settled())
 			require.Equal(t, min(before, after), h.Part("k", units, longest, now))
 			require.InDelta(t, tc.fraction, h.Fraction(now, longest), 1e-9)
@@ -77,7 +77,7 @@
 		"leaving":             rosterOf(1, "a").WithState("a", Leaving),
 	} {
 		h := NewHolder("a", "a-1", "z")
-		h.See(r, now)
+		h.Observe(r, now)
 		h.Ack("b", "b-1", r.Epoch)
 		h.Settle(now, longest)
 		require.Zero(t, h.Part("k", 100, longest, now), name)
@@ -91,14 +91,14 @@
 func TestSettleStepChangesWhenSlotsMayBecomeUsable(t *testing.T) {
 	now := time.Now()
 	h := NewHolder("a", "a-1", "z")
-	h.See(rosterOf(1, "a", "b"), now)
+	h.Observe(rosterOf(1, "a", "b"), now)
 	require.Zero(t, h.SettleStep(now), "not acknowledged yet")
 	h.Ack("b", "b-1", 1)
 	require.Equal(t, 1, h.SettleStep(now))
 	require.Equal(t, 1, h.SettleStep(now.Add(time.Hour)), "nobody died")
 	h.Settle(now, longest)
 	require.Zero(t, h.SettleStep(now), "nothing is left to settle")
-	h.See(rosterOf(1, "a", "b").WithState("b", Gone), now)
+	h.Observe(rosterOf(1, "a", "b").WithState("b", Gone), now)
 	require.Equal(t, 1, h.SettleStep(now))
 	require.Equal(t, 1, h.SettleStep(now.Add(settleTick-1)))
 	require.Equal(t, 2, h.SettleStep(now.Add(settleTick)))
--- a/internal/selector/roster/roster.go
+++ b/internal/selector/roster/roster.go
@@ -38,7 +38,7 @@
 	Host        string `msgpack:"h" json:"host"`
 	Incarnation string `msgpack:"i" json:"incarnation"`
 	PeerAddr    string `msgpack:"p" json:"peer_addr"`
-	CallerAddr  string `msgpack:"c" json:"caller_addr"`
+	ClientAddr  string `msgpack:"c" json:"caller_addr"`
 	State       State  `msgpack:"s" json:"state"`
 }
 
--- a/internal/selector/roster/roster_test.go
+++ b/internal/selector/roster/roster_test.go
@@ -45,14 +45,14 @@
 func TestDeadMembersSlotsRestForTheLongestDeadline(t *testing.T) {
 	now := time.Now()
 	h := NewHolder("a", "a-1", "z")
-	h.See(rosterOf(1, "a", "b"), now)
+	h.Observe(rosterOf(1, "a", "b"), now)
 	h.Ack("b", "b-1", 1)
 	require.True(t, h.Settle(now, longest))
 	before := h.Held("up", 64, longest, now).Count()
 	require.Positive(t, before)
 	require.Less(t, before, 64)
 
-	h.See(rosterOf(1, "a", "b").WithState("b", Gone), now)
+	h.Observe(rosterOf(1, "a", "b").WithState("b", Gone), now)
 	short := 2 * time.Second
 	require.Equal(t, before, h.Held("up", 64, short, now.Add(short-1)).Count())
 	require.Equal(t, 64, h.Held("up", 64, short, now.Add(short)).Count(), "a service with short deadlines has its slots early")
@@ -65,7 +65,7 @@
 func TestReplacedIncarnationRestsFirst(t *testing.T) {
 	now := time.Now()
 	h := NewHolder("a", "a-2", "z")
-	h.See(rosterOf(1, "a").WithMember(Member{Host: "a", Incarnation: "a-2", State: Active}), now)
+	h.Observe(rosterOf(1, "a").WithMember(Member{Host: "a", Incarnation: "a-2", State: Active}), now)
 	h.Replaced(now)
 	require.Zero(t, h.Held("up", 6, longest, now.Add(longest-1)).Count())
 	require.Equal(t, 6, h.Held("up", 6, longest, now.Add(longest)).Count())
@@ -75,13 +75,13 @@
 	now := time.Now()
 	for _, epoch := range []uint64{0, 1, 3} {
 		h := NewHolder("a", "a-1", "z")
-		h.See(rosterOf(2, "a", "b"), now)
+		h.Observe(rosterOf(2, "a", "b"), now)
 		h.Ack("b", "b-1", epoch)
 		require.False(t, h.Settle(now, longest), "ack of %d for 2", epoch)
 		require.Zero(t, h.Held("up", 6, longest, now))
 	}
 	h := NewHolder("a", "a-1", "z")
-	h.See(rosterOf(2, "a", "b"), now)
+	h.Observe(rosterOf(2, "a", "b"), now)
 	h.Ack("b", "another life", 2)
 	require.False(t, h.Settle(now, longest))
 }
@@ -127,7 +127,7 @@
 	last := m.rosters[len(m.rosters)-1]
 	switch rapid.SampledFrom([]string{"see", "see", "write", "begin", "end", "end", "ack", "deliver", "deliver", "settle", "settle"}).Draw(t, "step") {
 	case "see":
-		m.holders[host].See(rapid.SampledFrom(m.rosters).Draw(t, "roster"), m.now)
+		m.holders[host].Observe(rapid.SampledFrom(m.rosters).Draw(t, "roster"), m.now)
 	case "write":
 		m.rosters = append(m.rosters, nextRoster(t, last, host))
 	case "begin":
--- a/internal/selector/roster/wire_test.go
+++ b/internal/selector/roster/wire_test.go
@@ -12,7 +12,7 @@
 // hosts of other versions, so that the keys and values of each field stay.
 func TestRostersStoredForm(t *testing.T) {
 	r := Roster{Zone: "zone", Epoch: 7, Members: []Member{
-		{Host: "host", Incarnation: "incarnation", PeerAddr: "peer:1", CallerAddr: "caller:2", State: Gone},
+		{Host: "host", Incarnation: "incarnation", PeerAddr: "peer:1", ClientAddr: "caller:2", State: Gone},
 	}}
 	raw, err := msgpack.Marshal(r)
 	require.NoError(t, err)
--- a/internal/selector/server/server.go
+++ b/internal/selector/server/server.go
@@ -17,14 +17,15 @@
 	"cairndock/internal/selector/caller"
 	"cairndock/internal/selector/entry"
 	"cairndock/internal/selector/operator"
+	"cairndock/internal/selector/servesettings"
 	"cairndock/internal/selector/store"
+	"cairndock/internal/selector/tlsfiles"
 	"cairndock/internal/settings"
 	"cairndock/internal/telemetry"
-	"cairndock/internal/tlsfiles"
 )
 
 // Prepare applies the defaults of all sections. Its error joins every fault.
-func Prepare(s *settings.Settings) error {
+func Prepare(s *servesettings.Settings) error {
 	entry.Prepare(s)
 	caller.Default(&s.Callers)
 	telemetry.Default(&s.Telemetry)
@@ -56,7 +57,7 @@
 
 // Remote returns the options of a host that uses the platform of the settings,
 // and mutual TLS between hosts if they have it.
-func Remote(s settings.Settings, log zerolog.Logger, tp *sdktrace.TracerProvider) (entry.Options, error) {
+func Remote(s servesettings.Settings, log zerolog.Logger, tp *sdktrace.TracerProvider) (entry.Options, error) {
 	o := entry.Options{
 		Settings: s, Log: log, Traces: tp, Transport: entry.TCP{},
 		Table: store.NewTable(s.Platform), Objects: store.NewObjects(s.Platform),
--- a/internal/selector/server/server_test.go
+++ b/internal/selector/server/server_test.go
@@ -6,16 +6,17 @@
 
 	"github.com/stretchr/testify/require"
 
+	"cairndock/internal/selector/servesettings"
 	"cairndock/internal/settings"
 )
 
 // TestEveryFaultAtOnce names the key of each value that is missing or wrong.
 func TestEveryFaultAtOnce(t *testing.T) {
-	s := settings.Settings{
-		Callers:   settings.Callers{MaxBody: 1 << 30},
-		Operators: settings.Operators{Token: "short"},
+	s := servesettings.Settings{
+		Callers:   servesettings.Callers{MaxBody: 1 << 30},
+		Operators: servesettings.Operators{Token: "short"},
 		Telemetry: settings.Telemetry{LogLevel: "loud", Traces: "otlp", TraceShare: 2},
-		Peers:     settings.Peers{TLS: settings.TLS{Key: "only"}},
+		Peers:     servesettings.Peers{TLS: servesettings.TLS{Key: "only"}},
 	}
 	err := Prepare(&s)
 	require.Error(t, err)
--- a/internal/selector/slot/gate_test.go
+++ b/internal/selector/slot/gate_test.go
@@ -89,7 +89,7 @@
 			require.Equal(t, "a", got.lease.Upstream())
 			require.Equal(t, 2-i, q.gate.Waiting())
 		}
-		require.Equal(t, 3, q.gate.Load().Out, "each slot went from one request to the next")
+		require.Equal(t, 3, q.gate.Load().Outstanding, "each slot went from one request to the next")
 	})
 }
 
@@ -130,7 +130,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				capped := slot.RuleSpec{Name: "capped", Members: []int32{0}, InFlight: 0, Rate: -1}
+				capped := slot.RuleSpec{Name: "capped", Upstreams: []int32{0}, InFlight: 0, Rate: -1}
 				q := queue{gate: slot.NewGate(), results: make(chan result, 100)}
 				if tc.held > 0 {
 					q, _ = newQueue(t, tc.held, capped)
@@ -184,7 +184,7 @@
 func TestTheQueueIsServedInOrder(t *testing.T) {
 	specs := []slot.Spec{{Name: "a", Held: 3}, {Name: "b", Held: 3}}
 	limited := func(inFlight int) slot.RuleSpec {
-		return slot.RuleSpec{Name: "limited", Members: []int32{0}, InFlight: inFlight, Rate: -1}
+		return slot.RuleSpec{Name: "limited", Upstreams: []int32{0}, InFlight: inFlight, Rate: -1}
 	}
 	t.Run("a cap is passed over", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/selector/slot/history_test.go
+++ b/internal/selector/slot/history_test.go
@@ -36,7 +36,7 @@
 		if r.IntN(6) == 0 {
 			continue
 		}
-		rule.Members = append(rule.Members, int32(len(m.specs)))
+		rule.Upstreams = append(rule.Upstreams, int32(len(m.specs)))
 		m.specs = append(m.specs, slot.Spec{Name: fmt.Sprint(i), Held: r.IntN(6), Leaving: r.IntN(6) == 0})
 	}
 	p.Configure(m.specs, []slot.RuleSpec{rule})
@@ -86,7 +86,7 @@
 	require.Equal(t, len(m.leases), gotOut)
 	l := p.Load(now)
 	require.Equal(t, held, l.Held)
-	require.Equal(t, len(m.leases), l.Out)
+	require.Equal(t, len(m.leases), l.Outstanding)
 	require.LessOrEqual(t, l.Free, l.Warm)
 	require.LessOrEqual(t, l.Warm, l.Held)
 	require.GreaterOrEqual(t, l.Free, 0)
--- a/internal/selector/slot/pool.go
+++ b/internal/selector/slot/pool.go
@@ -145,12 +145,12 @@
 	// Warm is how many of them the upstreams' concurrency limits allow now.
 	Warm int
 	// Out is how many requests are outstanding.
-	Out int
+	Outstanding int
 }
 
 // Load sums the pool up.
 func (p *Pool) Load(now int64) Load {
-	l := Load{Held: p.held, Out: p.outstanding}
+	l := Load{Held: p.held, Outstanding: p.outstanding}
 	for _, u := range p.configured {
 		if u.leaving || u.ejected(now) {
 			continue
--- a/internal/selector/slot/pool_test.go
+++ b/internal/selector/slot/pool_test.go
@@ -14,7 +14,7 @@
 
 // unlimited is a rule without limits of its own over some upstreams.
 func unlimited(name string, upstreams ...int32) slot.RuleSpec {
-	return slot.RuleSpec{Name: name, Members: upstreams, InFlight: -1, Rate: -1}
+	return slot.RuleSpec{Name: name, Upstreams: upstreams, InFlight: -1, Rate: -1}
 }
 
 // newPool makes a pool with one unlimited rule "r" over all upstreams, and one
@@ -29,7 +29,7 @@
 	all := unlimited("r")
 	rules := make([]slot.RuleSpec, 0, len(specs)+1)
 	for i, s := range specs {
-		all.Members = append(all.Members, int32(i))
+		all.Upstreams = append(all.Upstreams, int32(i))
 		rules = append(rules, unlimited(s.Name, int32(i)))
 	}
 	p.Configure(specs, append(rules, all))
@@ -98,7 +98,7 @@
 			gotHeld, gotOut := p.Usage()
 			require.Equal(t, tc.held, gotHeld)
 			require.Equal(t, tc.outstanding, gotOut)
-			require.Equal(t, tc.outstanding, p.Load(start).Out)
+			require.Equal(t, tc.outstanding, p.Load(start).Outstanding)
 			require.Equal(t, tc.held, p.Load(start).Held)
 			require.Equal(t, b, take(t, p, "r", start).Upstream(), "new requests go elsewhere")
 			_, refusal := p.Take("r", start)
@@ -155,7 +155,7 @@
 	for range 2 {
 		end(t, p, "r", slot.Success, time.Millisecond, start)
 	}
-	require.Equal(t, slot.Load{Free: 2, Held: 4, Warm: 3, Out: 1}, p.Load(start), "the limit grows by success, from where it was")
+	require.Equal(t, slot.Load{Free: 2, Held: 4, Warm: 3, Outstanding: 1}, p.Load(start), "the limit grows by success, from where it was")
 	warm(t, p, "r", time.Millisecond)
-	require.Equal(t, slot.Load{Free: 3, Held: 4, Warm: 4, Out: 1}, p.Load(start))
+	require.Equal(t, slot.Load{Free: 3, Held: 4, Warm: 4, Outstanding: 1}, p.Load(start))
 }
--- a/internal/selector/slot/rule.go
+++ b/internal/selector/slot/rule.go
@@ -14,7 +14,7 @@
 	// Name is the rule's name.
 	Name string
 	// Members are the rule's upstreams, as indexes into the pool's specs.
-	Members []int32
+	Upstreams []int32
 	// InFlight bounds the rule's outstanding requests here; negative is none.
 	InFlight int
 	// Rate bounds the rule's requests per second here; negative is none.
@@ -36,8 +36,8 @@
 // stay.
 func (r *rule) configure(s RuleSpec, upstreams []*upstream) {
 	r.inFlight, r.rate = s.InFlight, s.Rate
-	r.upstreams = make([]*upstream, 0, len(s.Members))
-	for _, i := range s.Members {
+	r.upstreams = make([]*upstream, 0, len(s.Upstreams))
+	for _, i := range s.Upstreams {
 		r.upstreams = append(r.upstreams, upstreams[i])
 	}
 }
--- a/internal/selector/slot/rule_test.go
+++ b/internal/selector/slot/rule_test.go
@@ -51,7 +51,7 @@
 			p := newPool(slot.Spec{Name: "a", Held: tc.held})
 			warm(t, p, "r", time.Millisecond)
 			p.Configure([]slot.Spec{{Name: "a", Held: tc.held}}, []slot.RuleSpec{
-				{Name: "limited", Members: []int32{0}, InFlight: tc.inFlight, Rate: tc.rate},
+				{Name: "limited", Upstreams: []int32{0}, InFlight: tc.inFlight, Rate: tc.rate},
 			})
 			now := start
 			var last slot.Lease
@@ -80,7 +80,7 @@
 func TestARulesCountsOutliveAChange(t *testing.T) {
 	specs := []slot.Spec{{Name: "a", Held: 6}}
 	limited := func(inFlight int, rate float64) []slot.RuleSpec {
-		return []slot.RuleSpec{{Name: "limited", Members: []int32{0}, InFlight: inFlight, Rate: rate}}
+		return []slot.RuleSpec{{Name: "limited", Upstreams: []int32{0}, InFlight: inFlight, Rate: rate}}
 	}
 	p := newPool(specs...)
 	warm(t, p, "r", time.Millisecond)
--- a/internal/selector/standin/generated.go
+++ b/internal/selector/standin/generated.go
@@ -86,7 +86,7 @@
 	for i := range hosts {
 		r.Members = append(r.Members, roster.Member{
 			Host: fmt.Sprintf("%s-%02d", ZoneName(z), i), Incarnation: "01JABCDEFGHJKMNPQRSTVWXYZ0",
-			PeerAddr: "127.0.0.1:1", CallerAddr: "127.0.0.1:1", State: roster.Active,
+			PeerAddr: "127.0.0.1:1", ClientAddr: "127.0.0.1:1", State: roster.Active,
 		})
 	}
 	return r
--- a/internal/selector/standin/platform.go
+++ b/internal/selector/standin/platform.go
@@ -4,8 +4,8 @@
 	"encoding/json"
 	"net/http"
 
+	"cairndock/internal/selector/servesettings"
 	"cairndock/internal/selector/store"
-	"cairndock/internal/settings"
 )
 
 // Platform serves a store.Memory by the protocols that the store package's
@@ -17,7 +17,7 @@
 // PlatformServers are the running servers of a Platform.
 type PlatformServers struct {
 	// Settings are a host's settings to reach them.
-	Settings settings.Platform
+	Settings servesettings.Platform
 	servers  []*Server
 }
 
@@ -34,7 +34,7 @@
 		out.servers = append(out.servers, s)
 		urls = append(urls, "http://"+s.Addr)
 	}
-	out.Settings = settings.Platform{
+	out.Settings = servesettings.Platform{
 		TableEndpoint: urls[0], ObjectEndpoint: urls[1], HostsURL: urls[2],
 		Table: "cairndock", Bucket: "cairndock", Region: "local", AccessKey: "stand-in", SecretKey: "stand-in",
 	}
--- a/internal/selector/standin/respond.go
+++ b/internal/selector/standin/respond.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"cairndock/internal/call"
 	"cairndock/internal/pause"
+	"cairndock/internal/selector/call"
 )
 
 // expired reports whether the request arrived after its deadline.
--- a/internal/selector/standin/upstream.go
+++ b/internal/selector/standin/upstream.go
@@ -11,7 +11,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"cairndock/internal/call"
+	"cairndock/internal/selector/call"
 )
 
 // Faults are what an Upstream does wrong.
--- a/internal/selector/standin/upstream_test.go
+++ b/internal/selector/standin/upstream_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"cairndock/internal/call"
+	"cairndock/internal/selector/call"
 )
 
 // TestFaultsAndLedger: what an upstream records as run is what it ran, whatever
--- a/internal/selector/steer/steer_test.go
+++ b/internal/selector/steer/steer_test.go
@@ -161,7 +161,7 @@
 					specs[i] = slot.Spec{Name: fmt.Sprint(i), Held: 6}
 					members[i] = int32(i)
 				}
-				pool.Configure(specs, []slot.RuleSpec{{Name: "r", Members: members, InFlight: -1, Rate: -1}})
+				pool.Configure(specs, []slot.RuleSpec{{Name: "r", Upstreams: members, InFlight: -1, Rate: -1}})
 				now := int64(time.Hour)
 				var p Plan
 				b.ReportAllocs()
--- a/internal/selector/store/dynamodb.go
+++ b/internal/selector/store/dynamodb.go
@@ -11,7 +11,7 @@
 	"github.com/aws/smithy-go"
 	"github.com/rotisserie/eris"
 
-	"cairndock/internal/settings"
+	"cairndock/internal/selector/servesettings"
 )
 
 // The attributes of an item. They are the table's schema
@@ -43,7 +43,7 @@
 }
 
 // NewTable makes a client of the table in the settings.
-func NewTable(s settings.Platform) *Table {
+func NewTable(s servesettings.Platform) *Table {
 	return &Table{name: s.Table, client: dynamodb.New(dynamodb.Options{
 		BaseEndpoint: aws.String(s.TableEndpoint), Region: s.Region,
 		Credentials: staticCredentials{s.AccessKey, s.SecretKey}, Retryer: aws.NopRetryer{},
--- a/internal/selector/store/hostlist.go
+++ b/internal/selector/store/hostlist.go
@@ -9,7 +9,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"cairndock/internal/settings"
+	"cairndock/internal/selector/servesettings"
 )
 
 const (
@@ -29,7 +29,7 @@
 }
 
 // NewHostList makes a client of the list in the settings.
-func NewHostList(s settings.Platform) *HostList {
+func NewHostList(s servesettings.Platform) *HostList {
 	return &HostList{client: &http.Client{Timeout: hostListTimeout}, url: s.HostsURL}
 }
 
--- a/internal/selector/store/s3.go
+++ b/internal/selector/store/s3.go
@@ -12,7 +12,7 @@
 	"github.com/aws/smithy-go"
 	"github.com/rotisserie/eris"
 
-	"cairndock/internal/settings"
+	"cairndock/internal/selector/servesettings"
 )
 
 // Objects is a client of one bucket, by the S3 protocol.
@@ -22,7 +22,7 @@
 }
 
 // NewObjects makes a client of the bucket in the settings.
-func NewObjects(s settings.Platform) *Objects {
+func NewObjects(s servesettings.Platform) *Objects {
 	return &Objects{bucket: s.Bucket, client: s3.New(s3.Options{
 		BaseEndpoint: aws.String(s.ObjectEndpoint), Region: s.Region, UsePathStyle: true,
 		Credentials: staticCredentials{s.AccessKey, s.SecretKey}, Retryer: aws.NopRetryer{},
--- a/internal/selector/store/store.go
+++ b/internal/selector/store/store.go
@@ -17,6 +17,7 @@
 import (
 	"github.com/rotisserie/eris"
 
+	"cairndock/internal/selector/servesettings"
 	"cairndock/internal/settings"
 )
 
@@ -78,7 +79,7 @@
 }
 
 // Check adds the faults of the settings' section [platform] to f.
-func Check(s settings.Platform, f *settings.Faults) {
+func Check(s servesettings.Platform, f *settings.Faults) {
 	f.Require(s.TableEndpoint != "", "platform.table_endpoint", "must be set")
 	f.Require(s.ObjectEndpoint != "", "platform.object_endpoint", "must be set")
 	f.Require(s.HostsURL != "", "platform.hosts_url", "must be set")
--- a/internal/selector/ticket/handover.go
+++ b/internal/selector/ticket/handover.go
@@ -26,7 +26,7 @@
 	records := make(map[uint64]Record, len(s.records))
 	for seq, rec := range s.records {
 		if rec.Phase == Running {
-			rec.Phase = Doubtful
+			rec.Phase = InDoubt
 		}
 		records[seq] = rec
 	}
--- a/internal/selector/ticket/store.go
+++ b/internal/selector/ticket/store.go
@@ -28,8 +28,8 @@
 	Running Phase = iota + 1
 	// Completed requests have a response.
 	Completed
-	// Doubtful requests may have run; their outcome will never be known.
-	Doubtful
+	// InDoubt requests may have run; their outcome will never be known.
+	InDoubt
 )
 
 // Outcome is a kept response.
@@ -70,8 +70,8 @@
 	return &Store{host: host, zone: zone, incarnation: incarnation, key: key, records: map[uint64]Record{}}
 }
 
-// Mint issues a ticket. Nothing is kept until it is used.
-func (s *Store) Mint(now time.Time) (Ticket, error) {
+// Issue issues a ticket. Nothing is kept until it is used.
+func (s *Store) Issue(now time.Time) (Ticket, error) {
 	if s.sealed {
 		return Ticket{}, ErrSealed
 	}
@@ -130,7 +130,7 @@
 		return
 	}
 	rec := s.records[t.Sequence]
-	rec.Phase = Doubtful
+	rec.Phase = InDoubt
 	s.records[t.Sequence] = rec
 }
 
--- a/internal/selector/ticket/ticket_test.go
+++ b/internal/selector/ticket/ticket_test.go
@@ -15,7 +15,7 @@
 )
 
 func newTicket(t *testing.T, s *Store) Ticket {
-	issued, err := s.Mint(start)
+	issued, err := s.Issue(start)
 	require.NoError(t, err)
 	parsed, err := Parse(issued.String())
 	require.NoError(t, err)
@@ -36,7 +36,7 @@
 		{name: "first use", digest: digestA, dispatch: true, phase: Running},
 		{name: "resend while it runs", prepare: use, digest: digestA, phase: Running},
 		{name: "resend after the response", prepare: func(s *Store, t *Ticket) { use(s, t); s.Finish(*t, Outcome{Status: 200}) }, digest: digestA, phase: Completed},
-		{name: "resend when the outcome is in doubt", prepare: func(s *Store, t *Ticket) { use(s, t); s.Abandon(*t, false) }, digest: digestA, phase: Doubtful},
+		{name: "resend when the outcome is in doubt", prepare: func(s *Store, t *Ticket) { use(s, t); s.Abandon(*t, false) }, digest: digestA, phase: InDoubt},
 		{name: "resend after it was not run", prepare: func(s *Store, t *Ticket) { use(s, t); s.Abandon(*t, true) }, digest: digestA, dispatch: true, phase: Running},
 		{name: "another request", prepare: use, digest: digestB, err: ErrOther},
 		{name: "another request after the response", prepare: func(s *Store, t *Ticket) { use(s, t); s.Finish(*t, Outcome{Status: 200}) }, digest: digestB, err: ErrOther},
@@ -81,7 +81,7 @@
 		rec, dispatch, err = s.Begin(running, digestA, start)
 		require.NoError(t, err, name)
 		require.False(t, dispatch, name)
-		require.Equal(t, Doubtful, rec.Phase, name)
+		require.Equal(t, InDoubt, rec.Phase, name)
 	}
 	_, dispatch, err := first.Begin(unused, digestA, start)
 	require.NoError(t, err)
@@ -92,7 +92,7 @@
 	_, dispatch, err = old.Begin(unused, digestA, start)
 	require.ErrorIs(t, err, ErrSealed)
 	require.False(t, dispatch)
-	_, err = old.Mint(start)
+	_, err = old.Issue(start)
 	require.ErrorIs(t, err, ErrSealed)
 }
 
@@ -118,7 +118,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	good, _ := NewStore("h", "z", "1", NewKey()).Mint(start)
+	good, _ := NewStore("h", "z", "1", NewKey()).Issue(start)
 	for _, seed := range []string{"", "none", good.String(), strings.Repeat("A", maxLength+1)} {
 		f.Add(seed)
 	}
--- a/internal/selector/ticket/wire_test.go
+++ b/internal/selector/ticket/wire_test.go
@@ -22,7 +22,7 @@
 	raw, err := msgpack.Marshal(Handover{
 		Host: "host", Zone: "zone", Incarnation: "incarnation", Key: []byte("key"), Sealed: true,
 		Records: map[uint64]Record{7: {
-			Digest: Digest{1}, Phase: Doubtful, Expiry: 8,
+			Digest: Digest{1}, Phase: InDoubt, Expiry: 8,
 			Outcome: Outcome{Status: 200, Header: http.Header{"A": {"b"}}, Body: []byte("body"), Upstream: "upstream", Partial: true},
 		}},
 	})
--- a/internal/tlsfiles/tlsfiles.go
+++ b/internal/selector/tlsfiles/tlsfiles.go
@@ -13,6 +13,7 @@
 
 	"github.com/rotisserie/eris"
 
+	"cairndock/internal/selector/servesettings"
 	"cairndock/internal/settings"
 )
 
@@ -20,7 +21,7 @@
 const lookAgain = time.Second
 
 // Check notes the faults of a TLS section.
-func Check(key string, s settings.TLS, f *settings.Faults) {
+func Check(key string, s servesettings.TLS, f *settings.Faults) {
 	if !s.Enabled() {
 		return
 	}
@@ -35,7 +36,7 @@
 	}
 }
 
-func read(s settings.TLS) (*tls.Certificate, *x509.CertPool, error) {
+func read(s servesettings.TLS) (*tls.Certificate, *x509.CertPool, error) {
 	cert, err := tls.LoadX509KeyPair(s.Certificate, s.Key)
 	if err != nil {
 		return nil, nil, eris.Wrap(err, "read certificate and key")
@@ -53,7 +54,7 @@
 
 // Files is a set of TLS files.
 type Files struct {
-	settings settings.TLS
+	settings servesettings.TLS
 
 	mu      sync.Mutex
 	cert    *tls.Certificate
@@ -63,7 +64,7 @@
 }
 
 // Open reads the files.
-func Open(s settings.TLS) (*Files, error) {
+func Open(s servesettings.TLS) (*Files, error) {
 	f := &Files{settings: s}
 	var err error
 	f.cert, f.pool, err = read(s)
--- a/internal/tlsfiles/tlsfiles_test.go
+++ b/internal/selector/tlsfiles/tlsfiles_test.go
@@ -19,6 +19,7 @@
 	"github.com/stretchr/testify/require"
 
 	"cairndock/internal/peer"
+	"cairndock/internal/selector/servesettings"
 	"cairndock/internal/settings"
 )
 
@@ -43,7 +44,7 @@
 }
 
 // write signs a certificate for loopback and writes all three files.
-func (a authority) write(t *testing.T, dir string, serial int64) settings.TLS {
+func (a authority) write(t *testing.T, dir string, serial int64) servesettings.TLS {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
 	template := &x509.Certificate{
@@ -55,7 +56,7 @@
 	require.NoError(t, err)
 	keyDER, err := x509.MarshalECPrivateKey(key)
 	require.NoError(t, err)
-	s := settings.TLS{Certificate: filepath.Join(dir, "crt"), Key: filepath.Join(dir, "key"), CA: filepath.Join(dir, "ca")}
+	s := servesettings.TLS{Certificate: filepath.Join(dir, "crt"), Key: filepath.Join(dir, "key"), CA: filepath.Join(dir, "ca")}
 	for name, block := range map[string]*pem.Block{
 		s.Certificate: {Type: "CERTIFICATE", Bytes: der}, s.Key: {Type: "EC PRIVATE KEY", Bytes: keyDER}, s.CA: {Type: "CERTIFICATE", Bytes: a.cert.Raw},
 	} {
@@ -72,7 +73,7 @@
 	_ = w.Send(true)
 }
 
-func open(t *testing.T, s settings.TLS) *Files {
+func open(t *testing.T, s servesettings.TLS) *Files {
 	f, err := Open(s)
 	require.NoError(t, err)
 	return f
@@ -95,7 +96,7 @@
 	_ = plain.Close()
 
 	for name, tc := range map[string]struct {
-		files settings.TLS
+		files servesettings.TLS
 		ok    bool
 	}{
 		"of our CA":      {ours.write(t, t.TempDir(), 3), true},
@@ -139,14 +140,14 @@
 	ca := newAuthority(t)
 	good := ca.write(t, t.TempDir(), 7)
 	for name, tc := range map[string]struct {
-		s    settings.TLS
+		s    servesettings.TLS
 		want int
 	}{
-		"none":        {settings.TLS{}, 0},
+		"none":        {servesettings.TLS{}, 0},
 		"whole":       {good, 0},
-		"part":        {settings.TLS{Key: good.Key}, 2},
-		"not a CA":    {settings.TLS{Certificate: good.Certificate, Key: good.Key, CA: good.Key}, 1},
-		"no such key": {settings.TLS{Certificate: good.Certificate, Key: "none", CA: good.CA}, 1},
+		"part":        {servesettings.TLS{Key: good.Key}, 2},
+		"not a CA":    {servesettings.TLS{Certificate: good.Certificate, Key: good.Key, CA: good.Key}, 1},
+		"no such key": {servesettings.TLS{Certificate: good.Certificate, Key: "none", CA: good.CA}, 1},
 	} {
 		var f settings.Faults
 		Check("peers.tls", tc.s, &f)
--- a/internal/selector/upstream/attempt.go
+++ b/internal/selector/upstream/attempt.go
@@ -10,7 +10,8 @@
 	"sync"
 	"time"
 
-	"cairndock/internal/call"
+	"cairndock/internal/httpheader"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/selector/slot"
 	"cairndock/internal/verdict"
 )
@@ -131,13 +132,13 @@
 }
 
 // response makes the response, whose body frees the slot at its end.
-func (a *attempt) response(resp *http.Response, cancel context.CancelFunc) *call.Answer {
+func (a *attempt) response(resp *http.Response, cancel context.CancelFunc) *call.Response {
 	chunked := len(resp.TransferEncoding) > 0 && strings.EqualFold(resp.TransferEncoding[0], "chunked")
 	b := &body{attempt: a, inner: resp.Body, cancel: cancel}
 	b.unframed = resp.ContentLength < 0 && !chunked && resp.Request.Method != http.MethodHead
-	return &call.Answer{
+	return &call.Response{
 		Status:   resp.StatusCode,
-		Header:   call.EndToEnd(resp.Header),
+		Header:   httpheader.EndToEnd(resp.Header),
 		Body:     b,
 		Length:   resp.ContentLength,
 		Upstream: a.upstream(),
--- a/internal/selector/upstream/client.go
+++ b/internal/selector/upstream/client.go
@@ -26,7 +26,7 @@
 	"go.opentelemetry.io/otel"
 	"go.opentelemetry.io/otel/propagation"
 
-	"cairndock/internal/call"
+	"cairndock/internal/selector/call"
 	"cairndock/internal/selector/slot"
 	"cairndock/internal/verdict"
 )
@@ -48,11 +48,11 @@
 // DialFunc connects to an upstream.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Word is the status that an upstream reports of itself in the headers of a
+// Status is what an upstream reports of itself in the headers of a
 // response or probe.
-type Word struct {
-	// Instance is the upstream's incarnation; another one is another process.
-	Instance string
+type Status struct {
+	// Incarnation is one life of the upstream's process.
+	Incarnation string
 	// Leaving means that it asks for no new requests.
 	Leaving bool
 	// Load is its own view of its load, 0 to 1; negative if it reports none.
@@ -76,16 +76,16 @@
 type Client struct {
 	transport *http.Transport
 	// onStatus is called with the status in each response's headers.
-	onStatus func(name string, w Word)
+	onStatus func(name string, w Status)
 }
 
 // New makes a client. A nil dial is TCP; onStatus may be nil.
-func New(dial DialFunc, onStatus func(name string, w Word)) *Client {
+func New(dial DialFunc, onStatus func(name string, w Status)) *Client {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
 	}
 	if onStatus == nil {
-		onStatus = func(string, Word) {}
+		onStatus = func(string, Status) {}
 	}
 	c := &Client{onStatus: onStatus}
 	c.transport = &http.Transport{
@@ -112,7 +112,7 @@
 // still to be read. Its error is a *verdict.Error: NotRun when no byte was
 // written or the upstream itself refused, else MayHaveRun. done is called once
 // in every case.
-func (c *Client) Send(ctx context.Context, t Target, req *call.Request, done Done) (*call.Answer, error) {
+func (c *Client) Send(ctx context.Context, t Target, req *call.Request, done Done) (*call.Response, error) {
 	a := &attempt{target: t, began: time.Now(), done: done}
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	trace := &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { a.gotConn(i, req.Deadline) }}
@@ -169,8 +169,8 @@
 
 // parseStatus reads an upstream's status. A load that is no number counts as
 // not reported.
-func parseStatus(h http.Header) Word {
-	w := Word{Instance: h.Get(call.HeaderInstance), Leaving: h.Get(call.HeaderState) == call.StateLeaving, Load: -1}
+func parseStatus(h http.Header) Status {
+	w := Status{Incarnation: h.Get(call.HeaderInstance), Leaving: h.Get(call.HeaderState) == call.StateLeaving, Load: -1}
 	if load, err := strconv.ParseFloat(h.Get(headerLoad), 64); err == nil {
 		w.Load = load
 	}
@@ -179,14 +179,14 @@
 
 // Probe requests an upstream's status from its health path. Its HTTP status
 // does not count, and the report may be late or wrong.
-func (c *Client) Probe(ctx context.Context, t Target) (Word, error) {
+func (c *Client) Probe(ctx context.Context, t Target) (Status, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.Addr+"/healthz", nil)
 	if err != nil {
-		return Word{}, eris.Wrap(err, "make probe")
+		return Status{}, eris.Wrap(err, "make probe")
 	}
 	resp, err := c.transport.RoundTrip(req)
 	if err != nil {
-		return Word{}, eris.Wrap(err, "probe upstream")
+		return Status{}, eris.Wrap(err, "probe upstream")
 	}
 	defer resp.Body.Close()
 	// The body is read only so that the connection can be used again.
