--- /dev/null
+++ b/internal/selector/entry/dispatch/dispatch.go
@@ -0,0 +1,78 @@
+// Package dispatch decides where a request goes, and sends it to one zone after
+// another until it is answered or must be given up.
+//
+// It owns the tries of one request at a time: how many there may be, whether
+// another may follow, where to wait and when to hedge. It relies on the
+// service's decider for the choice of zones, on admission for the slots of the
+// own zone and on forwarding for other hosts (docs/design/request.md).
+package dispatch
+
+import (
+	"context"
+	"time"
+
+	"go.opentelemetry.io/otel/attribute"
+	"go.opentelemetry.io/otel/trace"
+
+	"cairndock/internal/selector/call"
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/services"
+	"cairndock/internal/selector/slot"
+	"cairndock/internal/selector/steer"
+	"cairndock/internal/verdict"
+)
+
+// Admitter admits requests to the upstreams of the own zone.
+type Admitter interface {
+	Acquire(ctx context.Context, service, rule string, until time.Time) (slot.Lease, error)
+	Cancel(service string, lease slot.Lease)
+	Send(ctx context.Context, req *call.Request, lease slot.Lease) (*call.Response, error)
+}
+
+// Forwarder forwards requests to other hosts.
+type Forwarder interface {
+	Forward(ctx context.Context, req *call.Request, zone, rule string, until time.Time) (*call.Response, error)
+	// ZoneMayHelp reports whether a host of the own zone reported a free slot.
+	ZoneMayHelp(service string) bool
+}
+
+// Options are what a Dispatcher is made of.
+type Options struct {
+	View      func() *config.View
+	Services  *services.Set
+	Admitter  Admitter
+	Forwarder Forwarder
+	// Now reads the host's monotonic clock, in nanoseconds.
+	Now    func() int64
+	Tracer trace.Tracer
+}
+
+// Dispatcher dispatches requests.
+type Dispatcher struct{ Options }
+
+// New makes a Dispatcher.
+func New(o Options) *Dispatcher { return &Dispatcher{o} }
+
+// Dispatch decides where a request goes, and offers it to other zones as long
+// as it provably did not run, or may be repeated. Its error is a
+// *verdict.Error.
+func (d *Dispatcher) Dispatch(ctx context.Context, req *call.Request) (*call.Response, error) {
+	ctx, span := d.Tracer.Start(ctx, "dispatch", trace.WithAttributes(attribute.String("service", req.Service)))
+	defer span.End()
+	svc, ok := d.View().Service(req.Service)
+	if !ok {
+		return nil, verdict.New(verdict.NotRun, verdict.UnknownService, "no service %q", req.Service)
+	}
+	resp, err := d.begin(svc, req).run(ctx)
+	if err != nil {
+		span.SetAttributes(attribute.String("verdict", verdict.From(err).Verdict.String()))
+	}
+	return resp, err
+}
+
+// begin counts a request as arrived and plans its tries.
+func (d *Dispatcher) begin(svc *config.ServiceView, req *call.Request) *request {
+	r := &request{Dispatcher: d, svc: svc, state: d.Services.Get(req.Service), req: req}
+	r.state.Decide(func(dec *steer.Decider) { dec.Begin(&r.plan) })
+	return r
+}
--- a/internal/selector/entry/entrytest/main_test.go
+++ b/internal/selector/entry/dispatch/main_test.go
@@ -1,4 +1,4 @@
-package entrytest
+package dispatch
 
 import (
 	"testing"
--- a/internal/selector/entry/host.go
+++ b/internal/selector/entry/host.go
@@ -1,47 +1,47 @@
-// Package entry is one entry host: it puts the duties together, admits
-// requests and passes them to upstreams or to other entry hosts.
 package entry
 
 import (
 	"context"
-	"math/rand/v2"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/oklog/ulid/v2"
 	"github.com/rs/zerolog"
 	"go.opentelemetry.io/otel/trace"
-	"golang.org/x/time/rate"
 
 	"cairndock/internal/peer"
 	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/admission"
+	"cairndock/internal/selector/entry/configsync"
+	"cairndock/internal/selector/entry/directory"
+	"cairndock/internal/selector/entry/dispatch"
+	"cairndock/internal/selector/entry/drain"
+	"cairndock/internal/selector/entry/fence"
+	"cairndock/internal/selector/entry/forward"
+	"cairndock/internal/selector/entry/heartbeats"
+	"cairndock/internal/selector/entry/links"
+	"cairndock/internal/selector/entry/peers"
+	"cairndock/internal/selector/entry/platformcalls"
+	"cairndock/internal/selector/entry/rosters"
+	"cairndock/internal/selector/entry/services"
+	"cairndock/internal/selector/entry/tickets"
+	"cairndock/internal/selector/entry/upstreams"
 	"cairndock/internal/selector/member"
-	"cairndock/internal/selector/roster"
-	"cairndock/internal/selector/shift"
-	"cairndock/internal/selector/slot"
-	"cairndock/internal/selector/steer"
-	"cairndock/internal/selector/store"
-	"cairndock/internal/selector/ticket"
+	"cairndock/internal/selector/servesettings"
 	"cairndock/internal/selector/upstream"
 	"cairndock/internal/settings"
 	"cairndock/internal/telemetry"
 )
 
-// HostLister gives the platform's list of live and leaving hosts.
-type HostLister interface {
-	Hosts(ctx context.Context) ([]store.HostState, error)
-}
-
-// Options is what a host is made of.
+// Options are what a Host is made of.
 type Options struct {
-	Settings settings.Settings
+	Settings servesettings.Settings
 	Table    config.Table
 	Objects  config.Objects
-	Hosts    HostLister
-	// Transport carries peer connections, and DialUpstream those to
-	// upstreams; nil is TCP.
-	Transport    peer.Transport
+	Hosts    rosters.HostLister
+	// Transport carries connections between hosts.
+	Transport peer.Transport
+	// DialUpstream makes connections to upstreams; nil is TCP.
 	DialUpstream upstream.DialFunc
 	Log          zerolog.Logger
 	Traces       trace.TracerProvider
@@ -49,171 +49,78 @@
 	Seed uint64
 }
 
-// instanceKey is one instance of an upstream.
-type instanceKey struct{ upstream, instance string }
-
-// service is one service's state on this host.
-type service struct {
-	gate *slot.Gate
-
-	mu      sync.Mutex
-	decider *steer.Decider
-	adopted bool
-}
-
 // Host is one entry host.
 type Host struct {
 	opts        Options
-	self        member.Contact
-	region      string
+	zone        string
 	incarnation string
 	made        time.Time
 	log         zerolog.Logger
 	tracer      trace.Tracer
 	metrics     *telemetry.Metrics
+	random      *lockedRand
 	mesh        *peer.Mesh
 	client      *upstream.Client
-	configLog   *config.Log
-	limiter     *rate.Limiter
-	random      *lockedRand
-
-	view atomic.Pointer[config.View]
-	// forced is held while a change is put into force.
-	forced  sync.Mutex
-	recent  []config.Change
-	freshAt atomic.Int64 // as read by now
-	ready   atomic.Bool
-
-	mu     sync.Mutex
-	peers  *member.Peers
-	holder *roster.Holder
-	acked  uint64
-	joined bool
-	// instances holds each upstream's instance last seen, and departed the
-	// instances that are known to leave. An instance never comes back.
-	instances map[string]string
-	departed  map[instanceKey]struct{}
-	probing   map[string]struct{} // upstreams that this host probes
-	// settleStep is the last step seen of the holder on its way to settle.
-	settleStep int
-	// configured is the roster epoch that the gates were configured by.
-	configured uint64
-	platHost   map[string]store.State
-	goneAt     map[string]time.Time
-
-	services sync.Map // name to *service
 
-	ticketsMu sync.Mutex
-	tickets   *ticket.Store
-	adopted   map[string]*ticket.Store
-	adoptedAt map[string]time.Time
-	handovers []member.Handover
-
-	pacersMu sync.Mutex
-	pacers   map[string]*pacedLink
-
-	// validatedAt is when the host's loop last turned with its slots known to be
-	// its own, and contactAt when anyone last answered; as read by now.
-	validatedAt  atomic.Int64
-	contactAt    atomic.Int64
-	revalidating atomic.Bool
-	leaving      atomic.Bool
-	inFlight     atomic.Int64
-	entries      entriesCache
-	wake         chan struct{}
+	// What the host knows, and what it may use by that.
+	peers      *peers.Table
+	services   *services.Set
+	config     *configsync.Replica
+	rosters    *rosters.Membership
+	upstreams  *upstreams.Tracker
+	heartbeats *heartbeats.Exchanger
+	fence      *fence.Fence
+	platform   *platformcalls.Caller
+
+	// The way of a request.
+	admission *admission.Admitter
+	forward   *forward.Forwarder
+	dispatch  *dispatch.Dispatcher
+	tickets   *tickets.Issuer
+	links     *links.Links
+
+	// What operators and clients ask for beside it.
+	directory *directory.Directory
+	drain     *drain.Counter
+
+	ready    atomic.Bool
+	leaving  atomic.Bool
+	inFlight atomic.Int64
+	wake     chan struct{}
 
 	stop context.CancelFunc
 	wait sync.WaitGroup
 }
 
-type lockedRand struct {
-	mu sync.Mutex
-	r  *rand.Rand
-}
-
-func (l *lockedRand) Float64() float64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.r.Float64()
-}
-
-const (
-	// tick is the pace of the host's own loop.
-	tick = 250 * time.Millisecond
-	// maxPause is the longest gap between two turns of the loop before the
-	// host takes itself for paused and asks anew what it may still do.
-	maxPause = 2 * time.Second
-	// maxIsolation is the longest silence of peers, platform and upstreams
-	// all together before the host takes itself for cut off from everything.
-	// It is below member.LostAfter, the silence after which a host that the
-	// platform calls gone loses its slots.
-	maxIsolation = 4 * time.Second
-	// FreezeAfter is the age of the last proof that the configuration is
-	// the newest, after which the host freezes: ramps stand still and the
-	// own zone goes first.
-	FreezeAfter = 4 * time.Second
-)
-
-// New makes a host. Its settings must have been prepared.
-func New(o Options) (*Host, error) {
-	s := o.Settings
-	incarnation := ulid.Make().String()
-	h := &Host{
-		opts:        o,
-		region:      s.Host.Region,
-		incarnation: incarnation,
-		made:        time.Now(),
-		log:         o.Log.With().Str("host", s.Host.Name).Logger(),
-		tracer:      telemetry.Tracer(o.Traces),
-		metrics:     telemetry.NewMetrics(),
-		configLog:   config.NewLog(o.Table, o.Objects),
-		limiter:     rate.NewLimiter(rate.Limit(s.Platform.CallsPerSecond), platformBurst),
-		random:      &lockedRand{r: rand.New(rand.NewPCG(o.Seed, uint64(len(s.Host.Name))))},
-		instances:   map[string]string{},
-		departed:    map[instanceKey]struct{}{},
-		probing:     map[string]struct{}{},
-		platHost:    map[string]store.State{},
-		goneAt:      map[string]time.Time{},
-		adopted:     map[string]*ticket.Store{},
-		adoptedAt:   map[string]time.Time{},
-		pacers:      map[string]*pacedLink{},
-		wake:        make(chan struct{}, 1),
-	}
-	h.self = member.Contact{Host: s.Host.Name, Zone: s.Host.Zone, PeerAddr: s.Peers.Advertise, CallerAddr: s.Callers.Advertise}
-	h.client = upstream.New(o.DialUpstream, h.hear)
-	h.tickets = ticket.NewStore(s.Host.Name, s.Host.Zone, incarnation, ticket.NewKey())
-	h.holder = roster.NewHolder(s.Host.Name, incarnation, s.Host.Zone)
-	hello := peer.Hello{Host: s.Host.Name, Zone: s.Host.Zone, Incarnation: incarnation}
-	h.mesh = peer.NewMesh(hello, o.Transport, h)
-	h.view.Store(config.NewView(config.NewState(), s.Host.Zone))
-	return h, nil
-}
-
-// Start takes up the host's duties. The caller's address must be known, so
-// the callers' listener is opened first and its address given here.
+// Start begins the host's duties. Clients must be able to reach the host by
+// then: callerAddr is the address of the listener opened for them.
 func (h *Host) Start(ctx context.Context, callerAddr string) error {
 	addr, err := h.mesh.Listen(h.opts.Settings.Peers.Listen)
 	if err != nil {
 		return err
 	}
-	h.self.PeerAddr = settings.Default(h.self.PeerAddr, addr)
-	h.self.CallerAddr = settings.Default(h.self.CallerAddr, callerAddr)
-	h.peers = member.NewPeers(h.self)
-	h.validatedAt.Store(h.now())
-	h.contactAt.Store(h.now())
+	self := h.Self()
+	self.PeerAddr = settings.Default(self.PeerAddr, addr)
+	self.ClientAddr = settings.Default(self.ClientAddr, callerAddr)
+	h.peers.SetSelf(self)
+	h.fence.Start()
 	ctx, h.stop = context.WithCancel(ctx)
 	h.registerMetrics()
-	for _, loop := range []func(context.Context){h.beatLoop, h.platformLoop, h.probeLoop, h.rosterLoop} {
+	for _, loop := range []func(context.Context){h.loop, h.config.PollLoop, h.probeLoop, h.rosters.Loop} {
 		h.wait.Add(1)
 		go func() {
 			defer h.wait.Done()
 			loop(ctx)
 		}()
 	}
-	h.log.Info().Str("zone", h.self.Zone).Str("incarnation", h.incarnation).Msg("entry: host started")
+	h.log.Info().Str("zone", h.zone).Str("incarnation", h.incarnation).Msg("entry: host started")
 	return nil
 }
 
+// Distrust makes the host read its zone's roster before it sends anything more,
+// as it does when its own loop shows that it was paused.
+func (h *Host) Distrust() { h.fence.Close() }
+
 // Close stops the host at once.
 func (h *Host) Close() {
 	if h.stop != nil {
@@ -221,40 +128,30 @@
 	}
 	h.mesh.Close()
 	h.wait.Wait()
+	h.tickets.Wait()
 	h.client.Close()
 }
 
-// Self says how to reach the host.
-func (h *Host) Self() member.Contact { return h.self }
+// Self is how the host is reached.
+func (h *Host) Self() member.Contact { return h.peers.Self() }
 
 // Metrics gives the host's metrics.
 func (h *Host) Metrics() *telemetry.Metrics { return h.metrics }
 
 // View is the configuration in force.
-func (h *Host) View() *config.View { return h.view.Load() }
+func (h *Host) View() *config.View { return h.config.View() }
 
 // Serving reports whether the host ever had a configuration that was known
-// to be the newest. An old one alone is never served from.
+// to be the newest, and somewhere to send requests to. It never serves from an
+// old configuration alone.
 func (h *Host) Serving() bool { return h.ready.Load() }
 
-// Ready reports whether callers should come: the host serves, and it is not
+// Ready reports whether clients should come: the host serves, and it is not
 // leaving.
 func (h *Host) Ready() bool { return h.Serving() && !h.leaving.Load() }
 
 // Frozen reports whether the configuration may no longer be the newest.
-func (h *Host) Frozen() bool {
-	return h.now()-h.freshAt.Load() > int64(FreezeAfter)
-}
-
-// serviceFor gives a service's state, making it when it is new.
-func (h *Host) serviceFor(name string) *service {
-	if s, ok := h.services.Load(name); ok {
-		return s.(*service)
-	}
-	meter := shift.NewMeter(h.random.Float64, time.Now())
-	s, _ := h.services.LoadOrStore(name, &service{gate: slot.NewGate(), decider: steer.New(meter)})
-	return s.(*service)
-}
+func (h *Host) Frozen() bool { return h.config.Frozen() }
 
 // clockStart is what the host's clock reads when the host is made; above
 // zero, so that zero is always long ago.
--- /dev/null
+++ b/internal/selector/entry/rosters/capacity.go
@@ -0,0 +1,95 @@
+package rosters
+
+import (
+	"time"
+
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/services"
+	"cairndock/internal/selector/slot"
+	"cairndock/internal/selector/steer"
+)
+
+// Reconfigure works out anew what the host may use, after a change of the
+// configuration, the roster or an upstream's state.
+func (m *Membership) Reconfigure() {
+	now := time.Now()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	v := m.View()
+	m.configured = m.holder.Current().Epoch
+	for _, svc := range v.Services() {
+		s := m.Services.Get(svc.Name)
+		s.Gate.Configure(m.specs(svc, now), m.ruleSpecs(svc, now))
+		s.Decide(func(d *steer.Decider) { d.Configure(svc, m.Zone, m.Region, now) })
+	}
+	m.Services.All(func(name string, s *services.Service) bool {
+		if _, ok := v.Service(name); !ok {
+			s.Gate.Configure(nil, nil)
+		}
+		return true
+	})
+}
+
+// specs gives what the host holds of a service's upstreams; m.mu is held.
+func (m *Membership) specs(svc *config.ServiceView, now time.Time) []slot.Spec {
+	specs := make([]slot.Spec, 0, len(svc.Local))
+	for _, u := range svc.Local {
+		held := m.holder.Held(u.Name, u.Slots, time.Duration(svc.MaxTimeout), now)
+		specs = append(specs, slot.Spec{Name: u.Name, Held: held.Count(), Leaving: m.Upstreams.Leaving(u)})
+	}
+	return specs
+}
+
+// ruleSpecs gives the host's part of each rule's limits; m.mu is held.
+func (m *Membership) ruleSpecs(svc *config.ServiceView, now time.Time) []slot.RuleSpec {
+	longest := time.Duration(svc.MaxTimeout)
+	specs := make([]slot.RuleSpec, 0, len(svc.Rules))
+	for _, r := range svc.Rules {
+		spec := slot.RuleSpec{Name: r.Name, Upstreams: r.Local, InFlight: -1, Rate: -1}
+		if r.InFlight > 0 {
+			spec.InFlight = m.holder.Part("rule:"+r.Name, zonePart(r, m.Zone), longest, now)
+		}
+		if r.Rate > 0 {
+			spec.Rate = r.Rate * zoneShare(r, m.Zone) * m.holder.Fraction(now, longest)
+		}
+		specs = append(specs, spec)
+	}
+	return specs
+}
+
+// zoneShare is a zone's part of a rule's slots.
+func zoneShare(r config.RuleView, zone string) float64 {
+	total, own := 0, 0
+	for _, s := range r.Sites {
+		total += s.Slots
+		if s.Zone == zone {
+			own = s.Slots
+		}
+	}
+	if total == 0 {
+		return 0
+	}
+	return float64(own) / float64(total)
+}
+
+// zonePart splits a rule's in-flight limit over its zones in proportion to
+// their slots. Every host computes the same split, which sums to the limit:
+// each zone gets what its slots add to the rounded running sum.
+func zonePart(r config.RuleView, zone string) int {
+	total := 0
+	for _, s := range r.Sites {
+		total += s.Slots
+	}
+	if total == 0 {
+		return 0
+	}
+	sum := 0
+	for _, s := range r.Sites {
+		before := r.InFlight * sum / total
+		sum += s.Slots
+		if s.Zone == zone {
+			return r.InFlight*sum/total - before
+		}
+	}
+	return 0
+}
--- a/internal/selector/entry/settings.go
+++ b/internal/selector/entry/settings.go
@@ -3,24 +3,35 @@
 import (
 	"time"
 
+	"cairndock/internal/selector/servesettings"
 	"cairndock/internal/settings"
 )
 
+const (
+	// stopWindow is how long a planned stop may take at most, by default.
+	// Chosen, not measured.
+	stopWindow = 5 * time.Minute
+	// stopGrace is how long a stopping host waits for requests on their way
+	// before it looks whether it is idle, by default. Chosen, not measured.
+	stopGrace = 2 * time.Second
+	// callsPerSecond is a host's rate of calls to the platform, by default.
+	// Chosen, not measured.
+	callsPerSecond = 5
+)
+
 // Prepare fills the defaults of a host's settings.
-func Prepare(s *settings.Settings) {
-	s.Stop.Window = settings.Default(s.Stop.Window, settings.Seconds(5*time.Minute))
-	s.Stop.Grace = settings.Default(s.Stop.Grace, settings.Seconds(2*time.Second))
-	s.Platform.CallsPerSecond = settings.Default(s.Platform.CallsPerSecond, 5)
+func Prepare(s *servesettings.Settings) {
+	s.Stop.Window = settings.Default(s.Stop.Window, settings.Seconds(stopWindow))
+	s.Stop.Grace = settings.Default(s.Stop.Grace, settings.Seconds(stopGrace))
+	s.Platform.CallsPerSecond = settings.Default(s.Platform.CallsPerSecond, callsPerSecond)
 	s.Platform.Region = settings.Default(s.Platform.Region, "local")
 	s.Platform.Table = settings.Default(s.Platform.Table, "cairndock")
 	s.Platform.Bucket = settings.Default(s.Platform.Bucket, "cairndock")
 }
 
 // Check notes the faults of a host's settings.
-func Check(s settings.Settings, f *settings.Faults) {
-	f.Require(s.Host.Name != "", "host.name", "must be set")
-	f.Require(s.Host.Zone != "", "host.zone", "must be set")
-	f.Require(s.Host.Region != "", "host.region", "must be set")
+func Check(s servesettings.Settings, f *settings.Faults) {
+	s.Host.Check(f)
 	f.Require(s.Peers.Listen != "", "peers.listen", "must be set")
 	f.Require(s.Platform.CallsPerSecond > 0, "platform.calls_per_second", "must be above 0")
 	f.Require(s.Stop.Window > 0, "stop.window", "must be above 0")
