--- a/internal/gateway/eventlog/log.go
+++ b/internal/gateway/eventlog/log.go
@@ -1,7 +1,8 @@
 // Package eventlog is a gateway host's structured log: a JSON line for each
 // attempt and final response of a request, and for each change of the state
 // that decisions are based on (configuration, upstreams, dependencies).
-// docs/OPERATIONS.md lists the events; internal/gateway/reqtrace reads them back.
+// docs/operations/metrics.md lists the events; internal/gateway/reqtrace reads
+// them back.
 //
 // The log is bounded and never blocks its users: lines beyond a rate, and
 // lines that the writer can't take in time, are left out and counted
