--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -17,7 +17,6 @@
 	"testing"
 	"time"
 
-	"github.com/rotisserie/eris"
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 	"go.opentelemetry.io/otel/trace"
@@ -35,80 +34,10 @@
 	"cairndock/internal/gateway/upstream"
 	"cairndock/internal/gateway/watch"
 	"cairndock/internal/telemetry"
-	"cairndock/internal/verdict"
 )
 
-// This file has the harness of the tests: a proxy with its real parts, a small
-// protocol of its own, and upstreams that respond with raw bytes.
-
-// The headers of the tests' protocol.
-const (
-	headerID     = "Id"
-	headerKey    = "Key"
-	headerWait   = "Wait-Ms"
-	headerSigned = "Genuine"
-	headerNotRun = "Not-Run"
-	headerTo     = "To"
-)
-
-type codec struct{}
-
-func (codec) ParseRequest(h http.Header) proxy.RequestInfo {
-	ms, _ := strconv.Atoi(h.Get(headerWait)) // zero when it is not given
-	return proxy.RequestInfo{ID: h.Get(headerID), Key: h.Get(headerKey), Timeout: time.Duration(ms) * time.Millisecond}
-}
-
-func (codec) WriteError(w http.ResponseWriter, _ proxy.RequestInfo, e *verdict.Error) int {
-	w.Header().Set("Verdict", e.Verdict.String())
-	w.Header().Set("Reason", string(e.Reason))
-	w.Header().Set("Retry", e.RetryAfter.String())
-	w.WriteHeader(e.Reason.Status())
-	return e.Reason.Status()
-}
-
-type protocol struct{}
-
-func (protocol) SetHeaders(h http.Header, id string, left time.Duration) {
-	h.Set(headerTo, id)
-	h.Set(headerWait, strconv.FormatInt(left.Milliseconds(), 10))
-}
-
-func (protocol) ParseResponse(id string, status int, h http.Header) exchange.ResponseInfo {
-	return exchange.ResponseInfo{
-		WrongRequest: h.Get(headerID) != id, NotExecuted: h.Get(headerNotRun) != "", Misdirected: status == 421,
-		Signed: h.Get(headerSigned) != "",
-	}
-}
-
-// decoder reads the tests' rows: JSON of the product's own types.
-type decoder struct{}
-
-// operatorRow is a configuration, or a zone to evacuate.
-type operatorRow struct {
-	Version  int64
-	Routes   []route.Route
-	Evacuate string
-	// Limits bound clients' connections; the sizes are always the same.
-	Limits route.Limits
-}
-
-func (decoder) OperatorRow(_ string, value []byte) (routing.OperatorRow, error) {
-	var r operatorRow
-	if err := json.Unmarshal(value, &r); err != nil {
-		return routing.OperatorRow{}, eris.Wrap(err, "parse")
-	}
-	if r.Evacuate != "" {
-		return routing.OperatorRow{Evacuate: r.Evacuate}, nil
-	}
-	services := []route.Service{{Name: "s", WarmUp: time.Second, WarmUpRate: 5}}
-	r.Limits.BodyBytes, r.Limits.HeaderBytes = 1000, 2000
-	return routing.OperatorRow{Table: route.NewTable(r.Version, r.Routes, services, r.Limits)}, nil
-}
-
-func (decoder) Upstream(_ string, value []byte) (upstream.Registration, error) {
-	var in upstream.Registration
-	return in, eris.Wrap(json.Unmarshal(value, &in), "parse")
-}
+// This file has the harness of the tests: a proxy with its real parts, and
+// upstreams that respond with raw bytes. The protocol is in wire_test.go.
 
 // logBuffer is a log that can be read while it is written.
 type logBuffer struct {
