--- a/internal/selector/config/document.go
+++ b/internal/selector/config/document.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// maxSlots is how many slots an upstream may have: a slot.Set is one
+	// maxSlots is how many slots an upstream may have: a roster.SlotSet is one
 	// machine word of 64 bits.
 	maxSlots = 64
 	// longestMaxTimeout limits Service.MaxTimeout, and so how long the slots of
--- a/internal/selector/roster/holder.go
+++ b/internal/selector/roster/holder.go
@@ -3,8 +3,6 @@
 import (
 	"strconv"
 	"time"
-
-	"cairndock/internal/selector/slot"
 )
 
 // settleTick is how finely SettleStep divides the time since a death: the pace
@@ -155,8 +153,8 @@
 
 // Held gives the slots of an upstream that this host may use now, of as many as
 // the upstream has. deadline is the longest of its service.
-func (h *Holder) Held(upstream string, slots int, deadline time.Duration, now time.Time) slot.Set {
-	set := ^slot.Set(0)
+func (h *Holder) Held(upstream string, slots int, deadline time.Duration, now time.Time) SlotSet {
+	set := ^SlotSet(0)
 	for _, r := range h.binding(now, deadline) {
 		if !h.activeIn(r) {
 			return 0
--- a/internal/selector/roster/roster.go
+++ b/internal/selector/roster/roster.go
@@ -15,8 +15,6 @@
 	"slices"
 	"strconv"
 	"strings"
-
-	"cairndock/internal/selector/slot"
 )
 
 // State is whether a member of a roster holds slots.
@@ -101,8 +99,8 @@
 }
 
 // owned gives the slots of an upstream that fall to a host.
-func (r Roster) owned(host, upstream string, slots int) slot.Set {
-	var set slot.Set
+func (r Roster) owned(host, upstream string, slots int) SlotSet {
+	var set SlotSet
 	active := r.Active()
 	for n := range slots {
 		if owner(upstream+"#"+strconv.Itoa(n), active) == host {
--- a/internal/selector/roster/roster_test.go
+++ b/internal/selector/roster/roster_test.go
@@ -7,8 +7,6 @@
 
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
-
-	"cairndock/internal/selector/slot"
 )
 
 const longest = 20 * time.Second
@@ -92,7 +90,7 @@
 	now      time.Time
 	rosters  []Roster
 	holders  map[string]*Holder
-	running  map[string]slot.Set // slots with a request, by host
+	running  map[string]SlotSet // slots with a request, by host
 	acked    map[string]uint64
 	onTheWay []ack
 }
@@ -110,7 +108,7 @@
 func TestNoSlotIsInTwoHands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c", "d"}
-		m := &zoneModel{now: time.Now(), holders: map[string]*Holder{}, running: map[string]slot.Set{}, acked: map[string]uint64{}}
+		m := &zoneModel{now: time.Now(), holders: map[string]*Holder{}, running: map[string]SlotSet{}, acked: map[string]uint64{}}
 		m.rosters = []Roster{rosterOf(1, "a", "b")}
 		for _, n := range names {
 			m.holders[n] = NewHolder(n, n+"-1", "z")
@@ -132,9 +130,9 @@
 		m.rosters = append(m.rosters, nextRoster(t, last, host))
 	case "begin":
 		held := m.holders[host].Held("up", modelSlots, longest, m.now)
-		m.running[host] |= held & slot.Set(rapid.Uint64().Draw(t, "begun"))
+		m.running[host] |= held & SlotSet(rapid.Uint64().Draw(t, "begun"))
 	case "end":
-		m.running[host] &= slot.Set(rapid.Uint64().Draw(t, "left"))
+		m.running[host] &= SlotSet(rapid.Uint64().Draw(t, "left"))
 	case "ack":
 		h := m.holders[host]
 		if m.running[host]&^h.Held("up", modelSlots, longest, m.now) == 0 {
--- a/internal/selector/slot/set_test.go
+++ b/internal/selector/roster/set_test.go
@@ -1,15 +1,13 @@
-package slot_test
+package roster
 
 import (
 	"testing"
 
 	"github.com/stretchr/testify/require"
-
-	"cairndock/internal/selector/slot"
 )
 
 func TestSet(t *testing.T) {
-	var none slot.Set
+	var none SlotSet
 	first, last := none.With(0), none.With(63)
 	both := first.With(63)
 	require.Zero(t, none.Count())
--- a/internal/selector/upstream/client.go
+++ b/internal/selector/upstream/client.go
@@ -37,6 +37,9 @@
 	dialTimeout = time.Second
 	// idleTimeout closes connections without a request. Chosen, not measured.
 	idleTimeout = 30 * time.Second
+	// maxIdle limits the idle connections to one upstream: the most slots that
+	// an upstream can have by its configuration.
+	maxIdle = 64
 	// maxHeaderBytes limits a response's header, and what is read of the body
 	// of a refusal or probe. Chosen, not measured.
 	maxHeaderBytes = 64 << 10
@@ -98,7 +101,7 @@
 		},
 		DisableCompression:     true,
 		MaxIdleConns:           0, // no limit over all upstreams
-		MaxIdleConnsPerHost:    slot.MaxIdle,
+		MaxIdleConnsPerHost:    maxIdle,
 		IdleConnTimeout:        idleTimeout,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
