--- a/internal/selector/slot/choose.go
+++ b/internal/selector/slot/choose.go
@@ -39,18 +39,24 @@
 	return best
 }
 
-// score ranks an upstream for one request more; lower is better. latency is its
-// average in seconds, 0 when unknown; limit its concurrency limit in slots;
-// outstanding the host's requests there. reported is the load, 0 to 1, that the
-// upstream reported at an age; it counts less as it ages.
-func score(latency, limit float64, outstanding int, reported float64, age time.Duration) float64 {
+// available reports whether a new request may go to the upstream.
+func (u *upstream) available(now int64) bool {
+	return !u.leaving && u.outstanding < u.usable() && !u.ejected(now)
+}
+
+// score ranks an upstream for one request more, in seconds; lower is better: its
+// latency for each request outstanding, by its concurrency limit. The load that
+// it reported worsens the score, less as the report ages.
+func (u *upstream) score(now int64) float64 {
+	latency := u.latency
 	if latency == 0 {
 		latency = unknownLatency
 	}
-	score := latency * float64(outstanding+1) / limit
-	if reported > 0 && age < reportAge {
+	score := latency * float64(u.outstanding+1) / u.limit
+	age := time.Duration(now - u.reportedAt)
+	if u.reported > 0 && age < reportAge {
 		fresh := 1 - float64(age)/float64(reportAge)
-		score *= 1 + reportWeight*reported*fresh
+		score *= 1 + reportWeight*u.reported*fresh
 	}
 	return score
 }
--- a/internal/selector/slot/doc.go
+++ b/internal/selector/slot/doc.go
@@ -7,11 +7,13 @@
 // Pool is the state of one service, without locks or clock: the slots held, the
 // requests outstanding, each upstream's concurrency limit and ejection, and the
 // limits of the service's rules. Gate shares a pool between goroutines and lets
-// requests wait for a slot. The decisions stand in limit.go (how many slots of
-// an upstream may be used), eject.go (when an upstream gets nothing), choose.go
-// (which upstream of a rule) and rule.go (a rule's own limits).
+// requests wait for a slot. The decisions stand in rule.go (a rule's own limits),
+// limit.go (how many slots of an upstream may be used), eject.go (how long an
+// upstream gets nothing) and choose.go (whether an upstream may get a request,
+// and which one of a rule does).
 //
-// The package relies on its caller for the specs (package entry works them out
-// from the configuration, the roster and what upstreams say of themselves) and
-// for releasing each lease exactly once.
+// The package relies on its caller for the specs (package entry/rosters works
+// them out from the configuration, the roster and which upstreams are leaving)
+// and for releasing each lease exactly once. Whether the host may use its slots
+// at all, package entry/admission asks package entry/fence after each Acquire.
 package slot
--- a/internal/selector/slot/eject.go
+++ b/internal/selector/slot/eject.go
@@ -20,19 +20,13 @@
 	shedEjection = 100 * time.Millisecond
 	// maxShedEjection bounds the doubling after sheds. Chosen, not measured.
 	maxShedEjection = 2 * time.Second
-	// maxDoublings keeps the shift below from overflowing. Both bounds are
+	// maxDoublings keeps the shift in ejection from overflowing. Both bounds are
 	// reached before it.
 	maxDoublings = 8
 )
 
-// ejectAfterFailure is how long an upstream is ejected after a failure, for the
-// failures in a row before that one.
-func ejectAfterFailure(before int) time.Duration {
-	return min(failEjection<<min(before, maxDoublings), maxFailEjection)
-}
-
-// ejectAfterShed is how long an upstream is ejected after a shed of a request
-// that was alone there, for such sheds in a row before that one.
-func ejectAfterShed(before int) time.Duration {
-	return min(shedEjection<<min(before, maxDoublings), maxShedEjection)
+// ejection is how long an upstream is ejected: first, doubled for each failure
+// or shed in a row before this one, up to longest.
+func ejection(first, longest time.Duration, before int) time.Duration {
+	return min(first<<min(before, maxDoublings), longest)
 }
--- a/internal/selector/slot/limit.go
+++ b/internal/selector/slot/limit.go
@@ -1,9 +1,6 @@
 package slot
 
-import (
-	"math"
-	"time"
-)
+import "time"
 
 const (
 	// coldLimit is the concurrency limit, in slots, of an upstream that is new,
@@ -28,8 +25,8 @@
 }
 
 // decrease gives the concurrency limit after a shed, in slots.
-func decrease(limit float64) float64 { return math.Max(coldLimit, limit*decreaseFactor) }
+func decrease(limit float64) float64 { return max(coldLimit, limit*decreaseFactor) }
 
-// usable is how many slots may be used at once: those held, and no more than
-// the concurrency limit.
-func usable(limit float64, held int) int { return min(int(limit), held) }
+// usable is how many slots of an upstream may be used at once: those held, and no
+// more than the whole ones of the concurrency limit.
+func (u *upstream) usable() int { return min(int(u.limit), u.held) }
--- a/internal/selector/slot/pool.go
+++ b/internal/selector/slot/pool.go
@@ -35,7 +35,7 @@
 	configured []*upstream
 	rules      map[string]*rule
 	// held sums the slots of the upstreams that are not leaving, outstanding
-	// the requests at all.
+	// the requests at all upstreams.
 	held        int
 	outstanding int
 }
@@ -55,7 +55,7 @@
 	for _, s := range specs {
 		u := old[s.Name]
 		if u == nil {
-			u = newUpstream(s.Name)
+			u = &upstream{name: s.Name, limit: coldLimit}
 		}
 		u.held, u.leaving = s.Held, s.Leaving
 		p.upstreams[s.Name] = u
@@ -140,11 +140,13 @@
 type Load struct {
 	// Free is how many slots could be taken now.
 	Free int
-	// Held is how many slots this host holds at upstreams that are not leaving.
+	// Held is how many slots this host holds at upstreams that are not leaving,
+	// ejected ones too.
 	Held int
-	// Warm is how many of them the upstreams' concurrency limits allow now.
+	// Warm is how many of them the concurrency limits allow now, of upstreams
+	// that are not ejected.
 	Warm int
-	// Out is how many requests are outstanding.
+	// Outstanding is how many requests have a slot.
 	Outstanding int
 }
 
@@ -163,7 +165,7 @@
 
 // Usage gives the held slots and the outstanding requests, without looking at
 // each upstream.
-func (p *Pool) Usage() (held, out int) { return p.held, p.outstanding }
+func (p *Pool) Usage() (held, outstanding int) { return p.held, p.outstanding }
 
 // Latency is the mean latency over the pool's upstreams, 0 when not known.
 func (p *Pool) Latency() time.Duration {
--- a/internal/selector/slot/rule.go
+++ b/internal/selector/slot/rule.go
@@ -1,9 +1,6 @@
 package slot
 
-import (
-	"math"
-	"time"
-)
+import "time"
 
 // maxRateCredit is how many requests a rule's rate may save up, so that idle
 // time buys no burst: at most one more than the rate in any time.
@@ -13,7 +10,7 @@
 type RuleSpec struct {
 	// Name is the rule's name.
 	Name string
-	// Members are the rule's upstreams, as indexes into the pool's specs.
+	// Upstreams are the rule's upstreams, as indexes into the pool's specs.
 	Upstreams []int32
 	// InFlight bounds the rule's outstanding requests here; negative is none.
 	InFlight int
@@ -53,7 +50,7 @@
 	}
 	elapsed := float64(now-r.filledAt) / float64(time.Second)
 	r.filledAt = now
-	r.credit = math.Min(maxRateCredit, r.credit+elapsed*r.rate)
+	r.credit = min(maxRateCredit, r.credit+elapsed*r.rate)
 	return r.credit >= 1
 }
 
--- a/internal/selector/slot/upstream.go
+++ b/internal/selector/slot/upstream.go
@@ -1,9 +1,6 @@
 package slot
 
-import (
-	"math"
-	"time"
-)
+import "time"
 
 // Outcome is how a request at an upstream ended.
 type Outcome uint8
@@ -52,21 +49,8 @@
 	reportedAt   int64
 }
 
-func newUpstream(name string) *upstream { return &upstream{name: name, limit: coldLimit} }
-
-// available reports whether a new request may go to the upstream.
-func (u *upstream) available(now int64) bool {
-	return !u.leaving && u.outstanding < u.usable() && !u.ejected(now)
-}
-
-func (u *upstream) usable() int { return usable(u.limit, u.held) }
-
 func (u *upstream) ejected(now int64) bool { return u.ejectedUntil > now }
 
-func (u *upstream) score(now int64) float64 {
-	return score(u.latency, u.limit, u.outstanding, u.reported, time.Duration(now-u.reportedAt))
-}
-
 // record learns from how a request ended.
 func (u *upstream) record(o Outcome, latency time.Duration, now int64) {
 	switch o {
@@ -91,7 +75,7 @@
 }
 
 func (u *upstream) failed(now int64) {
-	u.ejectedUntil = now + int64(ejectAfterFailure(u.failures))
+	u.ejectedUntil = now + int64(ejection(failEjection, maxFailEjection, u.failures))
 	u.failures++
 	u.limit = coldLimit
 }
@@ -102,7 +86,7 @@
 	}
 	u.decreasedAt = now
 	if u.limit <= coldLimit {
-		u.ejectedUntil = now + int64(ejectAfterShed(u.sheds))
+		u.ejectedUntil = now + int64(ejection(shedEjection, maxShedEjection, u.sheds))
 		u.sheds++
 	}
 	u.limit = decrease(u.limit)
@@ -122,6 +106,6 @@
 }
 
 func (u *upstream) report(load float64, at int64) {
-	u.reported = math.Max(0, math.Min(1, load))
+	u.reported = max(0, min(1, load))
 	u.reportedAt = at
 }
