--- a/internal/selector/shift/meter.go
+++ b/internal/selector/shift/meter.go
@@ -2,12 +2,12 @@
 // rule's share of it under its cap. Meter counts one service's requests on one
 // host: each host counts for itself, so that no message is needed and caps hold
 // also while hosts are cut off from each other (docs/design/shares.md). Package
-// steer asks it which rule a request goes to, and package entry moves its ramps
-// on.
+// steer asks it which rule a request goes to, package entry/services advances
+// its ramps, and package entry/dispatch slows them after refusals.
 package shift
 
 import (
-	"math"
+	"cmp"
 	"slices"
 	"time"
 )
@@ -42,7 +42,7 @@
 	credit float64
 	// deficit is how far the rule is behind its share, in requests.
 	deficit float64
-	// pace is the part of Ramp that refusals leave, slowest to 1.
+	// pace is the part of Ramp that refusals leave, from slowest to 1.
 	pace float64
 }
 
@@ -86,7 +86,7 @@
 	}
 	s := old[i]
 	s.Rule = r
-	s.current = math.Min(s.current, r.Cap)
+	s.current = min(s.current, r.Cap)
 	if r.Ramp == 0 {
 		s.current = r.Share
 	}
@@ -113,34 +113,24 @@
 	}
 	for i := range m.rules {
 		r := &m.rules[i]
-		r.credit = math.Min(r.credit, maxCredit) + r.Cap
+		r.credit = min(r.credit, maxCredit) + r.Cap
 		if sum > 0 {
 			r.deficit += r.current / sum
 		}
 		order = append(order, int32(i))
 	}
-	m.sort(order)
+	slices.SortStableFunc(order, m.compare)
 	return order
 }
 
-// sort is an insertion sort: a service has few rules, and nothing is to be
-// allocated.
-func (m *Meter) sort(order []int32) {
-	for i := 1; i < len(order); i++ {
-		for j := i; j > 0 && m.before(order[j], order[j-1]); j-- {
-			order[j], order[j-1] = order[j-1], order[j]
-		}
-	}
-}
-
-// before reports whether rule a is tried before rule b: rules with a share
-// before those without, and then the one furthest behind its share.
-func (m *Meter) before(a, b int32) bool {
+// compare orders rules as they are tried: those with a share before those
+// without, and then the one furthest behind its share first.
+func (m *Meter) compare(a, b int32) int {
 	ra, rb := &m.rules[a], &m.rules[b]
 	if (ra.current > 0) != (rb.current > 0) {
-		return ra.current > 0
+		return cmp.Compare(rb.current, ra.current)
 	}
-	return ra.deficit > rb.deficit
+	return cmp.Compare(rb.deficit, ra.deficit)
 }
 
 // Index gives the place of a rule, negative when there is none. Places
@@ -175,16 +165,12 @@
 	if r.Cap < 1 {
 		r.credit--
 	}
-	r.deficit = math.Max(-maxDeficit, r.deficit-1)
-	m.bound()
-	return true
-}
-
-// bound keeps rules that can't be served from gathering more than maxDeficit.
-func (m *Meter) bound() {
+	r.deficit = max(-maxDeficit, r.deficit-1)
+	// Rules that can't be served gather no more than maxDeficit.
 	for i := range m.rules {
-		m.rules[i].deficit = math.Min(maxDeficit, m.rules[i].deficit)
+		m.rules[i].deficit = min(maxDeficit, m.rules[i].deficit)
 	}
+	return true
 }
 
 // Status is where one rule stands, for the status page.
--- a/internal/selector/shift/ramp.go
+++ b/internal/selector/shift/ramp.go
@@ -1,19 +1,16 @@
 package shift
 
-import (
-	"math"
-	"time"
-)
+import "time"
 
 const (
-	// slowFactor is what each refusal at a rule's upstreams multiplies the pace
-	// of its ramp by. Chosen, not measured.
+	// slowFactor is what each refusal at a rule's upstreams multiplies its pace
+	// by. Chosen, not measured.
 	slowFactor = 0.5
-	// slowest is the least pace of a ramp, as a part of the rule's own. Chosen,
-	// not measured.
+	// slowest is the least pace, so that a ramp that is refused again and again
+	// still moves. Chosen, not measured.
 	slowest = 1.0 / 64
-	// recovery is how fast the pace returns, in parts of the rule's own per
-	// second: from a standstill in 10 s. Chosen, not measured.
+	// recovery is what the pace gains in a second: from slowest to 1 takes about
+	// 10 s. Chosen, not measured.
 	recovery = 0.1
 )
 
@@ -23,7 +20,7 @@
 	for i := range m.rules {
 		r := &m.rules[i]
 		if v, ok := shares[r.Name]; ok && r.Ramp > 0 {
-			r.current = math.Min(math.Max(0, v), r.Cap)
+			r.current = min(max(0, v), r.Cap)
 		}
 	}
 }
@@ -47,30 +44,27 @@
 	m.move(now)
 }
 
+// move brings each share with a ramp closer to its target, by Ramp times pace
+// times the time since the last move at most.
 func (m *Meter) move(now time.Time) {
 	elapsed := now.Sub(m.movedAt).Seconds()
 	m.movedAt = now
 	for i := range m.rules {
 		r := &m.rules[i]
 		step := r.Ramp * r.pace * elapsed
-		r.pace = math.Min(1, r.pace+recovery*elapsed)
+		r.pace = min(1, r.pace+recovery*elapsed)
 		if r.Ramp > 0 {
-			r.current = towards(r.current, r.Share, step)
+			r.current += max(-step, min(step, r.Share-r.current))
 		}
 	}
 }
 
-// towards moves a share to its target by a step at most.
-func towards(share, target, step float64) float64 {
-	return share + math.Max(-step, math.Min(step, target-share))
-}
-
 // Slow shrinks the pace of a rule's ramp after its upstreams refused a request,
 // or had no free slot for it.
 func (m *Meter) Slow(rule string) {
 	for i := range m.rules {
 		if m.rules[i].Name == rule {
-			m.rules[i].pace = math.Max(slowest, m.rules[i].pace*slowFactor)
+			m.rules[i].pace = max(slowest, m.rules[i].pace*slowFactor)
 		}
 	}
 }
