--- a/internal/selector/roster/hash.go
+++ b/internal/selector/roster/hash.go
@@ -1,6 +1,7 @@
 package roster
 
 import (
+	"cmp"
 	"slices"
 	"strings"
 
@@ -13,14 +14,7 @@
 func Rank(key string, hosts []string) []string {
 	ranked := slices.Clone(hosts)
 	slices.SortFunc(ranked, func(a, b string) int {
-		wa, wb := weight(key, a), weight(key, b)
-		switch {
-		case wa > wb:
-			return -1
-		case wa < wb:
-			return 1
-		}
-		return strings.Compare(a, b)
+		return cmp.Or(cmp.Compare(weight(key, b), weight(key, a)), strings.Compare(a, b))
 	})
 	return ranked
 }
--- a/internal/selector/roster/holder.go
+++ b/internal/selector/roster/holder.go
@@ -6,7 +6,7 @@
 )
 
 // settleTick is how finely SettleStep divides the time since a death: the pace
-// of the host's own loop, which asks for it (package entry's tick).
+// of the host's own loop (package entry's tick), which asks for it.
 const settleTick = 250 * time.Millisecond
 
 // Holder is which slots one host may use now. It has no lock; the caller passes
@@ -42,8 +42,8 @@
 // Current is the newest roster seen.
 func (h *Holder) Current() Roster { return h.chain[len(h.chain)-1] }
 
-// Observe adds a roster to the chain, unless one as new is known, and reports whether
-// it did.
+// Observe adds a roster to the chain, unless one as new is known, and reports
+// whether it did.
 func (h *Holder) Observe(r Roster, now time.Time) bool {
 	before := h.Current()
 	if r.Epoch <= before.Epoch {
@@ -95,9 +95,11 @@
 }
 
 // settledFor reports whether the older rosters of the chain no longer count for a
-// service whose requests last a deadline at most.
+// service whose requests last a deadline at most: every other member keeps to
+// the current one, and all requests of dead ones are past their deadlines.
 func (h *Holder) settledFor(now time.Time, deadline time.Duration) bool {
-	return len(h.chain) > 1 && h.acked() && h.deadRequestsOver(now, deadline)
+	deadRequestsOver := h.deathAt.IsZero() || now.Sub(h.deathAt) >= deadline
+	return !h.Settled() && h.acked() && deadRequestsOver
 }
 
 // acked reports whether each other member that lives has acknowledged the
@@ -117,17 +119,11 @@
 	return true
 }
 
-// deadRequestsOver reports whether each request that a dead member can have sent
-// is past a deadline.
-func (h *Holder) deadRequestsOver(now time.Time, deadline time.Duration) bool {
-	return h.deathAt.IsZero() || now.Sub(h.deathAt) >= deadline
-}
-
 // SettleStep gives a number that changes whenever a slot may have become usable:
 // not until all members have acknowledged, and then at each settleTick since the
 // last death, as services settle one by one by their deadlines.
 func (h *Holder) SettleStep(now time.Time) int {
-	if len(h.chain) == 1 || !h.acked() {
+	if h.Settled() || !h.acked() {
 		return 0
 	}
 	if h.deathAt.IsZero() {
--- a/internal/selector/roster/roster.go
+++ b/internal/selector/roster/roster.go
@@ -1,7 +1,7 @@
 // Package roster decides which hosts of a zone share its upstreams' slots, and
 // when a slot may pass from one host to another, so that no slot is ever used by
-// two hosts. A Roster lists a zone's hosts at one epoch; package entry keeps it
-// as one row of the platform's table, and sends it from host to host.
+// two hosts. A Roster lists a zone's hosts at one epoch; package entry/rosters
+// keeps it as one row of the platform's table, and sends it from host to host.
 // Rendezvous hashing gives each slot to one host of a roster. A Holder is what
 // one host may use while rosters change, hosts die and messages are late. The
 // rule, its proof and what was weighed against it: docs/design/slots.md.
