--- a/internal/selector/link/bucket.go
+++ b/internal/selector/link/bucket.go
@@ -4,8 +4,9 @@
 // Each host of a region sends within a part of its own: a token bucket
 // with two classes of traffic, which a Pacer shares between goroutines. The
 // parts are even; Loans lets hosts lend each other what they do not use. Package
-// entry works out the even parts, and asks other hosts for loans.
-// docs/design/shares.md has the measurements and what was weighed.
+// entry/links works out the even parts, asks other hosts for loans, and sets each
+// pacer to its part and the balance of its loans. docs/design/shares.md has the
+// measurements and what was weighed.
 package link
 
 import (
@@ -29,8 +30,9 @@
 	burst = 25 * time.Millisecond
 	// debt is how far ahead of its rate interactive traffic may go, so that it
 	// need not wait for a chunk of bulk. On 1 MB/s interactive traffic waited
-	// up to 16.8 ms without it and with whole chunks, 0.34 ms with it and
-	// chunks of chunkTime (commit "Prove rosters, caps, links, ...").
+	// up to 16.8 ms without it and with whole chunks, 0.34 ms with it and chunks
+	// of chunkTime (commit "Prove rosters, caps, links, verdicts, tickets and
+	// frames one by one").
 	debt = 25 * time.Millisecond
 	// averageOver is the time constant of the moving average of interactive
 	// traffic. Chosen, not measured.
@@ -38,7 +40,7 @@
 	// headroomPart is the room that interactive traffic keeps free for its next
 	// burst, as a part of what it uses. With 0.05 and debt, bulk used 95, 95, 92
 	// and 86% of what 0, 10, 30 and 60% interactive left, and 98, 96, 91 and 85%
-	// with 0.15 and no debt (commit "Prove rosters, caps, links, ...").
+	// with 0.15 and no debt (same commit).
 	headroomPart = 0.05
 	// leastBulkPart divides the rate into the least rate by which the wait of
 	// bulk is worked out while interactive leaves nothing, so that bulk asks
@@ -66,20 +68,20 @@
 // 1, is reserved for interactive traffic.
 func newBucket(limit, reserved float64, now int64) *bucket {
 	b := &bucket{filledAt: now}
-	b.Configure(limit, reserved)
+	b.configure(limit, reserved)
 	return b
 }
 
-// Configure changes the limit and the reserved part. The rate is below the limit
+// configure changes the limit and the reserved part. The rate is below the limit
 // by burst and debt, so that no second sees more than the limit.
-func (b *bucket) Configure(limit, reserved float64) {
+func (b *bucket) configure(limit, reserved float64) {
 	b.rate = max(leastRate, limit) / (1 + burst.Seconds() + debt.Seconds())
 	b.reserved = reserved
 }
 
-// Take asks to send n bytes. It gives zero when they may be sent now, and counts
+// take asks to send n bytes. It gives zero when they may be sent now, and counts
 // them; else it gives how long to wait before asking again.
-func (b *bucket) Take(class Class, n int, now int64) time.Duration {
+func (b *bucket) take(class Class, n int, now int64) time.Duration {
 	b.fill(now)
 	if class == Interactive {
 		return b.takeInteractive(float64(n))
@@ -92,20 +94,18 @@
 	elapsed := float64(now-b.filledAt) / float64(time.Second)
 	b.filledAt = now
 	most := b.rate * burst.Seconds()
-	b.level = math.Min(most, b.level+b.rate*elapsed)
+	b.level = min(most, b.level+b.rate*elapsed)
 	b.recent *= math.Exp(-elapsed / averageOver.Seconds())
-	b.bulkLevel = math.Min(most, b.bulkLevel+b.bulkRate()*elapsed)
+	b.bulkLevel = min(most, b.bulkLevel+b.bulkRate()*elapsed)
 }
 
-func (b *bucket) bulkRate() float64 { return bulkRate(b.rate, b.recent, b.reserved) }
-
 // bulkRate is how many bytes per second bulk may use: what recent interactive
-// traffic leaves of the rate, both in bytes per second, less some headroom for
-// it. The headroom is a part of what interactive uses, counted up to the part of
-// the rate that is reserved for it.
-func bulkRate(rate, recent, reserved float64) float64 {
-	headroom := math.Min(recent, rate*reserved)
-	return math.Max(0, rate-recent-headroom*headroomPart)
+// traffic leaves of the rate, less some headroom for it. The headroom is a part
+// of what interactive uses, counted up to the part of the rate that is reserved
+// for it.
+func (b *bucket) bulkRate() float64 {
+	headroom := headroomPart * min(b.recent, b.rate*b.reserved)
+	return max(0, b.rate-b.recent-headroom)
 }
 
 func (b *bucket) takeInteractive(n float64) time.Duration {
@@ -122,7 +122,7 @@
 		return duration(-b.level+1, b.rate)
 	}
 	if b.bulkLevel <= 0 {
-		return duration(1-b.bulkLevel, math.Max(b.bulkRate(), b.rate/leastBulkPart))
+		return duration(1-b.bulkLevel, max(b.bulkRate(), b.rate/leastBulkPart))
 	}
 	b.level -= n
 	b.bulkLevel -= n
--- a/internal/selector/link/bucket_test.go
+++ b/internal/selector/link/bucket_test.go
@@ -29,13 +29,13 @@
 			queue = append(queue, dueAt)
 			dueAt += time.Duration(small / interactive * float64(time.Second))
 		}
-		for len(queue) > 0 && b.Take(Interactive, small, int64(now)) == 0 {
+		for len(queue) > 0 && b.take(Interactive, small, int64(now)) == 0 {
 			sent = append(sent, sending{now, Interactive, small})
 			slowest = max(slowest, now-queue[0])
 			queue = queue[1:]
 		}
 		if now >= bulkAt {
-			wait := b.Take(Bulk, Chunk, int64(now))
+			wait := b.take(Bulk, Chunk, int64(now))
 			if wait == 0 {
 				sent = append(sent, sending{now, Bulk, Chunk})
 			}
--- a/internal/selector/link/loans.go
+++ b/internal/selector/link/loans.go
@@ -9,7 +9,8 @@
 	// margin is how much longer the lender counts, from when it granted the
 	// loan, so that the borrower always stops first, also one that was paused.
 	// Chosen, not measured; a lender that counted 1 s in all failed
-	// TestLoansNeverAddUp (commit "Lend unused parts of a link ...").
+	// TestLoansNeverAddUp (commit "Lend unused parts of a link between a
+	// region's hosts").
 	margin = time.Second
 	// lendPart is the part of what is spare that one loan takes. Chosen, not
 	// measured.
@@ -25,7 +26,7 @@
 	leastLoan = 1000
 )
 
-// loan is a part of a link in other hands.
+// loan is a part of a link that is lent until a time.
 type loan struct {
 	rate  float64 // bytes per second
 	until time.Time
@@ -54,7 +55,7 @@
 	if !old.until.After(now) {
 		old.rate = 0
 	}
-	rate := max(old.rate, old.rate+spare*lendPart)
+	rate := old.rate + spare*lendPart
 	if spare < 0 || rate < leastLoan {
 		return 0
 	}
--- a/internal/selector/link/pacer.go
+++ b/internal/selector/link/pacer.go
@@ -42,7 +42,7 @@
 func (p *Pacer) Configure(limit, reserved float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.bucket.Configure(limit, reserved)
+	p.bucket.configure(limit, reserved)
 }
 
 // Chunk gives the most bytes to send at once on this link.
@@ -65,10 +65,12 @@
 	}
 }
 
+// take asks the bucket to send n bytes now; it gives zero, or how long to wait
+// before asking again.
 func (p *Pacer) take(class Class, n int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	d := p.bucket.Take(class, n, int64(time.Since(p.start)))
+	d := p.bucket.take(class, n, int64(time.Since(p.start)))
 	if d == 0 {
 		p.sent[class] += int64(n)
 	} else {
