--- a/internal/selector/steer/budget.go
+++ b/internal/selector/steer/budget.go
@@ -1,7 +1,5 @@
 package steer
 
-import "math"
-
 // maxRetryCredit bounds the retries that idle time saves up. Chosen, not
 // measured.
 const maxRetryCredit = 10
@@ -18,7 +16,7 @@
 }
 
 // arrive counts a request that arrived.
-func (b *Budget) arrive() { b.credit = math.Min(maxRetryCredit, b.credit+b.share) }
+func (b *Budget) arrive() { b.credit = min(maxRetryCredit, b.credit+b.share) }
 
 // Take counts a retry, or reports that the budget has none left.
 func (b *Budget) Take() bool {
--- a/internal/selector/steer/plan.go
+++ b/internal/selector/steer/plan.go
@@ -50,16 +50,15 @@
 }
 
 // Next gives the best zone not tried yet, of the rule furthest behind its
-// share. Asking again passes to the next zone, and then to the next rule.
+// share. Asking again passes to the next zone, and then to the next rule. A rule
+// whose cap has no room is passed over, as is one that has left the meter.
 func (d *Decider) Next(p *Plan, now int64) (Choice, bool) {
 	for p.rule < len(p.rules) {
 		i := p.rules[p.rule]
-		room := int(i) < len(d.rules) && d.meter.Has(i)
-		p.Capped = p.Capped || !room
-		if room {
-			if c, ok := d.bestSite(p, i, now); ok {
-				return c, true
-			}
+		if !d.meter.Has(i) {
+			p.Capped = true
+		} else if c, ok := d.bestSite(p, i, now); ok {
+			return c, true
 		}
 		p.rule++
 		clear(p.tried[:])
--- a/internal/selector/steer/steer.go
+++ b/internal/selector/steer/steer.go
@@ -5,8 +5,9 @@
 // shares and keeps their caps; within a rule the zone with the least expected
 // time goes first (score.go). Budget bounds retries and hedges.
 //
-// Slots of the own zone are taken in package slot; package entry passes in what
-// heartbeats and responses say of other zones.
+// Slots of the own zone are taken in package slot. Package entry/services passes
+// in what heartbeats and responses report of other zones; package entry/dispatch
+// asks for the decisions.
 package steer
 
 import (
@@ -32,8 +33,8 @@
 
 // Report is what a zone last said of its slots for one service.
 type Report struct {
-	// Free is how many slots could be taken then, and Held how many were in use or
-	// free: those that the upstreams' concurrency limits allowed.
+	// Free is how many slots could be taken then, of Held: those that the
+	// upstreams' concurrency limits allowed (slot.Load.Warm).
 	Free int
 	Held int
 	// At is when the report was asked for, in monotonic nanoseconds.
@@ -79,12 +80,13 @@
 	prefer config.Prefer
 	rules  []ruleState
 	zones  map[string]*zoneState
-	// localHeld and localOut are the slots that the host itself holds, and its
-	// requests outstanding on them.
-	localHeld, localOut int
-	latency             float64 // of the service, in seconds
-	frozen              bool
-	retries             Budget
+	// localHeld and localOutstanding are the slots that the host itself holds,
+	// and its requests outstanding on them.
+	localHeld        int
+	localOutstanding int
+	latency          float64 // of the service, in seconds
+	frozen           bool    // the configuration may be out of date
+	retries          Budget
 }
 
 // New makes a decider on a meter.
@@ -128,16 +130,16 @@
 
 // zone gives the state of a site's zone, with assumed round trips for a new one.
 func (d *Decider) zone(s config.Site, zone, region string) *zoneState {
-	z := d.zones[s.Zone]
-	if z != nil {
+	if z := d.zones[s.Zone]; z != nil {
 		return z
 	}
-	z = &zoneState{rtt: otherRegionRTT.Seconds(), reachable: s.Zone == zone}
-	if s.Region == region {
+	z := &zoneState{reachable: s.Zone == zone}
+	switch {
+	case s.Zone == zone:
+	case s.Region == region:
 		z.rtt = sameRegionRTT.Seconds()
-	}
-	if s.Zone == zone {
-		z.rtt = 0
+	default:
+		z.rtt = otherRegionRTT.Seconds()
 	}
 	d.zones[s.Zone] = z
 	return z
@@ -145,8 +147,8 @@
 
 // SetLocal sets the slots that the host itself holds, its requests outstanding
 // on them and the service's latency there; a latency of zero is not known.
-func (d *Decider) SetLocal(held, out int, latency time.Duration) {
-	d.localHeld, d.localOut = held, out
+func (d *Decider) SetLocal(held, outstanding int, latency time.Duration) {
+	d.localHeld, d.localOutstanding = held, outstanding
 	if latency > 0 {
 		d.latency = latency.Seconds()
 	}
@@ -201,7 +203,7 @@
 // use is the part of a zone's slots that is taken, as far as this host knows.
 func (d *Decider) use(s *siteState, now int64) float64 {
 	if s.local {
-		return ratio(d.localOut, d.localHeld)
+		return ratio(d.localOutstanding, d.localHeld)
 	}
 	z := s.state
 	if now-z.refusedAt < int64(refusedPause) && z.refusedAt != 0 {
--- a/internal/selector/steer/steer_test.go
+++ b/internal/selector/steer/steer_test.go
@@ -156,12 +156,12 @@
 				d := newDecider(config.PreferLatency, zones)
 				pool := slot.NewPool()
 				specs := make([]slot.Spec, upstreams)
-				members := make([]int32, upstreams)
+				indexes := make([]int32, upstreams)
 				for i := range specs {
 					specs[i] = slot.Spec{Name: fmt.Sprint(i), Held: 6}
-					members[i] = int32(i)
+					indexes[i] = int32(i)
 				}
-				pool.Configure(specs, []slot.RuleSpec{{Name: "r", Upstreams: members, InFlight: -1, Rate: -1}})
+				pool.Configure(specs, []slot.RuleSpec{{Name: "r", Upstreams: indexes, InFlight: -1, Rate: -1}})
 				now := int64(time.Hour)
 				var p Plan
 				b.ReportAllocs()
