--- a/internal/selector/member/heartbeat.go
+++ b/internal/selector/member/heartbeat.go
@@ -26,10 +26,10 @@
 
 // Pack writes slots without the services' names, in the order of the services at
 // the heartbeat's revision.
-func Pack(free []ServiceSlots) []uint32 {
-	out := make([]uint32, 0, numbersPerService*len(free))
-	for _, f := range free {
-		out = append(out, uint32(f.Free), uint32(f.Held), uint32(f.Warm))
+func Pack(slots []ServiceSlots) []uint32 {
+	out := make([]uint32, 0, numbersPerService*len(slots))
+	for _, s := range slots {
+		out = append(out, uint32(s.Free), uint32(s.Held), uint32(s.Warm))
 	}
 	return out
 }
@@ -54,7 +54,8 @@
 	Host        string `msgpack:"h"`
 }
 
-// UpstreamStatus is what a host knows of an upstream's instance, one run of its process.
+// UpstreamStatus is what a host knows of an upstream's instance: one run of the
+// upstream's process.
 type UpstreamStatus struct {
 	Upstream string `msgpack:"u"`
 	Instance string `msgpack:"i"`
@@ -81,11 +82,11 @@
 	// newest one on the platform; negative is never.
 	FreshAge int64 `msgpack:"f"`
 	Leaving  bool  `msgpack:"l,omitempty"`
-	// Slots and ZoneSlots are this host's slots and its zone's, packed. They are
-	// in responses only.
+	// Slots and ZoneSlots are this host's slots and its zone's, as Pack writes
+	// them. They are in responses only.
 	Slots     []uint32 `msgpack:"s,omitempty"`
 	ZoneSlots []uint32 `msgpack:"z,omitempty"`
-	// Free and ZoneFree are the same unpacked; they are not sent.
+	// Free and ZoneFree are the same, as Unpack reads them; they are not sent.
 	Free     []ServiceSlots `msgpack:"-"`
 	ZoneFree []ServiceSlots `msgpack:"-"`
 	// ZoneHosts is how many hosts of the zone hold slots.
--- a/internal/selector/member/peer.go
+++ b/internal/selector/member/peer.go
@@ -7,10 +7,10 @@
 	// near intervals. Chosen, not measured.
 	downAfter = 2 * time.Second
 	// LostAfter is the silence that must go with the platform's host list before
-	// a host counts as dead and its slots are given away. It is above entry's
-	// bound of isolation (4 s), after which a host that nobody answers sends
-	// nothing: such a host stopped 4.15 s after it was cut off (commit "Fence an
-	// isolated host at once, and use the field's words").
+	// a host counts as dead and its slots are given away. It is above
+	// maxIsolation of package entry/fence (4 s), after which a host that nobody
+	// answers sends nothing: such a host stopped 4.15 s after it was cut off
+	// (commit "Fence an isolated host at once, and use the field's words").
 	LostAfter = 5 * time.Second
 	// rttSamples is how many round trips the average goes back: each new one
 	// counts for an eighth, as in TCP (RFC 6298).
@@ -22,8 +22,9 @@
 	Contact Contact
 	// Heartbeat is its last heartbeat; zero before the first.
 	Heartbeat Heartbeat
-	// HeardAt is when it was asked for, and SlotsAt when the slots in it were:
-	// a heartbeat that asks has none, and keeps those of the one before.
+	// HeardAt is when that was asked for, and SlotsAt when the slots in it were:
+	// a heartbeat that came as a request has none, and keeps those of the one
+	// before.
 	HeardAt time.Time
 	SlotsAt time.Time
 	// AskedAt is when a heartbeat was last sent to it, and Every how often that
--- a/internal/selector/member/peers.go
+++ b/internal/selector/member/peers.go
@@ -3,10 +3,11 @@
 // them requests may be sent to (Peer.Up), and which are asked for a heartbeat now
 // so that all heartbeats stay within a budget of bytes (Peers.Due).
 //
-// A heartbeat is a request and its response, alike in form; package entry sends
-// and serves them, and is the one user of what they say. Who shares a zone's slots
-// is not decided here but in package roster: silence alone takes no slot from a
-// host. docs/design/heartbeats.md has the measurements and what was weighed.
+// A heartbeat is a request and its response, alike in form. Package
+// entry/heartbeats sends and serves them, and package entry/peers keeps the Peers
+// under its lock. Who shares a zone's slots is not decided here but in package
+// roster: silence alone takes no slot from a host. docs/design/heartbeats.md has
+// the measurements and what was weighed.
 package member
 
 import (
@@ -66,10 +67,10 @@
 		p.Forget(c.Host)
 		known = false
 	}
-	if !known && !p.makeRoom(c.Zone) {
-		return
-	}
 	if !known {
+		if !p.makeRoom(c.Zone) {
+			return
+		}
 		p.index(c)
 	}
 	old.Contact = c
@@ -103,9 +104,9 @@
 	p.byZone[c.Zone] = slices.Insert(hosts, i, c.Host)
 }
 
-// RecordHeartbeat notes a heartbeat that was asked for at a time, with its round trip, or
-// one that asks, which came at that time and has none. An older one than known is
-// dropped.
+// RecordHeartbeat notes a heartbeat: a response, by when it was asked for and its
+// round trip, or a request, by when it came and a round trip of zero. One that is
+// older than the last one known is dropped.
 func (p *Peers) RecordHeartbeat(b Heartbeat, askedAt time.Time, rtt time.Duration) {
 	p.AddKnown(b.Contact)
 	peer, ok := p.peers[b.Contact.Host]
@@ -113,13 +114,12 @@
 		return
 	}
 	if b.Slots == nil {
-		// A heartbeat that asks has no slots: the last ones still count.
+		// A request has no slots: those of the last response still count.
 		b.Free, b.ZoneFree, b.ZoneHosts = peer.Heartbeat.Free, peer.Heartbeat.ZoneFree, peer.Heartbeat.ZoneHosts
-	}
-	peer.Heartbeat, peer.HeardAt, peer.FailedSince = b, askedAt, time.Time{}
-	if b.Slots != nil {
+	} else {
 		peer.ContactsHash, peer.SlotsAt = b.ContactsHash, askedAt
 	}
+	peer.Heartbeat, peer.HeardAt, peer.FailedSince = b, askedAt, time.Time{}
 	if rtt > 0 {
 		peer.RTT = smooth(peer.RTT, rtt)
 	}
@@ -183,15 +183,15 @@
 }
 
 // RecordSlots notes a service's slots that a host sent with a response.
-func (p *Peers) RecordSlots(host string, f ServiceSlots) {
+func (p *Peers) RecordSlots(host string, slots ServiceSlots) {
 	peer, ok := p.peers[host]
 	if !ok {
 		return
 	}
 	free := slices.Clone(peer.Heartbeat.Free)
 	for i := range free {
-		if free[i].Service == f.Service {
-			free[i] = f
+		if free[i].Service == slots.Service {
+			free[i] = slots
 		}
 	}
 	peer.Heartbeat.Free = free
--- a/internal/selector/ticket/ticket.go
+++ b/internal/selector/ticket/ticket.go
@@ -7,8 +7,11 @@
 //
 // A Ticket carries a MAC of its issuer, so that an unused one costs no memory.
 // Store holds the records of the used ones; it has no lock, and its caller passes
-// in the time. A stopping host hands its store over to another one (Handover),
-// and only one of them may go on dispatching.
+// in the time; package entry/tickets has the lock, and runs the requests. A
+// request is dispatched only where Store.Begin says so: the ticket is genuine, not
+// expired, bound to no other request, not used, and the store is not sealed. A
+// stopping host hands its store over to another one (Handover), and only one of
+// them may go on dispatching.
 package ticket
 
 import (
