--- a/internal/selector/member/successor.go
+++ b/internal/selector/member/successor.go
@@ -16,13 +16,11 @@
 	namedAt time.Time
 }
 
-// Successor gives the host that serves a stopped incarnation's tickets.
+// Successor gives the host that serves a stopped incarnation's tickets, if it is
+// known.
 func (p *Peers) Successor(incarnation string) (Contact, bool) {
-	s, ok := p.successors[incarnation]
-	if !ok {
-		return Contact{}, false
-	}
-	peer, ok := p.peers[s.host]
+	// Of an unknown incarnation the host is "", which AddKnown never keeps.
+	peer, ok := p.peers[p.successors[incarnation].host]
 	return peer.Contact, ok
 }
 
--- a/internal/selector/roster/holder.go
+++ b/internal/selector/roster/holder.go
@@ -61,14 +61,15 @@
 func (h *Holder) Replaced(now time.Time) { h.deathAt = now }
 
 // hasDead reports whether a member died between two rosters: it is gone, or
-// another host has a new incarnation.
+// another host has a new incarnation. One that was gone before died earlier.
 func hasDead(before, after Roster, self string) bool {
 	for _, m := range after.Members {
 		old, known := before.Member(m.Host)
-		if m.State == Gone && (!known || old.State != Gone) {
-			return true
+		if known && old.State == Gone {
+			continue
 		}
-		if known && m.Host != self && old.Incarnation != m.Incarnation && old.State != Gone {
+		replaced := known && m.Host != self && m.Incarnation != old.Incarnation
+		if m.State == Gone || replaced {
 			return true
 		}
 	}
--- a/internal/selector/shift/ramp.go
+++ b/internal/selector/shift/ramp.go
@@ -62,9 +62,7 @@
 // Slow shrinks the pace of a rule's ramp after its upstreams refused a request,
 // or had no free slot for it.
 func (m *Meter) Slow(rule string) {
-	for i := range m.rules {
-		if m.rules[i].Name == rule {
-			m.rules[i].pace = max(slowest, m.rules[i].pace*slowFactor)
-		}
+	if i := m.Index(rule); i >= 0 {
+		m.rules[i].pace = max(slowest, m.rules[i].pace*slowFactor)
 	}
 }
