--- a/internal/selector/link/pacer.go
+++ b/internal/selector/link/pacer.go
@@ -25,11 +25,11 @@
 	bucket *bucket
 	start  time.Time
 	sent   [2]int64 // bytes, by class
-	// waited says that something had to wait since the last Demand, which was
-	// at demandAt after start, when sentThen bytes had been sent.
-	waited   bool
-	demandAt time.Duration
-	sentThen int64
+	// waited says that something had to wait since the last Demand. That was
+	// demandAt after start, when demandSent bytes had been sent.
+	waited     bool
+	demandAt   time.Duration
+	demandSent int64
 }
 
 // NewPacer makes a pacer for a limit in bytes per second, of which a part, 0 to
@@ -87,10 +87,10 @@
 	now := time.Since(p.start)
 	total := p.sent[Interactive] + p.sent[Bulk]
 	if elapsed := (now - p.demandAt).Seconds(); elapsed > 0 {
-		used = float64(total-p.sentThen) / elapsed
+		used = float64(total-p.demandSent) / elapsed
 	}
 	more = p.waited
-	p.waited, p.demandAt, p.sentThen = false, now, total
+	p.waited, p.demandAt, p.demandSent = false, now, total
 	return used, more
 }
 
--- a/internal/selector/slot/gate.go
+++ b/internal/selector/slot/gate.go
@@ -63,12 +63,11 @@
 	return g.wait(ctx, w, place, wait)
 }
 
-// hasRoom reports whether one more request may wait.
-func (g *Gate) hasRoom() bool {
-	held, _ := g.pool.Usage()
-	return g.waiting.Len() < queueFactor*held
-}
+// hasRoom reports whether one more request may wait. g.mu is held.
+func (g *Gate) hasRoom() bool { return g.waiting.Len() < queueFactor*g.pool.held }
 
+// wait gives the slot that w got within a time, and else takes it out of its
+// place in the queue.
 func (g *Gate) wait(ctx context.Context, w *waiter, place *list.Element, d time.Duration) (Lease, Refusal) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/selector/steer/plan.go
+++ b/internal/selector/steer/plan.go
@@ -17,11 +17,12 @@
 
 // Plan is which rules and zones one request has tried. Begin sets it up.
 type Plan struct {
-	// rules are the places of the rules in the order to try them, in order
-	// where it has room, and rule the one tried now.
-	order [planRules]int32
-	rules []int32
-	rule  int
+	// rules are the meter's places of the rules, in the order to try them. They
+	// are stored in buffer, if it has room.
+	rules  []int32
+	buffer [planRules]int32
+	// rule is the index in rules of the one tried now.
+	rule int
 	// tried has a bit for each zone of that rule.
 	tried [maxSites / 64]uint64
 	// Capped says that a rule was passed over because it has reached its cap.
@@ -38,11 +39,12 @@
 	Full bool
 }
 
+// hasTried reports whether the zone of a site was chosen under the rule tried now.
 func (p *Plan) hasTried(site uint) bool { return p.tried[site/64]&(1<<(site%64)) != 0 }
 
 // Begin counts a request that arrived, and sets its plan up.
 func (d *Decider) Begin(p *Plan) {
-	p.rules = d.meter.Arrive(p.order[:0])
+	p.rules = d.meter.Arrive(p.buffer[:0])
 	clear(p.tried[:])
 	p.rule = 0
 	p.Capped = false
