--- a/internal/selector/link/pacer.go
+++ b/internal/selector/link/pacer.go
@@ -25,11 +25,11 @@
 	bucket *bucket
 	start  time.Time
 	sent   [2]int64 // bytes, by class
-	// waited says that something had to wait since the last Demand, which was
-	// at demandAt after start, when sentThen bytes had been sent.
-	waited   bool
-	demandAt time.Duration
-	sentThen int64
+	// waited says that something had to wait since the last Demand. That was
+	// demandAt after start, when demandSent bytes had been sent.
+	waited     bool
+	demandAt   time.Duration
+	demandSent int64
 }
 
 // NewPacer makes a pacer for a limit in bytes per second, of which a part, 0 to
@@ -42,7 +42,7 @@
 func (p *Pacer) Configure(limit, reserved float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.bucket.Configure(limit, reserved)
+	p.bucket.configure(limit, reserved)
 }
 
 // Chunk gives the most bytes to send at once on this link.
@@ -65,10 +65,12 @@
 	}
 }
 
+// take asks the bucket to send n bytes now; it gives zero, or how long to wait
+// before asking again.
 func (p *Pacer) take(class Class, n int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	d := p.bucket.Take(class, n, int64(time.Since(p.start)))
+	d := p.bucket.take(class, n, int64(time.Since(p.start)))
 	if d == 0 {
 		p.sent[class] += int64(n)
 	} else {
@@ -85,10 +87,10 @@
 	now := time.Since(p.start)
 	total := p.sent[Interactive] + p.sent[Bulk]
 	if elapsed := (now - p.demandAt).Seconds(); elapsed > 0 {
-		used = float64(total-p.sentThen) / elapsed
+		used = float64(total-p.demandSent) / elapsed
 	}
 	more = p.waited
-	p.waited, p.demandAt, p.sentThen = false, now, total
+	p.waited, p.demandAt, p.demandSent = false, now, total
 	return used, more
 }
 
