--- a/cmd/check.go
+++ b/cmd/check.go
@@ -5,9 +5,6 @@
 	"flag"
 	"fmt"
 	"os"
-	"strings"
-
-	"github.com/google/subcommands"
 
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/server"
@@ -19,37 +16,28 @@
 	config   string
 }
 
-func (*checkCmd) Name() string     { return "check" }
-func (*checkCmd) Synopsis() string { return "check a settings or a configuration file" }
-func (*checkCmd) Usage() string    { return "check --settings FILE | --config FILE\n" }
 func (c *checkCmd) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.settings, "settings", "", "settings `file` (TOML)")
 	f.StringVar(&c.config, "config", "", "configuration `file` (TOML)")
 }
 
-// Execute says every fault at once, each with its key.
-func (c *checkCmd) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
+// run prints every fault of the file, one line each.
+func (c *checkCmd) run(context.Context, *flag.FlagSet) error {
 	if (c.settings == "") == (c.config == "") {
-		return usage("check: give either --settings or --config")
+		return usageError("check: give either --settings or --config")
 	}
-	err := c.check()
-	if err != nil {
-		for line := range strings.SplitSeq(err.Error(), "\n") {
-			fmt.Fprintln(os.Stderr, line)
-		}
-		return subcommands.ExitFailure
+	if err := c.check(); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		return errReported
 	}
 	fmt.Println("ok")
-	return subcommands.ExitSuccess
+	return nil
 }
 
 func (c *checkCmd) check() error {
 	if c.settings != "" {
-		set, err := servesettings.Load(c.settings)
-		if err != nil {
-			return err
-		}
-		return server.Prepare(&set)
+		_, err := loadSettings(c.settings)
+		return err
 	}
 	data, err := os.ReadFile(c.config)
 	if err != nil {
@@ -58,3 +46,14 @@
 	_, err = config.ParseDocument(data)
 	return err
 }
+
+// loadSettings reads the settings of serve and applies defaults. Its error
+// joins every fault.
+func loadSettings(path string) (servesettings.Settings, error) {
+	set, err := servesettings.Load(path)
+	if err != nil {
+		return set, err
+	}
+	err = server.Prepare(&set)
+	return set, err
+}
--- a/cmd/client.go
+++ b/cmd/client.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"crypto/tls"
 	"encoding/json"
 	"flag"
 	"fmt"
@@ -14,6 +13,9 @@
 
 	"github.com/rotisserie/eris"
 
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/configsync"
+	"cairndock/internal/selector/operator"
 	"cairndock/internal/selector/servesettings"
 	"cairndock/internal/selector/tlsfiles"
 )
@@ -22,9 +24,11 @@
 // so that it need not stand on the command line.
 const envToken = "CAIRNDOCK_TOKEN"
 
+// clientTimeout limits a request to a host. Chosen, not measured: above the
+// longest wait of a change, 60 s.
 const clientTimeout = 90 * time.Second
 
-// client talks to a host's operator listener.
+// client sends requests to a host's operator listener.
 type client struct {
 	addr  string
 	token string
@@ -32,7 +36,7 @@
 	json  bool
 }
 
-func (c *client) flags(f *flag.FlagSet) {
+func (c *client) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.addr, "operator", "127.0.0.1:8081", "operator `address` of any host")
 	f.StringVar(&c.token, "token", os.Getenv(envToken), "operator's `token`; "+envToken+" by default")
 	f.StringVar(&c.tls.Certificate, "cert", "", "client certificate `file`, for mutual TLS")
@@ -41,25 +45,19 @@
 	f.BoolVar(&c.json, "json", false, "print JSON")
 }
 
-// answer is what a host answered.
-type answer struct {
-	Status int
-	Header http.Header
-	Body   []byte
-}
-
-func (c *client) do(ctx context.Context, method, path string, header http.Header, body []byte) (answer, error) {
+// do sends a request and returns the response's status and body.
+func (c *client) do(ctx context.Context, method, path string, header http.Header, body []byte) (int, []byte, error) {
 	scheme, transport := "http", &http.Transport{}
 	if c.tls.Enabled() {
-		config, err := c.tlsConfig()
+		files, err := tlsfiles.Open(c.tls)
 		if err != nil {
-			return answer{}, err
+			return 0, nil, err
 		}
-		scheme, transport.TLSClientConfig = "https", config
+		scheme, transport.TLSClientConfig = "https", files.Client("")
 	}
 	req, err := http.NewRequestWithContext(ctx, method, scheme+"://"+c.addr+path, bytes.NewReader(body))
 	if err != nil {
-		return answer{}, eris.Wrap(err, "make request")
+		return 0, nil, eris.Wrap(err, "make request")
 	}
 	for name, values := range header {
 		req.Header[name] = values
@@ -69,34 +67,65 @@
 	}
 	resp, err := (&http.Client{Transport: transport, Timeout: clientTimeout}).Do(req)
 	if err != nil {
-		return answer{}, eris.Wrap(err, "ask host")
+		return 0, nil, eris.Wrap(err, "send request")
 	}
 	defer resp.Body.Close()
 	out, err := io.ReadAll(resp.Body)
-	return answer{resp.StatusCode, resp.Header, out}, eris.Wrap(err, "read answer")
+	return resp.StatusCode, out, eris.Wrap(err, "read response")
 }
 
-func (c *client) tlsConfig() (*tls.Config, error) {
-	files, err := tlsfiles.Open(c.tls)
+// get requests JSON, decodes it into out and returns it as it came.
+func (c *client) get(ctx context.Context, path string, out any) ([]byte, error) {
+	status, body, err := c.do(ctx, http.MethodGet, path, nil, nil)
 	if err != nil {
 		return nil, err
 	}
-	return files.Client(""), nil
+	if status != http.StatusOK {
+		return nil, unexpected(status, body)
+	}
+	return body, eris.Wrap(json.Unmarshal(body, out), "decode response")
 }
 
-// get asks for JSON and decodes it into out.
-func (c *client) get(ctx context.Context, path string, out any) ([]byte, error) {
-	a, err := c.do(ctx, http.MethodGet, path, nil, nil)
-	if err != nil {
-		return nil, err
+// putConfig sends a configuration document once, as the change with an id.
+func (c *client) putConfig(ctx context.Context, query, id, base string, document []byte) (int, []byte, error) {
+	header := http.Header{operator.HeaderChange: {id}}
+	if base != "" {
+		header.Set("If-Match", base)
 	}
-	if a.Status != http.StatusOK {
-		return nil, eris.Errorf("host answered %d: %s", a.Status, bytes.TrimSpace(a.Body))
+	return c.do(ctx, http.MethodPut, "/v1/config"+query, header, document)
+}
+
+// printChange prints the response to a change and decodes it. Its error is a
+// *config.Conflict if another change came first.
+func (c *client) printChange(status int, body []byte) (configsync.Applied, error) {
+	var applied configsync.Applied
+	switch status {
+	case http.StatusOK, http.StatusAccepted:
+		if err := json.Unmarshal(body, &applied); err != nil {
+			return applied, err
+		}
+		c.print(body, func() { printApplied(applied) })
+		return applied, nil
+	case http.StatusConflict:
+		conflict := &config.Conflict{}
+		if err := json.Unmarshal(body, conflict); err != nil {
+			return applied, err
+		}
+		return applied, eris.Wrap(conflict, "conflict")
 	}
-	return a.Body, eris.Wrap(json.Unmarshal(a.Body, out), "read answer")
+	return applied, unexpected(status, body)
 }
 
-func printJSON(body []byte) {
+func unexpected(status int, body []byte) error {
+	return eris.Errorf("host responded with status %d: %s", status, bytes.TrimSpace(body))
+}
+
+// print prints a response: as JSON if the flag asks for it, else by text.
+func (c *client) print(body []byte, text func()) {
+	if !c.json {
+		text()
+		return
+	}
 	var out bytes.Buffer
 	if json.Indent(&out, body, "", "  ") != nil {
 		out.Write(body)
--- a/cmd/cmd_test.go
+++ b/cmd/cmd_test.go
@@ -57,7 +57,7 @@
 		{"both", checkCmd{settings: "a", config: "b"}, 2},
 	}
 	for _, tc := range cases {
-		require.Equal(t, tc.want, tc.cmd.Execute(context.Background(), nil), tc.name)
+		require.Equal(t, tc.want, command{runner: &tc.cmd}.Execute(context.Background(), nil), tc.name)
 	}
 }
 
@@ -82,8 +82,8 @@
 			}))
 			defer server.Close()
 			c := &applyCmd{client: client{addr: server.Listener.Addr().String()}, file: file, base: "1"}
-			require.Equal(t, tc.want, c.Execute(context.Background(), nil))
+			require.Equal(t, tc.want, command{runner: c}.Execute(context.Background(), nil))
 		})
 	}
-	require.EqualValues(t, 2, (&applyCmd{}).Execute(context.Background(), nil))
+	require.EqualValues(t, 2, command{runner: &applyCmd{}}.Execute(context.Background(), nil))
 }
--- a/cmd/drain.go
+++ b/cmd/drain.go
@@ -9,7 +9,6 @@
 	"strings"
 	"time"
 
-	"github.com/google/subcommands"
 	"github.com/oklog/ulid/v2"
 	"github.com/pelletier/go-toml/v2"
 	"github.com/rotisserie/eris"
@@ -17,7 +16,14 @@
 
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry/drain"
-	"cairndock/internal/selector/operator"
+)
+
+const (
+	// drainTimeout is the default of --timeout. Chosen, not measured.
+	drainTimeout = 2 * time.Minute
+	// drainPause is the pause between two looks at the upstreams. Chosen, not
+	// measured.
+	drainPause = 200 * time.Millisecond
 )
 
 type drainCmd struct {
@@ -27,43 +33,48 @@
 	timeout  time.Duration
 }
 
-func (*drainCmd) Name() string { return "drain" }
-func (*drainCmd) Synopsis() string {
-	return "take upstreams out of service and wait until they are idle"
-}
-func (*drainCmd) Usage() string {
-	return "drain --selector SELECTOR [--service S] [--timeout D]\n"
-}
-
 func (c *drainCmd) SetFlags(f *flag.FlagSet) {
-	c.flags(f)
+	c.client.SetFlags(f)
 	f.StringVar(&c.selector, "selector", "", "label `selector` of the upstreams")
 	f.StringVar(&c.service, "service", "", "only upstreams of this `service`")
-	f.DurationVar(&c.timeout, "timeout", 2*time.Minute, "longest wait")
+	f.DurationVar(&c.timeout, "timeout", drainTimeout, "longest wait")
 }
 
-// Execute marks the upstreams as leaving and waits until nothing runs there.
-func (c *drainCmd) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+func (c *drainCmd) run(ctx context.Context, _ *flag.FlagSet) error {
 	selector, err := labels.Parse(c.selector)
 	if err != nil || c.selector == "" {
-		return usage("drain: --selector must be a label selector")
+		return usageError("drain: --selector must be a label selector")
+	}
+	change, err := c.change(ctx, selector)
+	if err != nil {
+		return err
 	}
-	names, code := c.markLeaving(ctx, selector)
-	if code != subcommands.ExitSuccess {
-		return code
+	body, err := toml.Marshal(change)
+	if err != nil {
+		return err
+	}
+	status, body, err := c.putConfig(ctx, "", "drain-"+ulid.Make().String(), "", body)
+	if err != nil {
+		return err
 	}
-	return c.await(ctx, names)
+	if _, err := c.printChange(status, body); err != nil {
+		return err
+	}
+	return c.await(ctx, change.Upstreams)
 }
 
-// markLeaving changes the state of the matching upstreams, each only if
-// nobody changed it in the meantime.
-func (c *drainCmd) markLeaving(ctx context.Context, selector labels.Selector) ([]string, subcommands.ExitStatus) {
-	doc, err := c.document(ctx)
+// change sets the state of the matching upstreams to leaving, each only if
+// nobody changes it in the meantime.
+func (c *drainCmd) change(ctx context.Context, selector labels.Selector) (config.Document, error) {
+	change := config.Document{Versions: map[string]uint64{}}
+	_, body, err := c.do(ctx, http.MethodGet, "/v1/config", nil, nil)
 	if err != nil {
-		return nil, fail(err)
+		return change, err
+	}
+	doc, err := config.ParseDocument(body)
+	if err != nil {
+		return change, err
 	}
-	change := config.Document{Versions: map[string]uint64{}}
-	var names []string
 	regions := map[string]string{}
 	for _, z := range doc.Zones {
 		regions[z.Name] = z.Region
@@ -72,52 +83,36 @@
 		if (c.service != "" && u.Service != c.service) || !selector.Matches(config.Labels(u, regions[u.Zone])) {
 			continue
 		}
-		names = append(names, u.Name)
 		u.State = config.StateLeaving
 		change.Upstreams = append(change.Upstreams, u)
 		key := config.Ref{Kind: config.KindUpstream, Name: u.Name}.String()
 		change.Versions[key] = doc.Versions[key]
 	}
-	if len(names) == 0 {
-		return nil, fail(eris.Errorf("no upstream matches %q", c.selector))
-	}
-	body, err := toml.Marshal(change)
-	if err != nil {
-		return nil, fail(err)
-	}
-	header := http.Header{operator.HeaderChange: {"drain-" + ulid.Make().String()}}
-	a, err := c.do(ctx, http.MethodPut, "/v1/config", header, body)
-	if err != nil {
-		return nil, fail(err)
+	if len(change.Upstreams) == 0 {
+		return change, eris.Errorf("no upstream matches %q", c.selector)
 	}
-	_, code := (&applyCmd{client: c.client}).report(a)
-	return names, code
+	return change, nil
 }
 
-func (c *drainCmd) document(ctx context.Context) (config.Document, error) {
-	a, err := c.do(ctx, http.MethodGet, "/v1/config", nil, nil)
-	if err != nil {
-		return config.Document{}, err
-	}
-	return config.ParseDocument(a.Body)
-}
-
-const drainPause = 200 * time.Millisecond
-
-func (c *drainCmd) await(ctx context.Context, names []string) subcommands.ExitStatus {
+// await waits until nothing runs at the upstreams and no host sends to them.
+func (c *drainCmd) await(ctx context.Context, upstreams []config.Upstream) error {
 	began := time.Now()
+	names := make([]string, len(upstreams))
+	for i, u := range upstreams {
+		names[i] = u.Name
+	}
 	path := "/v1/drain?upstreams=" + url.QueryEscape(strings.Join(names, ","))
 	var d drain.Drained
 	for time.Since(began) < c.timeout {
 		if _, err := c.get(ctx, path, &d); err != nil {
-			return fail(err)
+			return err
 		}
 		if d.Outstanding == 0 && d.Taking == 0 && len(d.Unknown) == 0 {
 			fmt.Printf("drained %d upstreams in %s\n", len(names), time.Since(began).Round(time.Millisecond))
-			return subcommands.ExitSuccess
+			return nil
 		}
 		time.Sleep(drainPause)
 	}
-	return fail(eris.Errorf("not drained in %s: %d outstanding, %d hosts still take work, not known: %v",
-		c.timeout, d.Outstanding, d.Taking, d.Unknown))
+	return eris.Errorf("not drained in %s: %d outstanding, %d hosts still send requests, not known: %v",
+		c.timeout, d.Outstanding, d.Taking, d.Unknown)
 }
--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -8,8 +8,6 @@
 	"os"
 	"text/tabwriter"
 
-	"github.com/google/subcommands"
-
 	"cairndock/internal/selector/entry"
 )
 
@@ -19,41 +17,39 @@
 	caller  string
 }
 
-func (*explainCmd) Name() string     { return "explain" }
-func (*explainCmd) Synopsis() string { return "say how a caller's request would be steered, and why" }
-func (*explainCmd) Usage() string    { return "explain --service S --caller IP [--json]\n" }
 func (c *explainCmd) SetFlags(f *flag.FlagSet) {
-	c.flags(f)
+	c.client.SetFlags(f)
 	f.StringVar(&c.service, "service", "", "service `name`")
-	f.StringVar(&c.caller, "caller", "127.0.0.1", "the caller's `IP` address")
+	f.StringVar(&c.caller, "caller", "127.0.0.1", "the client's `IP` address")
 }
 
-// Execute prints each rule with the reason why it was or wasn't chosen.
-func (c *explainCmd) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+func (c *explainCmd) run(ctx context.Context, _ *flag.FlagSet) error {
 	if c.service == "" {
-		return usage("explain: --service must be given")
+		return usageError("explain: --service must be given")
 	}
 	query := url.Values{"service": {c.service}, "caller": {c.caller}}
 	var e entry.Explanation
 	body, err := c.get(ctx, "/v1/explain?"+query.Encode(), &e)
 	if err != nil {
-		return fail(err)
-	}
-	if c.json {
-		printJSON(body)
-		return subcommands.ExitSuccess
+		return err
 	}
+	c.print(body, func() { printExplanation(e) })
+	return nil
+}
+
+func printExplanation(e entry.Explanation) {
 	fmt.Printf("caller %s is in zone %q; revision %d\n", e.Caller, e.CallerZone, e.Revision)
-	t := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
+	t := newTable()
 	fmt.Fprintln(t, "RULE\tSELECTOR\tSHARE\tTARGET\tCAP\tWHY")
 	for _, r := range e.Rules {
 		fmt.Fprintf(t, "%s\t%s\t%.3f\t%.3f\t%.3f\t%s\n", r.Rule, r.Selector, r.Share, r.Target, r.Cap, r.Why)
 	}
-	_ = t.Flush()
+	_ = t.Flush() // nothing to do if the standard output is closed
 	fmt.Fprintln(t, "RULE\tZONE\tSLOTS\tUSE\tRTT\tREACHABLE\tSCORE")
 	for _, s := range e.Sites {
 		fmt.Fprintf(t, "%s\t%s\t%d\t%.0f%%\t%.2f ms\t%v\t%.5f\n", s.Rule, s.Zone, s.Slots, 100*s.Use, s.RTTMillis, s.Reachable, s.Score)
 	}
 	_ = t.Flush()
-	return subcommands.ExitSuccess
 }
+
+func newTable() *tabwriter.Writer { return tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0) }
--- a/cmd/load.go
+++ b/cmd/load.go
@@ -10,8 +10,6 @@
 	"strings"
 	"time"
 
-	"github.com/google/subcommands"
-
 	"cairndock/internal/selector/load"
 )
 
@@ -31,12 +29,6 @@
 	json      bool
 }
 
-func (*loadCmd) Name() string     { return "load" }
-func (*loadCmd) Synopsis() string { return "send a bounded open-loop load to a system on loopback" }
-func (*loadCmd) Usage() string {
-	return "load [--lookups N] [--bookings N] [--downloads N] [--duration D] [--upstreams ADDR,...]\n"
-}
-
 func (c *loadCmd) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.entry, "entry", "127.0.0.1:8080", "caller `address` of any host")
 	f.StringVar(&c.upstreams, "upstreams", "", "`addresses` of stand-in upstreams, to read their ledgers")
@@ -57,30 +49,35 @@
 	f.BoolVar(&c.json, "json", false, "print JSON")
 }
 
-// Execute fails when a promise was broken.
-func (c *loadCmd) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+// run fails if the load found a violation.
+func (c *loadCmd) run(ctx context.Context, _ *flag.FlagSet) error {
 	o := load.Options{Entry: c.entry, Duration: c.duration, Classes: c.classes()}
 	if c.upstreams != "" {
 		o.Upstreams = strings.Split(c.upstreams, ",")
 	}
 	if err := o.Check(); err != nil {
-		return usage("load: " + err.Error())
+		return usageError("load: " + err.Error())
 	}
 	changed := c.startChanges(ctx)
 	report, err := load.Run(ctx, o)
 	if err != nil {
-		return fail(err)
+		return err
 	}
 	report.Changes = <-changed
 	if c.json {
-		_ = json.NewEncoder(os.Stdout).Encode(report)
+		_ = json.NewEncoder(os.Stdout).Encode(report) // fails only if the output is closed
 	} else {
 		report.Print(os.Stdout)
 	}
-	if report.HasViolations() {
-		return subcommands.ExitFailure
+	return violations(report)
+}
+
+// violations is the error of a printed report with any violation.
+func violations(r load.Report) error {
+	if r.HasViolations() {
+		return errReported
 	}
-	return subcommands.ExitSuccess
+	return nil
 }
 
 // startChanges sends configuration changes for as long as requests arrive.
--- a/cmd/serve.go
+++ b/cmd/serve.go
@@ -4,73 +4,59 @@
 	"context"
 	"flag"
 	"os"
-	"os/signal"
-	"syscall"
 
-	"github.com/google/subcommands"
 	"github.com/rs/zerolog"
 
-	"cairndock/internal/selector/entry"
 	"cairndock/internal/selector/server"
-	"cairndock/internal/selector/servesettings"
 	"cairndock/internal/telemetry"
 )
 
 type serveCmd struct{ settings string }
 
-func (*serveCmd) Name() string     { return "serve" }
-func (*serveCmd) Synopsis() string { return "run one entry host" }
-func (*serveCmd) Usage() string    { return "serve --settings FILE\n" }
 func (c *serveCmd) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.settings, "settings", "", "settings `file` (TOML)")
 }
 
-// Execute runs the host until a signal, and then stops it as planned. A
-// second signal ends the wait and says what it cut.
-func (c *serveCmd) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+// run runs the host until a signal, and then stops it as planned.
+func (c *serveCmd) run(ctx context.Context, _ *flag.FlagSet) error {
 	if c.settings == "" {
-		return usage("serve: --settings must be given")
-	}
-	set, err := servesettings.Load(c.settings)
-	if err == nil {
-		err = server.Prepare(&set)
+		return usageError("serve: --settings must be given")
 	}
+	set, err := loadSettings(c.settings)
 	if err != nil {
-		return fail(err)
+		return err
 	}
 	limitMemory()
-	signals := make(chan os.Signal, 2)
-	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
+	signals := notifySignals()
 	log := telemetry.NewLogger(os.Stderr, set.Telemetry.LogLevel)
-	return serve(ctx, set, log, signals)
-}
-
-func serve(ctx context.Context, set servesettings.Settings, log zerolog.Logger, signals <-chan os.Signal) subcommands.ExitStatus {
 	tp, err := telemetry.NewProvider(ctx, set.Telemetry, os.Stdout)
 	if err != nil {
-		return fail(err)
+		return err
 	}
-	defer func() { _ = tp.Shutdown(context.Background()) }()
+	// The process ends; spans that the exporter can't deliver are lost.
+	defer func() { _ = tp.Shutdown(context.WithoutCancel(ctx)) }()
 	o, err := server.Remote(set, log, tp)
 	if err != nil {
-		return fail(err)
+		return err
 	}
-	s, err := server.Start(ctx, o, entry.TCP{})
+	s, err := server.Start(ctx, o)
 	if err != nil {
-		return fail(err)
+		return err
 	}
-	log.Info().Str("role", "caller").Str("addr", s.CallerAddr()).Msg("serve: listening")
-	log.Info().Str("role", "operator").Str("addr", s.OperatorAddr()).Msg("serve: listening")
+	log.Info().Str("role", "caller").Str("addr", s.CallerAddr).Msg("serve: listening")
+	log.Info().Str("role", "operator").Str("addr", s.OperatorAddr).Msg("serve: listening")
 	select {
 	case <-signals:
 	case err := <-s.Failed():
 		s.Close()
-		return fail(err)
+		return err
 	}
 	return stop(ctx, s, log, signals)
 }
 
-func stop(ctx context.Context, s *server.Server, log zerolog.Logger, signals <-chan os.Signal) subcommands.ExitStatus {
+// stop stops the host as planned, or at once on a further signal. Requests that
+// are cut are a failure.
+func stop(ctx context.Context, s *server.Server, log zerolog.Logger, signals <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
@@ -81,8 +67,8 @@
 	report := s.Stop(ctx)
 	if report.Cut > 0 {
 		log.Error().Int64("cut", report.Cut).Msg("serve: requests were cut")
-		return subcommands.ExitFailure
+		return errReported
 	}
 	log.Info().Dur("waited", report.Waited).Msg("serve: stopped, nothing was cut")
-	return subcommands.ExitSuccess
+	return nil
 }
--- a/cmd/standin.go
+++ b/cmd/standin.go
@@ -3,12 +3,8 @@
 import (
 	"context"
 	"flag"
-	"net/http"
 	"os"
-	"os/signal"
-	"syscall"
-
-	"github.com/google/subcommands"
+	"strings"
 
 	"cairndock/internal/peer"
 	"cairndock/internal/selector/config"
@@ -21,50 +17,45 @@
 // it, so that one real host can be measured at that size.
 type standinCmd struct{ size standin.Size }
 
-func (*standinCmd) Name() string     { return "standin" }
-func (*standinCmd) Synopsis() string { return "run a platform stand-in with a generated configuration" }
-func (*standinCmd) Usage() string {
-	return "standin [--blocks N] [--services N] [--zones N] [--hosts N]\n"
-}
-
 func (c *standinCmd) SetFlags(f *flag.FlagSet) {
 	c.size = standin.PlannedSize()
-	f.IntVar(&c.size.Blocks, "blocks", c.size.Blocks, "blocks of callers")
+	f.IntVar(&c.size.Blocks, "blocks", c.size.Blocks, "blocks of client addresses")
 	f.IntVar(&c.size.Services, "services", c.size.Services, "services, each with a site in every zone")
 	f.IntVar(&c.size.Zones, "zones", c.size.Zones, "zones")
 	f.IntVar(&c.size.Hosts, "hosts", c.size.Hosts, "hosts in a zone's roster")
 }
 
-// Execute runs until a signal.
-func (c *standinCmd) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	signals := make(chan os.Signal, 1)
-	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
+// run runs until a signal.
+func (c *standinCmd) run(ctx context.Context, _ *flag.FlagSet) error {
+	signals := notifySignals()
 	log := telemetry.NewLogger(os.Stdout, "info")
 	m := store.NewMemory()
 	if err := c.fill(ctx, m); err != nil {
-		return fail(err)
+		return err
 	}
-	p := standin.Platform{Memory: m}
-	for role, handler := range map[string]http.Handler{
-		"table": p.TableHandler(), "objects": p.ObjectHandler(), "hosts": p.HostsHandler(),
+	p, err := standin.Platform{Memory: m}.Start()
+	if err != nil {
+		return err
+	}
+	defer p.Close()
+	for role, url := range map[string]string{
+		"table": p.Settings.TableEndpoint, "objects": p.Settings.ObjectEndpoint, "hosts": p.Settings.HostsURL,
 	} {
-		server, err := standin.Listen(handler)
-		if err != nil {
-			return fail(err)
-		}
-		defer server.Close()
-		log.Info().Str("role", role).Str("addr", server.Addr).Msg("standin: listening")
+		log.Info().Str("role", role).Str("addr", strings.TrimPrefix(url, "http://")).Msg("standin: listening")
 	}
 	<-signals
-	return subcommands.ExitSuccess
+	return nil
 }
 
 // fill writes the configuration, a snapshot of it and the rosters.
 func (c *standinCmd) fill(ctx context.Context, m *store.Memory) error {
 	log := config.NewLog(m, m)
 	s := config.NewState()
-	for id, doc := range []config.Document{c.size.Objects(), c.size.BlocksDocument()} {
-		change, err := doc.Change([]string{"objects", "blocks"}[id], s.Revision())
+	for _, part := range []struct {
+		id  string
+		doc config.Document
+	}{{"objects", c.size.Objects()}, {"blocks", c.size.BlocksDocument()}} {
+		change, err := part.doc.Change(part.id, s.Revision())
 		if err != nil {
 			return err
 		}
--- a/cmd/status.go
+++ b/cmd/status.go
@@ -4,34 +4,20 @@
 	"context"
 	"flag"
 	"fmt"
-	"os"
-	"text/tabwriter"
-
-	"github.com/google/subcommands"
 
 	"cairndock/internal/selector/entry"
 )
 
 type statusCmd struct{ client }
 
-func (*statusCmd) Name() string               { return "status" }
-func (*statusCmd) Synopsis() string           { return "show zones, services and shifts as one host sees them" }
-func (*statusCmd) Usage() string              { return "status [--json]\n" }
-func (c *statusCmd) SetFlags(f *flag.FlagSet) { c.flags(f) }
-
-// Execute prints a table, or JSON for automation.
-func (c *statusCmd) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+func (c *statusCmd) run(ctx context.Context, _ *flag.FlagSet) error {
 	var s entry.Status
 	body, err := c.get(ctx, "/v1/status", &s)
 	if err != nil {
-		return fail(err)
+		return err
 	}
-	if c.json {
-		printJSON(body)
-		return subcommands.ExitSuccess
-	}
-	printStatus(s)
-	return subcommands.ExitSuccess
+	c.print(body, func() { printStatus(s) })
+	return nil
 }
 
 func printStatus(s entry.Status) {
@@ -46,12 +32,12 @@
 		fmt.Print(", NOT READY")
 	}
 	fmt.Println()
-	t := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
+	t := newTable()
 	fmt.Fprintln(t, "ZONE\tREGION\tREVISION\tFRESH\tHOSTS UP\tSLOTS\tUSABLE\tFREE")
 	for _, z := range s.Zones {
 		fmt.Fprintf(t, "%s\t%s\t%d\t%d ms\t%d/%d\t%d\t%d\t%d\n", z.Zone, z.Region, z.Revision, z.FreshMillis, z.Up, z.Hosts, z.Slots, z.Held, z.Free)
 	}
-	_ = t.Flush()
+	_ = t.Flush() // nothing to do if the standard output is closed
 	fmt.Fprintln(t, "SERVICE\tRULE\tSHARE\tTARGET\tCAP\tPACE")
 	for _, svc := range s.Services {
 		for _, r := range svc.Shares {
--- a/internal/selector/quickstart/once.go
+++ b/internal/selector/quickstart/once.go
@@ -24,7 +24,7 @@
 // verdicts with the upstreams' ledgers.
 func Once(ctx context.Context, s *System) (load.Report, error) {
 	return load.Run(ctx, load.Options{
-		Entry:     s.Servers[0].CallerAddr(),
+		Entry:     s.Servers[0].CallerAddr,
 		Duration:  onceDuration,
 		Upstreams: s.UpstreamAddrs,
 		Classes: []load.Class{
--- a/internal/selector/quickstart/path_bench_test.go
+++ b/internal/selector/quickstart/path_bench_test.go
@@ -22,7 +22,7 @@
 	for _, u := range system.Upstreams {
 		u.Latency = 0
 	}
-	first := "http://" + system.Servers[0].CallerAddr()
+	first := "http://" + system.Servers[0].CallerAddr
 	straight := ""
 	for i, u := range system.Upstreams {
 		if u.Name == "planning-costa-a-1" {
--- a/internal/selector/quickstart/quickstart.go
+++ b/internal/selector/quickstart/quickstart.go
@@ -15,7 +15,6 @@
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 
 	"cairndock/internal/selector/config"
-	"cairndock/internal/selector/entry"
 	"cairndock/internal/selector/server"
 	"cairndock/internal/selector/servesettings"
 	"cairndock/internal/selector/standin"
@@ -211,7 +210,7 @@
 		return err
 	}
 	o.Seed = uint64(len(s.Servers) + 1)
-	srv, err := server.Start(s.ctx, o, entry.TCP{})
+	srv, err := server.Start(s.ctx, o)
 	if err != nil {
 		return err
 	}
@@ -235,7 +234,7 @@
 
 func (s *System) settled() bool {
 	for _, srv := range s.Servers {
-		st := srv.Host().Status()
+		st := srv.Host.Status()
 		up := 0
 		for _, z := range st.Zones {
 			up += z.Up
--- a/internal/selector/quickstart/session_test.go
+++ b/internal/selector/quickstart/session_test.go
@@ -57,10 +57,10 @@
 func (s *session) waitForAll(host string) {
 	require.Eventually(s.t, func() bool {
 		for _, srv := range s.system.Servers {
-			if srv.Host().Self().Host != host {
+			if srv.Host.Self().Host != host {
 				continue
 			}
-			body, err := srv.Host().EntriesFor(planning, netip.MustParseAddr("127.0.0.1"))
+			body, err := srv.Host.EntriesFor(planning, netip.MustParseAddr("127.0.0.1"))
 			var e directory.Entries
 			return err == nil && json.Unmarshal(body, &e) == nil && len(e.Entries) == len(s.system.Servers)
 		}
@@ -70,8 +70,8 @@
 
 func (s *session) server(host string) string {
 	for _, srv := range s.system.Servers {
-		if srv.Host().Self().Host == host {
-			return srv.CallerAddr()
+		if srv.Host.Self().Host == host {
+			return srv.CallerAddr
 		}
 	}
 	s.t.Fatalf("no host %s", host)
@@ -107,10 +107,10 @@
 // put submits a change based on the revision in force.
 func (s *session) put(t require.TestingT, doc string) (int, string) {
 	first := s.system.Servers[0]
-	req, err := http.NewRequest(http.MethodPut, "http://"+first.OperatorAddr()+"/v1/config", strings.NewReader(doc))
+	req, err := http.NewRequest(http.MethodPut, "http://"+first.OperatorAddr+"/v1/config", strings.NewReader(doc))
 	require.NoError(t, err)
 	req.Header.Set("Authorization", "Bearer "+s.system.Token)
-	req.Header.Set("If-Match", fmt.Sprint(first.Host().Status().Revision))
+	req.Header.Set("If-Match", fmt.Sprint(first.Host.Status().Revision))
 	resp, err := http.DefaultClient.Do(req)
 	require.NoError(t, err)
 	defer resp.Body.Close()
@@ -257,14 +257,14 @@
 // failZone kills the zone's hosts and waits until the first host notices.
 func (s *session) failZone(zone string) {
 	s.system.Servers = slices.DeleteFunc(s.system.Servers, func(srv *server.Server) bool {
-		dead := srv.Host().Self().Zone == zone
+		dead := srv.Host.Self().Zone == zone
 		if dead {
 			srv.Close()
 		}
 		return dead
 	})
 	require.Eventually(s.t, func() bool {
-		return slices.Contains(s.system.Servers[0].Host().Status().CutOff, zone)
+		return slices.Contains(s.system.Servers[0].Host.Status().CutOff, zone)
 	}, 30*time.Second, 10*time.Millisecond)
 }
 
--- a/internal/selector/server/server.go
+++ b/internal/selector/server/server.go
@@ -41,18 +41,15 @@
 
 // Server is a running entry host.
 type Server struct {
-	host      *entry.Host
+	// Host is the host that the server runs.
+	Host *entry.Host
+	// CallerAddr and OperatorAddr are where clients and operators are served.
+	CallerAddr   string
+	OperatorAddr string
+
 	callers   *caller.Server
 	operators *operator.Server
-
-	callerAddr   string
-	operatorAddr string
-	failed       chan error
-}
-
-// Listeners makes the host's own listeners.
-type Listeners interface {
-	Listen(addr string) (net.Listener, error)
+	failed    chan error
 }
 
 // Remote returns the options of a host that uses the platform of the settings,
@@ -75,25 +72,27 @@
 
 // Start starts a host and its listeners. The host serves until Stop or Close; ctx
 // ends its background work too.
-func Start(ctx context.Context, o entry.Options, ls Listeners) (*Server, error) {
+func Start(ctx context.Context, o entry.Options) (*Server, error) {
 	h, err := entry.New(o)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{host: h, failed: make(chan error, 2)} // one for each listener
-	callers, err := ls.Listen(o.Settings.Callers.Listen)
+	callers, err := net.Listen("tcp", o.Settings.Callers.Listen)
 	if err != nil {
 		return nil, eris.Wrap(err, "listen for callers")
 	}
-	operators, err := ls.Listen(o.Settings.Operators.Listen)
+	operators, err := net.Listen("tcp", o.Settings.Operators.Listen)
 	if err != nil {
 		_ = callers.Close()
 		return nil, eris.Wrap(err, "listen for operators")
 	}
-	s.callerAddr, s.operatorAddr = callers.Addr().String(), operators.Addr().String()
-	s.callers = caller.New(o.Settings.Callers, h, o.Traces, h.Metrics())
-	s.operators = operator.New(o.Settings.Operators, h, o.Log, h.Metrics())
-	if err := h.Start(ctx, s.callerAddr); err != nil {
+	s := &Server{
+		Host: h, CallerAddr: callers.Addr().String(), OperatorAddr: operators.Addr().String(),
+		callers:   caller.New(o.Settings.Callers, h, o.Traces, h.Metrics()),
+		operators: operator.New(o.Settings.Operators, h, o.Log, h.Metrics()),
+		failed:    make(chan error, 2), // one for each listener
+	}
+	if err := h.Start(ctx, s.CallerAddr); err != nil {
 		_ = callers.Close()
 		_ = operators.Close()
 		return nil, err
@@ -103,15 +102,6 @@
 	return s, nil
 }
 
-// Host is the host that the server runs.
-func (s *Server) Host() *entry.Host { return s.host }
-
-// CallerAddr is the address at which clients are served.
-func (s *Server) CallerAddr() string { return s.callerAddr }
-
-// OperatorAddr is the address at which operators are served.
-func (s *Server) OperatorAddr() string { return s.operatorAddr }
-
 // Failed receives the error that ended a listener, or nil after Close.
 func (s *Server) Failed() <-chan error { return s.failed }
 
@@ -122,7 +112,7 @@
 // Stop takes the host out of service as the settings' section [stop] says, and
 // closes it. ctx ends the wait early.
 func (s *Server) Stop(ctx context.Context) entry.StopReport {
-	report := s.host.Stop(ctx)
+	report := s.Host.Stop(ctx)
 	closeCtx, cancel := context.WithTimeout(ctx, closeTimeout)
 	defer cancel()
 	// Its error is the timeout; Close ends what is left.
@@ -135,5 +125,5 @@
 func (s *Server) Close() {
 	_ = s.callers.Close()
 	_ = s.operators.Close()
-	s.host.Close()
+	s.Host.Close()
 }
--- a/internal/selector/standin/objects.go
+++ b/internal/selector/standin/objects.go
@@ -11,42 +11,28 @@
 	"cairndock/internal/selector/store"
 )
 
-// ObjectHandler serves the object store.
-func (p Platform) ObjectHandler() http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		switch r.Method {
-		case http.MethodPut:
-			p.putObject(w, r)
-		case http.MethodGet:
-			p.getObject(w, r)
-		default:
-			w.WriteHeader(http.StatusMethodNotAllowed)
-		}
-	})
-}
-
-// objectName is the object's name in a path-style request: /bucket/name.
-func objectName(r *http.Request) string {
+// serveObjects serves the object store by path-style requests: /bucket/name.
+func (p Platform) serveObjects(w http.ResponseWriter, r *http.Request) {
 	_, name, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	return name
-}
-
-func (p Platform) putObject(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(r.Body)
-	if err == nil {
-		err = p.Memory.PutObject(r.Context(), objectName(r), body)
+	var body []byte
+	var err error
+	switch r.Method {
+	case http.MethodPut:
+		if body, err = io.ReadAll(r.Body); err == nil {
+			err = p.Memory.PutObject(r.Context(), name, body)
+		}
+	case http.MethodGet:
+		body, err = p.Memory.GetObject(r.Context(), name)
+	default:
+		w.WriteHeader(http.StatusMethodNotAllowed)
+		return
 	}
 	if err != nil {
 		writeObjectError(w, err)
 		return
 	}
-	w.Header().Set("ETag", `"1"`)
-}
-
-func (p Platform) getObject(w http.ResponseWriter, r *http.Request) {
-	body, err := p.Memory.GetObject(r.Context(), objectName(r))
-	if err != nil {
-		writeObjectError(w, err)
+	if r.Method == http.MethodPut {
+		w.Header().Set("ETag", `"1"`)
 		return
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
--- a/internal/selector/standin/respond.go
+++ b/internal/selector/standin/respond.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"math"
 	"net/http"
 	"strconv"
 	"strings"
@@ -11,21 +12,22 @@
 	"cairndock/internal/selector/call"
 )
 
-// expired reports whether the request arrived after its deadline.
-func expired(r *http.Request) bool {
+// timeLeft is the time until the request's deadline; with none, the longest
+// that there is.
+func timeLeft(r *http.Request) time.Duration {
 	ms, err := strconv.ParseInt(r.Header.Get(call.HeaderDeadline), 10, 64)
-	return err == nil && time.Now().UnixMilli() > ms
+	if err != nil {
+		return math.MaxInt64
+	}
+	return time.Until(time.UnixMilli(ms))
 }
 
 // sleep waits for d, and reports whether the request is still wanted then: an
 // upstream stops when the request is cancelled and at its deadline.
 func sleep(r *http.Request, d time.Duration) bool {
-	if ms, err := strconv.ParseInt(r.Header.Get(call.HeaderDeadline), 10, 64); err == nil {
-		left := time.Until(time.UnixMilli(ms))
-		if left < d {
-			pause.For(r.Context(), left)
-			return false
-		}
+	if left := timeLeft(r); left < d {
+		pause.For(r.Context(), left)
+		return false
 	}
 	return d <= 0 || pause.For(r.Context(), d)
 }
--- a/internal/selector/standin/table.go
+++ b/internal/selector/standin/table.go
@@ -44,31 +44,29 @@
 // item is a row by its attributes.
 type item map[string]attr
 
-// TableHandler serves the table.
-func (p Platform) TableHandler() http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(io.LimitReader(r.Body, maxRequest))
-		if err != nil {
-			return // the client has left
-		}
-		var out any
-		switch strings.TrimPrefix(r.Header.Get("X-Amz-Target"), targetPrefix) {
-		case "GetItem":
-			out, err = p.getItem(r, body)
-		case "Query":
-			out, err = p.query(r, body)
-		case "TransactWriteItems":
-			out, err = p.transact(r, body)
-		default:
-			err = errors.New("unknown operation")
-		}
-		w.Header().Set("Content-Type", "application/x-amz-json-1.0")
-		if err != nil {
-			writeTableError(w, err)
-			return
-		}
-		_ = json.NewEncoder(w).Encode(out)
-	})
+// serveTable serves the table.
+func (p Platform) serveTable(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxRequest))
+	if err != nil {
+		return // the client has left
+	}
+	var out any
+	switch strings.TrimPrefix(r.Header.Get("X-Amz-Target"), targetPrefix) {
+	case "GetItem":
+		out, err = p.getItem(r, body)
+	case "Query":
+		out, err = p.query(r, body)
+	case "TransactWriteItems":
+		out, err = p.transact(r, body)
+	default:
+		err = errors.New("unknown operation")
+	}
+	w.Header().Set("Content-Type", "application/x-amz-json-1.0")
+	if err != nil {
+		writeTableError(w, err)
+		return
+	}
+	_ = json.NewEncoder(w).Encode(out)
 }
 
 // tableError is the body of an error response of DynamoDB.
--- a/internal/selector/standin/upstream.go
+++ b/internal/selector/standin/upstream.go
@@ -14,6 +14,10 @@
 	"cairndock/internal/selector/call"
 )
 
+// upstreamHeaderTimeout limits reading the headers of a request to an upstream.
+// Chosen, not measured.
+const upstreamHeaderTimeout = 10 * time.Second
+
 // Faults are what an Upstream does wrong.
 type Faults struct {
 	// Shed refuses every request without running it.
@@ -213,7 +217,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	u.setStatus(w)
-	if f.Shed || expired(r) {
+	if f.Shed || timeLeft(r) <= -time.Millisecond { // deadlines count whole milliseconds
 		w.Header().Set(call.HeaderShed, "not-run")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
