--- a/internal/selector/config/append.go
+++ b/internal/selector/config/append.go
@@ -106,15 +106,12 @@
 
 // idUsed is ByID that waits while it is throttled.
 func (l *Log) idUsed(ctx context.Context, id string) (uint64, bool, error) {
-	type use struct {
-		rev  uint64
-		used bool
-	}
-	u, err := retryThrottled(ctx, func() (use, error) {
-		rev, used, err := l.ByID(ctx, id)
-		return use{rev, used}, err
+	used := false
+	rev, err := retryThrottled(ctx, func() (rev uint64, err error) {
+		rev, used, err = l.ByID(ctx, id)
+		return rev, err
 	})
-	return u.rev, u.used, err
+	return rev, used, err
 }
 
 // nameWinner adds the winning change's id to a conflict, if the log still can
@@ -147,7 +144,7 @@
 
 // commit tries to append a change to a state that is at the head of the log.
 func (l *Log) commit(ctx context.Context, s *State, c Change, object string) (*State, error) {
-	if conflict := s.check(c); conflict != nil {
+	if conflict := s.conflict(c); conflict != nil {
 		return nil, conflict
 	}
 	c = c.WithRevision(s.Revision() + 1)
--- a/internal/selector/config/blocks.go
+++ b/internal/selector/config/blocks.go
@@ -48,6 +48,13 @@
 	return e.version
 }
 
+func (b *blocks) each(f func(name string, version uint64, v any)) {
+	for prefix, e := range b.table.All() {
+		name := prefix.String()
+		f(name, e.version, Block{CIDR: name, Zone: b.zone(e)})
+	}
+}
+
 func (b *blocks) unshare(edits int) {
 	if b.owned = edits >= manyEdits; b.owned {
 		b.table = b.table.Clone()
--- a/internal/selector/config/config_test.go
+++ b/internal/selector/config/config_test.go
@@ -72,7 +72,7 @@
 		require.NoError(t, err)
 		c, err := doc.Change(fmt.Sprintf("c%d", i), s.Revision())
 		require.NoError(t, err)
-		require.Nil(t, s.check(c))
+		require.Nil(t, s.conflict(c))
 		s, err = s.With(c.WithRevision(s.Revision() + 1))
 		require.NoError(t, err)
 	}
@@ -180,9 +180,9 @@
 	doc := s.Document()
 	c, err := doc.Change("again", 0)
 	require.NoError(t, err)
-	require.Nil(t, s.check(c), "the versions it gives are those it takes")
+	require.Nil(t, s.conflict(c), "the versions it gives are those it takes")
 	s = stateOf(t, good, "[[zone]]\nname = \"costa-a\"\nregion = \"moved\"")
-	conflict := s.check(c)
+	conflict := s.conflict(c)
 	require.NotNil(t, conflict)
 	require.Equal(t, "zone/costa-a", conflict.Ref.String())
 }
--- a/internal/selector/config/document.go
+++ b/internal/selector/config/document.go
@@ -1,9 +1,10 @@
 package config
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
-	"maps"
+	"iter"
 	"net"
 	"net/netip"
 	"slices"
@@ -71,25 +72,17 @@
 func (d *Document) setDefaults() {
 	for i := range d.Services {
 		s := &d.Services[i]
-		s.Class = orDefault(s.Class, Interactive)
-		s.Repeat = orDefault(s.Repeat, RepeatNever)
-		s.Prefer = orDefault(s.Prefer, PreferLatency)
-		s.Timeout = orDefault(s.Timeout, Duration(defaultTimeout))
-		s.MaxTimeout = orDefault(s.MaxTimeout, max(Duration(defaultMaxTimeout), s.Timeout))
+		s.Class = cmp.Or(s.Class, Interactive)
+		s.Repeat = cmp.Or(s.Repeat, RepeatNever)
+		s.Prefer = cmp.Or(s.Prefer, PreferLatency)
+		s.Timeout = cmp.Or(s.Timeout, Duration(defaultTimeout))
+		s.MaxTimeout = cmp.Or(s.MaxTimeout, max(Duration(defaultMaxTimeout), s.Timeout))
 	}
 	for i := range d.Upstreams {
-		d.Upstreams[i].State = orDefault(d.Upstreams[i].State, StateLive)
+		d.Upstreams[i].State = cmp.Or(d.Upstreams[i].State, StateLive)
 	}
 }
 
-func orDefault[T comparable](v, def T) T {
-	var zero T
-	if v == zero {
-		return def
-	}
-	return v
-}
-
 // checker collects the faults of one object.
 type checker struct {
 	prefix string
@@ -106,46 +99,54 @@
 	c.require(v >= 0 && v <= 1, key, "must be from 0 to 1, is %v", v)
 }
 
+// object is what a document does with an object of any kind.
+type object interface {
+	// ref identifies the object.
+	ref() Ref
+	// check finds the faults that do not depend on other objects.
+	check(c checker)
+}
+
+// objects are all objects of the document, by kind, and then its removals.
+func (d *Document) objects() iter.Seq[object] {
+	return func(yield func(object) bool) {
+		_ = each(d.Zones, yield) && each(d.Services, yield) && each(d.Upstreams, yield) && each(d.Rules, yield) &&
+			each(d.Blocks, yield) && each(d.Links, yield) && each(d.Removals, yield)
+	}
+}
+
+// each yields pointers into list, and reports whether all were taken.
+func each[T any, P interface {
+	*T
+	object
+}](list []T, yield func(object) bool) bool {
+	for i := range list {
+		if !yield(P(&list[i])) {
+			return false
+		}
+	}
+	return true
+}
+
 // check returns every fault of the document by itself, and brings the names of
 // blocks into their canonical form.
 func (d *Document) check() error {
 	var faults []error
 	seen := map[Ref]bool{}
-	at := func(kind Kind, name string) checker {
-		c := checker{fmt.Sprintf("%s[%q]", kind, name), &faults}
-		ref := Ref{kind, name}
-		c.require(name != "", "name", "must be set")
+	for o := range d.objects() {
+		ref := o.ref()
+		c := checker{fmt.Sprintf("%s[%q]", ref.Kind, ref.Name), &faults}
+		c.require(ref.Name != "", "name", "must be set")
 		c.require(!seen[ref], "name", "stands twice in the document")
 		seen[ref] = true
-		return c
-	}
-	for _, z := range d.Zones {
-		at(KindZone, z.Name).require(z.Region != "", "region", "must be set")
-	}
-	for _, s := range d.Services {
-		checkService(at(KindService, s.Name), s)
-	}
-	for _, u := range d.Upstreams {
-		checkUpstream(at(KindUpstream, u.Name), u)
-	}
-	for _, r := range d.Rules {
-		checkRule(at(KindRule, r.Name), r)
-	}
-	for i := range d.Blocks {
-		checkBlock(at, &d.Blocks[i])
-	}
-	for _, l := range d.Links {
-		c := at(KindLink, l.key())
-		c.require(l.BytesPerSecond > 0, "bytes_per_second", "must be above 0")
-		c.share(l.ReservedShare(), "reserved")
-	}
-	for _, r := range d.Removals {
-		at(r.Kind, r.Name).require(slices.Contains(kinds, r.Kind), "kind", "unknown kind %q", r.Kind)
+		o.check(c)
 	}
 	return errors.Join(faults...)
 }
 
-func checkService(c checker, s Service) {
+func (z *Zone) check(c checker) { c.require(z.Region != "", "region", "must be set") }
+
+func (s *Service) check(c checker) {
 	c.require(!strings.Contains(s.Name, "/"), "name", "must hold no slash")
 	c.require(s.Class == Interactive || s.Class == Bulk, "class", "must be interactive or bulk, is %q", s.Class)
 	c.require(slices.Contains([]Repeat{RepeatNever, RepeatSafe, RepeatAlways}, s.Repeat),
@@ -157,7 +158,7 @@
 	c.share(s.RetryBudget(), "retry_share")
 }
 
-func checkUpstream(c checker, u Upstream) {
+func (u *Upstream) check(c checker) {
 	c.require(u.Service != "", "service", "must be set")
 	c.require(u.Zone != "", "zone", "must be set")
 	c.require(u.Slots > 0 && u.Slots <= maxSlots, "slots", "must be from 1 to %d, is %d", maxSlots, u.Slots)
@@ -166,7 +167,7 @@
 	c.require(err == nil, "addr", "must be address:port, is %q", u.Addr)
 }
 
-func checkRule(c checker, r Rule) {
+func (r *Rule) check(c checker) {
 	c.require(r.Service != "", "service", "must be set")
 	_, err := labels.Parse(r.Selector)
 	c.require(err == nil, "selector", "%v", err)
@@ -178,9 +179,8 @@
 	c.require(r.InFlight >= 0, "in_flight", "must not be negative")
 }
 
-func checkBlock(at func(Kind, string) checker, b *Block) {
+func (b *Block) check(c checker) {
 	prefix, err := netip.ParsePrefix(b.CIDR)
-	c := at(KindBlock, b.CIDR)
 	c.require(err == nil, "cidr", "must be a CIDR block, is %q", b.CIDR)
 	c.require(b.Zone != "", "zone", "must be set")
 	if err == nil {
@@ -188,69 +188,46 @@
 	}
 }
 
+func (l *Link) check(c checker) {
+	c.require(l.BytesPerSecond > 0, "bytes_per_second", "must be above 0")
+	c.share(l.ReservedShare(), "reserved")
+}
+
+func (r *Removal) check(c checker) {
+	c.require(slices.Contains(kinds, r.Kind), "kind", "unknown kind %q", r.Kind)
+}
+
 // Document returns the whole state as a document, with every object's version.
 func (s *State) Document() Document {
-	d := Document{Versions: map[string]uint64{}}
-	d.Zones = collect(s.zones, KindZone, d.Versions)
-	d.Services = collect(s.services, KindService, d.Versions)
-	d.Upstreams = collect(s.upstreams, KindUpstream, d.Versions)
-	d.Rules = collect(s.rules, KindRule, d.Versions)
-	d.Links = collect(s.links, KindLink, d.Versions)
+	d := Document{
+		Zones: s.zones.sorted(), Services: s.services.sorted(), Upstreams: s.upstreams.sorted(),
+		Rules: s.rules.sorted(), Links: s.links.sorted(), Versions: map[string]uint64{},
+	}
 	for prefix, b := range s.blocks.table.AllSorted() {
-		d.Versions[Ref{KindBlock, prefix.String()}.String()] = b.version
 		d.Blocks = append(d.Blocks, Block{CIDR: prefix.String(), Zone: s.blocks.zone(b)})
 	}
-	return d
-}
-
-// collect returns the objects of one kind by name, and adds their versions.
-func collect[T any](m objects[T], kind Kind, versions map[string]uint64) []T {
-	names := slices.Sorted(maps.Keys(m))
-	out := make([]T, 0, len(names))
-	for _, name := range names {
-		versions[Ref{kind, name}.String()] = m[name].version
-		out = append(out, m[name].value)
+	for o := range d.objects() {
+		d.Versions[o.ref().String()] = s.version(o.ref())
 	}
-	return out
+	return d
 }
 
 // Change makes the document a change with an id of the submitter's choice.
 // Objects without an entry in Versions must not have changed after base.
 func (d *Document) Change(id string, base uint64) (Change, error) {
 	c := Change{ID: id}
-	add := func(kind Kind, name string, value any) error {
-		e := Edit{Ref: Ref{kind, name}, Base: base, AtMost: true}
+	var faults []error
+	for o := range d.objects() {
+		e := Edit{Ref: o.ref(), Base: base, AtMost: true}
 		if v, ok := d.Versions[e.Ref.String()]; ok {
 			e.Base, e.AtMost = v, false
 		}
-		var err error
-		if value != nil {
-			e.Body, err = encode(value)
+		if _, removal := o.(*Removal); !removal {
+			var err error
+			e.Body, err = encode(o)
+			faults = append(faults, err)
 		}
 		c.Edits = append(c.Edits, e)
-		return err
-	}
-	var faults []error
-	for _, v := range d.Zones {
-		faults = append(faults, add(KindZone, v.Name, v))
-	}
-	for _, v := range d.Services {
-		faults = append(faults, add(KindService, v.Name, v))
-	}
-	for _, v := range d.Upstreams {
-		faults = append(faults, add(KindUpstream, v.Name, v))
-	}
-	for _, v := range d.Rules {
-		faults = append(faults, add(KindRule, v.Name, v))
-	}
-	for _, v := range d.Blocks {
-		faults = append(faults, add(KindBlock, v.CIDR, v))
-	}
-	for _, v := range d.Links {
-		faults = append(faults, add(KindLink, v.key(), v))
-	}
-	for _, v := range d.Removals {
-		faults = append(faults, add(v.Kind, v.Name, nil))
 	}
 	return c, errors.Join(faults...)
 }
--- a/internal/selector/config/log.go
+++ b/internal/selector/config/log.go
@@ -69,15 +69,21 @@
 
 // Head reads the newest revision; 0 if no change was ever accepted.
 func (l *Log) Head(ctx context.Context) (uint64, error) {
-	row, err := l.table.Get(ctx, store.Key{Partition: partitionHead, Sort: sortHead})
+	rev, _, err := l.readHead(ctx, store.Key{Partition: partitionHead, Sort: sortHead})
+	return rev, err
+}
+
+// readHead returns the revision that a row names, and whether there is the row.
+func (l *Log) readHead(ctx context.Context, key store.Key) (uint64, bool, error) {
+	row, err := l.table.Get(ctx, key)
 	if errors.Is(err, store.ErrNotFound) {
-		return 0, nil
+		return 0, false, nil
 	}
 	if err != nil {
-		return 0, eris.Wrap(err, "read head")
+		return 0, false, eris.Wrapf(err, "read row %s/%s", key.Partition, key.Sort)
 	}
 	h, err := decode[head](row.Body)
-	return h.Revision, err
+	return h.Revision, true, err
 }
 
 // logSort is a revision as a sort key: of equal length, so that the rows are in
@@ -136,13 +142,5 @@
 // ByID returns the revision at which a change id was accepted, and whether it
 // was.
 func (l *Log) ByID(ctx context.Context, id string) (uint64, bool, error) {
-	row, err := l.table.Get(ctx, store.Key{Partition: partitionChange, Sort: id})
-	if errors.Is(err, store.ErrNotFound) {
-		return 0, false, nil
-	}
-	if err != nil {
-		return 0, false, eris.Wrap(err, "read change id")
-	}
-	h, err := decode[head](row.Body)
-	return h.Revision, true, err
+	return l.readHead(ctx, store.Key{Partition: partitionChange, Sort: id})
 }
--- a/internal/selector/config/object.go
+++ b/internal/selector/config/object.go
@@ -179,5 +179,10 @@
 	return *p
 }
 
-// key is the link's object name.
-func (l Link) key() string { return l.From + ">" + l.To }
+func (z *Zone) ref() Ref     { return Ref{KindZone, z.Name} }
+func (s *Service) ref() Ref  { return Ref{KindService, s.Name} }
+func (u *Upstream) ref() Ref { return Ref{KindUpstream, u.Name} }
+func (r *Rule) ref() Ref     { return Ref{KindRule, r.Name} }
+func (b *Block) ref() Ref    { return Ref{KindBlock, b.CIDR} }
+func (l *Link) ref() Ref     { return Ref{KindLink, l.From + ">" + l.To} }
+func (r *Removal) ref() Ref  { return Ref{r.Kind, r.Name} }
--- a/internal/selector/config/references.go
+++ b/internal/selector/config/references.go
@@ -60,13 +60,19 @@
 	})
 }
 
+// unknown adds the fault of an object that refers to a missing zone or service,
+// which key names.
+func (c *referenceCheck) unknown(kind Kind, name, key, target string) {
+	c.add(kind, name, key, "unknown %s %q", key, target)
+}
+
 func (c *referenceCheck) upstream(name string) {
 	u := c.after.upstreams[name].value
 	if _, ok := c.after.services[u.Service]; !ok {
-		c.add(KindUpstream, name, "service", "unknown service %q", u.Service)
+		c.unknown(KindUpstream, name, "service", u.Service)
 	}
 	if _, ok := c.after.zones[u.Zone]; !ok {
-		c.add(KindUpstream, name, "zone", "unknown zone %q", u.Zone)
+		c.unknown(KindUpstream, name, "zone", u.Zone)
 	}
 	if old, ok := c.before.upstreams[name]; ok && old.value.Zone != u.Zone {
 		c.add(KindUpstream, name, "zone", "can't move from %q; add it under another name", old.value.Zone)
@@ -91,7 +97,7 @@
 func (c *referenceCheck) rule(name string) {
 	r := c.after.rules[name].value
 	if _, ok := c.after.services[r.Service]; !ok {
-		c.add(KindRule, name, "service", "unknown service %q", r.Service)
+		c.unknown(KindRule, name, "service", r.Service)
 	}
 }
 
@@ -102,7 +108,7 @@
 		return
 	}
 	if _, ok := c.after.zones[b.Zone]; !ok {
-		c.add(KindBlock, e.Ref.Name, "zone", "unknown zone %q", b.Zone)
+		c.unknown(KindBlock, e.Ref.Name, "zone", b.Zone)
 	}
 }
 
@@ -122,12 +128,12 @@
 func (c *referenceCheck) serviceRemoved(name string) {
 	for u, e := range c.after.upstreams {
 		if e.value.Service == name {
-			c.add(KindUpstream, u, "service", "unknown service %q", name)
+			c.unknown(KindUpstream, u, "service", name)
 		}
 	}
 	for r, e := range c.after.rules {
 		if e.value.Service == name {
-			c.add(KindRule, r, "service", "unknown service %q", name)
+			c.unknown(KindRule, r, "service", name)
 		}
 	}
 }
@@ -135,12 +141,12 @@
 func (c *referenceCheck) zoneRemoved(name string) {
 	for u, e := range c.after.upstreams {
 		if e.value.Zone == name {
-			c.add(KindUpstream, u, "zone", "unknown zone %q", name)
+			c.unknown(KindUpstream, u, "zone", name)
 		}
 	}
 	for prefix, b := range c.after.blocks.table.All() {
 		if c.after.blocks.zone(b) == name {
-			c.add(KindBlock, prefix.String(), "zone", "unknown zone %q", name)
+			c.unknown(KindBlock, prefix.String(), "zone", name)
 		}
 	}
 }
--- a/internal/selector/config/snapshot.go
+++ b/internal/selector/config/snapshot.go
@@ -32,9 +32,7 @@
 // snapshotWriter encodes values until the first error, which it keeps.
 type snapshotWriter struct {
 	enc *msgpack.Encoder
-	// kind is the kind of the objects that are being written.
-	kind Kind
-	err  error
+	err error
 }
 
 func (w *snapshotWriter) write(v any) {
@@ -43,25 +41,12 @@
 	}
 }
 
-func (w *snapshotWriter) object(name string, version uint64, v any) {
+func (w *snapshotWriter) object(ref Ref, version uint64, v any) {
 	body, err := encode(v)
 	if w.err == nil {
 		w.err = err
 	}
-	w.write(snapshotObject{Ref{w.kind, name}, version, body})
-}
-
-func (o *objects[T]) write(w *snapshotWriter) {
-	for name, e := range *o {
-		w.object(name, e.version, e.value)
-	}
-}
-
-func (b *blocks) write(w *snapshotWriter) {
-	for prefix, e := range b.table.All() {
-		name := prefix.String()
-		w.object(name, e.version, Block{CIDR: name, Zone: b.zone(e)})
-	}
+	w.write(snapshotObject{ref, version, body})
 }
 
 // WriteSnapshot writes the whole state.
@@ -74,8 +59,8 @@
 		count += s.collection(kind).size()
 	}
 	w.write(snapshotHeader{Revision: s.revision, Objects: count})
-	for _, w.kind = range kinds {
-		s.collection(w.kind).write(w)
+	for _, kind := range kinds {
+		s.collection(kind).each(func(name string, version uint64, v any) { w.object(Ref{kind, name}, version, v) })
 	}
 	if w.err != nil {
 		return eris.Wrap(w.err, "write snapshot")
@@ -156,18 +141,14 @@
 }
 
 func (l *Log) loadSnapshot(ctx context.Context) (*State, error) {
-	row, err := l.table.Get(ctx, store.Key{Partition: partitionHead, Sort: sortSnapshot})
-	if errors.Is(err, store.ErrNotFound) {
-		return NewState(), nil
-	}
-	if err != nil {
-		return nil, eris.Wrap(err, "read snapshot row")
-	}
-	h, err := decode[head](row.Body)
+	rev, found, err := l.readHead(ctx, store.Key{Partition: partitionHead, Sort: sortSnapshot})
 	if err != nil {
 		return nil, err
 	}
-	body, err := l.objects.GetObject(ctx, snapshotName(h.Revision))
+	if !found {
+		return NewState(), nil
+	}
+	body, err := l.objects.GetObject(ctx, snapshotName(rev))
 	if errors.Is(err, store.ErrNotFound) {
 		return NewState(), nil // the log holds every change
 	}
--- a/internal/selector/config/state.go
+++ b/internal/selector/config/state.go
@@ -2,7 +2,11 @@
 
 import (
 	"maps"
+	"slices"
 	"strconv"
+	"strings"
+	"sync"
+	"unique"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/rotisserie/eris"
@@ -14,11 +18,11 @@
 	revision uint64
 	digest   uint64
 
-	zones     objects[Zone]
-	services  objects[Service]
-	upstreams objects[Upstream]
-	rules     objects[Rule]
-	links     objects[Link]
+	zones     byName[Zone]
+	services  byName[Service]
+	upstreams byName[Upstream]
+	rules     byName[Rule]
+	links     byName[Link]
 	blocks    blocks
 }
 
@@ -33,18 +37,18 @@
 	unshare(edits int)
 	// set writes an edit that is accepted at a revision.
 	set(e Edit, rev uint64) error
-	// write adds every object to a snapshot.
-	write(w *snapshotWriter)
+	// each calls f with every object, in any order.
+	each(f func(name string, version uint64, v any))
 }
 
 // NewState is the empty configuration at revision 0.
 func NewState() *State {
 	return &State{
-		zones:     objects[Zone]{},
-		services:  objects[Service]{},
-		upstreams: objects[Upstream]{},
-		rules:     objects[Rule]{},
-		links:     objects[Link]{},
+		zones:     byName[Zone]{},
+		services:  byName[Service]{},
+		upstreams: byName[Upstream]{},
+		rules:     byName[Rule]{},
+		links:     byName[Link]{},
 		blocks:    newBlocks(),
 	}
 }
@@ -84,9 +88,9 @@
 	return c.version(ref.Name)
 }
 
-// check returns a conflict for the first edit whose object is not at the version
+// conflict returns a conflict for the first edit whose object is not at the version
 // that the edit requires, or nil.
-func (s *State) check(c Change) *Conflict {
+func (s *State) conflict(c Change) *Conflict {
 	for _, e := range c.Edits {
 		have := s.version(e.Ref)
 		if have == e.Base || (e.AtMost && have < e.Base) {
@@ -120,12 +124,11 @@
 func (s *State) unshareTouched(c Change) {
 	touched := map[Kind]bool{}
 	for _, e := range c.Edits {
-		touched[e.Ref.Kind] = true
-	}
-	for kind := range touched {
-		if objects := s.collection(kind); objects != nil {
+		objects := s.collection(e.Ref.Kind)
+		if objects != nil && !touched[e.Ref.Kind] {
 			objects.unshare(len(c.Edits))
 		}
+		touched[e.Ref.Kind] = true
 	}
 }
 
@@ -157,16 +160,31 @@
 	value   T
 }
 
-// objects are the objects of one kind, by name.
-type objects[T any] map[string]entry[T]
+// byName are the objects of one kind, by name.
+type byName[T any] map[string]entry[T]
 
-func (o *objects[T]) size() int { return len(*o) }
+// sorted returns the objects by name.
+func (o byName[T]) sorted() []T {
+	out := make([]T, 0, len(o))
+	for _, name := range slices.Sorted(maps.Keys(o)) {
+		out = append(out, o[name].value)
+	}
+	return out
+}
 
-func (o *objects[T]) version(name string) uint64 { return (*o)[name].version }
+func (o *byName[T]) size() int { return len(*o) }
 
-func (o *objects[T]) unshare(int) { *o = maps.Clone(*o) }
+func (o *byName[T]) version(name string) uint64 { return (*o)[name].version }
 
-func (o *objects[T]) set(e Edit, rev uint64) error {
+func (o *byName[T]) each(f func(name string, version uint64, v any)) {
+	for name, e := range *o {
+		f(name, e.version, e.value)
+	}
+}
+
+func (o *byName[T]) unshare(int) { *o = maps.Clone(*o) }
+
+func (o *byName[T]) set(e Edit, rev uint64) error {
 	if len(e.Body) == 0 {
 		delete(*o, e.Ref.Name)
 		return nil
@@ -181,3 +199,23 @@
 	(*o)[e.Ref.Name] = entry[T]{version: rev, value: v}
 	return nil
 }
+
+// labelSets holds one map for each set of labels ever seen, by its text. They
+// are few, and tens of thousands of upstreams share them; none is ever dropped.
+var labelSets sync.Map
+
+// intern makes the upstream share its strings and labels with others.
+func (u *Upstream) intern() {
+	u.Service = unique.Make(u.Service).Value()
+	u.Zone = unique.Make(u.Zone).Value()
+	u.State = UpstreamState(unique.Make(string(u.State)).Value())
+	if len(u.Labels) == 0 {
+		return
+	}
+	var text strings.Builder
+	for _, name := range slices.Sorted(maps.Keys(u.Labels)) {
+		text.WriteString(name + "\x00" + u.Labels[name] + "\x00")
+	}
+	shared, _ := labelSets.LoadOrStore(text.String(), u.Labels)
+	u.Labels = shared.(map[string]string)
+}
--- a/internal/selector/config/view.go
+++ b/internal/selector/config/view.go
@@ -257,10 +257,9 @@
 // Services returns the services, ordered by name.
 func (v *View) Services() []*ServiceView {
 	out := make([]*ServiceView, 0, len(v.services))
-	for _, s := range v.services {
-		out = append(out, s)
+	for _, name := range v.ServiceNames() {
+		out = append(out, v.services[name])
 	}
-	slices.SortFunc(out, func(a, b *ServiceView) int { return strings.Compare(a.Name, b.Name) })
 	return out
 }
 
@@ -268,23 +267,14 @@
 func (v *View) Region(zone string) string { return v.state.zones[zone].value.Region }
 
 // ServiceNames returns the services' names in order.
-func (v *View) ServiceNames() []string {
-	return slices.Sorted(maps.Keys(v.services))
-}
+func (v *View) ServiceNames() []string { return slices.Sorted(maps.Keys(v.services)) }
 
 // Zones returns the zones, ordered by name.
-func (v *View) Zones() []Zone {
-	out := make([]Zone, 0, len(v.state.zones))
-	for _, z := range v.state.zones {
-		out = append(out, z.value)
-	}
-	slices.SortFunc(out, func(a, b Zone) int { return strings.Compare(a.Name, b.Name) })
-	return out
-}
+func (v *View) Zones() []Zone { return v.state.zones.sorted() }
 
 // Link returns the link from one region to another.
 func (v *View) Link(from, to string) (Link, bool) {
-	l, ok := v.state.links[Link{From: from, To: to}.key()]
+	l, ok := v.state.links[(&Link{From: from, To: to}).ref().Name]
 	return l.value, ok
 }
 
