--- a/cmd/client.go
+++ b/cmd/client.go
@@ -7,6 +7,7 @@
 	"flag"
 	"fmt"
 	"io"
+	"maps"
 	"net/http"
 	"os"
 	"time"
@@ -59,9 +60,7 @@
 	if err != nil {
 		return 0, nil, eris.Wrap(err, "make request")
 	}
-	for name, values := range header {
-		req.Header[name] = values
-	}
+	maps.Copy(req.Header, header)
 	if c.token != "" {
 		req.Header.Set("Authorization", "Bearer "+c.token)
 	}
--- a/internal/selector/caller/caller.go
+++ b/internal/selector/caller/caller.go
@@ -8,6 +8,7 @@
 package caller
 
 import (
+	"cmp"
 	"context"
 	"errors"
 	"net"
@@ -77,9 +78,9 @@
 
 // Default applies the defaults of the settings' section [callers].
 func Default(s *servesettings.Callers) {
-	s.MaxBody = settings.Default(s.MaxBody, defaultMaxBody)
-	s.MaxHeader = settings.Default(s.MaxHeader, defaultMaxHeader)
-	s.TTL = settings.Default(s.TTL, settings.Seconds(defaultTTL))
+	s.MaxBody = cmp.Or(s.MaxBody, defaultMaxBody)
+	s.MaxHeader = cmp.Or(s.MaxHeader, defaultMaxHeader)
+	s.TTL = cmp.Or(s.TTL, settings.Duration(defaultTTL))
 }
 
 // Check adds the section's faults to f.
--- a/internal/selector/config/snapshot.go
+++ b/internal/selector/config/snapshot.go
@@ -29,43 +29,31 @@
 	Body    []byte `msgpack:"b"`
 }
 
-// snapshotWriter encodes values until the first error, which it keeps.
-type snapshotWriter struct {
-	enc *msgpack.Encoder
-	err error
-}
-
-func (w *snapshotWriter) write(v any) {
-	if w.err == nil {
-		w.err = w.enc.Encode(v)
-	}
-}
-
-func (w *snapshotWriter) object(ref Ref, version uint64, v any) {
-	body, err := encode(v)
-	if w.err == nil {
-		w.err = err
-	}
-	w.write(snapshotObject{ref, version, body})
-}
-
 // WriteSnapshot writes the whole state.
 func (s *State) WriteSnapshot(out io.Writer) error {
 	zip := gzip.NewWriter(out)
-	w := &snapshotWriter{enc: msgpack.NewEncoder(zip)}
-	w.enc.UseCompactInts(true)
+	enc := msgpack.NewEncoder(zip)
+	enc.UseCompactInts(true)
 	count := 0
 	for _, kind := range kinds {
 		count += s.collection(kind).size()
 	}
-	w.write(snapshotHeader{Revision: s.revision, Objects: count})
+	err := enc.Encode(snapshotHeader{Revision: s.revision, Objects: count})
 	for _, kind := range kinds {
-		s.collection(kind).each(func(name string, version uint64, v any) { w.object(Ref{kind, name}, version, v) })
-	}
-	if w.err != nil {
-		return eris.Wrap(w.err, "write snapshot")
-	}
-	return eris.Wrap(zip.Close(), "write snapshot")
+		s.collection(kind).each(func(name string, version uint64, v any) {
+			if err != nil {
+				return
+			}
+			var body []byte
+			if body, err = encode(v); err == nil {
+				err = enc.Encode(snapshotObject{Ref{kind, name}, version, body})
+			}
+		})
+	}
+	if err == nil {
+		err = zip.Close()
+	}
+	return eris.Wrap(err, "write snapshot")
 }
 
 // ReadSnapshot reads what WriteSnapshot wrote. A snapshot that is cut short or
--- a/internal/selector/load/changes.go
+++ b/internal/selector/load/changes.go
@@ -2,8 +2,8 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
+	"maps"
 	"net/http"
 	"strings"
 	"time"
@@ -78,49 +78,30 @@
 	}
 }
 
-// wait is the time that a host waits before it responds to a change.
-func (c Changes) wait() string {
-	if c.Everywhere {
-		return everywhereWait
-	}
-	return "0s"
-}
-
 // send changes the rule's ramp, which moves no traffic.
 func (c Changes) send(ctx context.Context, i int) error {
-	status := struct {
+	var status struct {
 		Revision uint64 `json:"revision"`
-	}{}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.Operator+"/v1/status", nil)
-	if err != nil {
-		return eris.Wrap(err, "make request")
 	}
-	if err := c.roundTrip(req, &status); err != nil {
+	if err := c.request(ctx, http.MethodGet, "/v1/status", "", nil, &status); err != nil {
 		return err
 	}
-	doc := fmt.Sprintf("[[rule]]\nname = %q\nservice = %q\nselector = \"tier=main\"\nshare = 1.0\nramp = %d.0\n", c.Rule, c.Service, 1+i%2)
-	req, err = http.NewRequestWithContext(ctx, http.MethodPut, "http://"+c.Operator+"/v1/config?wait="+c.wait(), strings.NewReader(doc))
-	if err != nil {
-		return eris.Wrap(err, "make request")
+	wait := "0s"
+	if c.Everywhere {
+		wait = everywhereWait
 	}
-	req.Header.Set("If-Match", fmt.Sprint(status.Revision))
-	return c.roundTrip(req, nil)
+	doc := fmt.Sprintf("[[rule]]\nname = %q\nservice = %q\nselector = \"tier=main\"\nshare = 1.0\nramp = %d.0\n", c.Rule, c.Service, 1+i%2)
+	base := http.Header{"If-Match": {fmt.Sprint(status.Revision)}}
+	return c.request(ctx, http.MethodPut, "/v1/config?wait="+wait, doc, base, nil)
 }
 
-// roundTrip sends a request to the host and decodes its response into out, unless
-// that is nil.
-func (c Changes) roundTrip(req *http.Request, out any) error {
-	req.Header.Set("Authorization", "Bearer "+c.Token)
-	resp, err := http.DefaultClient.Do(req)
+// request sends a request to the host with the token and more headers.
+func (c Changes) request(ctx context.Context, method, path, body string, header http.Header, out any) error {
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.Operator+path, strings.NewReader(body))
 	if err != nil {
-		return eris.Wrap(err, "send request")
-	}
-	defer resp.Body.Close()
-	if resp.StatusCode >= http.StatusMultipleChoices {
-		return eris.Errorf("host responded with status %d", resp.StatusCode)
-	}
-	if out == nil {
-		return nil
+		return eris.Wrap(err, "make request")
 	}
-	return eris.Wrap(json.NewDecoder(resp.Body).Decode(out), "decode response")
+	maps.Copy(req.Header, header)
+	req.Header.Set("Authorization", "Bearer "+c.Token)
+	return roundTrip(http.DefaultClient, req, out)
 }
--- a/internal/selector/load/hosts.go
+++ b/internal/selector/load/hosts.go
@@ -20,7 +20,7 @@
 			Addr string `json:"addr"`
 		} `json:"entries"`
 	}
-	if err := r.getJSON(ctx, "http://"+host+"/v1/entries?service="+r.options.Classes[0].Service, &out); err != nil {
+	if err := r.request(ctx, http.MethodGet, "http://"+host+"/v1/entries?service="+r.options.Classes[0].Service, &out); err != nil {
 		return err
 	}
 	var hosts []string
@@ -36,19 +36,32 @@
 	return nil
 }
 
-func (r *run) getJSON(ctx context.Context, url string, out any) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
-	if err != nil {
-		return eris.Wrap(err, "make request")
-	}
-	resp, err := r.client.Do(req)
+// roundTrip sends a request and decodes the response into out, unless that is
+// nil.
+func roundTrip(client *http.Client, req *http.Request, out any) error {
+	resp, err := client.Do(req)
 	if err != nil {
 		return eris.Wrap(err, "send request")
 	}
 	defer resp.Body.Close()
+	if resp.StatusCode >= http.StatusMultipleChoices {
+		return eris.Errorf("host responded with status %d", resp.StatusCode)
+	}
+	if out == nil {
+		return nil
+	}
 	return eris.Wrap(json.NewDecoder(resp.Body).Decode(out), "decode response")
 }
 
+// request sends a request without a body.
+func (r *run) request(ctx context.Context, method, url string, out any) error {
+	req, err := http.NewRequestWithContext(ctx, method, url, nil)
+	if err != nil {
+		return eris.Wrap(err, "make request")
+	}
+	return roundTrip(r.client, req, out)
+}
+
 func (r *run) keepDiscovering(ctx context.Context) {
 	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
--- a/internal/selector/load/ledger.go
+++ b/internal/selector/load/ledger.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"net/http"
 
 	"cairndock/internal/verdict"
 )
@@ -14,12 +15,12 @@
 		var ledger struct {
 			Over int `json:"over"`
 		}
-		if err := r.getJSON(ctx, "http://"+addr+"/ledger", &ledger); err != nil {
+		if err := r.request(ctx, http.MethodGet, "http://"+addr+"/ledger", &ledger); err != nil {
 			return err
 		}
 		report.Over += ledger.Over
 		var byTicket map[string]int
-		if err := r.getJSON(ctx, "http://"+addr+"/ledger?tickets=all", &byTicket); err != nil {
+		if err := r.request(ctx, http.MethodGet, "http://"+addr+"/ledger?tickets=all", &byTicket); err != nil {
 			return err
 		}
 		for ticket, n := range byTicket {
--- a/internal/selector/load/request.go
+++ b/internal/selector/load/request.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"encoding/json"
 	"fmt"
 	"io"
 	"net/http"
@@ -21,20 +20,11 @@
 // ticket takes a ticket from a host. On any error it is "", and the request is
 // sent without one: what it gets is counted, and its ticket is not checked.
 func (r *run) ticket(ctx context.Context, host, service string) string {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+host+"/v1/tickets?service="+service, nil)
-	if err != nil {
-		return ""
-	}
-	resp, err := r.client.Do(req)
-	if err != nil {
-		return ""
-	}
-	defer resp.Body.Close()
 	var out struct {
 		Ticket string `json:"ticket"`
 	}
-	// A refusal has no ticket.
-	_ = json.NewDecoder(resp.Body).Decode(&out)
+	// After an error there is no ticket.
+	_ = r.request(ctx, http.MethodPost, "http://"+host+"/v1/tickets?service="+service, &out)
 	return out.Ticket
 }
 
--- a/internal/selector/quickstart/quickstart.go
+++ b/internal/selector/quickstart/quickstart.go
@@ -5,6 +5,7 @@
 package quickstart
 
 import (
+	"cmp"
 	"context"
 	"crypto/rand"
 	"fmt"
@@ -101,7 +102,7 @@
 		}
 		o.Traces = tp
 	}
-	o.Latency = settings.Default(o.Latency, PlanningLatency)
+	o.Latency = cmp.Or(o.Latency, PlanningLatency)
 	s := &System{memory: store.NewMemory(), Token: rand.Text(), options: o}
 	s.ctx, s.cancel = context.WithCancel(ctx)
 	for _, step := range []func() error{s.startPlatform, s.startUpstreams, s.writeConfig, s.startHosts, s.waitReady} {
@@ -199,8 +200,8 @@
 		Platform:  s.Platform,
 	}
 	if len(s.Servers) == 0 {
-		set.Callers.Listen = settings.Default(s.options.CallerAddr, loopback)
-		set.Operators.Listen = settings.Default(s.options.OperatorAddr, loopback)
+		set.Callers.Listen = cmp.Or(s.options.CallerAddr, loopback)
+		set.Operators.Listen = cmp.Or(s.options.OperatorAddr, loopback)
 	}
 	if err := server.Prepare(&set); err != nil {
 		return err
--- a/internal/selector/store/dynamodb.go
+++ b/internal/selector/store/dynamodb.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"slices"
 	"strconv"
 
 	"github.com/aws/aws-sdk-go-v2/aws"
@@ -158,32 +159,27 @@
 	return row, eris.Wrap(err, "read row version")
 }
 
+// tableError distinguishes a failed condition from a collision with another
+// transaction and from the rate limit, after which a call may be sent again.
 func tableError(err error) error {
-	if err == nil {
-		return nil
-	}
 	var canceled *types.TransactionCanceledException
 	if errors.As(err, &canceled) {
-		return canceledError(canceled)
-	}
-	var api smithy.APIError
-	if errors.As(err, &api) {
-		switch api.ErrorCode() {
-		// The three codes by which DynamoDB reports a rate limit.
-		case "ProvisionedThroughputExceededException", "ThrottlingException", "RequestLimitExceeded":
-			return eris.Wrap(ErrThrottled, "call table")
+		for _, r := range canceled.CancellationReasons {
+			if aws.ToString(r.Code) == "ConditionalCheckFailed" {
+				return ErrConflict
+			}
 		}
+		return eris.Wrap(ErrThrottled, "transaction was canceled")
+	}
+	// The three codes by which DynamoDB reports a rate limit.
+	if hasCode(err, "ProvisionedThroughputExceededException", "ThrottlingException", "RequestLimitExceeded") {
+		return eris.Wrap(ErrThrottled, "call table")
 	}
 	return eris.Wrap(err, "call table")
 }
 
-// canceledError distinguishes a failed condition from a transaction that
-// collided with another one or with the rate limit and may be tried again.
-func canceledError(canceled *types.TransactionCanceledException) error {
-	for _, r := range canceled.CancellationReasons {
-		if aws.ToString(r.Code) == "ConditionalCheckFailed" {
-			return ErrConflict
-		}
-	}
-	return eris.Wrap(ErrThrottled, "transaction was canceled")
+// hasCode reports whether an error of a service has one of the codes.
+func hasCode(err error, codes ...string) bool {
+	var api smithy.APIError
+	return errors.As(err, &api) && slices.Contains(codes, api.ErrorCode())
 }
--- a/internal/selector/store/s3.go
+++ b/internal/selector/store/s3.go
@@ -9,7 +9,6 @@
 	"github.com/aws/aws-sdk-go-v2/aws"
 	"github.com/aws/aws-sdk-go-v2/service/s3"
 	"github.com/aws/aws-sdk-go-v2/service/s3/types"
-	"github.com/aws/smithy-go"
 	"github.com/rotisserie/eris"
 
 	"cairndock/internal/selector/servesettings"
@@ -49,15 +48,11 @@
 }
 
 func objectError(err error) error {
-	if err == nil {
-		return nil
-	}
 	var missing *types.NoSuchKey
-	if errors.As(err, &missing) {
+	switch {
+	case errors.As(err, &missing):
 		return ErrNotFound
-	}
-	var api smithy.APIError
-	if errors.As(err, &api) && api.ErrorCode() == "SlowDown" {
+	case hasCode(err, "SlowDown"):
 		return eris.Wrap(ErrThrottled, "call object store")
 	}
 	return eris.Wrap(err, "call object store")
--- a/internal/selector/upstream/attempt.go
+++ b/internal/selector/upstream/attempt.go
@@ -164,20 +164,15 @@
 		if b.unframed {
 			return n, io.ErrUnexpectedEOF
 		}
-		b.readWhole()
+		if !b.whole {
+			b.whole = true
+			b.attempt.responseRead()
+			b.attempt.finish(slot.Success)
+		}
 	}
 	return n, err
 }
 
-func (b *body) readWhole() {
-	if b.whole {
-		return
-	}
-	b.whole = true
-	b.attempt.responseRead()
-	b.attempt.finish(slot.Success)
-}
-
 // Close cancels the request if its response was not read whole; the slot is
 // free once the upstream has closed its side of the connection.
 func (b *body) Close() error {
