--- a/internal/selector/caller/caller.go
+++ b/internal/selector/caller/caller.go
@@ -11,7 +11,6 @@
 	"cmp"
 	"context"
 	"errors"
-	"net"
 	"net/http"
 	"net/netip"
 	"strconv"
@@ -91,49 +90,32 @@
 	f.Require(s.TTL > 0, "callers.ttl", "must be above 0")
 }
 
-// Server serves clients.
-type Server struct {
+// handler serves clients' requests.
+type handler struct {
 	settings servesettings.Callers
 	host     Host
 	tracer   trace.Tracer
 	metrics  *telemetry.Metrics
-	http     *http.Server
 }
 
-// New makes a server; Serve starts it.
-func New(s servesettings.Callers, h Host, tp trace.TracerProvider, m *telemetry.Metrics) *Server {
-	srv := &Server{settings: s, host: h, tracer: telemetry.Tracer(tp), metrics: m}
+// New makes a server, which does not listen yet.
+func New(s servesettings.Callers, host Host, tp trace.TracerProvider, m *telemetry.Metrics) *http.Server {
+	h := &handler{settings: s, host: host, tracer: telemetry.Tracer(tp), metrics: m}
 	e := echo.New()
 	e.HideBanner = true
-	e.HTTPErrorHandler = srv.rejectUnrouted
-	e.GET("/v1/entries", srv.entries)
-	e.POST("/v1/tickets", srv.tickets)
-	e.Any("/s/:service", srv.forward)
-	e.Any("/s/:service/*", srv.forward)
-	srv.http = &http.Server{
+	e.HTTPErrorHandler = h.rejectUnrouted
+	e.GET("/v1/entries", h.entries)
+	e.POST("/v1/tickets", h.tickets)
+	e.Any("/s/:service", h.forward)
+	e.Any("/s/:service/*", h.forward)
+	return &http.Server{
 		Handler: e, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: s.MaxHeader * headerFactor,
 	}
-	return srv
 }
 
-// Serve serves a listener until Shutdown or Close, and then returns nil.
-func (s *Server) Serve(l net.Listener) error {
-	if err := s.http.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		return err
-	}
-	return nil
-}
-
-// Shutdown stops accepting connections and waits for requests in flight until
-// ctx ends.
-func (s *Server) Shutdown(ctx context.Context) error { return s.http.Shutdown(ctx) }
-
-// Close closes all connections at once.
-func (s *Server) Close() error { return s.http.Close() }
-
 // rejectUnrouted writes the response to a request that no route matches.
-func (s *Server) rejectUnrouted(err error, c echo.Context) {
+func (h *handler) rejectUnrouted(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
@@ -147,28 +129,28 @@
 }
 
 // reject writes the response to a request that failed.
-func (s *Server) reject(c echo.Context, err error) error {
+func (h *handler) reject(c echo.Context, err error) error {
 	e := verdict.From(err)
-	s.metrics.Count(`cairndock_refusals_total{reason="` + string(e.Reason) + `",verdict="` + e.Verdict.String() + `"}`)
+	h.metrics.Count(`cairndock_refusals_total{reason="` + string(e.Reason) + `",verdict="` + e.Verdict.String() + `"}`)
 	writeProblem(c.Response(), e, e.Reason.Status())
 	return nil
 }
 
-func (s *Server) entries(c echo.Context) error {
-	body, err := s.host.EntriesFor(c.QueryParam("service"), s.clientAddr(c.Request()))
+func (h *handler) entries(c echo.Context) error {
+	body, err := h.host.EntriesFor(c.QueryParam("service"), h.clientAddr(c.Request()))
 	if err != nil {
-		return s.reject(c, err)
+		return h.reject(c, err)
 	}
 	return c.Blob(http.StatusOK, echo.MIMEApplicationJSON, body)
 }
 
-func (s *Server) tickets(c echo.Context) error {
-	if !s.host.Serving() {
-		return s.reject(c, notReady())
+func (h *handler) tickets(c echo.Context) error {
+	if !h.host.Serving() {
+		return h.reject(c, notReady())
 	}
-	t, err := s.host.IssueTicket(c.QueryParam("service"))
+	t, err := h.host.IssueTicket(c.QueryParam("service"))
 	if err != nil {
-		return s.reject(c, err)
+		return h.reject(c, err)
 	}
 	return c.JSON(http.StatusOK, struct {
 		Ticket    string    `json:"ticket"`
@@ -176,26 +158,26 @@
 	}{t.String(), time.Unix(t.Expiry, 0).UTC()})
 }
 
-func (s *Server) forward(c echo.Context) error {
+func (h *handler) forward(c echo.Context) error {
 	began := time.Now()
-	done := s.host.InFlight()
+	done := h.host.InFlight()
 	defer done()
 	r := c.Request()
 	ctx := otel.GetTextMapPropagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
-	ctx, span := s.tracer.Start(ctx, "caller")
+	ctx, span := h.tracer.Start(ctx, "caller")
 	defer span.End()
-	req, err := s.readRequest(c, began)
+	req, err := h.readRequest(c, began)
 	if err != nil {
-		return s.reject(c, err)
+		return h.reject(c, err)
 	}
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
-	resp, err := s.host.Do(ctx, req)
+	resp, err := h.host.Do(ctx, req)
 	if err != nil {
-		return s.reject(c, err)
+		return h.reject(c, err)
 	}
 	defer resp.Body.Close()
-	s.metrics.Observe(`cairndock_request_seconds{service="`+req.Service+`"}`, time.Since(began).Seconds())
-	s.writeResponse(c.Response(), resp)
+	h.metrics.Observe(`cairndock_request_seconds{service="`+req.Service+`"}`, time.Since(began).Seconds())
+	h.writeResponse(c.Response(), resp)
 	return nil
 }
--- a/internal/selector/caller/request.go
+++ b/internal/selector/caller/request.go
@@ -24,18 +24,18 @@
 
 // readRequest reads and checks a client's request that began at a time. A
 // request with a fault was not run, whatever the fault.
-func (s *Server) readRequest(c echo.Context, began time.Time) (*call.Request, error) {
+func (h *handler) readRequest(c echo.Context, began time.Time) (*call.Request, error) {
 	r := c.Request()
 	name := c.Param("service")
-	if !s.host.Serving() {
+	if !h.host.Serving() {
 		return nil, notReady()
 	}
-	svc, ok := s.host.View().Service(name)
+	svc, ok := h.host.View().Service(name)
 	if !ok {
 		return nil, verdict.New(verdict.NotRun, verdict.UnknownService, "no service %q", name)
 	}
-	if headerSize(r.Header) > s.settings.MaxHeader {
-		return nil, verdict.New(verdict.NotRun, verdict.HeaderTooLarge, "headers are above %d bytes", s.settings.MaxHeader)
+	if headerSize(r.Header) > h.settings.MaxHeader {
+		return nil, verdict.New(verdict.NotRun, verdict.HeaderTooLarge, "headers are above %d bytes", h.settings.MaxHeader)
 	}
 	timeout, err := requestTimeout(r.Header.Get(call.HeaderTimeout), svc)
 	if err != nil {
@@ -48,7 +48,7 @@
 			return nil, verdict.New(verdict.NotRun, verdict.BadTicket, "%s: %v", call.HeaderTicket, err)
 		}
 	}
-	body, err := s.readBody(c, deadline)
+	body, err := h.readBody(c, deadline)
 	if err != nil {
 		return nil, err
 	}
@@ -86,7 +86,7 @@
 // readBody reads the whole body within its limit and the deadline. A body that
 // is not read to its end closes the connection, as the next request on it could
 // not be found.
-func (s *Server) readBody(c echo.Context, deadline time.Time) ([]byte, error) {
+func (h *handler) readBody(c echo.Context, deadline time.Time) ([]byte, error) {
 	r := c.Request()
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, nil
@@ -95,7 +95,7 @@
 	// Setting a deadline fails only on a closed connection, which the read
 	// below reports.
 	_ = control.SetReadDeadline(deadline)
-	body, err := io.ReadAll(io.LimitReader(r.Body, s.settings.MaxBody+1))
+	body, err := io.ReadAll(io.LimitReader(r.Body, h.settings.MaxBody+1))
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		c.Response().Header().Set("Connection", "close")
 		return nil, verdict.New(verdict.NotRun, verdict.BodyStalled, "body did not arrive in time")
@@ -103,9 +103,9 @@
 	if err != nil {
 		return nil, verdict.New(verdict.NotRun, verdict.BadRequest, "body broke off")
 	}
-	if int64(len(body)) > s.settings.MaxBody {
+	if int64(len(body)) > h.settings.MaxBody {
 		c.Response().Header().Set("Connection", "close")
-		return nil, verdict.New(verdict.NotRun, verdict.BodyTooLarge, "body is above %d bytes", s.settings.MaxBody)
+		return nil, verdict.New(verdict.NotRun, verdict.BodyTooLarge, "body is above %d bytes", h.settings.MaxBody)
 	}
 	_ = control.SetReadDeadline(time.Time{})
 	return body, nil
@@ -140,8 +140,8 @@
 // clientAddr is the client's address: the first one in X-Forwarded-For if the
 // settings trust it and it can be parsed, else that of the connection. An
 // unknown one is 0.0.0.0, which only a block of all addresses contains.
-func (s *Server) clientAddr(r *http.Request) netip.Addr {
-	if s.settings.TrustForwarded {
+func (h *handler) clientAddr(r *http.Request) netip.Addr {
+	if h.settings.TrustForwarded {
 		first, _, _ := strings.Cut(r.Header.Get("X-Forwarded-For"), ",")
 		if addr, err := netip.ParseAddr(strings.TrimSpace(first)); err == nil {
 			return addr
--- a/internal/selector/caller/response.go
+++ b/internal/selector/caller/response.go
@@ -51,7 +51,7 @@
 
 // writeResponse writes an upstream's response. If its body breaks off, the
 // client's connection is closed, so that the response can't look complete.
-func (s *Server) writeResponse(w *echo.Response, resp *call.Response) {
+func (h *handler) writeResponse(w *echo.Response, resp *call.Response) {
 	for name, values := range resp.Header {
 		if !strings.HasPrefix(name, reservedPrefix) {
 			w.Header()[name] = values
@@ -60,7 +60,7 @@
 	w.Header().Set(call.HeaderUpstream, resp.Upstream)
 	w.WriteHeader(resp.Status)
 	if err := copyBody(w, resp); err != nil {
-		s.metrics.Count("cairndock_answers_broken_total")
+		h.metrics.Count("cairndock_answers_broken_total")
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/selector/config/view.go
+++ b/internal/selector/config/view.go
@@ -50,57 +50,51 @@
 
 // NewView evaluates a state for a zone.
 func NewView(s *State, zone string) *View {
-	v := &View{state: s, zone: zone, services: make(map[string]*ServiceView, len(s.services))}
-	all := map[string]bool{}
-	for name := range s.services {
-		all[name] = true
-	}
-	v.build(all)
-	return v
+	return (&View{state: s, zone: zone}).With(s, nil)
 }
 
 // With returns the view of s, which follows v's state by changes. Services that
 // no change touches are shared with v.
 func (v *View) With(s *State, changes []Change) *View {
 	next := &View{state: s, zone: v.zone, services: make(map[string]*ServiceView, len(s.services))}
-	touched := v.touched(s, changes)
-	if touched == nil {
-		return NewView(s, v.zone)
-	}
+	touched, all := v.touched(s, changes)
+	stale := map[string]bool{}
 	for name := range s.services {
-		if old, ok := v.services[name]; ok && !touched[name] {
+		if old, ok := v.services[name]; ok && !all && !touched[name] {
 			next.services[name] = old
+		} else {
+			stale[name] = true
 		}
 	}
-	next.build(touched)
+	next.build(stale)
 	return next
 }
 
-// touched returns the services that changes affect, before or after them; nil
-// means all.
-func (v *View) touched(after *State, changes []Change) map[string]bool {
-	out := map[string]bool{}
+// touched returns the services that changes affect, before or after them, or
+// that all are.
+func (v *View) touched(after *State, changes []Change) (services map[string]bool, all bool) {
+	services = map[string]bool{}
 	for _, c := range changes {
 		for _, e := range c.Edits {
 			name := e.Ref.Name
 			switch e.Ref.Kind {
 			case KindZone:
-				return nil
+				return nil, true
 			case KindService:
-				out[name] = true
+				services[name] = true
 			case KindUpstream:
-				out[v.state.upstreams[name].value.Service] = true
-				out[after.upstreams[name].value.Service] = true
+				services[v.state.upstreams[name].value.Service] = true
+				services[after.upstreams[name].value.Service] = true
 			case KindRule:
-				out[v.state.rules[name].value.Service] = true
-				out[after.rules[name].value.Service] = true
+				services[v.state.rules[name].value.Service] = true
+				services[after.rules[name].value.Service] = true
 			}
 		}
 	}
-	return out
+	return services, false
 }
 
-// build evaluates the named services.
+// build evaluates the named services, which exist.
 func (v *View) build(names map[string]bool) {
 	if len(names) == 0 {
 		return
@@ -113,19 +107,16 @@
 		}
 	}
 	for name := range names {
-		if svc, ok := s.services[name]; ok {
-			v.services[name] = newServiceView(svc.value, byService[name], v.zone)
-		}
+		v.services[name] = newServiceView(s.services[name].value, byService[name], v.zone)
 	}
 	for _, r := range s.rules {
-		if svc, ok := v.services[r.value.Service]; ok && names[svc.Name] {
-			svc.Rules = append(svc.Rules, newRuleView(s, r.value, svc, byService[svc.Name]))
+		if name := r.value.Service; names[name] {
+			svc := v.services[name]
+			svc.Rules = append(svc.Rules, newRuleView(s, r.value, svc, byService[name]))
 		}
 	}
 	for name := range names {
-		if svc, ok := v.services[name]; ok {
-			slices.SortFunc(svc.Rules, func(a, b RuleView) int { return strings.Compare(a.Name, b.Name) })
-		}
+		slices.SortFunc(v.services[name].Rules, func(a, b RuleView) int { return strings.Compare(a.Name, b.Name) })
 	}
 }
 
--- a/internal/selector/operator/config.go
+++ b/internal/selector/operator/config.go
@@ -32,25 +32,20 @@
 	longestWait = time.Minute
 )
 
-// rejection is the response to a change that was not accepted.
-type rejection struct {
-	status int
-	Errors []string `json:"errors"`
-}
-
-func rejected(status int, problems ...string) *rejection {
-	return &rejection{status: status, Errors: problems}
+// rejected is the error of a change that was not accepted, with every problem.
+func rejected(status int, problems ...string) error {
+	return echo.NewHTTPError(status, struct {
+		Errors []string `json:"errors"`
+	}{problems})
 }
 
 // faulty rejects a change for the faults joined in err, one line each.
-func faulty(err error) *rejection {
+func faulty(err error) error {
 	return rejected(http.StatusBadRequest, strings.Split(err.Error(), "\n")...)
 }
 
-func (r *rejection) write(c echo.Context) error { return c.JSON(r.status, r) }
-
-func (s *Server) getConfig(c echo.Context) error {
-	view := s.host.View()
+func (h *handler) getConfig(c echo.Context) error {
+	view := h.host.View()
 	body, err := toml.Marshal(view.State().Document())
 	if err != nil {
 		return err
@@ -59,29 +54,29 @@
 	return c.Blob(http.StatusOK, "application/toml", body)
 }
 
-func (s *Server) putConfig(c echo.Context) error {
-	change, refused := readChange(c.Request())
-	if refused != nil {
-		return refused.write(c)
+func (h *handler) putConfig(c echo.Context) error {
+	change, err := readChange(c.Request())
+	if err != nil {
+		return err
 	}
 	wait, err := waitOf(c.QueryParam("wait"))
 	if err != nil {
-		return rejected(http.StatusBadRequest, "wait: must be a duration").write(c)
+		return rejected(http.StatusBadRequest, "wait: must be a duration")
 	}
-	applied, err := s.host.Apply(c.Request().Context(), change, wait)
+	applied, err := h.host.Apply(c.Request().Context(), change, wait)
 	var conflict *config.Conflict
 	var fault tomlfile.KeyError
 	switch {
 	case errors.As(err, &conflict):
 		return c.JSON(http.StatusConflict, conflict)
 	case errors.As(err, &fault):
-		return faulty(err).write(c)
+		return faulty(err)
 	case err != nil:
-		s.log.Warn().Err(err).Str("change", change.ID).Msg("operator: outcome of a change is unknown")
+		h.log.Warn().Err(err).Str("change", change.ID).Msg("operator: outcome of a change is unknown")
 		return rejected(http.StatusServiceUnavailable, "the platform can't be reached; "+
-			"whether the change was accepted is not known; send it again with the same id: "+change.ID).write(c)
+			"whether the change was accepted is not known; send it again with the same id: "+change.ID)
 	}
-	s.log.Info().Str("change", change.ID).Uint64("revision", applied.Revision).Str("state", applied.State).
+	h.log.Info().Str("change", change.ID).Uint64("revision", applied.Revision).Str("state", applied.State).
 		Msg("operator: change accepted")
 	status := http.StatusOK
 	if applied.State == configsync.StatePending {
@@ -100,8 +95,9 @@
 	return max(0, min(d, longestWait)), err
 }
 
-// readChange reads a document and the versions that it is based on.
-func readChange(r *http.Request) (config.Change, *rejection) {
+// readChange reads a document and the versions that it is based on. Its error is
+// the response.
+func readChange(r *http.Request) (config.Change, error) {
 	var none config.Change
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxDocument+1))
 	if err != nil || len(body) > maxDocument {
@@ -142,11 +138,11 @@
 	return rev, true, err
 }
 
-func (s *Server) changeProgress(c echo.Context) error {
+func (h *handler) changeProgress(c echo.Context) error {
 	id := c.Param("id")
-	applied, found, err := s.host.ChangeProgress(c.Request().Context(), id)
+	applied, found, err := h.host.ChangeProgress(c.Request().Context(), id)
 	if err != nil {
-		s.log.Warn().Err(err).Str("change", id).Msg("operator: progress of a change is unknown")
+		h.log.Warn().Err(err).Str("change", id).Msg("operator: progress of a change is unknown")
 		return echo.NewHTTPError(http.StatusServiceUnavailable, "the platform can't be reached")
 	}
 	if !found {
--- a/internal/selector/operator/operator.go
+++ b/internal/selector/operator/operator.go
@@ -10,9 +10,6 @@
 import (
 	"context"
 	"crypto/subtle"
-	"crypto/tls"
-	"errors"
-	"net"
 	"net/http"
 	"net/netip"
 	"strconv"
@@ -68,57 +65,36 @@
 	tlsfiles.Check("operators.tls", s.TLS, f)
 }
 
-// Server serves operators.
-type Server struct {
+// handler serves operators' requests.
+type handler struct {
 	settings servesettings.Operators
 	host     Host
 	log      zerolog.Logger
 	metrics  *telemetry.Metrics
-	http     *http.Server
 }
 
-// New makes a server; Serve starts it.
-func New(s servesettings.Operators, h Host, log zerolog.Logger, m *telemetry.Metrics) *Server {
-	srv := &Server{settings: s, host: h, log: log, metrics: m}
+// New makes a server, which does not listen yet.
+func New(s servesettings.Operators, host Host, log zerolog.Logger, m *telemetry.Metrics) *http.Server {
+	h := &handler{settings: s, host: host, log: log, metrics: m}
 	e := echo.New()
 	e.HideBanner = true
 	e.GET("/healthz", func(c echo.Context) error { return c.String(http.StatusOK, "ok\n") })
-	e.GET("/readyz", srv.readyz)
-	e.GET("/metrics", srv.writeMetrics)
-	e.GET("/v1/status", func(c echo.Context) error { return c.JSON(http.StatusOK, h.Status()) })
-	e.GET("/v1/explain", srv.explain)
-	e.GET("/v1/config", srv.getConfig)
-	e.PUT("/v1/config", srv.putConfig, srv.requireToken)
-	e.GET("/v1/changes/:id", srv.changeProgress)
-	e.GET("/v1/drain", srv.drainProgress)
-	srv.http = &http.Server{Handler: e, ReadHeaderTimeout: readHeaderTimeout}
-	return srv
+	e.GET("/readyz", h.readyz)
+	e.GET("/metrics", h.writeMetrics)
+	e.GET("/v1/status", func(c echo.Context) error { return c.JSON(http.StatusOK, host.Status()) })
+	e.GET("/v1/explain", h.explain)
+	e.GET("/v1/config", h.getConfig)
+	e.PUT("/v1/config", h.putConfig, h.requireToken)
+	e.GET("/v1/changes/:id", h.changeProgress)
+	e.GET("/v1/drain", h.drainProgress)
+	return &http.Server{Handler: e, ReadHeaderTimeout: readHeaderTimeout}
 }
 
-// Serve serves a listener until Close, and then returns nil; over mutual TLS if
-// the settings have it.
-func (s *Server) Serve(l net.Listener) error {
-	if s.settings.TLS.Enabled() {
-		files, err := tlsfiles.Open(s.settings.TLS)
-		if err != nil {
-			return err
-		}
-		l = tls.NewListener(l, files.Server())
-	}
-	if err := s.http.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		return err
-	}
-	return nil
-}
-
-// Close closes all connections at once.
-func (s *Server) Close() error { return s.http.Close() }
-
 // requireToken rejects a request without the settings' token.
-func (s *Server) requireToken(next echo.HandlerFunc) echo.HandlerFunc {
+func (h *handler) requireToken(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		given, ok := strings.CutPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
-		if !ok || subtle.ConstantTimeCompare([]byte(given), []byte(s.settings.Token)) != 1 {
+		if !ok || subtle.ConstantTimeCompare([]byte(given), []byte(h.settings.Token)) != 1 {
 			c.Response().Header().Set("WWW-Authenticate", "Bearer")
 			return echo.NewHTTPError(http.StatusUnauthorized, "a bearer token is needed")
 		}
@@ -126,33 +102,33 @@
 	}
 }
 
-func (s *Server) readyz(c echo.Context) error {
-	if !s.host.Ready() {
+func (h *handler) readyz(c echo.Context) error {
+	if !h.host.Ready() {
 		return c.String(http.StatusServiceUnavailable, "not ready\n")
 	}
 	return c.String(http.StatusOK, "ready\n")
 }
 
-func (s *Server) writeMetrics(c echo.Context) error {
+func (h *handler) writeMetrics(c echo.Context) error {
 	c.Response().Header().Set("Content-Type", "text/plain; version=0.0.4")
 	c.Response().WriteHeader(http.StatusOK)
-	s.metrics.Write(c.Response())
+	h.metrics.Write(c.Response())
 	return nil
 }
 
-func (s *Server) explain(c echo.Context) error {
+func (h *handler) explain(c echo.Context) error {
 	addr, err := netip.ParseAddr(c.QueryParam("caller"))
 	if err != nil {
 		return echo.NewHTTPError(http.StatusBadRequest, "caller: must be an IP address")
 	}
-	e, err := s.host.Explain(c.QueryParam("service"), addr)
+	e, err := h.host.Explain(c.QueryParam("service"), addr)
 	if err != nil {
 		return echo.NewHTTPError(http.StatusNotFound, "service: "+err.Error())
 	}
 	return c.JSON(http.StatusOK, e)
 }
 
-func (s *Server) drainProgress(c echo.Context) error {
+func (h *handler) drainProgress(c echo.Context) error {
 	names := strings.Split(c.QueryParam("upstreams"), ",")
-	return c.JSON(http.StatusOK, s.host.DrainProgress(c.Request().Context(), names))
+	return c.JSON(http.StatusOK, h.host.DrainProgress(c.Request().Context(), names))
 }
--- a/internal/selector/quickstart/quickstart.go
+++ b/internal/selector/quickstart/quickstart.go
@@ -9,6 +9,7 @@
 	"context"
 	"crypto/rand"
 	"fmt"
+	"sync"
 	"time"
 
 	"github.com/rotisserie/eris"
@@ -249,16 +250,11 @@
 
 // Stop takes every host out of service, all at a time, and ends everything else.
 func (s *System) Stop(ctx context.Context) {
-	done := make(chan struct{})
+	var stops sync.WaitGroup
 	for _, srv := range s.Servers {
-		go func() {
-			srv.Stop(ctx)
-			done <- struct{}{}
-		}()
-	}
-	for range s.Servers {
-		<-done
+		stops.Go(func() { srv.Stop(ctx) })
 	}
+	stops.Wait()
 	s.Servers = nil
 	s.Close()
 }
--- a/internal/selector/server/server.go
+++ b/internal/selector/server/server.go
@@ -6,8 +6,10 @@
 
 import (
 	"context"
+	"crypto/tls"
 	"errors"
 	"net"
+	"net/http"
 	"time"
 
 	"github.com/rotisserie/eris"
@@ -47,8 +49,8 @@
 	CallerAddr   string
 	OperatorAddr string
 
-	callers   *caller.Server
-	operators *operator.Server
+	callers   *http.Server
+	operators *http.Server
 	failed    chan error
 }
 
@@ -97,11 +99,27 @@
 		_ = operators.Close()
 		return nil, err
 	}
-	go func() { s.failed <- s.callers.Serve(callers) }()
-	go func() { s.failed <- s.operators.Serve(operators) }()
+	go func() { s.failed <- serve(s.callers, callers, servesettings.TLS{}) }()
+	go func() { s.failed <- serve(s.operators, operators, o.Settings.Operators.TLS) }()
 	return s, nil
 }
 
+// serve serves a listener until the server is closed, and then returns nil; over
+// mutual TLS if there are files for it.
+func serve(srv *http.Server, l net.Listener, files servesettings.TLS) error {
+	if files.Enabled() {
+		f, err := tlsfiles.Open(files)
+		if err != nil {
+			return err
+		}
+		l = tls.NewListener(l, f.Server())
+	}
+	if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+		return err
+	}
+	return nil
+}
+
 // Failed receives the error that ended a listener, or nil after Close.
 func (s *Server) Failed() <-chan error { return s.failed }
 
