--- a/cmd/load.go
+++ b/cmd/load.go
@@ -14,33 +14,31 @@
 )
 
 type loadCmd struct {
-	entry     string
+	options   load.Options
 	upstreams string
-	duration  time.Duration
+	lookups   load.Class
+	bookings  load.Class
+	downloads load.Class
 	ramp      time.Duration
 	timeout   time.Duration
-	service   string
-	bulk      string
-	lookups   float64
-	bookings  float64
-	downloads float64
-	resend    bool
 	changes   load.Changes
 	json      bool
 }
 
 func (c *loadCmd) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.entry, "entry", "127.0.0.1:8080", "caller `address` of any host")
+	c.lookups, c.bookings = load.Lookups("", 0), load.Bookings("", 0)
+	c.downloads = load.Class{Name: "downloads", Method: http.MethodGet, Path: "/bytes/1000000"}
+	f.StringVar(&c.options.Entry, "entry", "127.0.0.1:8080", "client `address` of any host")
 	f.StringVar(&c.upstreams, "upstreams", "", "`addresses` of stand-in upstreams, to read their ledgers")
-	f.DurationVar(&c.duration, "duration", 10*time.Second, "how long requests arrive")
+	f.DurationVar(&c.options.Duration, "duration", 10*time.Second, "how long requests arrive")
 	f.DurationVar(&c.ramp, "ramp", 0, "how long the rates rise from nothing")
 	f.DurationVar(&c.timeout, "timeout", 0, "deadline of each request; the service's own by default")
-	f.StringVar(&c.service, "service", "planning", "`service` of lookups and bookings")
-	f.StringVar(&c.bulk, "bulk-service", "documents", "`service` of downloads")
-	f.Float64Var(&c.lookups, "lookups", 200, "lookups per second")
-	f.Float64Var(&c.bookings, "bookings", 0, "bookings with tickets per second")
-	f.Float64Var(&c.downloads, "downloads", 0, "downloads of 1 MB per second")
-	f.BoolVar(&c.resend, "resend", true, "send each booking twice, by two hosts")
+	f.StringVar(&c.lookups.Service, "service", "planning", "`service` of lookups and bookings")
+	f.StringVar(&c.downloads.Service, "bulk-service", "documents", "`service` of downloads")
+	f.Float64Var(&c.lookups.Rate, "lookups", 200, "lookups per second")
+	f.Float64Var(&c.bookings.Rate, "bookings", 0, "bookings with tickets per second")
+	f.Float64Var(&c.downloads.Rate, "downloads", 0, "downloads of 1 MB per second")
+	f.BoolVar(&c.bookings.Resend, "resend", true, "send each booking twice, by two hosts")
 	f.Float64Var(&c.changes.Rate, "changes", 0, "configuration changes per second, beside the load")
 	f.BoolVar(&c.changes.Everywhere, "everywhere", false, "time each change until it is in force in every zone")
 	f.StringVar(&c.changes.Operator, "operator", "127.0.0.1:8081", "operator `address` of a host, for changes")
@@ -51,7 +49,14 @@
 
 // run fails if the load found a violation.
 func (c *loadCmd) run(ctx context.Context, _ *flag.FlagSet) error {
-	o := load.Options{Entry: c.entry, Duration: c.duration, Classes: c.classes()}
+	o := c.options
+	c.bookings.Service, c.changes.Service = c.lookups.Service, c.downloads.Service
+	for _, class := range []load.Class{c.lookups, c.bookings, c.downloads} {
+		if class.Rate > 0 {
+			class.Ramp, class.Timeout = c.ramp, c.timeout
+			o.Classes = append(o.Classes, class)
+		}
+	}
 	if c.upstreams != "" {
 		o.Upstreams = strings.Split(c.upstreams, ",")
 	}
@@ -87,9 +92,8 @@
 		out <- nil
 		return out
 	}
-	c.changes.Service = c.bulk
 	go func() {
-		ctx, cancel := context.WithTimeout(ctx, c.duration)
+		ctx, cancel := context.WithTimeout(ctx, c.options.Duration)
 		defer cancel()
 		result, err := load.RunChanges(ctx, c.changes)
 		if err != nil {
@@ -99,19 +103,3 @@
 	}()
 	return out
 }
-
-func (c *loadCmd) classes() []load.Class {
-	all := []load.Class{
-		{Name: "lookups", Service: c.service, Method: http.MethodGet, Path: "/tracks/%d", Rate: c.lookups, Echo: true},
-		{Name: "bookings", Service: c.service, Method: http.MethodPost, Path: "/bookings", Body: "{}", Rate: c.bookings, Ticket: true, Resend: c.resend},
-		{Name: "downloads", Service: c.bulk, Method: http.MethodGet, Path: "/bytes/1000000", Rate: c.downloads},
-	}
-	var out []load.Class
-	for _, class := range all {
-		if class.Rate > 0 {
-			class.Ramp, class.Timeout = c.ramp, c.timeout
-			out = append(out, class)
-		}
-	}
-	return out
-}
--- a/cmd/standin.go
+++ b/cmd/standin.go
@@ -6,8 +6,6 @@
 	"os"
 	"strings"
 
-	"cairndock/internal/peer"
-	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/standin"
 	"cairndock/internal/selector/store"
 	"cairndock/internal/telemetry"
@@ -30,7 +28,7 @@
 	signals := notifySignals()
 	log := telemetry.NewLogger(os.Stdout, "info")
 	m := store.NewMemory()
-	if err := c.fill(ctx, m); err != nil {
+	if err := c.size.Fill(ctx, m); err != nil {
 		return err
 	}
 	p, err := standin.Platform{Memory: m}.Start()
@@ -46,35 +44,3 @@
 	<-signals
 	return nil
 }
-
-// fill writes the configuration, a snapshot of it and the rosters.
-func (c *standinCmd) fill(ctx context.Context, m *store.Memory) error {
-	log := config.NewLog(m, m)
-	s := config.NewState()
-	for _, part := range []struct {
-		id  string
-		doc config.Document
-	}{{"objects", c.size.Objects()}, {"blocks", c.size.BlocksDocument()}} {
-		change, err := part.doc.Change(part.id, s.Revision())
-		if err != nil {
-			return err
-		}
-		if s, _, err = log.Append(ctx, s, change); err != nil {
-			return err
-		}
-	}
-	if err := log.SaveSnapshot(ctx, s); err != nil {
-		return err
-	}
-	for z := range c.size.Zones {
-		body, err := peer.Encode(c.size.Roster(z, c.size.Hosts, 1))
-		if err != nil {
-			return err
-		}
-		key := store.Key{Partition: "roster", Sort: standin.ZoneName(z)}
-		if err := m.Transact(ctx, []store.Write{{Key: key, Body: body}}); err != nil {
-			return err
-		}
-	}
-	return nil
-}
--- a/internal/selector/config/document.go
+++ b/internal/selector/config/document.go
@@ -83,15 +83,24 @@
 	}
 }
 
+// faults are the faults of a document, or of the state after a change.
+type faults []error
+
+func (f *faults) add(ref Ref, key, format string, args ...any) {
+	*f = append(*f, tomlfile.KeyError{
+		Key: fmt.Sprintf("%s[%q].%s", ref.Kind, ref.Name, key), Problem: fmt.Sprintf(format, args...),
+	})
+}
+
 // checker collects the faults of one object.
 type checker struct {
-	prefix string
-	faults *[]error
+	ref Ref
+	*faults
 }
 
 func (c checker) require(ok bool, key, format string, args ...any) {
 	if !ok {
-		*c.faults = append(*c.faults, tomlfile.KeyError{Key: c.prefix + "." + key, Problem: fmt.Sprintf(format, args...)})
+		c.add(c.ref, key, format, args...)
 	}
 }
 
@@ -131,17 +140,16 @@
 // check returns every fault of the document by itself, and brings the names of
 // blocks into their canonical form.
 func (d *Document) check() error {
-	var faults []error
+	var found faults
 	seen := map[Ref]bool{}
 	for o := range d.objects() {
-		ref := o.ref()
-		c := checker{fmt.Sprintf("%s[%q]", ref.Kind, ref.Name), &faults}
-		c.require(ref.Name != "", "name", "must be set")
-		c.require(!seen[ref], "name", "stands twice in the document")
-		seen[ref] = true
+		c := checker{o.ref(), &found}
+		c.require(c.ref.Name != "", "name", "must be set")
+		c.require(!seen[c.ref], "name", "stands twice in the document")
+		seen[c.ref] = true
 		o.check(c)
 	}
-	return errors.Join(faults...)
+	return errors.Join(found...)
 }
 
 func (z *Zone) check(c checker) { c.require(z.Region != "", "region", "must be set") }
@@ -216,7 +224,7 @@
 // Objects without an entry in Versions must not have changed after base.
 func (d *Document) Change(id string, base uint64) (Change, error) {
 	c := Change{ID: id}
-	var faults []error
+	var errs []error
 	for o := range d.objects() {
 		e := Edit{Ref: o.ref(), Base: base, AtMost: true}
 		if v, ok := d.Versions[e.Ref.String()]; ok {
@@ -225,9 +233,9 @@
 		if _, removal := o.(*Removal); !removal {
 			var err error
 			e.Body, err = encode(o)
-			faults = append(faults, err)
+			errs = append(errs, err)
 		}
 		c.Edits = append(c.Edits, e)
 	}
-	return c, errors.Join(faults...)
+	return c, errors.Join(errs...)
 }
--- a/internal/selector/config/references.go
+++ b/internal/selector/config/references.go
@@ -2,11 +2,8 @@
 
 import (
 	"errors"
-	"fmt"
 	"slices"
 	"strings"
-
-	"cairndock/internal/tomlfile"
 )
 
 // shareSlack is how far a sum of shares may be above 1 by rounding: far above
@@ -15,8 +12,8 @@
 
 // referenceCheck collects the faults of the state after a change.
 type referenceCheck struct {
+	faults
 	before, after *State
-	faults        []error
 	// addrs are the upstreams by address; made when first needed.
 	addrs map[string][]string
 }
@@ -54,32 +51,26 @@
 	return errors.Join(c.faults...)
 }
 
-func (c *referenceCheck) add(kind Kind, name, key, format string, args ...any) {
-	c.faults = append(c.faults, tomlfile.KeyError{
-		Key: fmt.Sprintf("%s[%q].%s", kind, name, key), Problem: fmt.Sprintf(format, args...),
-	})
-}
-
 // unknown adds the fault of an object that refers to a missing zone or service,
 // which key names.
-func (c *referenceCheck) unknown(kind Kind, name, key, target string) {
-	c.add(kind, name, key, "unknown %s %q", key, target)
+func (c *referenceCheck) unknown(ref Ref, key, target string) {
+	c.add(ref, key, "unknown %s %q", key, target)
 }
 
 func (c *referenceCheck) upstream(name string) {
 	u := c.after.upstreams[name].value
 	if _, ok := c.after.services[u.Service]; !ok {
-		c.unknown(KindUpstream, name, "service", u.Service)
+		c.unknown(Ref{KindUpstream, name}, "service", u.Service)
 	}
 	if _, ok := c.after.zones[u.Zone]; !ok {
-		c.unknown(KindUpstream, name, "zone", u.Zone)
+		c.unknown(Ref{KindUpstream, name}, "zone", u.Zone)
 	}
 	if old, ok := c.before.upstreams[name]; ok && old.value.Zone != u.Zone {
-		c.add(KindUpstream, name, "zone", "can't move from %q; add it under another name", old.value.Zone)
+		c.add(Ref{KindUpstream, name}, "zone", "can't move from %q; add it under another name", old.value.Zone)
 	}
 	for _, other := range c.upstreamsAt(u.Addr) {
 		if other != name {
-			c.add(KindUpstream, name, "addr", "is also the address of %q", other)
+			c.add(Ref{KindUpstream, name}, "addr", "is also the address of %q", other)
 		}
 	}
 }
@@ -97,18 +88,18 @@
 func (c *referenceCheck) rule(name string) {
 	r := c.after.rules[name].value
 	if _, ok := c.after.services[r.Service]; !ok {
-		c.unknown(KindRule, name, "service", r.Service)
+		c.unknown(Ref{KindRule, name}, "service", r.Service)
 	}
 }
 
 func (c *referenceCheck) block(e Edit) {
 	b, err := decode[Block](e.Body)
 	if err != nil {
-		c.add(KindBlock, e.Ref.Name, "cidr", "%v", err)
+		c.add(Ref{KindBlock, e.Ref.Name}, "cidr", "%v", err)
 		return
 	}
 	if _, ok := c.after.zones[b.Zone]; !ok {
-		c.unknown(KindBlock, e.Ref.Name, "zone", b.Zone)
+		c.unknown(Ref{KindBlock, e.Ref.Name}, "zone", b.Zone)
 	}
 }
 
@@ -121,19 +112,19 @@
 		}
 	}
 	if sum > 1+shareSlack {
-		c.add(KindService, service, "rules", "shares add up to %v, above 1", sum)
+		c.add(Ref{KindService, service}, "rules", "shares add up to %v, above 1", sum)
 	}
 }
 
 func (c *referenceCheck) serviceRemoved(name string) {
 	for u, e := range c.after.upstreams {
 		if e.value.Service == name {
-			c.unknown(KindUpstream, u, "service", name)
+			c.unknown(Ref{KindUpstream, u}, "service", name)
 		}
 	}
 	for r, e := range c.after.rules {
 		if e.value.Service == name {
-			c.unknown(KindRule, r, "service", name)
+			c.unknown(Ref{KindRule, r}, "service", name)
 		}
 	}
 }
@@ -141,12 +132,12 @@
 func (c *referenceCheck) zoneRemoved(name string) {
 	for u, e := range c.after.upstreams {
 		if e.value.Zone == name {
-			c.unknown(KindUpstream, u, "zone", name)
+			c.unknown(Ref{KindUpstream, u}, "zone", name)
 		}
 	}
 	for prefix, b := range c.after.blocks.table.All() {
 		if c.after.blocks.zone(b) == name {
-			c.unknown(KindBlock, prefix.String(), "zone", name)
+			c.unknown(Ref{KindBlock, prefix.String()}, "zone", name)
 		}
 	}
 }
--- a/internal/selector/load/load.go
+++ b/internal/selector/load/load.go
@@ -66,6 +66,16 @@
 	Echo bool
 }
 
+// Lookups are short requests.
+func Lookups(service string, rate float64) Class {
+	return Class{Name: "lookups", Service: service, Method: http.MethodGet, Path: "/tracks/%d", Rate: rate, Echo: true}
+}
+
+// Bookings are requests with tickets, each sent twice by two hosts.
+func Bookings(service string, rate float64) Class {
+	return Class{Name: "bookings", Service: service, Method: http.MethodPost, Path: "/bookings", Body: "{}", Rate: rate, Ticket: true, Resend: true}
+}
+
 // Options are a load.
 type Options struct {
 	// Entry is the address for clients of any host.
--- a/internal/selector/quickstart/once.go
+++ b/internal/selector/quickstart/once.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net/http"
 	"time"
 
 	"cairndock/internal/selector/load"
@@ -27,9 +26,6 @@
 		Entry:     s.Servers[0].CallerAddr,
 		Duration:  onceDuration,
 		Upstreams: s.UpstreamAddrs,
-		Classes: []load.Class{
-			{Name: "lookups", Service: planning, Method: http.MethodGet, Path: "/tracks/%d", Rate: onceLookups, Echo: true},
-			{Name: "bookings", Service: planning, Method: http.MethodPost, Path: "/bookings", Body: "{}", Rate: onceBookings, Ticket: true, Resend: true},
-		},
+		Classes:   []load.Class{load.Lookups(planning, onceLookups), load.Bookings(planning, onceBookings)},
 	})
 }
--- a/internal/selector/standin/generated.go
+++ b/internal/selector/standin/generated.go
@@ -1,12 +1,15 @@
 package standin
 
 import (
+	"context"
 	"fmt"
 	"net/netip"
 	"time"
 
+	"cairndock/internal/peer"
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/roster"
+	"cairndock/internal/selector/store"
 )
 
 // Size is the size of a generated system.
@@ -91,3 +94,35 @@
 	}
 	return r
 }
+
+// Fill writes the generated configuration, a snapshot of it and the rosters.
+func (s Size) Fill(ctx context.Context, m *store.Memory) error {
+	log := config.NewLog(m, m)
+	state := config.NewState()
+	for _, part := range []struct {
+		id  string
+		doc config.Document
+	}{{"objects", s.Objects()}, {"blocks", s.BlocksDocument()}} {
+		change, err := part.doc.Change(part.id, state.Revision())
+		if err != nil {
+			return err
+		}
+		if state, _, err = log.Append(ctx, state, change); err != nil {
+			return err
+		}
+	}
+	if err := log.SaveSnapshot(ctx, state); err != nil {
+		return err
+	}
+	for z := range s.Zones {
+		body, err := peer.Encode(s.Roster(z, s.Hosts, 1))
+		if err != nil {
+			return err
+		}
+		key := store.Key{Partition: "roster", Sort: ZoneName(z)}
+		if err := m.Transact(ctx, []store.Write{{Key: key, Body: body}}); err != nil {
+			return err
+		}
+	}
+	return nil
+}
