--- a/internal/selector/call/call.go
+++ b/internal/selector/call/call.go
@@ -16,7 +16,7 @@
 	HeaderTicket = "Cairndock-Ticket"
 	// HeaderTimeout is how long the client waits, as a Go duration.
 	HeaderTimeout = "Cairndock-Timeout"
-	// HeaderUpstream tells the client which upstream responded: "zone/name".
+	// HeaderUpstream is, for the client, the upstream that responded: "zone/name".
 	HeaderUpstream = "Cairndock-Upstream"
 	// HeaderShed is "not-run" on an upstream's 503 that proves that the request
 	// did not run.
@@ -25,6 +25,8 @@
 	HeaderState = "Cairndock-State"
 	// HeaderInstance is the upstream's incarnation.
 	HeaderInstance = "Cairndock-Instance"
+	// HeaderLoad is the upstream's own view of its load, 0 to 1.
+	HeaderLoad = "Cairndock-Load"
 	// HeaderDeadline is an absolute Unix time in milliseconds, after which
 	// an upstream must neither start nor go on with a request.
 	HeaderDeadline = "Cairndock-Deadline"
--- a/internal/selector/config/blocks.go
+++ b/internal/selector/config/blocks.go
@@ -32,10 +32,6 @@
 	zone    uint32
 }
 
-func newBlocks() blocks {
-	return blocks{table: &bart.Table[blockEntry]{}, zoneIndex: map[string]uint32{}}
-}
-
 func (b *blocks) size() int { return b.table.Size() }
 
 // version returns 0 for a name that is no prefix, as no block has one.
@@ -101,12 +97,3 @@
 
 // zone returns a block's zone.
 func (b *blocks) zone(e blockEntry) string { return b.zoneNames[e.zone] }
-
-// zoneOf returns the zone of the longest block that contains an address, or "".
-func (b *blocks) zoneOf(addr netip.Addr) string {
-	e, ok := b.table.Lookup(addr.Unmap())
-	if !ok {
-		return ""
-	}
-	return b.zone(e)
-}
--- a/internal/selector/config/state.go
+++ b/internal/selector/config/state.go
@@ -9,6 +9,7 @@
 	"unique"
 
 	"github.com/cespare/xxhash/v2"
+	"github.com/gaissmai/bart"
 	"github.com/rotisserie/eris"
 )
 
@@ -49,7 +50,7 @@
 		upstreams: byName[Upstream]{},
 		rules:     byName[Rule]{},
 		links:     byName[Link]{},
-		blocks:    newBlocks(),
+		blocks:    blocks{table: &bart.Table[blockEntry]{}, zoneIndex: map[string]uint32{}},
 	}
 }
 
--- a/internal/selector/config/view.go
+++ b/internal/selector/config/view.go
@@ -271,4 +271,10 @@
 
 // ClientZone returns the zone of the longest block that contains a client's
 // address, or "".
-func (v *View) ClientZone(addr netip.Addr) string { return v.state.blocks.zoneOf(addr) }
+func (v *View) ClientZone(addr netip.Addr) string {
+	b, ok := v.state.blocks.table.Lookup(addr.Unmap())
+	if !ok {
+		return ""
+	}
+	return v.state.blocks.zone(b)
+}
--- a/internal/selector/standin/generated.go
+++ b/internal/selector/standin/generated.go
@@ -34,14 +34,11 @@
 // ZoneName is the name of zone z.
 func ZoneName(z int) string { return fmt.Sprintf("zone-%02d", z) }
 
-// regionName is the name of zone z's region.
-func (s Size) regionName(z int) string { return fmt.Sprintf("region-%02d", z%s.Regions) }
-
 // Objects generates zones, and services with a rule and their upstreams.
 func (s Size) Objects() config.Document {
 	var doc config.Document
 	for z := range s.Zones {
-		doc.Zones = append(doc.Zones, config.Zone{Name: ZoneName(z), Region: s.regionName(z)})
+		doc.Zones = append(doc.Zones, config.Zone{Name: ZoneName(z), Region: fmt.Sprintf("region-%02d", z%s.Regions)})
 	}
 	for i := range s.Services {
 		s.addService(&doc, fmt.Sprintf("service-%d", i))
--- a/internal/selector/standin/upstream.go
+++ b/internal/selector/standin/upstream.go
@@ -12,6 +12,7 @@
 	"github.com/rotisserie/eris"
 
 	"cairndock/internal/selector/call"
+	"cairndock/internal/verdict"
 )
 
 // upstreamHeaderTimeout limits reading the headers of a request to an upstream.
@@ -173,7 +174,7 @@
 		load = *u.faults.ReportLoad
 	}
 	w.Header().Set(call.HeaderInstance, u.Instance)
-	w.Header().Set("Cairndock-Load", strconv.FormatFloat(load, 'f', 3, 64))
+	w.Header().Set(call.HeaderLoad, strconv.FormatFloat(load, 'f', 3, 64))
 	if u.leaving {
 		w.Header().Set(call.HeaderState, call.StateLeaving)
 	}
@@ -218,7 +219,7 @@
 	}
 	u.setStatus(w)
 	if f.Shed || timeLeft(r) <= -time.Millisecond { // deadlines count whole milliseconds
-		w.Header().Set(call.HeaderShed, "not-run")
+		w.Header().Set(call.HeaderShed, verdict.NotRun.String())
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/selector/store/dynamodb.go
+++ b/internal/selector/store/dynamodb.go
@@ -100,9 +100,16 @@
 // rows are large, so List reads on.
 func (t *Table) List(ctx context.Context, partition, after string, limit int) ([]Row, error) {
 	var rows []Row
-	var from map[string]types.AttributeValue
+	page := &dynamodb.QueryInput{
+		TableName: &t.name, ConsistentRead: aws.Bool(true),
+		KeyConditionExpression: aws.String(attrPartition + " = :p AND " + attrSort + " > :a"),
+		ExpressionAttributeValues: map[string]types.AttributeValue{
+			":p": stringAttr(partition), ":a": stringAttr(after),
+		},
+	}
 	for {
-		out, err := t.query(ctx, partition, after, limit-len(rows), from)
+		page.Limit = aws.Int32(int32(limit - len(rows)))
+		out, err := t.client.Query(ctx, page)
 		if err != nil {
 			return nil, tableError(err)
 		}
@@ -113,24 +120,13 @@
 			}
 			rows = append(rows, row)
 		}
-		from = out.LastEvaluatedKey
-		if len(from) == 0 || len(rows) >= limit {
+		page.ExclusiveStartKey = out.LastEvaluatedKey
+		if len(out.LastEvaluatedKey) == 0 || len(rows) >= limit {
 			return rows, nil
 		}
 	}
 }
 
-// query reads a page of at most limit rows, which starts after the key from.
-func (t *Table) query(ctx context.Context, partition, after string, limit int, from map[string]types.AttributeValue) (*dynamodb.QueryOutput, error) {
-	return t.client.Query(ctx, &dynamodb.QueryInput{
-		TableName: &t.name, ConsistentRead: aws.Bool(true), Limit: aws.Int32(int32(limit)), ExclusiveStartKey: from,
-		KeyConditionExpression: aws.String(attrPartition + " = :p AND " + attrSort + " > :a"),
-		ExpressionAttributeValues: map[string]types.AttributeValue{
-			":p": stringAttr(partition), ":a": stringAttr(after),
-		},
-	})
-}
-
 func stringAttr(s string) types.AttributeValue { return &types.AttributeValueMemberS{Value: s} }
 
 func numberAttr(n int64) types.AttributeValue {
--- a/internal/selector/upstream/client.go
+++ b/internal/selector/upstream/client.go
@@ -40,9 +40,6 @@
 	// maxHeaderBytes limits a response's header, and what is read of the body
 	// of a refusal or probe. Chosen, not measured.
 	maxHeaderBytes = 64 << 10
-	// headerLoad is the header with an upstream's own view of its load, 0 to
-	// 1.
-	headerLoad = "Cairndock-Load"
 )
 
 // DialFunc connects to an upstream.
@@ -76,11 +73,11 @@
 type Client struct {
 	transport *http.Transport
 	// onStatus is called with the status in each response's headers.
-	onStatus func(name string, w Status)
+	onStatus func(name string, s Status)
 }
 
 // New makes a client. A nil dial is TCP; onStatus may be nil.
-func New(dial DialFunc, onStatus func(name string, w Status)) *Client {
+func New(dial DialFunc, onStatus func(name string, s Status)) *Client {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
 	}
@@ -170,11 +167,11 @@
 // parseStatus reads an upstream's status. A load that is no number counts as
 // not reported.
 func parseStatus(h http.Header) Status {
-	w := Status{Incarnation: h.Get(call.HeaderInstance), Leaving: h.Get(call.HeaderState) == call.StateLeaving, Load: -1}
-	if load, err := strconv.ParseFloat(h.Get(headerLoad), 64); err == nil {
-		w.Load = load
+	s := Status{Incarnation: h.Get(call.HeaderInstance), Leaving: h.Get(call.HeaderState) == call.StateLeaving, Load: -1}
+	if load, err := strconv.ParseFloat(h.Get(call.HeaderLoad), 64); err == nil {
+		s.Load = load
 	}
-	return w
+	return s
 }
 
 // Probe requests an upstream's status from its health path. Its HTTP status
