--- a/cmd/apply.go
+++ b/cmd/apply.go
@@ -98,7 +98,7 @@
 			return nil
 		}
 		time.Sleep(followPause)
-		body, err := c.get(ctx, "/v1/changes/"+url.PathEscape(a.Change), &a)
+		body, err := c.getJSON(ctx, "/v1/changes/"+url.PathEscape(a.Change), &a)
 		if err != nil {
 			return err
 		}
--- a/cmd/client.go
+++ b/cmd/client.go
@@ -73,15 +73,21 @@
 	return resp.StatusCode, out, eris.Wrap(err, "read response")
 }
 
-// get requests JSON, decodes it into out and returns it as it came.
-func (c *client) get(ctx context.Context, path string, out any) ([]byte, error) {
+// get returns the body of a path.
+func (c *client) get(ctx context.Context, path string) ([]byte, error) {
 	status, body, err := c.do(ctx, http.MethodGet, path, nil, nil)
+	if err == nil && status != http.StatusOK {
+		err = unexpected(status, body)
+	}
+	return body, err
+}
+
+// getJSON decodes the body of a path into out, and returns it too.
+func (c *client) getJSON(ctx context.Context, path string, out any) ([]byte, error) {
+	body, err := c.get(ctx, path)
 	if err != nil {
 		return nil, err
 	}
-	if status != http.StatusOK {
-		return nil, unexpected(status, body)
-	}
 	return body, eris.Wrap(json.Unmarshal(body, out), "decode response")
 }
 
--- a/cmd/cmd_test.go
+++ b/cmd/cmd_test.go
@@ -9,7 +9,10 @@
 	"testing"
 
 	"github.com/google/subcommands"
+	"github.com/rotisserie/eris"
 	"github.com/stretchr/testify/require"
+
+	"cairndock/internal/selector/config"
 )
 
 const (
@@ -87,3 +90,20 @@
 	}
 	require.EqualValues(t, 2, command{runner: &applyCmd{}}.Execute(context.Background(), nil))
 }
+
+func TestExitCodeOfError(t *testing.T) {
+	cases := []struct {
+		name string
+		err  error
+		want subcommands.ExitStatus
+	}{
+		{"none", nil, 0},
+		{"any other", eris.New("broken"), 1},
+		{"printed before", errReported, 1},
+		{"called wrongly", usageError("give a file"), 2},
+		{"lost to another change", eris.Wrap(&config.Conflict{}, "conflict"), 3},
+	}
+	for _, tc := range cases {
+		require.Equal(t, tc.want, exitCode(tc.err), tc.name)
+	}
+}
--- a/cmd/drain.go
+++ b/cmd/drain.go
@@ -4,7 +4,6 @@
 	"context"
 	"flag"
 	"fmt"
-	"net/http"
 	"net/url"
 	"strings"
 	"time"
@@ -67,7 +66,7 @@
 // nobody changes it in the meantime.
 func (c *drainCmd) change(ctx context.Context, selector labels.Selector) (config.Document, error) {
 	change := config.Document{Versions: map[string]uint64{}}
-	_, body, err := c.do(ctx, http.MethodGet, "/v1/config", nil, nil)
+	body, err := c.get(ctx, "/v1/config")
 	if err != nil {
 		return change, err
 	}
@@ -104,7 +103,7 @@
 	path := "/v1/drain?upstreams=" + url.QueryEscape(strings.Join(names, ","))
 	var d drain.Drained
 	for time.Since(began) < c.timeout {
-		if _, err := c.get(ctx, path, &d); err != nil {
+		if _, err := c.getJSON(ctx, path, &d); err != nil {
 			return err
 		}
 		if d.Outstanding == 0 && d.Taking == 0 && len(d.Unknown) == 0 {
--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -29,7 +29,7 @@
 	}
 	query := url.Values{"service": {c.service}, "caller": {c.caller}}
 	var e entry.Explanation
-	body, err := c.get(ctx, "/v1/explain?"+query.Encode(), &e)
+	body, err := c.getJSON(ctx, "/v1/explain?"+query.Encode(), &e)
 	if err != nil {
 		return err
 	}
--- a/cmd/serve.go
+++ b/cmd/serve.go
@@ -35,7 +35,7 @@
 	}
 	// The process ends; spans that the exporter can't deliver are lost.
 	defer func() { _ = tp.Shutdown(context.WithoutCancel(ctx)) }()
-	o, err := server.Remote(set, log, tp)
+	o, err := server.HostOptions(set, log, tp)
 	if err != nil {
 		return err
 	}
--- a/cmd/status.go
+++ b/cmd/status.go
@@ -12,7 +12,7 @@
 
 func (c *statusCmd) run(ctx context.Context, _ *flag.FlagSet) error {
 	var s entry.Status
-	body, err := c.get(ctx, "/v1/status", &s)
+	body, err := c.getJSON(ctx, "/v1/status", &s)
 	if err != nil {
 		return err
 	}
--- a/internal/selector/quickstart/quickstart.go
+++ b/internal/selector/quickstart/quickstart.go
@@ -207,7 +207,7 @@
 	if err := server.Prepare(&set); err != nil {
 		return err
 	}
-	o, err := server.Remote(set, s.options.Log, s.options.Traces)
+	o, err := server.HostOptions(set, s.options.Log, s.options.Traces)
 	if err != nil {
 		return err
 	}
--- a/internal/selector/server/server.go
+++ b/internal/selector/server/server.go
@@ -26,7 +26,8 @@
 	"cairndock/internal/telemetry"
 )
 
-// Prepare applies the defaults of all sections. Its error joins every fault.
+// Prepare applies the defaults of all sections and checks them. Its error joins
+// every fault.
 func Prepare(s *servesettings.Settings) error {
 	entry.Prepare(s)
 	caller.Default(&s.Callers)
@@ -54,9 +55,9 @@
 	failed    chan error
 }
 
-// Remote returns the options of a host that uses the platform of the settings,
-// and mutual TLS between hosts if they have it.
-func Remote(s servesettings.Settings, log zerolog.Logger, tp *sdktrace.TracerProvider) (entry.Options, error) {
+// HostOptions returns the options of a host that uses the platform of the
+// settings, and mutual TLS between hosts if they have it.
+func HostOptions(s servesettings.Settings, log zerolog.Logger, tp *sdktrace.TracerProvider) (entry.Options, error) {
 	o := entry.Options{
 		Settings: s, Log: log, Traces: tp, Transport: entry.TCP{},
 		Table: store.NewTable(s.Platform), Objects: store.NewObjects(s.Platform),
--- a/internal/selector/servesettings/servesettings.go
+++ b/internal/selector/servesettings/servesettings.go
@@ -12,7 +12,7 @@
 	"cairndock/internal/tomlfile"
 )
 
-// Settings are all settings of one host of serve.
+// Settings are all settings of one host of serve, by the sections of the file.
 type Settings struct {
 	Host      settings.Host      `toml:"host"`
 	Callers   Callers            `toml:"callers"`
@@ -51,17 +51,21 @@
 
 // Operators sets the listener for operators.
 type Operators struct {
+	// Listen is the address to listen at.
 	Listen string `toml:"listen"`
-	// Token is what writes must bear.
+	// Token is the bearer token that changes of the configuration need.
 	Token string `toml:"token"`
 	TLS   TLS    `toml:"tls"`
 }
 
 // Peers sets the listener for other hosts.
 type Peers struct {
+	// Listen is the address to listen at, and Advertise the one that other hosts
+	// connect to; it is Listen by default.
 	Listen    string `toml:"listen"`
 	Advertise string `toml:"advertise"`
-	// Seeds are peer addresses to ask when the platform can't be.
+	// Seeds are addresses of other hosts, used while the platform can't be
+	// reached.
 	Seeds []string `toml:"seeds"`
 	TLS   TLS      `toml:"tls"`
 }
@@ -78,7 +82,7 @@
 	Region         string `toml:"region"`
 	AccessKey      string `toml:"access_key"`
 	SecretKey      string `toml:"secret_key"`
-	// CallsPerSecond bounds this host's calls to the platform.
+	// CallsPerSecond limits this host's calls to the platform.
 	CallsPerSecond float64 `toml:"calls_per_second"`
 }
 
@@ -86,8 +90,8 @@
 type Stop struct {
 	// Window is the longest that a stop waits for requests in flight.
 	Window settings.Duration `toml:"window"`
-	// Grace is how long clients may still come after the directory stopped
-	// naming the host.
+	// Grace is how long clients may still send requests after the directory
+	// stopped naming the host.
 	Grace settings.Duration `toml:"grace"`
 }
 
--- a/internal/selector/standin/generated.go
+++ b/internal/selector/standin/generated.go
@@ -92,6 +92,9 @@
 	return r
 }
 
+// partitionRoster is the table's partition of the rosters, as in package rosters.
+const partitionRoster = "roster"
+
 // Fill writes the generated configuration, a snapshot of it and the rosters.
 func (s Size) Fill(ctx context.Context, m *store.Memory) error {
 	log := config.NewLog(m, m)
@@ -116,7 +119,7 @@
 		if err != nil {
 			return err
 		}
-		key := store.Key{Partition: "roster", Sort: ZoneName(z)}
+		key := store.Key{Partition: partitionRoster, Sort: ZoneName(z)}
 		if err := m.Transact(ctx, []store.Write{{Key: key, Body: body}}); err != nil {
 			return err
 		}
--- a/internal/selector/standin/upstream.go
+++ b/internal/selector/standin/upstream.go
@@ -49,16 +49,16 @@
 	ColdRuns   int
 	ColdFactor int
 
-	mu       sync.Mutex
-	faults   Faults
-	leaving  bool
-	out      int
-	maxOut   int
-	over     int
-	runs     int
-	byTicket map[string]int
-	lastNew  time.Time
-	server   *http.Server
+	mu             sync.Mutex
+	faults         Faults
+	leaving        bool
+	outstanding    int
+	maxOutstanding int
+	over           int
+	runs           int
+	byTicket       map[string]int
+	lastNew        time.Time
+	server         *http.Server
 }
 
 // Start serves at a free port of loopback until Close, and returns the address.
@@ -125,7 +125,7 @@
 func (u *Upstream) Ledger() Ledger {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return Ledger{Name: u.Name, Runs: u.runs, Outstanding: u.out, MaxOutstanding: u.maxOut, Over: u.over, LastNew: u.lastNew}
+	return Ledger{Name: u.Name, Runs: u.runs, Outstanding: u.outstanding, MaxOutstanding: u.maxOutstanding, Over: u.over, LastNew: u.lastNew}
 }
 
 // Runs returns how often a ticket's request ran.
@@ -169,7 +169,7 @@
 func (u *Upstream) setStatus(w http.ResponseWriter) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	load := float64(u.out) / float64(max(1, u.Slots))
+	load := float64(u.outstanding) / float64(max(1, u.Slots))
 	if u.faults.ReportLoad != nil {
 		load = *u.faults.ReportLoad
 	}
@@ -185,9 +185,9 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.runs++
-	u.out++
-	u.maxOut = max(u.maxOut, u.out)
-	if u.out > u.Slots {
+	u.outstanding++
+	u.maxOutstanding = max(u.maxOutstanding, u.outstanding)
+	if u.outstanding > u.Slots {
 		u.over++
 	}
 	u.lastNew = time.Now()
@@ -207,7 +207,7 @@
 func (u *Upstream) end() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.out--
+	u.outstanding--
 }
 
 func (u *Upstream) serve(w http.ResponseWriter, r *http.Request) {
--- a/internal/selector/tlsfiles/tlsfiles.go
+++ b/internal/selector/tlsfiles/tlsfiles.go
@@ -1,5 +1,6 @@
-// Package tlsfiles makes mutual TLS settings from files, read again when
-// they change.
+// Package tlsfiles makes mutual TLS configurations from the files that the
+// settings name, and reads them again when they change. It serves the listeners
+// for peers and operators, and the commands as clients of the latter.
 package tlsfiles
 
 import (
@@ -17,10 +18,11 @@
 	"cairndock/internal/settings"
 )
 
-// lookAgain is the least time between two looks at the files.
-const lookAgain = time.Second
+// recheckAfter is the least time between two checks of the files for changes.
+// Chosen, not measured.
+const recheckAfter = time.Second
 
-// Check notes the faults of a TLS section.
+// Check adds the faults of a TLS section to f.
 func Check(key string, s servesettings.TLS, f *settings.Faults) {
 	if !s.Enabled() {
 		return
@@ -52,15 +54,16 @@
 	return &cert, pool, nil
 }
 
-// Files is a set of TLS files.
+// Files are the TLS files of one section of the settings. It is safe for
+// concurrent use.
 type Files struct {
 	settings servesettings.TLS
 
-	mu      sync.Mutex
-	cert    *tls.Certificate
-	pool    *x509.CertPool
-	stamp   [3]time.Time
-	checked time.Time
+	mu        sync.Mutex
+	cert      *tls.Certificate
+	pool      *x509.CertPool
+	modified  [3]time.Time
+	checkedAt time.Time
 }
 
 // Open reads the files.
@@ -68,12 +71,12 @@
 	f := &Files{settings: s}
 	var err error
 	f.cert, f.pool, err = read(s)
-	f.stamp = f.stamps()
-	f.checked = time.Now()
+	f.modified = f.readModified()
+	f.checkedAt = time.Now()
 	return f, err
 }
 
-func (f *Files) stamps() [3]time.Time {
+func (f *Files) readModified() [3]time.Time {
 	var out [3]time.Time
 	for i, name := range []string{f.settings.Certificate, f.settings.Key, f.settings.CA} {
 		if info, err := os.Stat(name); err == nil {
@@ -83,27 +86,27 @@
 	return out
 }
 
-// current gives the newest files that can be read: half-written ones leave
-// the old in use.
+// current returns the newest files that could be read. While they are half
+// written the old ones stay in use.
 func (f *Files) current() (*tls.Certificate, *x509.CertPool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if time.Since(f.checked) < lookAgain {
+	if time.Since(f.checkedAt) < recheckAfter {
 		return f.cert, f.pool
 	}
-	f.checked = time.Now()
-	stamp := f.stamps()
-	if stamp == f.stamp {
+	f.checkedAt = time.Now()
+	stamp := f.readModified()
+	if stamp == f.modified {
 		return f.cert, f.pool
 	}
 	if cert, pool, err := read(f.settings); err == nil {
-		f.cert, f.pool, f.stamp = cert, pool, stamp
+		f.cert, f.pool, f.modified = cert, pool, stamp
 	}
 	return f.cert, f.pool
 }
 
-// Server gives settings for a listener that takes only clients which the CA
-// has signed.
+// Server returns the configuration of a listener that accepts only clients whose
+// certificate the CA has signed.
 func (f *Files) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -117,7 +120,8 @@
 	}
 }
 
-// Client gives settings for connections to servers that the CA has signed.
+// Client returns the configuration of connections to a server whose certificate
+// the CA has signed for serverName.
 func (f *Files) Client(serverName string) *tls.Config {
 	cert, pool := f.current()
 	return &tls.Config{
@@ -128,7 +132,8 @@
 // Transport carries peer connections over mutual TLS.
 type Transport struct{ Files *Files }
 
-// Dial makes a connection and proves both ends before it gives it.
+// Dial connects and completes the handshake, in which both ends prove their
+// certificates.
 func (t Transport) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/internal/selector/tlsfiles/tlsfiles_test.go
+++ b/internal/selector/tlsfiles/tlsfiles_test.go
@@ -121,7 +121,7 @@
 	s := ca.write(t, dir, 5)
 	f := open(t, s)
 	serial := func() int64 {
-		f.checked = time.Time{} // as if the last look were long ago
+		f.checkedAt = time.Time{} // as if the last look were long ago
 		cert, _ := f.current()
 		leaf, err := x509.ParseCertificate(cert.Certificate[0])
 		require.NoError(t, err)
--- a/internal/selector/upstream/attempt.go
+++ b/internal/selector/upstream/attempt.go
@@ -24,10 +24,10 @@
 	done   Done
 
 	mu sync.Mutex
-	// conn is nil until a connection was assigned; request is the request's
-	// number on it.
-	conn    *conn
-	request uint64
+	// conn is nil until a connection was assigned; requestNumber is the
+	// request's number on it.
+	conn          *conn
+	requestNumber uint64
 }
 
 // finish reports the slot as free. Calls after the first have no effect.
@@ -44,7 +44,7 @@
 	}
 	request := c.begin(deadline)
 	a.mu.Lock()
-	a.conn, a.request = c, request
+	a.conn, a.requestNumber = c, request
 	a.mu.Unlock()
 }
 
@@ -59,7 +59,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.conn != nil {
-		a.conn.end(a.request)
+		a.conn.end(a.requestNumber)
 	}
 }
 
--- a/internal/selector/upstream/client.go
+++ b/internal/selector/upstream/client.go
@@ -72,8 +72,8 @@
 // Client sends requests to the upstreams of one zone.
 type Client struct {
 	transport *http.Transport
-	// onStatus is called with the status in each response's headers.
-	onStatus func(name string, s Status)
+	// observe is called with the status in each response's headers.
+	observe func(name string, s Status)
 }
 
 // New makes a client. A nil dial is TCP; onStatus may be nil.
@@ -84,7 +84,7 @@
 	if onStatus == nil {
 		onStatus = func(string, Status) {}
 	}
-	c := &Client{onStatus: onStatus}
+	c := &Client{observe: onStatus}
 	c.transport = &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			nc, err := dial(ctx, network, addr)
@@ -125,7 +125,7 @@
 		cancel()
 		return nil, failure
 	}
-	c.onStatus(t.Name, parseStatus(resp.Header))
+	c.observe(t.Name, parseStatus(resp.Header))
 	if isRefusal(resp) {
 		defer cancel()
 		return nil, a.refused(resp)
--- a/internal/selector/upstream/conn.go
+++ b/internal/selector/upstream/conn.go
@@ -37,13 +37,13 @@
 	readMu sync.Mutex
 
 	mu sync.Mutex
-	// request numbers the requests on the connection; busy is the one whose
-	// response is not whole yet, or 0.
-	request uint64
-	busy    uint64
-	closing bool
-	closed  bool
-	onClose []func()
+	// lastRequest numbers the requests on the connection, from 1; busyRequest is
+	// the one whose response is not whole yet, or 0.
+	lastRequest uint64
+	busyRequest uint64
+	closing     bool // Close was called
+	closed      bool // the upstream is done with the connection
+	onClose     []func()
 }
 
 // begin starts a request that must not be written after its deadline, and
@@ -54,9 +54,9 @@
 	c.writeMu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.request++
-	c.busy = c.request
-	return c.request
+	c.lastRequest++
+	c.busyRequest = c.lastRequest
+	return c.lastRequest
 }
 
 // end records that a request's whole response was read. The connection may
@@ -64,8 +64,8 @@
 func (c *conn) end(request uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.busy == request {
-		c.busy = 0
+	if c.busyRequest == request {
+		c.busyRequest = 0
 	}
 }
 
@@ -120,7 +120,7 @@
 		return nil
 	}
 	c.closing = true
-	busy := c.busy != 0
+	busy := c.busyRequest != 0
 	c.mu.Unlock()
 	half, ok := c.Conn.(halfCloser)
 	if !busy || !ok {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,7 +12,7 @@
 // Duration is a duration written as text, such as "1.5s".
 type Duration = tomlfile.Duration
 
-// Host says which host this is, and where.
+// Host is the section with the name and place of this host.
 type Host struct {
 	// Name is unique among all hosts.
 	Name string `toml:"name"`
@@ -21,7 +21,7 @@
 	Region string `toml:"region"`
 }
 
-// Check notes the section's faults.
+// Check adds the section's faults to f.
 func (h Host) Check(f *Faults) {
 	f.Require(h.Name != "", "host.name", "must be set")
 	f.Require(h.Zone != "", "host.zone", "must be set")
@@ -39,17 +39,17 @@
 	TraceShare float64 `toml:"trace_share"`
 }
 
-// Faults collects faulty keys.
+// Faults are the faults of a settings file, each with its key.
 type Faults []error
 
-// Require notes a fault unless ok.
+// Require adds a fault unless ok.
 func (f *Faults) Require(ok bool, key, problem string) {
 	if !ok {
 		*f = append(*f, tomlfile.KeyError{Key: key, Problem: problem})
 	}
 }
 
-// Default gives def for a zero value.
+// Default returns v, or def if v is the zero value.
 func Default[T comparable](v, def T) T {
 	var zero T
 	if v == zero {
@@ -58,5 +58,5 @@
 	return v
 }
 
-// Seconds makes a Duration.
+// Seconds returns d as a setting.
 func Seconds(d time.Duration) Duration { return Duration(d) }
