--- a/internal/selector/tlsfiles/tlsfiles.go
+++ b/internal/selector/tlsfiles/tlsfiles.go
@@ -33,25 +33,29 @@
 	if s.Certificate == "" || s.Key == "" || s.CA == "" {
 		return
 	}
-	if _, _, err := read(s); err != nil {
+	if _, err := read(s); err != nil {
 		f.Require(false, key, err.Error())
 	}
 }
 
-func read(s servesettings.TLS) (*tls.Certificate, *x509.CertPool, error) {
+// read returns the configuration of both ends of a connection.
+func read(s servesettings.TLS) (*tls.Config, error) {
 	cert, err := tls.LoadX509KeyPair(s.Certificate, s.Key)
 	if err != nil {
-		return nil, nil, eris.Wrap(err, "read certificate and key")
+		return nil, eris.Wrap(err, "read certificate and key")
 	}
 	pem, err := os.ReadFile(s.CA)
 	if err != nil {
-		return nil, nil, eris.Wrap(err, "read CA")
+		return nil, eris.Wrap(err, "read CA")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, nil, eris.New("CA file holds no certificate")
+		return nil, eris.New("CA file holds no certificate")
 	}
-	return &cert, pool, nil
+	return &tls.Config{
+		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, RootCAs: pool,
+		ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: pool,
+	}, nil
 }
 
 // Files are the TLS files of one section of the settings. It is safe for
@@ -60,8 +64,7 @@
 	settings servesettings.TLS
 
 	mu        sync.Mutex
-	cert      *tls.Certificate
-	pool      *x509.CertPool
+	config    *tls.Config // never changed
 	modified  [3]time.Time
 	checkedAt time.Time
 }
@@ -70,7 +73,7 @@
 func Open(s servesettings.TLS) (*Files, error) {
 	f := &Files{settings: s}
 	var err error
-	f.cert, f.pool, err = read(s)
+	f.config, err = read(s)
 	f.modified = f.readModified()
 	f.checkedAt = time.Now()
 	return f, err
@@ -86,47 +89,38 @@
 	return out
 }
 
-// current returns the newest files that could be read. While they are half
-// written the old ones stay in use.
-func (f *Files) current() (*tls.Certificate, *x509.CertPool) {
+// current returns the configuration of the newest files that could be read.
+// While they are half written the old one stays in use.
+func (f *Files) current() *tls.Config {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if time.Since(f.checkedAt) < recheckAfter {
-		return f.cert, f.pool
+		return f.config.Clone()
 	}
 	f.checkedAt = time.Now()
-	stamp := f.readModified()
-	if stamp == f.modified {
-		return f.cert, f.pool
-	}
-	if cert, pool, err := read(f.settings); err == nil {
-		f.cert, f.pool, f.modified = cert, pool, stamp
+	if modified := f.readModified(); modified != f.modified {
+		if config, err := read(f.settings); err == nil {
+			f.config, f.modified = config, modified
+		}
 	}
-	return f.cert, f.pool
+	return f.config.Clone()
 }
 
 // Server returns the configuration of a listener that accepts only clients whose
 // certificate the CA has signed.
 func (f *Files) Server() *tls.Config {
 	return &tls.Config{
-		MinVersion: tls.VersionTLS13,
-		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			cert, pool := f.current()
-			return &tls.Config{
-				MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*cert},
-				ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: pool,
-			}, nil
-		},
+		MinVersion:         tls.VersionTLS13,
+		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return f.current(), nil },
 	}
 }
 
 // Client returns the configuration of connections to a server whose certificate
 // the CA has signed for serverName.
 func (f *Files) Client(serverName string) *tls.Config {
-	cert, pool := f.current()
-	return &tls.Config{
-		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*cert}, RootCAs: pool, ServerName: serverName,
-	}
+	config := f.current()
+	config.ServerName = serverName
+	return config
 }
 
 // Transport carries peer connections over mutual TLS.
--- a/internal/selector/tlsfiles/tlsfiles_test.go
+++ b/internal/selector/tlsfiles/tlsfiles_test.go
@@ -122,7 +122,7 @@
 	f := open(t, s)
 	serial := func() int64 {
 		f.checkedAt = time.Time{} // as if the last look were long ago
-		cert, _ := f.current()
+		cert := f.current().Certificates[0]
 		leaf, err := x509.ParseCertificate(cert.Certificate[0])
 		require.NoError(t, err)
 		return leaf.SerialNumber.Int64()
