--- a/cmd/apply.go
+++ b/cmd/apply.go
@@ -98,11 +98,10 @@
 			return nil
 		}
 		time.Sleep(followPause)
-		body, err := c.getJSON(ctx, "/v1/changes/"+url.PathEscape(a.Change), &a)
-		if err != nil {
+		var err error
+		if a, err = show(ctx, &c.client, "/v1/changes/"+url.PathEscape(a.Change), printApplied); err != nil {
 			return err
 		}
-		c.print(body, func() { printApplied(a) })
 	}
 	return errReported
 }
--- a/cmd/client.go
+++ b/cmd/client.go
@@ -82,13 +82,21 @@
 	return body, err
 }
 
-// getJSON decodes the body of a path into out, and returns it too.
-func (c *client) getJSON(ctx context.Context, path string, out any) ([]byte, error) {
-	body, err := c.get(ctx, path)
-	if err != nil {
-		return nil, err
+// getJSON decodes the body of a path, and returns it too.
+func getJSON[T any](ctx context.Context, c *client, path string) (v T, body []byte, err error) {
+	if body, err = c.get(ctx, path); err == nil {
+		err = eris.Wrap(json.Unmarshal(body, &v), "decode response")
+	}
+	return v, body, err
+}
+
+// show prints the body of a path, as text unless the flag asks for JSON.
+func show[T any](ctx context.Context, c *client, path string, text func(T)) (T, error) {
+	v, body, err := getJSON[T](ctx, c, path)
+	if err == nil {
+		c.print(body, func() { text(v) })
 	}
-	return body, eris.Wrap(json.Unmarshal(body, out), "decode response")
+	return v, err
 }
 
 // putConfig sends a configuration document once, as the change with an id.
--- a/cmd/cmd_test.go
+++ b/cmd/cmd_test.go
@@ -7,6 +7,7 @@
 	"os"
 	"path/filepath"
 	"testing"
+	"time"
 
 	"github.com/google/subcommands"
 	"github.com/rotisserie/eris"
@@ -107,3 +108,24 @@
 		require.Equal(t, tc.want, exitCode(tc.err), tc.name)
 	}
 }
+
+// TestDrainForgetsEarlierResponses: an upstream that a host did not know at first
+// holds the command up only until it does.
+func TestDrainForgetsEarlierResponses(t *testing.T) {
+	reads := 0
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		body := `{"state":"accepted","revision":2}`
+		if r.Method == http.MethodGet && r.URL.Path == "/v1/config" {
+			body = "[[upstream]]\nname = \"u\"\nservice = \"s\"\nzone = \"z\"\naddr = \"127.0.0.1:1\"\nslots = 1\n"
+		}
+		if r.URL.Path == "/v1/drain" {
+			reads++
+			body = map[bool]string{true: `{"outstanding":0,"taking":0,"unknown":["u"]}`, false: `{"outstanding":0,"taking":0}`}[reads == 1]
+		}
+		_, _ = w.Write([]byte(body))
+	}))
+	defer server.Close()
+	c := &drainCmd{client: client{addr: server.Listener.Addr().String()}, selector: "name=u", timeout: 2 * time.Second}
+	require.EqualValues(t, 0, command{runner: c}.Execute(context.Background(), nil))
+	require.Equal(t, 2, reads)
+}
--- a/cmd/drain.go
+++ b/cmd/drain.go
@@ -103,7 +103,8 @@
 	path := "/v1/drain?upstreams=" + url.QueryEscape(strings.Join(names, ","))
 	var d drain.Drained
 	for time.Since(began) < c.timeout {
-		if _, err := c.getJSON(ctx, path, &d); err != nil {
+		var err error
+		if d, _, err = getJSON[drain.Drained](ctx, &c.client, path); err != nil {
 			return err
 		}
 		if d.Outstanding == 0 && d.Taking == 0 && len(d.Unknown) == 0 {
--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -28,13 +28,8 @@
 		return usageError("explain: --service must be given")
 	}
 	query := url.Values{"service": {c.service}, "caller": {c.caller}}
-	var e entry.Explanation
-	body, err := c.getJSON(ctx, "/v1/explain?"+query.Encode(), &e)
-	if err != nil {
-		return err
-	}
-	c.print(body, func() { printExplanation(e) })
-	return nil
+	_, err := show(ctx, &c.client, "/v1/explain?"+query.Encode(), printExplanation)
+	return err
 }
 
 func printExplanation(e entry.Explanation) {
--- a/cmd/status.go
+++ b/cmd/status.go
@@ -11,13 +11,8 @@
 type statusCmd struct{ client }
 
 func (c *statusCmd) run(ctx context.Context, _ *flag.FlagSet) error {
-	var s entry.Status
-	body, err := c.getJSON(ctx, "/v1/status", &s)
-	if err != nil {
-		return err
-	}
-	c.print(body, func() { printStatus(s) })
-	return nil
+	_, err := show(ctx, &c.client, "/v1/status", printStatus)
+	return err
 }
 
 func printStatus(s entry.Status) {
