--- a/internal/selector/load/arrivals.go
+++ b/internal/selector/load/arrivals.go
@@ -5,6 +5,8 @@
 	"context"
 	"math"
 	"time"
+
+	"cairndock/internal/pause"
 )
 
 // dueAt is when request i of a class is due after the begin: the rate rises
@@ -26,11 +28,7 @@
 	for i := 0; ; i++ {
 		due := began.Add(dueAt(cr.class, i))
 		if d := time.Until(due); d > 0 {
-			select {
-			case <-until.Done():
-				return
-			case <-time.After(d):
-			}
+			pause.For(until, d)
 		}
 		if until.Err() != nil {
 			return
--- a/internal/selector/quickstart/document.go
+++ b/internal/selector/quickstart/document.go
@@ -22,6 +22,7 @@
 func (s *System) document() config.Document {
 	limit := costaCap
 	doc := config.Document{
+		Zones: zones,
 		Services: []config.Service{
 			{
 				Name: planning, Class: config.Interactive, Repeat: config.RepeatSafe, Prefer: config.PreferHeadroom,
@@ -41,9 +42,6 @@
 		Blocks: []config.Block{{CIDR: "127.0.0.0/8", Zone: "costa-a"}, {CIDR: "10.2.0.0/16", Zone: "sierra-a"}},
 	}
 	for _, from := range regions {
-		for _, zone := range zonesOf(from) {
-			doc.Zones = append(doc.Zones, config.Zone{Name: zone, Region: from})
-		}
 		for _, to := range regions {
 			if from != to {
 				doc.Links = append(doc.Links, config.Link{From: from, To: to, BytesPerSecond: linkRate})
--- a/internal/selector/quickstart/quickstart.go
+++ b/internal/selector/quickstart/quickstart.go
@@ -25,9 +25,16 @@
 	"cairndock/internal/telemetry"
 )
 
-// The regions of the quick start, each with zones a and b.
+// regions are the regions of the quick start.
 var regions = []string{"costa", "sierra", "austro"}
 
+// zones are its zones, two in each region.
+var zones = []config.Zone{
+	{Name: "costa-a", Region: "costa"}, {Name: "costa-b", Region: "costa"},
+	{Name: "sierra-a", Region: "sierra"}, {Name: "sierra-b", Region: "sierra"},
+	{Name: "austro-a", Region: "austro"}, {Name: "austro-b", Region: "austro"},
+}
+
 // The services of the quick start.
 const (
 	// planning has short requests.
@@ -125,21 +132,16 @@
 	return nil
 }
 
-// zonesOf are the zones of a region.
-func zonesOf(region string) []string { return []string{region + "-a", region + "-b"} }
-
 func (s *System) startUpstreams() error {
-	for _, region := range regions {
-		for _, zone := range zonesOf(region) {
-			for i := range planningPerZone {
-				if err := s.startUpstream(planning, zone, i, s.options.Latency); err != nil {
-					return err
-				}
+	for _, zone := range zones {
+		for i := range planningPerZone {
+			if err := s.startUpstream(planning, zone.Name, i, s.options.Latency); err != nil {
+				return err
 			}
-			for i := range documentsPerZone {
-				if err := s.startUpstream(documents, zone, i, documentsLatency); err != nil {
-					return err
-				}
+		}
+		for i := range documentsPerZone {
+			if err := s.startUpstream(documents, zone.Name, i, documentsLatency); err != nil {
+				return err
 			}
 		}
 	}
@@ -178,13 +180,11 @@
 }
 
 func (s *System) startHosts() error {
-	for _, region := range regions {
-		for i, zone := range zonesOf(region) {
-			hosts := 2 - i // two in the first zone of each region
-			for n := range hosts {
-				if err := s.startHost(fmt.Sprintf("%s-%d", zone, n+1), zone, region); err != nil {
-					return err
-				}
+	for i, zone := range zones {
+		hosts := 2 - i%2 // two in the first zone of each region
+		for n := range hosts {
+			if err := s.startHost(fmt.Sprintf("%s-%d", zone.Name, n+1), zone); err != nil {
+				return err
 			}
 		}
 	}
@@ -192,9 +192,9 @@
 }
 
 // startHost starts one more entry host; the first one at the options' addresses.
-func (s *System) startHost(name, zone, region string) error {
+func (s *System) startHost(name string, zone config.Zone) error {
 	set := servesettings.Settings{
-		Host:      settings.Host{Name: name, Zone: zone, Region: region},
+		Host:      settings.Host{Name: name, Zone: zone.Name, Region: zone.Region},
 		Callers:   servesettings.Callers{Listen: loopback},
 		Operators: servesettings.Operators{Listen: loopback, Token: s.Token},
 		Peers:     servesettings.Peers{Listen: loopback},
--- a/internal/selector/standin/upstream.go
+++ b/internal/selector/standin/upstream.go
@@ -49,16 +49,12 @@
 	ColdRuns   int
 	ColdFactor int
 
-	mu             sync.Mutex
-	faults         Faults
-	leaving        bool
-	outstanding    int
-	maxOutstanding int
-	over           int
-	runs           int
-	byTicket       map[string]int
-	lastNew        time.Time
-	server         *http.Server
+	mu       sync.Mutex
+	faults   Faults
+	leaving  bool
+	ledger   Ledger
+	byTicket map[string]int
+	server   *http.Server
 }
 
 // Start serves at a free port of loopback until Close, and returns the address.
@@ -125,7 +121,9 @@
 func (u *Upstream) Ledger() Ledger {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return Ledger{Name: u.Name, Runs: u.runs, Outstanding: u.outstanding, MaxOutstanding: u.maxOutstanding, Over: u.over, LastNew: u.lastNew}
+	out := u.ledger
+	out.Name = u.Name
+	return out
 }
 
 // Runs returns how often a ticket's request ran.
@@ -169,7 +167,7 @@
 func (u *Upstream) setStatus(w http.ResponseWriter) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	load := float64(u.outstanding) / float64(max(1, u.Slots))
+	load := float64(u.ledger.Outstanding) / float64(max(1, u.Slots))
 	if u.faults.ReportLoad != nil {
 		load = *u.faults.ReportLoad
 	}
@@ -184,13 +182,13 @@
 func (u *Upstream) begin(ticket string) (Faults, time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.runs++
-	u.outstanding++
-	u.maxOutstanding = max(u.maxOutstanding, u.outstanding)
-	if u.outstanding > u.Slots {
-		u.over++
+	u.ledger.Runs++
+	u.ledger.Outstanding++
+	u.ledger.MaxOutstanding = max(u.ledger.MaxOutstanding, u.ledger.Outstanding)
+	if u.ledger.Outstanding > u.Slots {
+		u.ledger.Over++
 	}
-	u.lastNew = time.Now()
+	u.ledger.LastNew = time.Now()
 	if ticket != "" {
 		if u.byTicket == nil {
 			u.byTicket = map[string]int{}
@@ -198,7 +196,7 @@
 		u.byTicket[ticket]++
 	}
 	latency := u.Latency
-	if u.runs <= u.ColdRuns {
+	if u.ledger.Runs <= u.ColdRuns {
 		latency *= time.Duration(max(1, u.ColdFactor))
 	}
 	return u.faults, latency + u.faults.Delay
@@ -207,7 +205,7 @@
 func (u *Upstream) end() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.outstanding--
+	u.ledger.Outstanding--
 }
 
 func (u *Upstream) serve(w http.ResponseWriter, r *http.Request) {
