--- a/internal/selector/store/store.go
+++ b/internal/selector/store/store.go
@@ -8,6 +8,11 @@
 // own platform and opens no connection; this one is the network client of
 // general-purpose services and knows nothing of the rows' content.
 //
+// What is stored is defined by its owners. Package config keeps the partitions
+// config, config-log and config-change of the table, and the objects change/ID
+// and snapshot/REVISION; package rosters keeps the partition roster, with a row
+// for each zone.
+//
 // The clients keep no state but their connections and never retry: only the
 // caller knows what a lost response means to it. Calls are limited by ctx and
 // not by a rate; the entry package counts them against
--- a/internal/selector/upstream/attempt.go
+++ b/internal/selector/upstream/attempt.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// upstream is the upstream's name in verdicts and responses.
+// upstream is "zone/name", as verdicts and responses name an upstream.
 func (a *attempt) upstream() string { return a.target.Zone + "/" + a.target.Name }
 
 // fail ends a request that got no response. Where bytes were written, the slot
