--- a/cmd/client.go
+++ b/cmd/client.go
@@ -3,17 +3,20 @@
 import (
 	"bytes"
 	"context"
-	"crypto/tls"
 	"encoding/json"
 	"flag"
 	"fmt"
 	"io"
+	"maps"
 	"net/http"
 	"os"
 	"time"
 
 	"github.com/rotisserie/eris"
 
+	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/configsync"
+	"cairndock/internal/selector/operator"
 	"cairndock/internal/selector/servesettings"
 	"cairndock/internal/selector/tlsfiles"
 )
@@ -22,9 +25,11 @@
 // so that it need not stand on the command line.
 const envToken = "CAIRNDOCK_TOKEN"
 
+// clientTimeout limits a request to a host. Chosen, not measured: above the
+// longest wait of a change, 60 s.
 const clientTimeout = 90 * time.Second
 
-// client talks to a host's operator listener.
+// client sends requests to a host's operator listener.
 type client struct {
 	addr  string
 	token string
@@ -32,7 +37,7 @@
 	json  bool
 }
 
-func (c *client) flags(f *flag.FlagSet) {
+func (c *client) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.addr, "operator", "127.0.0.1:8081", "operator `address` of any host")
 	f.StringVar(&c.token, "token", os.Getenv(envToken), "operator's `token`; "+envToken+" by default")
 	f.StringVar(&c.tls.Certificate, "cert", "", "client certificate `file`, for mutual TLS")
@@ -41,62 +46,99 @@
 	f.BoolVar(&c.json, "json", false, "print JSON")
 }
 
-// answer is what a host answered.
-type answer struct {
-	Status int
-	Header http.Header
-	Body   []byte
-}
-
-func (c *client) do(ctx context.Context, method, path string, header http.Header, body []byte) (answer, error) {
+// do sends a request and returns the response's status and body.
+func (c *client) do(ctx context.Context, method, path string, header http.Header, body []byte) (int, []byte, error) {
 	scheme, transport := "http", &http.Transport{}
 	if c.tls.Enabled() {
-		config, err := c.tlsConfig()
+		files, err := tlsfiles.Open(c.tls)
 		if err != nil {
-			return answer{}, err
+			return 0, nil, err
 		}
-		scheme, transport.TLSClientConfig = "https", config
+		scheme, transport.TLSClientConfig = "https", files.Client("")
 	}
 	req, err := http.NewRequestWithContext(ctx, method, scheme+"://"+c.addr+path, bytes.NewReader(body))
 	if err != nil {
-		return answer{}, eris.Wrap(err, "make request")
-	}
-	for name, values := range header {
-		req.Header[name] = values
+		return 0, nil, eris.Wrap(err, "make request")
 	}
+	maps.Copy(req.Header, header)
 	if c.token != "" {
 		req.Header.Set("Authorization", "Bearer "+c.token)
 	}
 	resp, err := (&http.Client{Transport: transport, Timeout: clientTimeout}).Do(req)
 	if err != nil {
-		return answer{}, eris.Wrap(err, "ask host")
+		return 0, nil, eris.Wrap(err, "send request")
 	}
 	defer resp.Body.Close()
 	out, err := io.ReadAll(resp.Body)
-	return answer{resp.StatusCode, resp.Header, out}, eris.Wrap(err, "read answer")
+	return resp.StatusCode, out, eris.Wrap(err, "read response")
 }
 
-func (c *client) tlsConfig() (*tls.Config, error) {
-	files, err := tlsfiles.Open(c.tls)
-	if err != nil {
-		return nil, err
+// get returns the body of a path.
+func (c *client) get(ctx context.Context, path string) ([]byte, error) {
+	status, body, err := c.do(ctx, http.MethodGet, path, nil, nil)
+	if err == nil && status != http.StatusOK {
+		err = unexpected(status, body)
 	}
-	return files.Client(""), nil
+	return body, err
 }
 
-// get asks for JSON and decodes it into out.
-func (c *client) get(ctx context.Context, path string, out any) ([]byte, error) {
-	a, err := c.do(ctx, http.MethodGet, path, nil, nil)
-	if err != nil {
-		return nil, err
+// getJSON decodes the body of a path, and returns it too.
+func getJSON[T any](ctx context.Context, c *client, path string) (v T, body []byte, err error) {
+	if body, err = c.get(ctx, path); err == nil {
+		err = eris.Wrap(json.Unmarshal(body, &v), "decode response")
+	}
+	return v, body, err
+}
+
+// show prints the body of a path, as text unless the flag asks for JSON.
+func show[T any](ctx context.Context, c *client, path string, text func(T)) (T, error) {
+	v, body, err := getJSON[T](ctx, c, path)
+	if err == nil {
+		c.print(body, func() { text(v) })
+	}
+	return v, err
+}
+
+// putConfig sends a configuration document once, as the change with an id.
+func (c *client) putConfig(ctx context.Context, query, id, base string, document []byte) (int, []byte, error) {
+	header := http.Header{operator.HeaderChange: {id}}
+	if base != "" {
+		header.Set("If-Match", base)
 	}
-	if a.Status != http.StatusOK {
-		return nil, eris.Errorf("host answered %d: %s", a.Status, bytes.TrimSpace(a.Body))
+	return c.do(ctx, http.MethodPut, "/v1/config"+query, header, document)
+}
+
+// printChange prints the response to a change and decodes it. Its error is a
+// *config.Conflict if another change came first.
+func (c *client) printChange(status int, body []byte) (configsync.Applied, error) {
+	var applied configsync.Applied
+	switch status {
+	case http.StatusOK, http.StatusAccepted:
+		if err := json.Unmarshal(body, &applied); err != nil {
+			return applied, err
+		}
+		c.print(body, func() { printApplied(applied) })
+		return applied, nil
+	case http.StatusConflict:
+		conflict := &config.Conflict{}
+		if err := json.Unmarshal(body, conflict); err != nil {
+			return applied, err
+		}
+		return applied, eris.Wrap(conflict, "conflict")
 	}
-	return a.Body, eris.Wrap(json.Unmarshal(a.Body, out), "read answer")
+	return applied, unexpected(status, body)
+}
+
+func unexpected(status int, body []byte) error {
+	return eris.Errorf("host responded with status %d: %s", status, bytes.TrimSpace(body))
 }
 
-func printJSON(body []byte) {
+// print prints a response: as JSON if the flag asks for it, else by text.
+func (c *client) print(body []byte, text func()) {
+	if !c.json {
+		text()
+		return
+	}
 	var out bytes.Buffer
 	if json.Indent(&out, body, "", "  ") != nil {
 		out.Write(body)
--- a/cmd/cmd_test.go
+++ b/cmd/cmd_test.go
@@ -7,9 +7,13 @@
 	"os"
 	"path/filepath"
 	"testing"
+	"time"
 
 	"github.com/google/subcommands"
+	"github.com/rotisserie/eris"
 	"github.com/stretchr/testify/require"
+
+	"cairndock/internal/selector/config"
 )
 
 const (
@@ -57,7 +61,7 @@
 		{"both", checkCmd{settings: "a", config: "b"}, 2},
 	}
 	for _, tc := range cases {
-		require.Equal(t, tc.want, tc.cmd.Execute(context.Background(), nil), tc.name)
+		require.Equal(t, tc.want, command{runner: &tc.cmd}.Execute(context.Background(), nil), tc.name)
 	}
 }
 
@@ -82,8 +86,46 @@
 			}))
 			defer server.Close()
 			c := &applyCmd{client: client{addr: server.Listener.Addr().String()}, file: file, base: "1"}
-			require.Equal(t, tc.want, c.Execute(context.Background(), nil))
+			require.Equal(t, tc.want, command{runner: c}.Execute(context.Background(), nil))
 		})
 	}
-	require.EqualValues(t, 2, (&applyCmd{}).Execute(context.Background(), nil))
+	require.EqualValues(t, 2, command{runner: &applyCmd{}}.Execute(context.Background(), nil))
+}
+
+func TestExitCodeOfError(t *testing.T) {
+	cases := []struct {
+		name string
+		err  error
+		want subcommands.ExitStatus
+	}{
+		{"none", nil, 0},
+		{"any other", eris.New("broken"), 1},
+		{"printed before", errReported, 1},
+		{"called wrongly", usageError("give a file"), 2},
+		{"lost to another change", eris.Wrap(&config.Conflict{}, "conflict"), 3},
+	}
+	for _, tc := range cases {
+		require.Equal(t, tc.want, exitCode(tc.err), tc.name)
+	}
+}
+
+// TestDrainForgetsEarlierResponses: an upstream that a host did not know at first
+// holds the command up only until it does.
+func TestDrainForgetsEarlierResponses(t *testing.T) {
+	reads := 0
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		body := `{"state":"accepted","revision":2}`
+		if r.Method == http.MethodGet && r.URL.Path == "/v1/config" {
+			body = "[[upstream]]\nname = \"u\"\nservice = \"s\"\nzone = \"z\"\naddr = \"127.0.0.1:1\"\nslots = 1\n"
+		}
+		if r.URL.Path == "/v1/drain" {
+			reads++
+			body = map[bool]string{true: `{"outstanding":0,"taking":0,"unknown":["u"]}`, false: `{"outstanding":0,"taking":0}`}[reads == 1]
+		}
+		_, _ = w.Write([]byte(body))
+	}))
+	defer server.Close()
+	c := &drainCmd{client: client{addr: server.Listener.Addr().String()}, selector: "name=u", timeout: 2 * time.Second}
+	require.EqualValues(t, 0, command{runner: c}.Execute(context.Background(), nil))
+	require.Equal(t, 2, reads)
 }
--- a/internal/selector/quickstart/once.go
+++ b/internal/selector/quickstart/once.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net/http"
 	"time"
 
 	"cairndock/internal/selector/load"
@@ -24,12 +23,9 @@
 // verdicts with the upstreams' ledgers.
 func Once(ctx context.Context, s *System) (load.Report, error) {
 	return load.Run(ctx, load.Options{
-		Entry:     s.Servers[0].CallerAddr(),
+		Entry:     s.Servers[0].CallerAddr,
 		Duration:  onceDuration,
 		Upstreams: s.UpstreamAddrs,
-		Classes: []load.Class{
-			{Name: "lookups", Service: planning, Method: http.MethodGet, Path: "/tracks/%d", Rate: onceLookups, Echo: true},
-			{Name: "bookings", Service: planning, Method: http.MethodPost, Path: "/bookings", Body: "{}", Rate: onceBookings, Ticket: true, Resend: true},
-		},
+		Classes:   []load.Class{load.Lookups(planning, onceLookups), load.Bookings(planning, onceBookings)},
 	})
 }
--- a/internal/selector/quickstart/quickstart.go
+++ b/internal/selector/quickstart/quickstart.go
@@ -5,9 +5,11 @@
 package quickstart
 
 import (
+	"cmp"
 	"context"
 	"crypto/rand"
 	"fmt"
+	"sync"
 	"time"
 
 	"github.com/rotisserie/eris"
@@ -15,7 +17,6 @@
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 
 	"cairndock/internal/selector/config"
-	"cairndock/internal/selector/entry"
 	"cairndock/internal/selector/server"
 	"cairndock/internal/selector/servesettings"
 	"cairndock/internal/selector/standin"
@@ -24,9 +25,16 @@
 	"cairndock/internal/telemetry"
 )
 
-// The regions of the quick start, each with zones a and b.
+// regions are the regions of the quick start.
 var regions = []string{"costa", "sierra", "austro"}
 
+// zones are its zones, two in each region.
+var zones = []config.Zone{
+	{Name: "costa-a", Region: "costa"}, {Name: "costa-b", Region: "costa"},
+	{Name: "sierra-a", Region: "sierra"}, {Name: "sierra-b", Region: "sierra"},
+	{Name: "austro-a", Region: "austro"}, {Name: "austro-b", Region: "austro"},
+}
+
 // The services of the quick start.
 const (
 	// planning has short requests.
@@ -102,7 +110,7 @@
 		}
 		o.Traces = tp
 	}
-	o.Latency = settings.Default(o.Latency, PlanningLatency)
+	o.Latency = cmp.Or(o.Latency, PlanningLatency)
 	s := &System{memory: store.NewMemory(), Token: rand.Text(), options: o}
 	s.ctx, s.cancel = context.WithCancel(ctx)
 	for _, step := range []func() error{s.startPlatform, s.startUpstreams, s.writeConfig, s.startHosts, s.waitReady} {
@@ -124,21 +132,16 @@
 	return nil
 }
 
-// zonesOf are the zones of a region.
-func zonesOf(region string) []string { return []string{region + "-a", region + "-b"} }
-
 func (s *System) startUpstreams() error {
-	for _, region := range regions {
-		for _, zone := range zonesOf(region) {
-			for i := range planningPerZone {
-				if err := s.startUpstream(planning, zone, i, s.options.Latency); err != nil {
-					return err
-				}
+	for _, zone := range zones {
+		for i := range planningPerZone {
+			if err := s.startUpstream(planning, zone.Name, i, s.options.Latency); err != nil {
+				return err
 			}
-			for i := range documentsPerZone {
-				if err := s.startUpstream(documents, zone, i, documentsLatency); err != nil {
-					return err
-				}
+		}
+		for i := range documentsPerZone {
+			if err := s.startUpstream(documents, zone.Name, i, documentsLatency); err != nil {
+				return err
 			}
 		}
 	}
@@ -177,13 +180,11 @@
 }
 
 func (s *System) startHosts() error {
-	for _, region := range regions {
-		for i, zone := range zonesOf(region) {
-			hosts := 2 - i // two in the first zone of each region
-			for n := range hosts {
-				if err := s.startHost(fmt.Sprintf("%s-%d", zone, n+1), zone, region); err != nil {
-					return err
-				}
+	for i, zone := range zones {
+		hosts := 2 - i%2 // two in the first zone of each region
+		for n := range hosts {
+			if err := s.startHost(fmt.Sprintf("%s-%d", zone.Name, n+1), zone); err != nil {
+				return err
 			}
 		}
 	}
@@ -191,27 +192,27 @@
 }
 
 // startHost starts one more entry host; the first one at the options' addresses.
-func (s *System) startHost(name, zone, region string) error {
+func (s *System) startHost(name string, zone config.Zone) error {
 	set := servesettings.Settings{
-		Host:      settings.Host{Name: name, Zone: zone, Region: region},
+		Host:      settings.Host{Name: name, Zone: zone.Name, Region: zone.Region},
 		Callers:   servesettings.Callers{Listen: loopback},
 		Operators: servesettings.Operators{Listen: loopback, Token: s.Token},
 		Peers:     servesettings.Peers{Listen: loopback},
 		Platform:  s.Platform,
 	}
 	if len(s.Servers) == 0 {
-		set.Callers.Listen = settings.Default(s.options.CallerAddr, loopback)
-		set.Operators.Listen = settings.Default(s.options.OperatorAddr, loopback)
+		set.Callers.Listen = cmp.Or(s.options.CallerAddr, loopback)
+		set.Operators.Listen = cmp.Or(s.options.OperatorAddr, loopback)
 	}
 	if err := server.Prepare(&set); err != nil {
 		return err
 	}
-	o, err := server.Remote(set, s.options.Log, s.options.Traces)
+	o, err := server.HostOptions(set, s.options.Log, s.options.Traces)
 	if err != nil {
 		return err
 	}
 	o.Seed = uint64(len(s.Servers) + 1)
-	srv, err := server.Start(s.ctx, o, entry.TCP{})
+	srv, err := server.Start(s.ctx, o)
 	if err != nil {
 		return err
 	}
@@ -235,7 +236,7 @@
 
 func (s *System) settled() bool {
 	for _, srv := range s.Servers {
-		st := srv.Host().Status()
+		st := srv.Host.Status()
 		up := 0
 		for _, z := range st.Zones {
 			up += z.Up
@@ -249,16 +250,11 @@
 
 // Stop takes every host out of service, all at a time, and ends everything else.
 func (s *System) Stop(ctx context.Context) {
-	done := make(chan struct{})
+	var stops sync.WaitGroup
 	for _, srv := range s.Servers {
-		go func() {
-			srv.Stop(ctx)
-			done <- struct{}{}
-		}()
-	}
-	for range s.Servers {
-		<-done
+		stops.Go(func() { srv.Stop(ctx) })
 	}
+	stops.Wait()
 	s.Servers = nil
 	s.Close()
 }
--- a/internal/selector/standin/generated.go
+++ b/internal/selector/standin/generated.go
@@ -1,12 +1,15 @@
 package standin
 
 import (
+	"context"
 	"fmt"
 	"net/netip"
 	"time"
 
+	"cairndock/internal/peer"
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/roster"
+	"cairndock/internal/selector/store"
 )
 
 // Size is the size of a generated system.
@@ -31,14 +34,11 @@
 // ZoneName is the name of zone z.
 func ZoneName(z int) string { return fmt.Sprintf("zone-%02d", z) }
 
-// regionName is the name of zone z's region.
-func (s Size) regionName(z int) string { return fmt.Sprintf("region-%02d", z%s.Regions) }
-
 // Objects generates zones, and services with a rule and their upstreams.
 func (s Size) Objects() config.Document {
 	var doc config.Document
 	for z := range s.Zones {
-		doc.Zones = append(doc.Zones, config.Zone{Name: ZoneName(z), Region: s.regionName(z)})
+		doc.Zones = append(doc.Zones, config.Zone{Name: ZoneName(z), Region: fmt.Sprintf("region-%02d", z%s.Regions)})
 	}
 	for i := range s.Services {
 		s.addService(&doc, fmt.Sprintf("service-%d", i))
@@ -91,3 +91,38 @@
 	}
 	return r
 }
+
+// partitionRoster is the table's partition of the rosters, as in package rosters.
+const partitionRoster = "roster"
+
+// Fill writes the generated configuration, a snapshot of it and the rosters.
+func (s Size) Fill(ctx context.Context, m *store.Memory) error {
+	log := config.NewLog(m, m)
+	state := config.NewState()
+	for _, part := range []struct {
+		id  string
+		doc config.Document
+	}{{"objects", s.Objects()}, {"blocks", s.BlocksDocument()}} {
+		change, err := part.doc.Change(part.id, state.Revision())
+		if err != nil {
+			return err
+		}
+		if state, _, err = log.Append(ctx, state, change); err != nil {
+			return err
+		}
+	}
+	if err := log.SaveSnapshot(ctx, state); err != nil {
+		return err
+	}
+	for z := range s.Zones {
+		body, err := peer.Encode(s.Roster(z, s.Hosts, 1))
+		if err != nil {
+			return err
+		}
+		key := store.Key{Partition: partitionRoster, Sort: ZoneName(z)}
+		if err := m.Transact(ctx, []store.Write{{Key: key, Body: body}}); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- a/internal/selector/standin/upstream.go
+++ b/internal/selector/standin/upstream.go
@@ -12,8 +12,13 @@
 	"github.com/rotisserie/eris"
 
 	"cairndock/internal/selector/call"
+	"cairndock/internal/verdict"
 )
 
+// upstreamHeaderTimeout limits reading the headers of a request to an upstream.
+// Chosen, not measured.
+const upstreamHeaderTimeout = 10 * time.Second
+
 // Faults are what an Upstream does wrong.
 type Faults struct {
 	// Shed refuses every request without running it.
@@ -47,12 +52,8 @@
 	mu       sync.Mutex
 	faults   Faults
 	leaving  bool
-	out      int
-	maxOut   int
-	over     int
-	runs     int
+	ledger   Ledger
 	byTicket map[string]int
-	lastNew  time.Time
 	server   *http.Server
 }
 
@@ -120,7 +121,9 @@
 func (u *Upstream) Ledger() Ledger {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return Ledger{Name: u.Name, Runs: u.runs, Outstanding: u.out, MaxOutstanding: u.maxOut, Over: u.over, LastNew: u.lastNew}
+	out := u.ledger
+	out.Name = u.Name
+	return out
 }
 
 // Runs returns how often a ticket's request ran.
@@ -164,12 +167,12 @@
 func (u *Upstream) setStatus(w http.ResponseWriter) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	load := float64(u.out) / float64(max(1, u.Slots))
+	load := float64(u.ledger.Outstanding) / float64(max(1, u.Slots))
 	if u.faults.ReportLoad != nil {
 		load = *u.faults.ReportLoad
 	}
 	w.Header().Set(call.HeaderInstance, u.Instance)
-	w.Header().Set("Cairndock-Load", strconv.FormatFloat(load, 'f', 3, 64))
+	w.Header().Set(call.HeaderLoad, strconv.FormatFloat(load, 'f', 3, 64))
 	if u.leaving {
 		w.Header().Set(call.HeaderState, call.StateLeaving)
 	}
@@ -179,13 +182,13 @@
 func (u *Upstream) begin(ticket string) (Faults, time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.runs++
-	u.out++
-	u.maxOut = max(u.maxOut, u.out)
-	if u.out > u.Slots {
-		u.over++
+	u.ledger.Runs++
+	u.ledger.Outstanding++
+	u.ledger.MaxOutstanding = max(u.ledger.MaxOutstanding, u.ledger.Outstanding)
+	if u.ledger.Outstanding > u.Slots {
+		u.ledger.Over++
 	}
-	u.lastNew = time.Now()
+	u.ledger.LastNew = time.Now()
 	if ticket != "" {
 		if u.byTicket == nil {
 			u.byTicket = map[string]int{}
@@ -193,7 +196,7 @@
 		u.byTicket[ticket]++
 	}
 	latency := u.Latency
-	if u.runs <= u.ColdRuns {
+	if u.ledger.Runs <= u.ColdRuns {
 		latency *= time.Duration(max(1, u.ColdFactor))
 	}
 	return u.faults, latency + u.faults.Delay
@@ -202,7 +205,7 @@
 func (u *Upstream) end() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.out--
+	u.ledger.Outstanding--
 }
 
 func (u *Upstream) serve(w http.ResponseWriter, r *http.Request) {
@@ -213,8 +216,8 @@
 		panic(http.ErrAbortHandler)
 	}
 	u.setStatus(w)
-	if f.Shed || expired(r) {
-		w.Header().Set(call.HeaderShed, "not-run")
+	if f.Shed || timeLeft(r) <= -time.Millisecond { // deadlines count whole milliseconds
+		w.Header().Set(call.HeaderShed, verdict.NotRun.String())
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/selector/store/dynamodb.go
+++ b/internal/selector/store/dynamodb.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"slices"
 	"strconv"
 
 	"github.com/aws/aws-sdk-go-v2/aws"
@@ -99,9 +100,16 @@
 // rows are large, so List reads on.
 func (t *Table) List(ctx context.Context, partition, after string, limit int) ([]Row, error) {
 	var rows []Row
-	var from map[string]types.AttributeValue
+	page := &dynamodb.QueryInput{
+		TableName: &t.name, ConsistentRead: aws.Bool(true),
+		KeyConditionExpression: aws.String(attrPartition + " = :p AND " + attrSort + " > :a"),
+		ExpressionAttributeValues: map[string]types.AttributeValue{
+			":p": stringAttr(partition), ":a": stringAttr(after),
+		},
+	}
 	for {
-		out, err := t.query(ctx, partition, after, limit-len(rows), from)
+		page.Limit = aws.Int32(int32(limit - len(rows)))
+		out, err := t.client.Query(ctx, page)
 		if err != nil {
 			return nil, tableError(err)
 		}
@@ -112,24 +120,13 @@
 			}
 			rows = append(rows, row)
 		}
-		from = out.LastEvaluatedKey
-		if len(from) == 0 || len(rows) >= limit {
+		page.ExclusiveStartKey = out.LastEvaluatedKey
+		if len(out.LastEvaluatedKey) == 0 || len(rows) >= limit {
 			return rows, nil
 		}
 	}
 }
 
-// query reads a page of at most limit rows, which starts after the key from.
-func (t *Table) query(ctx context.Context, partition, after string, limit int, from map[string]types.AttributeValue) (*dynamodb.QueryOutput, error) {
-	return t.client.Query(ctx, &dynamodb.QueryInput{
-		TableName: &t.name, ConsistentRead: aws.Bool(true), Limit: aws.Int32(int32(limit)), ExclusiveStartKey: from,
-		KeyConditionExpression: aws.String(attrPartition + " = :p AND " + attrSort + " > :a"),
-		ExpressionAttributeValues: map[string]types.AttributeValue{
-			":p": stringAttr(partition), ":a": stringAttr(after),
-		},
-	})
-}
-
 func stringAttr(s string) types.AttributeValue { return &types.AttributeValueMemberS{Value: s} }
 
 func numberAttr(n int64) types.AttributeValue {
@@ -158,32 +155,27 @@
 	return row, eris.Wrap(err, "read row version")
 }
 
+// tableError distinguishes a failed condition from a collision with another
+// transaction and from the rate limit, after which a call may be sent again.
 func tableError(err error) error {
-	if err == nil {
-		return nil
-	}
 	var canceled *types.TransactionCanceledException
 	if errors.As(err, &canceled) {
-		return canceledError(canceled)
-	}
-	var api smithy.APIError
-	if errors.As(err, &api) {
-		switch api.ErrorCode() {
-		// The three codes by which DynamoDB reports a rate limit.
-		case "ProvisionedThroughputExceededException", "ThrottlingException", "RequestLimitExceeded":
-			return eris.Wrap(ErrThrottled, "call table")
+		for _, r := range canceled.CancellationReasons {
+			if aws.ToString(r.Code) == "ConditionalCheckFailed" {
+				return ErrConflict
+			}
 		}
+		return eris.Wrap(ErrThrottled, "transaction was canceled")
+	}
+	// The three codes by which DynamoDB reports a rate limit.
+	if hasCode(err, "ProvisionedThroughputExceededException", "ThrottlingException", "RequestLimitExceeded") {
+		return eris.Wrap(ErrThrottled, "call table")
 	}
 	return eris.Wrap(err, "call table")
 }
 
-// canceledError distinguishes a failed condition from a transaction that
-// collided with another one or with the rate limit and may be tried again.
-func canceledError(canceled *types.TransactionCanceledException) error {
-	for _, r := range canceled.CancellationReasons {
-		if aws.ToString(r.Code) == "ConditionalCheckFailed" {
-			return ErrConflict
-		}
-	}
-	return eris.Wrap(ErrThrottled, "transaction was canceled")
+// hasCode reports whether an error of a service has one of the codes.
+func hasCode(err error, codes ...string) bool {
+	var api smithy.APIError
+	return errors.As(err, &api) && slices.Contains(codes, api.ErrorCode())
 }
--- a/internal/selector/tlsfiles/tlsfiles.go
+++ b/internal/selector/tlsfiles/tlsfiles.go
@@ -1,5 +1,6 @@
-// Package tlsfiles makes mutual TLS settings from files, read again when
-// they change.
+// Package tlsfiles makes mutual TLS configurations from the files that the
+// settings name, and reads them again when they change. It serves the listeners
+// for peers and operators, and the commands as clients of the latter.
 package tlsfiles
 
 import (
@@ -17,10 +18,11 @@
 	"cairndock/internal/settings"
 )
 
-// lookAgain is the least time between two looks at the files.
-const lookAgain = time.Second
+// recheckAfter is the least time between two checks of the files for changes.
+// Chosen, not measured.
+const recheckAfter = time.Second
 
-// Check notes the faults of a TLS section.
+// Check adds the faults of a TLS section to f.
 func Check(key string, s servesettings.TLS, f *settings.Faults) {
 	if !s.Enabled() {
 		return
@@ -31,49 +33,53 @@
 	if s.Certificate == "" || s.Key == "" || s.CA == "" {
 		return
 	}
-	if _, _, err := read(s); err != nil {
+	if _, err := read(s); err != nil {
 		f.Require(false, key, err.Error())
 	}
 }
 
-func read(s servesettings.TLS) (*tls.Certificate, *x509.CertPool, error) {
+// read returns the configuration of both ends of a connection.
+func read(s servesettings.TLS) (*tls.Config, error) {
 	cert, err := tls.LoadX509KeyPair(s.Certificate, s.Key)
 	if err != nil {
-		return nil, nil, eris.Wrap(err, "read certificate and key")
+		return nil, eris.Wrap(err, "read certificate and key")
 	}
 	pem, err := os.ReadFile(s.CA)
 	if err != nil {
-		return nil, nil, eris.Wrap(err, "read CA")
+		return nil, eris.Wrap(err, "read CA")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, nil, eris.New("CA file holds no certificate")
+		return nil, eris.New("CA file holds no certificate")
 	}
-	return &cert, pool, nil
+	return &tls.Config{
+		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, RootCAs: pool,
+		ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: pool,
+	}, nil
 }
 
-// Files is a set of TLS files.
+// Files are the TLS files of one section of the settings. It is safe for
+// concurrent use.
 type Files struct {
 	settings servesettings.TLS
 
-	mu      sync.Mutex
-	cert    *tls.Certificate
-	pool    *x509.CertPool
-	stamp   [3]time.Time
-	checked time.Time
+	mu        sync.Mutex
+	config    *tls.Config // never changed
+	modified  [3]time.Time
+	checkedAt time.Time
 }
 
 // Open reads the files.
 func Open(s servesettings.TLS) (*Files, error) {
 	f := &Files{settings: s}
 	var err error
-	f.cert, f.pool, err = read(s)
-	f.stamp = f.stamps()
-	f.checked = time.Now()
+	f.config, err = read(s)
+	f.modified = f.readModified()
+	f.checkedAt = time.Now()
 	return f, err
 }
 
-func (f *Files) stamps() [3]time.Time {
+func (f *Files) readModified() [3]time.Time {
 	var out [3]time.Time
 	for i, name := range []string{f.settings.Certificate, f.settings.Key, f.settings.CA} {
 		if info, err := os.Stat(name); err == nil {
@@ -83,52 +89,45 @@
 	return out
 }
 
-// current gives the newest files that can be read: half-written ones leave
-// the old in use.
-func (f *Files) current() (*tls.Certificate, *x509.CertPool) {
+// current returns the configuration of the newest files that could be read.
+// While they are half written the old one stays in use.
+func (f *Files) current() *tls.Config {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if time.Since(f.checked) < lookAgain {
-		return f.cert, f.pool
-	}
-	f.checked = time.Now()
-	stamp := f.stamps()
-	if stamp == f.stamp {
-		return f.cert, f.pool
+	if time.Since(f.checkedAt) < recheckAfter {
+		return f.config.Clone()
 	}
-	if cert, pool, err := read(f.settings); err == nil {
-		f.cert, f.pool, f.stamp = cert, pool, stamp
+	f.checkedAt = time.Now()
+	if modified := f.readModified(); modified != f.modified {
+		if config, err := read(f.settings); err == nil {
+			f.config, f.modified = config, modified
+		}
 	}
-	return f.cert, f.pool
+	return f.config.Clone()
 }
 
-// Server gives settings for a listener that takes only clients which the CA
-// has signed.
+// Server returns the configuration of a listener that accepts only clients whose
+// certificate the CA has signed.
 func (f *Files) Server() *tls.Config {
 	return &tls.Config{
-		MinVersion: tls.VersionTLS13,
-		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			cert, pool := f.current()
-			return &tls.Config{
-				MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*cert},
-				ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: pool,
-			}, nil
-		},
+		MinVersion:         tls.VersionTLS13,
+		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return f.current(), nil },
 	}
 }
 
-// Client gives settings for connections to servers that the CA has signed.
+// Client returns the configuration of connections to a server whose certificate
+// the CA has signed for serverName.
 func (f *Files) Client(serverName string) *tls.Config {
-	cert, pool := f.current()
-	return &tls.Config{
-		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*cert}, RootCAs: pool, ServerName: serverName,
-	}
+	config := f.current()
+	config.ServerName = serverName
+	return config
 }
 
 // Transport carries peer connections over mutual TLS.
 type Transport struct{ Files *Files }
 
-// Dial makes a connection and proves both ends before it gives it.
+// Dial connects and completes the handshake, in which both ends prove their
+// certificates.
 func (t Transport) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/internal/selector/tlsfiles/tlsfiles_test.go
+++ b/internal/selector/tlsfiles/tlsfiles_test.go
@@ -121,8 +121,8 @@
 	s := ca.write(t, dir, 5)
 	f := open(t, s)
 	serial := func() int64 {
-		f.checked = time.Time{} // as if the last look were long ago
-		cert, _ := f.current()
+		f.checkedAt = time.Time{} // as if the last look were long ago
+		cert := f.current().Certificates[0]
 		leaf, err := x509.ParseCertificate(cert.Certificate[0])
 		require.NoError(t, err)
 		return leaf.SerialNumber.Int64()
--- a/internal/selector/upstream/attempt.go
+++ b/internal/selector/upstream/attempt.go
@@ -24,10 +24,10 @@
 	done   Done
 
 	mu sync.Mutex
-	// conn is nil until a connection was assigned; request is the request's
-	// number on it.
-	conn    *conn
-	request uint64
+	// conn is nil until a connection was assigned; requestNumber is the
+	// request's number on it.
+	conn          *conn
+	requestNumber uint64
 }
 
 // finish reports the slot as free. Calls after the first have no effect.
@@ -44,7 +44,7 @@
 	}
 	request := c.begin(deadline)
 	a.mu.Lock()
-	a.conn, a.request = c, request
+	a.conn, a.requestNumber = c, request
 	a.mu.Unlock()
 }
 
@@ -59,11 +59,11 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.conn != nil {
-		a.conn.end(a.request)
+		a.conn.end(a.requestNumber)
 	}
 }
 
-// upstream is the upstream's name in verdicts and responses.
+// upstream is "zone/name", as verdicts and responses name an upstream.
 func (a *attempt) upstream() string { return a.target.Zone + "/" + a.target.Name }
 
 // fail ends a request that got no response. Where bytes were written, the slot
@@ -164,20 +164,15 @@
 		if b.unframed {
 			return n, io.ErrUnexpectedEOF
 		}
-		b.readWhole()
+		if !b.whole {
+			b.whole = true
+			b.attempt.responseRead()
+			b.attempt.finish(slot.Success)
+		}
 	}
 	return n, err
 }
 
-func (b *body) readWhole() {
-	if b.whole {
-		return
-	}
-	b.whole = true
-	b.attempt.responseRead()
-	b.attempt.finish(slot.Success)
-}
-
 // Close cancels the request if its response was not read whole; the slot is
 // free once the upstream has closed its side of the connection.
 func (b *body) Close() error {
--- a/internal/selector/upstream/client.go
+++ b/internal/selector/upstream/client.go
@@ -43,9 +43,6 @@
 	// maxHeaderBytes limits a response's header, and what is read of the body
 	// of a refusal or probe. Chosen, not measured.
 	maxHeaderBytes = 64 << 10
-	// headerLoad is the header with an upstream's own view of its load, 0 to
-	// 1.
-	headerLoad = "Cairndock-Load"
 )
 
 // DialFunc connects to an upstream.
@@ -78,19 +75,19 @@
 // Client sends requests to the upstreams of one zone.
 type Client struct {
 	transport *http.Transport
-	// onStatus is called with the status in each response's headers.
-	onStatus func(name string, w Status)
+	// observe is called with the status in each response's headers.
+	observe func(name string, s Status)
 }
 
 // New makes a client. A nil dial is TCP; onStatus may be nil.
-func New(dial DialFunc, onStatus func(name string, w Status)) *Client {
+func New(dial DialFunc, onStatus func(name string, s Status)) *Client {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
 	}
 	if onStatus == nil {
 		onStatus = func(string, Status) {}
 	}
-	c := &Client{onStatus: onStatus}
+	c := &Client{observe: onStatus}
 	c.transport = &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			nc, err := dial(ctx, network, addr)
@@ -131,7 +128,7 @@
 		cancel()
 		return nil, failure
 	}
-	c.onStatus(t.Name, parseStatus(resp.Header))
+	c.observe(t.Name, parseStatus(resp.Header))
 	if isRefusal(resp) {
 		defer cancel()
 		return nil, a.refused(resp)
@@ -173,11 +170,11 @@
 // parseStatus reads an upstream's status. A load that is no number counts as
 // not reported.
 func parseStatus(h http.Header) Status {
-	w := Status{Incarnation: h.Get(call.HeaderInstance), Leaving: h.Get(call.HeaderState) == call.StateLeaving, Load: -1}
-	if load, err := strconv.ParseFloat(h.Get(headerLoad), 64); err == nil {
-		w.Load = load
+	s := Status{Incarnation: h.Get(call.HeaderInstance), Leaving: h.Get(call.HeaderState) == call.StateLeaving, Load: -1}
+	if load, err := strconv.ParseFloat(h.Get(call.HeaderLoad), 64); err == nil {
+		s.Load = load
 	}
-	return w
+	return s
 }
 
 // Probe requests an upstream's status from its health path. Its HTTP status
