--- a/internal/docscheck/source_test.go
+++ b/internal/docscheck/source_test.go
@@ -123,9 +123,6 @@
 		switch {
 		case d.Recv != nil:
 			s.members[pkg+"."+receiver(d)+"."+name] = true
-			if text, ok := returnedLiteral(d); ok && name == "Name" && strings.HasPrefix(f.path, "cmd/") {
-				s.commands[text] = true
-			}
 		case f.isTest() && testName.MatchString(name):
 			s.tests[name] = true
 		default:
@@ -144,6 +141,9 @@
 		for _, name := range spec.Names {
 			s.identifiers[name.Name] = true
 			s.members[pkg+"."+name.Name] = true
+			if pkg == "cmd" && name.Name == "commands" {
+				s.addCommands(spec.Values[0])
+			}
 		}
 	case *ast.TypeSpec:
 		s.identifiers[spec.Name.Name] = true
@@ -156,6 +156,19 @@
 	}
 }
 
+// addCommands adds the commands of cmd's table, whose first field is the name.
+func (s *source) addCommands(table ast.Expr) {
+	for _, command := range table.(*ast.CompositeLit).Elts {
+		name, ok := command.(*ast.CompositeLit).Elts[0].(*ast.BasicLit)
+		if !ok {
+			continue
+		}
+		if text, ok := literal(name); ok {
+			s.commands[text] = true
+		}
+	}
+}
+
 // fields gives a struct's fields or an interface's methods.
 func fields(e ast.Expr) []*ast.Field {
 	switch e := e.(type) {
@@ -192,18 +205,6 @@
 	return text, err == nil
 }
 
-// returnedLiteral gives the string that a function of one statement returns.
-func returnedLiteral(d *ast.FuncDecl) (string, bool) {
-	if d.Body == nil || len(d.Body.List) != 1 {
-		return "", false
-	}
-	ret, ok := d.Body.List[0].(*ast.ReturnStmt)
-	if !ok || len(ret.Results) != 1 {
-		return "", false
-	}
-	return literal(ret.Results[0])
-}
-
 // flagName gives the name in a call such as f.StringVar(&v, "name", ...).
 func flagName(c *ast.CallExpr) (string, bool) {
 	name, ok := calledMethod(c)
