--- a/internal/selector/entry/bench_test.go
+++ b/internal/selector/entry/bench_test.go
@@ -45,11 +45,10 @@
 		Callers: servesettings.Callers{TTL: settings.Seconds(5 * time.Second)},
 	}
 	Prepare(&set)
-	h, err := New(Options{
+	h := New(Options{
 		Settings: set, Table: memory, Objects: memory, Hosts: memory, Transport: TCP{}, Log: zerolog.Nop(),
 		Traces: sdktrace.NewTracerProvider(sdktrace.WithSampler(sdktrace.NeverSample())),
 	})
-	require.NoError(tb, err)
 	h.rosters.Merge(bigRoster(74))
 	h.config.Adopt(s)
 	for z := 1; z < 80; z++ {
--- a/internal/selector/entry/clustertest/cluster.go
+++ b/internal/selector/entry/clustertest/cluster.go
@@ -132,12 +132,11 @@
 	}
 	entry.Prepare(&set)
 	table := tableOf{c.Memory, c.Net, name}
-	h, err := entry.New(entry.Options{
+	h := entry.New(entry.Options{
 		Settings: set, Table: table, Objects: table, Hosts: table, Transport: c.Net.End(name),
 		DialUpstream: c.Net.End(name).DialUpstream, Log: zerolog.Nop(),
 		Traces: sdktrace.NewTracerProvider(sdktrace.WithSampler(sdktrace.NeverSample())), Seed: uint64(len(name)),
 	})
-	require.NoError(c.T, err)
 	require.NoError(c.T, h.Start(context.Background(), name+":3"))
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/selector/entry/clustertest/faults.go
+++ b/internal/selector/entry/clustertest/faults.go
@@ -14,16 +14,14 @@
 	"cairndock/internal/selector/store"
 )
 
-// Freeze cuts a host off from everything and, when it wakes, makes its own
-// loop look as if it had stood still.
+// Freeze cuts a host off from everything for a time, which must be longer than
+// the silence after which the host closes its fence by itself.
 func (c *Cluster) Freeze(name string, d time.Duration) {
-	h := c.Host(name)
 	others := append(c.Names(), "platform")
 	for _, o := range others {
 		c.Net.Cut(name, o)
 	}
 	time.Sleep(d)
-	h.Distrust()
 	for _, o := range others {
 		c.Net.Heal(name, o)
 	}
--- a/internal/selector/entry/status.go
+++ b/internal/selector/entry/status.go
@@ -138,3 +138,27 @@
 		z.Held += f.Held
 	}
 }
+
+// registerMetrics adds the gauges that read the host's state when asked.
+func (h *Host) registerMetrics() {
+	m := h.metrics
+	m.Gauge("cairndock_config_revision", func() float64 { return float64(h.View().Revision()) })
+	m.Gauge("cairndock_config_age_seconds", func() float64 { return h.config.Age().Seconds() })
+	m.Gauge("cairndock_frozen", func() float64 { return boolGauge(h.Frozen()) })
+	m.Gauge("cairndock_in_flight", func() float64 { return float64(h.inFlight.Load()) })
+	m.Gauge("cairndock_slots_outstanding", func() float64 { return float64(h.services.Outstanding()) })
+	m.Gauge("cairndock_slots_held", func() float64 {
+		held := 0
+		for _, f := range h.services.Free() {
+			held += f.Held
+		}
+		return float64(held)
+	})
+}
+
+func boolGauge(b bool) float64 {
+	if b {
+		return 1
+	}
+	return 0
+}
--- a/internal/selector/entry/upstreams/probe.go
+++ b/internal/selector/entry/upstreams/probe.go
@@ -20,14 +20,12 @@
 	maxProbes = 20
 )
 
-// Prober asks an upstream for its state.
-type Prober interface {
-	Probe(ctx context.Context, target upstream.Target) (upstream.Status, error)
-}
+// Probe asks an upstream for its state.
+type Probe func(ctx context.Context, target upstream.Target) (upstream.Status, error)
 
 // ProbeLoop probes the zone's upstreams until ctx ends. Each is probed by one
 // host, which reports a change to the others.
-func (t *Tracker) ProbeLoop(ctx context.Context, p Prober) {
+func (t *Tracker) ProbeLoop(ctx context.Context, send Probe) {
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for next := 0; ; {
@@ -38,7 +36,7 @@
 		}
 		all := t.probed()
 		for i := range min(maxProbes, len(all)) {
-			go t.probe(ctx, p, all[(next+i)%len(all)])
+			go t.probe(ctx, send, all[(next+i)%len(all)])
 		}
 		next += maxProbes
 	}
@@ -64,10 +62,10 @@
 }
 
 // probe asks one upstream for its state.
-func (t *Tracker) probe(ctx context.Context, p Prober, u config.Upstream) {
+func (t *Tracker) probe(ctx context.Context, send Probe, u config.Upstream) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	w, err := p.Probe(ctx, upstream.Target{Name: u.Name, Zone: u.Zone, Addr: u.Addr})
+	w, err := send(ctx, upstream.Target{Name: u.Name, Zone: u.Zone, Addr: u.Addr})
 	if err != nil {
 		// Only requests decide whether an upstream can be used.
 		t.Log.Debug().Str("upstream", u.Name).Err(err).Msg("entry: probe failed")
--- a/internal/selector/entry/upstreams/tracker_test.go
+++ b/internal/selector/entry/upstreams/tracker_test.go
@@ -99,7 +99,7 @@
 	all := tr.probed()
 	require.Len(t, all, 1, "the only host of its zone probes all")
 	p := make(prober, 1)
-	tr.probe(context.Background(), p, all[0])
+	tr.probe(context.Background(), p.Probe, all[0])
 	require.Equal(t, "up-1:1", <-p)
 	require.Equal(t, []member.UpstreamStatus{{Upstream: "up-1", Instance: "1", Seen: true}}, tr.Signs())
 }
--- a/internal/selector/server/server.go
+++ b/internal/selector/server/server.go
@@ -76,10 +76,7 @@
 // Start starts a host and its listeners. The host serves until Stop or Close; ctx
 // ends its background work too.
 func Start(ctx context.Context, o entry.Options, ls Listeners) (*Server, error) {
-	h, err := entry.New(o)
-	if err != nil {
-		return nil, err
-	}
+	h := entry.New(o)
 	s := &Server{host: h, failed: make(chan error, 2)} // one for each listener
 	callers, err := ls.Listen(o.Settings.Callers.Listen)
 	if err != nil {
