--- a/internal/selector/entry/configsync/poll.go
+++ b/internal/selector/entry/configsync/poll.go
@@ -72,11 +72,7 @@
 	if r.View().Revision() == 0 {
 		return r.loadAll(ctx, began)
 	}
-	var headRev uint64
-	err := r.Platform.Do(ctx, func(ctx context.Context) (err error) {
-		headRev, err = r.Log.Head(ctx)
-		return err
-	})
+	headRev, err := platformcalls.Get(ctx, r.Platform, r.Log.Head)
 	if err != nil {
 		return err
 	}
@@ -91,10 +87,8 @@
 
 // readLog puts the next changes of the log in force.
 func (r *Replica) readLog(ctx context.Context) error {
-	var changes []config.Change
-	err := r.Platform.Do(ctx, func(ctx context.Context) (err error) {
-		changes, err = r.Log.Since(ctx, r.View().Revision())
-		return err
+	changes, err := platformcalls.Get(ctx, r.Platform, func(ctx context.Context) ([]config.Change, error) {
+		return r.Log.Since(ctx, r.View().Revision())
 	})
 	if err != nil {
 		return err
--- a/internal/selector/entry/configsync/progress.go
+++ b/internal/selector/entry/configsync/progress.go
@@ -135,15 +135,11 @@
 	if zone == r.Zone {
 		return r.ZoneProgress(rev)
 	}
-	for _, c := range r.Peers.Contacts(zone, false) {
-		callCtx, cancel := context.WithTimeout(ctx, peers.CallTimeout)
-		reply, err := peer.Call[ZoneProgress](callCtx, r.Mesh, c.PeerAddr, peer.KindConfirm, rev)
-		cancel()
-		if err == nil {
-			return reply
-		}
+	reply, ok := peers.CallFirst[ZoneProgress](ctx, r.Mesh, r.Peers.Contacts(zone, false), peer.KindConfirm, rev)
+	if !ok {
+		return ZoneProgress{Zone: zone}
 	}
-	return ZoneProgress{Zone: zone}
+	return reply
 }
 
 // ZoneProgress says whether this host's zone has a revision in force, by what
--- a/internal/selector/entry/configsync/relay.go
+++ b/internal/selector/entry/configsync/relay.go
@@ -75,10 +75,8 @@
 
 // push sends changes to a host, and notes the revision that it then has.
 func (r *Replica) push(ctx context.Context, to member.Contact, changes []config.Change) {
-	ctx, cancel := context.WithTimeout(ctx, peers.CallTimeout)
-	defer cancel()
 	// A host that misses the push sees the revision in the next heartbeat.
-	reply, err := peer.Call[PushReply](ctx, r.Mesh, to.PeerAddr, peer.KindPush, Push{changes})
+	reply, err := peers.Call[PushReply](ctx, r.Mesh, to, peer.KindPush, Push{changes})
 	if err != nil {
 		r.Logger.Debug().Str("peer", to.Host).Err(err).Msg("config: push failed")
 		return
--- a/internal/selector/entry/drain/drain.go
+++ b/internal/selector/entry/drain/drain.go
@@ -92,15 +92,11 @@
 // ask asks the first of some hosts that answers. When none does, name is
 // reported as unknown.
 func (c *Counter) ask(ctx context.Context, name string, hosts []member.Contact, req Request) Drained {
-	for _, h := range hosts {
-		callCtx, cancel := context.WithTimeout(ctx, peers.CallTimeout)
-		reply, err := peer.Call[Drained](callCtx, c.Mesh, h.PeerAddr, peer.KindDrain, req)
-		cancel()
-		if err == nil {
-			return reply
-		}
+	reply, ok := peers.CallFirst[Drained](ctx, c.Mesh, hosts, peer.KindDrain, req)
+	if !ok {
+		return Drained{Unknown: []string{name}}
 	}
-	return Drained{Unknown: []string{name}}
+	return reply
 }
 
 // countZone asks every member of the own zone.
--- a/internal/selector/entry/peers/peers.go
+++ b/internal/selector/entry/peers/peers.go
@@ -7,10 +7,12 @@
 package peers
 
 import (
+	"context"
 	"slices"
 	"sync"
 	"time"
 
+	"cairndock/internal/peer"
 	"cairndock/internal/selector/member"
 )
 
@@ -18,8 +20,28 @@
 // them. Chosen, not measured; it is below member.DownAfter.
 const CallTimeout = 1500 * time.Millisecond
 
+// Call sends a message to a host and gives its reply, within CallTimeout.
+func Call[T any](ctx context.Context, m *peer.Mesh, to member.Contact, kind peer.Kind, message any) (T, error) {
+	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
+	defer cancel()
+	return peer.Call[T](ctx, m, to.PeerAddr, kind, message)
+}
+
+// CallFirst calls hosts one after another until one replies, and reports
+// whether one did.
+func CallFirst[T any](ctx context.Context, m *peer.Mesh, hosts []member.Contact, kind peer.Kind, message any) (T, bool) {
+	for _, to := range hosts {
+		if reply, err := Call[T](ctx, m, to, kind, message); err == nil {
+			return reply, true
+		}
+	}
+	var none T
+	return none, false
+}
+
 // Table is the other hosts as this host knows them.
 type Table struct {
+	host string
 	zone string
 
 	mu    sync.Mutex
@@ -29,7 +51,7 @@
 
 // New makes a Table of a host that knows no other.
 func New(self member.Contact) *Table {
-	return &Table{zone: self.Zone, self: self, peers: member.NewPeers(self)}
+	return &Table{host: self.Host, zone: self.Zone, self: self, peers: member.NewPeers(self)}
 }
 
 // SetSelf starts the table over, once it is known how this host is reached.
@@ -151,9 +173,10 @@
 	return out
 }
 
-// UpNames gives the names of this host's zone that answer, with self first.
-func (t *Table) UpNames(self string) []string {
-	hosts := []string{self}
+// UpNames gives the names of this host and, after it, of the hosts of its zone
+// that answer.
+func (t *Table) UpNames() []string {
+	hosts := []string{t.host}
 	for _, c := range t.Up(t.zone) {
 		hosts = append(hosts, c.Host)
 	}
@@ -166,10 +189,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, zone := range t.peers.Zones() {
-		for _, p := range t.peers.Zone(zone) {
-			if p.Up(now) {
-				return true
-			}
+		if slices.ContainsFunc(t.peers.Zone(zone), func(p member.Peer) bool { return p.Up(now) }) {
+			return true
 		}
 	}
 	return false
--- a/internal/selector/entry/peers/peers_test.go
+++ b/internal/selector/entry/peers/peers_test.go
@@ -92,7 +92,7 @@
 	}
 	require.Equal(t, map[string]bool{"costa-b": true, "sierra-a": false}, up)
 	require.True(t, table.AnyUp())
-	require.Equal(t, []string{"costa-a-1", "costa-a-2"}, table.UpNames("costa-a-1"))
+	require.Equal(t, []string{"costa-a-1", "costa-a-2"}, table.UpNames())
 }
 
 // TestSetSelfStartsOver: the contacts name this host as it is reached.
--- a/internal/selector/entry/platformcalls/platformcalls.go
+++ b/internal/selector/entry/platformcalls/platformcalls.go
@@ -59,6 +59,15 @@
 	return err
 }
 
+// Get makes one call, as Do does, and gives what it reads.
+func Get[T any](ctx context.Context, c *Caller, f func(ctx context.Context) (T, error)) (out T, err error) {
+	err = c.Do(ctx, func(ctx context.Context) (err error) {
+		out, err = f(ctx)
+		return err
+	})
+	return out, err
+}
+
 // Wait waits until the host's rate allows one more call.
 func (c *Caller) Wait(ctx context.Context) error {
 	return eris.Wrap(c.limiter.Wait(ctx), "wait for the platform's rate")
--- a/internal/selector/entry/rosters/capacity.go
+++ b/internal/selector/entry/rosters/capacity.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"cairndock/internal/selector/config"
-	"cairndock/internal/selector/entry/services"
 	"cairndock/internal/selector/slot"
 	"cairndock/internal/selector/steer"
 )
@@ -22,12 +21,11 @@
 		s.Gate.Configure(m.specs(svc, now), m.ruleSpecs(svc, now))
 		s.Decide(func(d *steer.Decider) { d.Configure(svc, m.Zone, m.Region, now) })
 	}
-	m.Services.All(func(name string, s *services.Service) bool {
+	for name, s := range m.Services.All() {
 		if _, ok := v.Service(name); !ok {
 			s.Gate.Configure(nil, nil)
 		}
-		return true
-	})
+	}
 }
 
 // specs gives what the host holds of a service's upstreams; m.mu is held.
--- a/internal/selector/entry/rosters/loop.go
+++ b/internal/selector/entry/rosters/loop.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"slices"
 	"time"
 
 	"github.com/rotisserie/eris"
@@ -112,10 +113,8 @@
 	}
 	looked.zones = time.Now()
 	looked.every = max(discoverInterval, min(2*looked.every, maxDiscover))
-	var rows []store.Row
-	err := m.Platform.Do(ctx, func(ctx context.Context) (err error) {
-		rows, err = m.Table.List(ctx, partitionRoster, "", maxRosterRows)
-		return err
+	rows, err := platformcalls.Get(ctx, m.Platform, func(ctx context.Context) ([]store.Row, error) {
+		return m.Table.List(ctx, partitionRoster, "", maxRosterRows)
 	})
 	if err != nil {
 		return eris.Wrap(err, "read rosters")
@@ -132,12 +131,9 @@
 
 // missesZone reports whether no host of some other zone answers.
 func (m *Membership) missesZone() bool {
-	for _, zone := range m.KnownZones() {
-		if zone != m.Zone && len(m.Peers.Contacts(zone, false)) == 0 {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(m.KnownZones(), func(zone string) bool {
+		return zone != m.Zone && len(m.Peers.Contacts(zone, false)) == 0
+	})
 }
 
 // hasJoined reports whether there is nothing to join: this host is a member, or
@@ -151,13 +147,8 @@
 // IsPoller reports whether this host is among the first of its zone that
 // answer, in an order that differs from zone to zone.
 func (m *Membership) IsPoller() bool {
-	ranked := roster.Rank("poll:"+m.Zone, m.Peers.UpNames(m.Host))
-	for _, host := range ranked[:min(pollers, len(ranked))] {
-		if host == m.Host {
-			return true
-		}
-	}
-	return false
+	ranked := roster.Rank("poll:"+m.Zone, m.Peers.UpNames())
+	return slices.Contains(ranked[:min(pollers, len(ranked))], m.Host)
 }
 
 // rosterKey is where a zone's roster is in the table.
@@ -168,10 +159,8 @@
 // readRoster reads the zone's roster and its row's version from the table, and
 // merges it. A zone without a row has an empty roster at version 0.
 func (m *Membership) readRoster(ctx context.Context) (roster.Roster, int64, error) {
-	var row store.Row
-	err := m.Platform.Do(ctx, func(ctx context.Context) (err error) {
-		row, err = m.Table.Get(ctx, rosterKey(m.Zone))
-		return err
+	row, err := platformcalls.Get(ctx, m.Platform, func(ctx context.Context) (store.Row, error) {
+		return m.Table.Get(ctx, rosterKey(m.Zone))
 	})
 	if errors.Is(err, store.ErrNotFound) {
 		return roster.Roster{Zone: m.Zone}, 0, nil
@@ -197,9 +186,7 @@
 
 // fetch merges a peer's roster of this host's zone.
 func (m *Membership) fetch(ctx context.Context, from member.Contact) error {
-	ctx, cancel := context.WithTimeout(ctx, peers.CallTimeout)
-	defer cancel()
-	r, err := peer.Call[roster.Roster](ctx, m.Mesh, from.PeerAddr, peer.KindRoster, m.Zone)
+	r, err := peers.Call[roster.Roster](ctx, m.Mesh, from, peer.KindRoster, m.Zone)
 	if err != nil {
 		return err
 	}
--- a/internal/selector/entry/rosters/membership.go
+++ b/internal/selector/entry/rosters/membership.go
@@ -32,13 +32,6 @@
 	Hosts(ctx context.Context) ([]store.HostState, error)
 }
 
-// Table is what rosters use of the platform's table.
-type Table interface {
-	Get(ctx context.Context, key store.Key) (store.Row, error)
-	List(ctx context.Context, partition, after string, limit int) ([]store.Row, error)
-	Transact(ctx context.Context, writes []store.Write) error
-}
-
 // Options are what a Membership is made of.
 type Options struct {
 	Host        string
@@ -55,7 +48,7 @@
 	NewEpoch func()
 	// NotifyZone sends a heartbeat to each host of the zone at once.
 	NotifyZone func()
-	Table      Table
+	Table      config.Table
 	HostList   HostLister
 	Platform   *platformcalls.Caller
 	Peers      *peers.Table
--- a/internal/selector/entry/services/services.go
+++ b/internal/selector/entry/services/services.go
@@ -6,10 +6,12 @@
 package services
 
 import (
+	"iter"
 	"sync"
 	"time"
 
 	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/peers"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/shift"
 	"cairndock/internal/selector/slot"
@@ -84,10 +86,12 @@
 	return svc.(*Service)
 }
 
-// All runs f on every service until it returns false, those that are no
-// longer configured included.
-func (s *Set) All(f func(name string, svc *Service) bool) {
-	s.services.Range(func(name, svc any) bool { return f(name.(string), svc.(*Service)) })
+// All gives every service by its name, those that are no longer configured
+// included.
+func (s *Set) All() iter.Seq2[string, *Service] {
+	return func(yield func(string, *Service) bool) {
+		s.services.Range(func(name, svc any) bool { return yield(name.(string), svc.(*Service)) })
+	}
 }
 
 // Free gives the slots of each configured service.
@@ -102,20 +106,21 @@
 // Outstanding counts the slots that are taken now.
 func (s *Set) Outstanding() int {
 	out := 0
-	s.All(func(_ string, svc *Service) bool {
+	for _, svc := range s.All() {
 		out += svc.Gate.Load().Outstanding
-		return true
-	})
+	}
 	return out
 }
 
 // Within reports whether only slots are taken that this host holds.
 func (s *Set) Within() bool {
 	ok := true
-	s.All(func(_ string, svc *Service) bool {
-		svc.Gate.Do(func(p *slot.Pool) { ok = ok && p.Within() })
-		return ok
-	})
+	for _, svc := range s.All() {
+		svc.Gate.Do(func(p *slot.Pool) { ok = p.Within() })
+		if !ok {
+			break
+		}
+	}
 	return ok
 }
 
@@ -151,3 +156,32 @@
 	}
 	return longest
 }
+
+// Refresh gives each service the latest reports of the zones, and advances its
+// ramps unless the configuration is frozen. Clock is the reading of the
+// host's monotonic clock, in nanoseconds, at the time now.
+func (s *Set) Refresh(zones []peers.ZoneReport, frozen bool, now time.Time, clock int64) {
+	for _, svc := range s.view().Services() {
+		state := s.Get(svc.Name)
+		held, out, latency := state.Usage()
+		state.Decide(func(d *steer.Decider) {
+			d.SetLocal(held, out, latency)
+			d.SetFrozen(frozen)
+			d.Meter().Advance(now, frozen)
+			for _, z := range zones {
+				d.SetZone(z.Zone, reportOf(z, svc.Name, now, clock), z.RTT, z.Up)
+			}
+			d.Rank()
+		})
+	}
+}
+
+// reportOf gives what a zone reported of a service, by the host's clock.
+func reportOf(z peers.ZoneReport, service string, now time.Time, clock int64) steer.Report {
+	for _, f := range z.Free {
+		if f.Service == service {
+			return steer.Report{Free: f.Free, Held: f.Warm, At: clock - int64(now.Sub(z.At))}
+		}
+	}
+	return steer.Report{}
+}
--- a/internal/selector/entry/tickets/handover.go
+++ b/internal/selector/entry/tickets/handover.go
@@ -27,9 +27,7 @@
 			all = append(all, s.Handover(first))
 		}
 		i.mu.Unlock()
-		callCtx, cancel := context.WithTimeout(ctx, peers.CallTimeout)
-		_, err := peer.Call[bool](callCtx, i.Mesh, to.PeerAddr, peer.KindHandover, all)
-		cancel()
+		_, err := peers.Call[bool](ctx, i.Mesh, to, peer.KindHandover, all)
 		if err == nil {
 			i.Log.Info().Str("successor", to.Host).Int("tickets", len(all[0].Records)).Msg("ticket: handed over")
 			return true
--- a/internal/selector/entry/upstreams/probe.go
+++ b/internal/selector/entry/upstreams/probe.go
@@ -44,7 +44,7 @@
 
 // probed gives the upstreams that fall to this host to probe.
 func (t *Tracker) probed() []config.Upstream {
-	hosts := t.Peers.UpNames(t.Host)
+	hosts := t.Peers.UpNames()
 	var out []config.Upstream
 	probing := map[string]struct{}{}
 	for _, svc := range t.View().Services() {
