--- a/internal/selector/entry/dispatch/request.go
+++ b/internal/selector/entry/dispatch/request.go
@@ -136,7 +136,8 @@
 		r.Admitter.Cancel(r.req.Service, lease)
 		return nil, err
 	}
-	return r.untilEnd(c)(r.Admitter.Send(ctx, r.req, lease))
+	resp, err := r.Admitter.Send(ctx, r.req, lease)
+	return r.untilEnd(c, resp, err)
 }
 
 // offerPeers forwards the request to a host of the choice's zone; of the own
@@ -145,39 +146,40 @@
 	if err := r.commit(c); err != nil {
 		return nil, err
 	}
-	return r.untilEnd(c)(r.Forwarder.Forward(ctx, r.req, c.Zone, c.Rule, until))
+	resp, err := r.Forwarder.Forward(ctx, r.req, c.Zone, c.Rule, until)
+	return r.untilEnd(c, resp, err)
 }
 
 // untilEnd counts a committed request as outstanding until its response is
 // read or it has failed.
-func (r *request) untilEnd(c steer.Choice) func(*call.Response, error) (*call.Response, error) {
-	var once sync.Once
-	ended := func() {
-		once.Do(func() {
-			r.state.Decide(func(dec *steer.Decider) { dec.Ended(c.Zone) })
-		})
-	}
-	return func(a *call.Response, err error) (*call.Response, error) {
-		if err != nil {
-			ended()
-			return nil, err
-		}
-		out := *a
-		out.Body = endBody{a.Body, ended}
-		return &out, nil
+func (r *request) untilEnd(c steer.Choice, resp *call.Response, err error) (*call.Response, error) {
+	if err != nil {
+		r.ended(c.Zone)
+		return nil, err
 	}
+	out := *resp
+	out.Body = &countedBody{ReadCloser: resp.Body, request: r, zone: c.Zone}
+	return &out, nil
+}
+
+// ended counts the request as no longer outstanding at a zone.
+func (r *request) ended(zone string) {
+	r.state.Decide(func(dec *steer.Decider) { dec.Ended(zone) })
 }
 
-// endBody does something once its body is closed.
-type endBody struct {
+// countedBody is the body of a request that is outstanding at a zone until it
+// is closed for the first time.
+type countedBody struct {
 	io.ReadCloser
-	end func()
+	request *request
+	zone    string
+	once    sync.Once
 }
 
-// Close closes the body and then does the rest.
-func (b endBody) Close() error {
+// Close closes the body and ends the count.
+func (b *countedBody) Close() error {
 	err := b.ReadCloser.Close()
-	b.end()
+	b.once.Do(func() { b.request.ended(b.zone) })
 	return err
 }
 
--- a/internal/selector/entry/forward/serve.go
+++ b/internal/selector/entry/forward/serve.go
@@ -52,8 +52,8 @@
 
 // Respond sends a response, or the verdict err, to the peer that sent the
 // request, at the pace of the link to it.
-func (f *Forwarder) Respond(ctx context.Context, from peer.Hello, name string, a *call.Response, err error, w *peer.Responder) {
-	free := f.Services.Get(name).Free(name)
+func (f *Forwarder) Respond(ctx context.Context, from peer.Hello, service string, resp *call.Response, err error, w *peer.Responder) {
+	free := f.Services.Get(service).Free(service)
 	if err != nil {
 		e := verdict.From(err)
 		// Where it can't be sent the connection is lost, and the peer knows.
@@ -63,15 +63,15 @@
 		})
 		return
 	}
-	defer a.Body.Close()
+	defer resp.Body.Close()
 	head, err := peer.Encode(reply{
-		Status: a.Status, Header: a.Header, Length: a.Length, Upstream: a.Upstream, Verdict: a.Verdict, Free: free,
+		Status: resp.Status, Header: resp.Header, Length: resp.Length, Upstream: resp.Upstream, Verdict: resp.Verdict, Free: free,
 	})
-	if err != nil || f.Links.Wait(ctx, name, from.Zone, len(head)) != nil || w.Reply(head) != nil {
+	if err != nil || f.Links.Wait(ctx, service, from.Zone, len(head)) != nil || w.Reply(head) != nil {
 		// The peer has no reply when its deadline ends: may have run.
 		return
 	}
-	if err := f.copyBody(ctx, from, name, a.Body, w); err != nil {
+	if err := f.copyBody(ctx, from, service, resp.Body, w); err != nil {
 		_ = w.Fail() // the connection may be what failed
 		return
 	}
--- a/internal/selector/entry/tickets/run.go
+++ b/internal/selector/entry/tickets/run.go
@@ -13,21 +13,21 @@
 	"cairndock/internal/verdict"
 )
 
-// maxAnswer bounds the response to a request with a ticket, in bytes. Chosen,
+// maxResponse bounds the response to a request with a ticket, in bytes. Chosen,
 // not measured.
-const maxAnswer = 4 << 20
+const maxResponse = 4 << 20
 
 // use runs a ticket's request, or gives the outcome of its first use.
 func (i *Issuer) use(ctx context.Context, store *ticket.Store, t ticket.Ticket, req *call.Request) (*call.Response, error) {
 	digest := ticket.DigestOf(req.Service, req.Method, req.Target, req.Body)
 	i.mu.Lock()
-	rec, dispatch, err := store.Begin(t, digest, time.Now())
+	rec, first, err := store.Begin(t, digest, time.Now())
 	i.mu.Unlock()
 	if err != nil {
 		return nil, ticketError(err)
 	}
-	if !dispatch {
-		return keptAnswer(rec)
+	if !first {
+		return keptResponse(rec)
 	}
 	return i.run(ctx, store, t, req)
 }
@@ -45,8 +45,8 @@
 	}
 }
 
-// keptAnswer gives the outcome of a request that was dispatched before.
-func keptAnswer(rec ticket.Record) (*call.Response, error) {
+// keptResponse gives the outcome of a request that was dispatched before.
+func keptResponse(rec ticket.Record) (*call.Response, error) {
 	o := rec.Outcome
 	switch {
 	case rec.Phase == ticket.Running:
@@ -54,7 +54,7 @@
 	case rec.Phase == ticket.InDoubt:
 		return nil, verdict.New(verdict.MayHaveRun, verdict.TicketUnknown, "the request's outcome is not known")
 	case o.Partial:
-		return nil, verdict.New(verdict.Ran, verdict.AnswerNotKept, "the answer was too large to keep").WithUpstream(o.Upstream)
+		return nil, verdict.New(verdict.Ran, verdict.AnswerNotKept, "the response was too large to keep").WithUpstream(o.Upstream)
 	}
 	return &call.Response{
 		Status: o.Status, Header: o.Header, Length: int64(len(o.Body)), Upstream: o.Upstream,
@@ -94,10 +94,10 @@
 }
 
 // settle keeps the outcome of a ticket's request, whole or not at all.
-func (i *Issuer) settle(store *ticket.Store, t ticket.Ticket, a *call.Response, err error) result {
+func (i *Issuer) settle(store *ticket.Store, t ticket.Ticket, resp *call.Response, err error) result {
 	var body []byte
 	if err == nil {
-		body, err = readWhole(a)
+		body, err = readWhole(resp)
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -106,21 +106,21 @@
 		store.Abandon(t, e.Verdict == verdict.NotRun)
 		return result{err: e}
 	}
-	store.Finish(t, ticket.Outcome{Status: a.Status, Header: a.Header, Body: body, Upstream: a.Upstream})
-	out := *a
+	store.Finish(t, ticket.Outcome{Status: resp.Status, Header: resp.Header, Body: body, Upstream: resp.Upstream})
+	out := *resp
 	out.Body, out.Length = io.NopCloser(bytes.NewReader(body)), int64(len(body))
 	return result{resp: &out}
 }
 
 // readWhole reads the body of a response, which must be kept whole.
-func readWhole(a *call.Response) ([]byte, error) {
-	defer a.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxAnswer+1))
+func readWhole(resp *call.Response) ([]byte, error) {
+	defer resp.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponse+1))
 	if err != nil {
-		return nil, verdict.New(verdict.MayHaveRun, verdict.AnswerTruncated, "the answer broke off: %v", err).WithUpstream(a.Upstream)
+		return nil, verdict.New(verdict.MayHaveRun, verdict.AnswerTruncated, "the response broke off: %v", err).WithUpstream(resp.Upstream)
 	}
-	if len(body) > maxAnswer {
-		return nil, verdict.New(verdict.Ran, verdict.AnswerTruncated, "the answer is above %d bytes", maxAnswer).WithUpstream(a.Upstream)
+	if len(body) > maxResponse {
+		return nil, verdict.New(verdict.Ran, verdict.AnswerTruncated, "the response is above %d bytes", maxResponse).WithUpstream(resp.Upstream)
 	}
 	return body, nil
 }
--- a/internal/selector/entry/tickets/tickets.go
+++ b/internal/selector/entry/tickets/tickets.go
@@ -27,7 +27,7 @@
 // Forwarder exchanges requests and responses with other hosts.
 type Forwarder interface {
 	Exchange(ctx context.Context, to member.Contact, kind peer.Kind, msg forward.Message) (*call.Response, error)
-	Respond(ctx context.Context, from peer.Hello, service string, a *call.Response, err error, w *peer.Responder)
+	Respond(ctx context.Context, from peer.Hello, service string, resp *call.Response, err error, w *peer.Responder)
 }
 
 // Options are what an Issuer is made of.
--- a/internal/selector/entry/tickets/tickets_test.go
+++ b/internal/selector/entry/tickets/tickets_test.go
@@ -59,7 +59,7 @@
 // TestOutcomeIsKept: a resend gets the outcome of the first use; only what
 // provably did not run is dispatched again.
 func TestOutcomeIsKept(t *testing.T) {
-	large := bytes.Repeat([]byte("x"), maxAnswer+1)
+	large := bytes.Repeat([]byte("x"), maxResponse+1)
 	cases := []struct {
 		name  string
 		first func() (*call.Response, error)
