--- a/internal/selector/entry/clustertest/cluster.go
+++ b/internal/selector/entry/clustertest/cluster.go
@@ -22,11 +22,15 @@
 	"cairndock/internal/settings"
 )
 
-// zones are the zones of the test cluster and how many hosts each has.
+// zones are the zones of the test cluster and their hosts.
 var zones = []struct {
 	zone, region string
-	hosts        int
-}{{"costa-a", "costa", 2}, {"costa-b", "costa", 1}, {"sierra-a", "sierra", 2}}
+	hosts        []string
+}{
+	{"costa-a", "costa", []string{"costa-a-1", "costa-a-2"}},
+	{"costa-b", "costa", []string{"costa-b-1"}},
+	{"sierra-a", "sierra", []string{"sierra-a-1", "sierra-a-2"}},
+}
 
 const (
 	// ZoneUpstreams is how many upstreams each zone has, and UpstreamSlots
@@ -68,8 +72,8 @@
 		doc := c.startUpstreams() + extra
 		c.Apply("first", doc, 0)
 		for _, z := range zones {
-			for i := range z.hosts {
-				c.Start(fmt.Sprintf("%s-%d", z.zone, i+1), z.zone, z.region)
+			for _, name := range z.hosts {
+				c.Start(name, z.zone, z.region)
 			}
 		}
 		c.WaitSettled(30 * time.Second)
@@ -177,8 +181,8 @@
 	defer c.mu.Unlock()
 	var out []*entry.Host
 	for _, z := range zones {
-		for i := range z.hosts {
-			if h := c.hosts[fmt.Sprintf("%s-%d", z.zone, i+1)]; h != nil {
+		for _, name := range z.hosts {
+			if h := c.hosts[name]; h != nil {
 				out = append(out, h)
 			}
 		}
--- a/internal/selector/entry/clustertest/faults.go
+++ b/internal/selector/entry/clustertest/faults.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"strings"
 	"time"
 
@@ -34,18 +33,14 @@
 		names = append(names, name)
 	}
 	for _, z := range zones {
-		for i := range z.hosts {
-			names = append(names, fmt.Sprintf("%s-%d", z.zone, i+1))
-		}
+		names = append(names, z.hosts...)
 	}
 	return names
 }
 
 // CutZone cuts a zone off from everything outside it.
 func (c *Cluster) CutZone(zone string, d time.Duration) {
-	inside := func(name string) bool {
-		return name == zone+"-1" || name == zone+"-2" || name == "up-"+zone+"-1" || name == "up-"+zone+"-2"
-	}
+	inside := func(name string) bool { return strings.HasPrefix(strings.TrimPrefix(name, "up-"), zone+"-") }
 	outside := append(c.Names(), "platform")
 	each := func(f func(a, b string)) {
 		for _, a := range c.Names() {
--- a/internal/selector/entry/clustertest/leaving_test.go
+++ b/internal/selector/entry/clustertest/leaving_test.go
@@ -90,8 +90,8 @@
 		go func() {
 			defer close(stopped)
 			for _, z := range zones {
-				for i := range z.hosts {
-					c.replace(t, fmt.Sprintf("%s-%d", z.zone, i+1), z.zone, z.region)
+				for _, name := range z.hosts {
+					c.replace(t, name, z.zone, z.region)
 				}
 			}
 		}()
--- a/internal/selector/entry/clustertest/memnet/conn.go
+++ b/internal/selector/entry/clustertest/memnet/conn.go
@@ -35,43 +35,25 @@
 	f.mu.Lock()
 	f.waiting = append(f.waiting, p)
 	f.mu.Unlock()
-	time.AfterFunc(f.net.delay(f.from, f.to), f.arrive)
+	time.AfterFunc(f.net.delay(f.from, f.to), func() { f.deliver(1) })
 }
 
-// arrive delivers the oldest chunk, unless the link is cut.
-func (f *flow) arrive() {
+// deliver delivers the oldest chunks, n at most, unless the link is cut.
+func (f *flow) deliver(n int) {
 	if f.net.IsCut(f.from, f.to) {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.deliver()
-}
-
-func (f *flow) deliver() {
-	if len(f.waiting) == 0 {
-		return
+	for ; n > 0 && len(f.waiting) > 0; n-- {
+		chunk := f.waiting[0]
+		f.waiting = f.waiting[1:]
+		f.ended = f.ended || chunk == nil
+		f.buf = append(f.buf, chunk...)
 	}
-	chunk := f.waiting[0]
-	f.waiting = f.waiting[1:]
-	if chunk == nil {
-		f.ended = true
-	}
-	f.buf = append(f.buf, chunk...)
 	f.ready.Broadcast()
 }
 
-func (f *flow) flush() {
-	if f.net.IsCut(f.from, f.to) {
-		return
-	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for len(f.waiting) > 0 {
-		f.deliver()
-	}
-}
-
 type conn struct {
 	in, out *flow
 	once    sync.Once
--- a/internal/selector/entry/clustertest/memnet/memnet.go
+++ b/internal/selector/entry/clustertest/memnet/memnet.go
@@ -5,6 +5,7 @@
 import (
 	"context"
 	"errors"
+	"math"
 	"net"
 	"sync"
 	"time"
@@ -54,7 +55,7 @@
 	flows := n.flows
 	n.mu.Unlock()
 	for _, f := range flows {
-		f.flush()
+		f.deliver(math.MaxInt)
 	}
 }
 
--- a/internal/selector/entry/explain.go
+++ b/internal/selector/entry/explain.go
@@ -43,7 +43,7 @@
 	status := h.serviceStatus(service)
 	e := Explanation{
 		Service: service, Caller: caller.String(), CallerZone: v.ClientZone(caller), Revision: v.Revision(),
-		Frozen: h.Frozen(), Sites: status.Sites, Entries: h.directory.Entries(service, caller).Entries,
+		Frozen: h.config.Frozen(), Sites: status.Sites, Entries: h.directory.Entries(service, caller).Entries,
 	}
 	for i, r := range svc.Rules {
 		if i < len(status.Shares) {
--- a/internal/selector/entry/export_test.go
+++ b/internal/selector/entry/export_test.go
@@ -14,6 +14,9 @@
 // Validated reports whether the host may send new work to upstreams.
 func (h *Host) Validated() bool { return h.fence.Open() }
 
+// Frozen reports whether the configuration may no longer be the newest.
+func (h *Host) Frozen() bool { return h.config.Frozen() }
+
 // CanSend reports whether the host has somewhere to send requests to.
 func (h *Host) CanSend() bool { return h.canSend() }
 
--- a/internal/selector/entry/forward/serve.go
+++ b/internal/selector/entry/forward/serve.go
@@ -53,7 +53,7 @@
 // Respond sends a response, or the verdict err, to the peer that sent the
 // request, at the pace of the link to it.
 func (f *Forwarder) Respond(ctx context.Context, from peer.Hello, service string, resp *call.Response, err error, w *peer.Responder) {
-	free := f.Services.Get(service).Free(service)
+	free := f.Services.Get(service).Free()
 	if err != nil {
 		e := verdict.From(err)
 		// Where it can't be sent the connection is lost, and the peer knows.
--- a/internal/selector/entry/heartbeats/heartbeats.go
+++ b/internal/selector/entry/heartbeats/heartbeats.go
@@ -82,7 +82,15 @@
 // Tick sends the heartbeats that are due. While no other host is known they go
 // to the seeds: the platform may be down when the host starts.
 func (e *Exchanger) Tick(ctx context.Context) {
-	due, alone := e.takeDue(time.Now())
+	var due []member.Contact
+	alone, now := false, time.Now()
+	e.Peers.Update(func(p *member.Peers) {
+		due = p.Due(now)
+		for _, c := range due {
+			p.RecordSent(c.Host, now)
+		}
+		alone = len(p.Zones()) == 0
+	})
 	for _, c := range due {
 		go e.Send(ctx, c)
 	}
@@ -97,19 +105,6 @@
 	}
 }
 
-// takeDue gives the hosts to send a heartbeat to now, and whether this host
-// knows no other.
-func (e *Exchanger) takeDue(now time.Time) (due []member.Contact, alone bool) {
-	e.Peers.Update(func(p *member.Peers) {
-		due = p.Due(now)
-		for _, c := range due {
-			p.RecordSent(c.Host, now)
-		}
-		alone = len(p.Zones()) == 0
-	})
-	return due, alone
-}
-
 // NotifyZone sends a heartbeat to every known host of the zone at once, with
 // news that all of them wait for: an acknowledgement, a new epoch, an
 // upstream's state.
--- a/internal/selector/entry/host.go
+++ b/internal/selector/entry/host.go
@@ -254,9 +254,6 @@
 // leaving.
 func (h *Host) Ready() bool { return h.Serving() && !h.leaving.Load() }
 
-// Frozen reports whether the configuration may no longer be the newest.
-func (h *Host) Frozen() bool { return h.config.Frozen() }
-
 // clockStart is what the host's clock reads when the host is made; above
 // zero, so that zero is always long ago.
 const clockStart = int64(time.Hour)
--- a/internal/selector/entry/loop.go
+++ b/internal/selector/entry/loop.go
@@ -53,7 +53,7 @@
 // becomeReady opens a starting host to callers once its configuration is
 // known to be the newest and there is somewhere to send requests to.
 func (h *Host) becomeReady() {
-	if h.ready.Load() || h.Frozen() || !h.canSend() {
+	if h.ready.Load() || h.config.Frozen() || !h.canSend() {
 		return
 	}
 	if h.ready.CompareAndSwap(false, true) {
--- a/internal/selector/entry/rosters/capacity.go
+++ b/internal/selector/entry/rosters/capacity.go
@@ -64,10 +64,7 @@
 			own = s.Slots
 		}
 	}
-	if total == 0 {
-		return 0
-	}
-	return float64(own) / float64(total)
+	return float64(own) / float64(max(1, total)) // without slots it is 0
 }
 
 // zonePart splits a rule's in-flight limit over its zones in proportion to
@@ -78,15 +75,12 @@
 	for _, s := range r.Sites {
 		total += s.Slots
 	}
-	if total == 0 {
-		return 0
-	}
 	sum := 0
 	for _, s := range r.Sites {
-		before := r.InFlight * sum / total
+		before := r.InFlight * sum / max(1, total)
 		sum += s.Slots
 		if s.Zone == zone {
-			return r.InFlight*sum/total - before
+			return r.InFlight*sum/max(1, total) - before
 		}
 	}
 	return 0
--- a/internal/selector/entry/services/services.go
+++ b/internal/selector/entry/services/services.go
@@ -20,6 +20,7 @@
 
 // Service is one service's state on this host.
 type Service struct {
+	name string
 	// Gate admits requests to the slots that this host holds.
 	Gate *slot.Gate
 
@@ -47,9 +48,9 @@
 }
 
 // Free gives the service's slots as they are reported to other hosts.
-func (s *Service) Free(name string) member.ServiceSlots {
+func (s *Service) Free() member.ServiceSlots {
 	load := s.Gate.Load()
-	return member.ServiceSlots{Service: name, Free: load.Free, Held: load.Held, Warm: load.Warm}
+	return member.ServiceSlots{Service: s.name, Free: load.Free, Held: load.Held, Warm: load.Warm}
 }
 
 // adoptShares starts from the shares of another host of the zone, once.
@@ -82,7 +83,7 @@
 		return svc.(*Service)
 	}
 	meter := shift.NewMeter(s.random, time.Now())
-	svc, _ := s.services.LoadOrStore(name, &Service{Gate: slot.NewGate(), decider: steer.New(meter)})
+	svc, _ := s.services.LoadOrStore(name, &Service{name: name, Gate: slot.NewGate(), decider: steer.New(meter)})
 	return svc.(*Service)
 }
 
@@ -98,7 +99,7 @@
 func (s *Set) Free() []member.ServiceSlots {
 	var out []member.ServiceSlots
 	for _, svc := range s.view().Services() {
-		out = append(out, s.Get(svc.Name).Free(svc.Name))
+		out = append(out, s.Get(svc.Name).Free())
 	}
 	return out
 }
--- a/internal/selector/entry/status.go
+++ b/internal/selector/entry/status.go
@@ -64,7 +64,7 @@
 	s := Status{
 		Host: h.Self().Host, Zone: h.zone, Revision: v.Revision(),
 		FreshMillis: h.config.Age().Milliseconds(),
-		Frozen:      h.Frozen(), Ready: h.Ready(), Leaving: h.leaving.Load(),
+		Frozen:      h.config.Frozen(), Ready: h.Ready(), Leaving: h.leaving.Load(),
 		InFlight: h.inFlight.Load(), Tickets: h.tickets.Kept(),
 	}
 	for _, svc := range v.Services() {
@@ -144,7 +144,7 @@
 	m := h.metrics
 	m.Gauge("cairndock_config_revision", func() float64 { return float64(h.View().Revision()) })
 	m.Gauge("cairndock_config_age_seconds", func() float64 { return h.config.Age().Seconds() })
-	m.Gauge("cairndock_frozen", func() float64 { return boolGauge(h.Frozen()) })
+	m.Gauge("cairndock_frozen", func() float64 { return boolGauge(h.config.Frozen()) })
 	m.Gauge("cairndock_in_flight", func() float64 { return float64(h.inFlight.Load()) })
 	m.Gauge("cairndock_slots_outstanding", func() float64 { return float64(h.services.Outstanding()) })
 	m.Gauge("cairndock_slots_held", func() float64 {
--- a/internal/selector/entry/tickets/handover.go
+++ b/internal/selector/entry/tickets/handover.go
@@ -46,9 +46,8 @@
 	defer i.mu.Unlock()
 	for _, s := range stores {
 		// A repeated handover must not undo what was dispatched since.
-		if i.adopted[s.Incarnation] == nil {
-			i.adopted[s.Incarnation] = ticket.FromHandover(s)
-			i.adoptedAt[s.Incarnation] = time.Now()
+		if _, known := i.adopted[s.Incarnation]; !known {
+			i.adopted[s.Incarnation] = adoptedStore{ticket.FromHandover(s), time.Now()}
 			i.handovers = append(i.handovers[:len(i.handovers):len(i.handovers)],
 				member.Handover{Incarnation: s.Incarnation, Host: i.Host})
 		}
@@ -68,12 +67,11 @@
 	now := time.Now()
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	for incarnation, at := range i.adoptedAt {
-		if now.Sub(at) < 2*ticket.Lifetime {
+	for incarnation, store := range i.adopted {
+		if now.Sub(store.at) < 2*ticket.Lifetime {
 			continue
 		}
 		delete(i.adopted, incarnation)
-		delete(i.adoptedAt, incarnation)
 		// Heartbeats on their way may still read the old slice.
 		i.handovers = slices.DeleteFunc(slices.Clone(i.handovers), func(o member.Handover) bool { return o.Incarnation == incarnation })
 	}
--- a/internal/selector/entry/tickets/tickets.go
+++ b/internal/selector/entry/tickets/tickets.go
@@ -50,22 +50,26 @@
 
 	mu  sync.Mutex
 	own *ticket.Store
-	// adopted are the stores of stopped hosts, by incarnation, adoptedAt when
-	// each came and handovers what other hosts are to know of them.
-	adopted   map[string]*ticket.Store
-	adoptedAt map[string]time.Time
+	// adopted are the stores of stopped hosts, by incarnation, and handovers
+	// what other hosts are to know of them.
+	adopted   map[string]adoptedStore
 	handovers []member.Handover
 
 	running sync.WaitGroup
 }
 
+// adoptedStore is the store of a stopped host, and when it came here.
+type adoptedStore struct {
+	*ticket.Store
+	at time.Time
+}
+
 // New makes an Issuer that has issued no ticket.
 func New(o Options) *Issuer {
 	return &Issuer{
-		Options:   o,
-		own:       ticket.NewStore(o.Host, o.Zone, o.Incarnation, ticket.NewKey()),
-		adopted:   map[string]*ticket.Store{},
-		adoptedAt: map[string]time.Time{},
+		Options: o,
+		own:     ticket.NewStore(o.Host, o.Zone, o.Incarnation, ticket.NewKey()),
+		adopted: map[string]adoptedStore{},
 	}
 }
 
@@ -133,7 +137,7 @@
 	if t.Host == i.Host && t.Incarnation == i.Incarnation {
 		return i.own
 	}
-	return i.adopted[t.Incarnation]
+	return i.adopted[t.Incarnation].Store
 }
 
 // Serve serves a ticket's request that another host forwarded. It forwards it
