--- a/internal/selector/entry/api.go
+++ b/internal/selector/entry/api.go
@@ -74,7 +74,7 @@
 	case peer.KindPush:
 		serve(payload, func(m configsync.Push) { reply(w, h.config.ServePush(ctx, from.Host, m)) })
 	case peer.KindConfirm:
-		serve(payload, func(rev uint64) { reply(w, h.config.ZoneProgress(rev)) })
+		serve(payload, func(rev uint64) { reply(w, h.config.OwnProgress(rev)) })
 	case peer.KindLend:
 		serve(payload, func(m links.LoanRequest) { reply(w, h.links.Lend(m)) })
 	case peer.KindDrain:
--- a/internal/selector/entry/clustertest/cluster.go
+++ b/internal/selector/entry/clustertest/cluster.go
@@ -39,7 +39,7 @@
 	UpstreamSlots = 2
 	// Latency is how long an upstream takes for a request.
 	Latency = 100 * time.Millisecond
-	// Timeout is how long callers wait.
+	// Timeout is how long clients wait.
 	Timeout = time.Second
 )
 
--- a/internal/selector/entry/clustertest/leaving_test.go
+++ b/internal/selector/entry/clustertest/leaving_test.go
@@ -32,7 +32,7 @@
 	require.NoError(c.T, err)
 }
 
-// TestLeavingUpstreamGetsNoNewWork: from the first sign on, no new request
+// TestLeavingUpstreamGetsNoNewWork: from the first report on, no new request
 // reaches it after 2 s, and no source that lags brings it back.
 func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
 	const name = "up-costa-a-1"
--- a/internal/selector/entry/configsync/configsync.go
+++ b/internal/selector/entry/configsync/configsync.go
@@ -116,11 +116,11 @@
 // MergeFreshness takes in a peer's proof that its revision is the newest. Its
 // age counts from when this host asked, so that a slow response only makes the
 // proof older than it is.
-func (r *Replica) MergeFreshness(b member.Heartbeat, askedAt int64) {
-	if b.FreshAge < 0 || r.View().Revision() < b.Revision {
+func (r *Replica) MergeFreshness(hb member.Heartbeat, askedAt int64) {
+	if hb.FreshAge < 0 || r.View().Revision() < hb.Revision {
 		return
 	}
-	r.confirm(askedAt - b.FreshAge*int64(time.Millisecond))
+	r.confirm(askedAt - hb.FreshAge*int64(time.Millisecond))
 }
 
 // confirm notes that the revision in force was the newest at a time.
--- a/internal/selector/entry/configsync/progress.go
+++ b/internal/selector/entry/configsync/progress.go
@@ -116,7 +116,7 @@
 	a.Zones = make([]ZoneProgress, len(zones))
 	var asked sync.WaitGroup
 	for i, zone := range zones {
-		asked.Go(func() { a.Zones[i] = r.zoneProgress(ctx, zone, rev) })
+		asked.Go(func() { a.Zones[i] = r.askProgress(ctx, zone, rev) })
 	}
 	asked.Wait()
 	for i := range a.Zones {
@@ -129,11 +129,11 @@
 	return a
 }
 
-// zoneProgress asks the first host of a zone that answers. A zone none of whose
+// askProgress asks the first host of a zone that answers. A zone none of whose
 // hosts can be asked has not confirmed the change.
-func (r *Replica) zoneProgress(ctx context.Context, zone string, rev uint64) ZoneProgress {
+func (r *Replica) askProgress(ctx context.Context, zone string, rev uint64) ZoneProgress {
 	if zone == r.Zone {
-		return r.ZoneProgress(rev)
+		return r.OwnProgress(rev)
 	}
 	reply, ok := peers.CallFirst[ZoneProgress](ctx, r.Mesh, r.Peers.Contacts(zone, false), peer.KindConfirm, rev)
 	if !ok {
@@ -142,9 +142,9 @@
 	return reply
 }
 
-// ZoneProgress says whether this host's zone has a revision in force, by what
+// OwnProgress says whether this host's zone has a revision in force, by what
 // its live members reported in heartbeats or in reply to a push.
-func (r *Replica) ZoneProgress(rev uint64) ZoneProgress {
+func (r *Replica) OwnProgress(rev uint64) ZoneProgress {
 	p := ZoneProgress{Zone: r.Zone}
 	if r.View().Revision() < rev {
 		p.Lagging = append(p.Lagging, r.Host)
--- a/internal/selector/entry/configsync/relay.go
+++ b/internal/selector/entry/configsync/relay.go
@@ -55,7 +55,7 @@
 func (r *Replica) relayTargets(rev uint64) []member.Contact {
 	contacts := map[string]member.Contact{}
 	names := []string{r.Host}
-	for _, c := range r.Peers.Up(r.Zone) {
+	for _, c := range r.Peers.UpContacts(r.Zone) {
 		contacts[c.Host] = c
 		names = append(names, c.Host)
 	}
--- a/internal/selector/entry/directory/directory_test.go
+++ b/internal/selector/entry/directory/directory_test.go
@@ -97,7 +97,7 @@
 	require.Equal(t, d.Entries("planning", unplaced), first)
 	require.EqualValues(t, 5000, first.TTLMillis)
 	require.EqualValues(t, 1, first.Revision)
-	d.Peers.Failed("costa-a-2")
+	d.Peers.RecordFailure("costa-a-2")
 	require.Equal(t, first, decode(), "kept")
 	d.Refresh()
 	require.Len(t, decode().Entries, len(first.Entries)-1)
--- a/internal/selector/entry/dispatch/request.go
+++ b/internal/selector/entry/dispatch/request.go
@@ -52,7 +52,7 @@
 		if err == nil {
 			return resp, nil
 		}
-		if !r.failed(ctx, choice, err) {
+		if !r.noteFailure(ctx, choice, err) {
 			return nil, finalVerdict(r.last, r.doubt, r.plan.Capped)
 		}
 	}
@@ -79,7 +79,7 @@
 		}
 		reason := r.note(err).Reason
 		if reason == verdict.Full {
-			r.bounced(choice)
+			r.noteFull(choice)
 		}
 		if !mayQueueElsewhere(reason) {
 			break
@@ -183,12 +183,12 @@
 	return err
 }
 
-// failed notes a failed try and says whether another may follow.
-func (r *request) failed(ctx context.Context, c steer.Choice, err error) bool {
+// noteFailure notes a failed try and says whether another may follow.
+func (r *request) noteFailure(ctx context.Context, c steer.Choice, err error) bool {
 	e := r.note(err)
 	if e.Reason == verdict.Full {
 		r.mayQueueAt(c)
-		r.bounced(c)
+		r.noteFull(c)
 	}
 	if slowsRamp(e.Reason) {
 		r.state.Decide(func(dec *steer.Decider) { dec.Meter().Slow(c.Rule) })
@@ -199,8 +199,8 @@
 	return mayRetry(e.Verdict, r.repeatable(), r.ticketed())
 }
 
-// bounced notes that a zone was full: nothing reached an upstream there.
-func (r *request) bounced(c steer.Choice) {
+// noteFull notes that a zone was full: nothing reached an upstream there.
+func (r *request) noteFull(c steer.Choice) {
 	now := r.Now()
 	r.state.Decide(func(dec *steer.Decider) {
 		dec.Refused(c.Zone, now)
--- a/internal/selector/entry/doc.go
+++ b/internal/selector/entry/doc.go
@@ -5,7 +5,7 @@
 //	services      each service's slots and choice of zones
 //	configsync    the replica of the configuration, and changes to it
 //	rosters       membership in the zone, and the slots that it gives
-//	upstreams     instances of the zone's upstreams, and which are leaving
+//	upstreams     incarnations of the zone's upstreams, and which are leaving
 //	heartbeats    what hosts report to each other
 //	fence         whether the host may still use its slots
 //	platformcalls calls to the platform, within the host's rate
@@ -21,6 +21,23 @@
 // The host itself owns its loop, whether it is ready or leaving, and its
 // status. docs/design has the reasons, one page a duty.
 //
+// # Where a question is decided
+//
+//	why a request was refused      admission.Admitter.Acquire: no slot, a rule's
+//	                               limit, a closed fence; dispatch: the cap of a
+//	                               rule and the retries (commit), and the verdict
+//	                               over all tries (finalVerdict)
+//	why it went to another zone    steer.Decider.Next; within a zone
+//	                               peers.Table.WithMostFree
+//	why it was sent twice          dispatch: mayRetry after a failed try, mayHedge
+//	                               beside a slow one
+//	when a change is in force      here, once configsync.Replica.apply has stored
+//	                               the view; in all zones, by Replica.progress
+//	when the host stops sending    fence.Fence.Tick: after a pause, or when nobody
+//	                               answers; rosters.Membership.Prove ends it
+//	when it loses its slots        rosters.Membership.isGone, on other hosts
+//	how a planned stop goes        Host.Stop
+//
 // # Lock order
 //
 // A lock is held while another is taken in these cases only, in this order:
--- a/internal/selector/entry/explain.go
+++ b/internal/selector/entry/explain.go
@@ -34,7 +34,7 @@
 }
 
 // Explain says how a client's request would be steered.
-func (h *Host) Explain(service string, caller netip.Addr) (Explanation, error) {
+func (h *Host) Explain(service string, client netip.Addr) (Explanation, error) {
 	v := h.View()
 	svc, ok := v.Service(service)
 	if !ok {
@@ -42,8 +42,8 @@
 	}
 	status := h.serviceStatus(service)
 	e := Explanation{
-		Service: service, Caller: caller.String(), CallerZone: v.ClientZone(caller), Revision: v.Revision(),
-		Frozen: h.config.Frozen(), Sites: status.Sites, Entries: h.directory.Entries(service, caller).Entries,
+		Service: service, Caller: client.String(), CallerZone: v.ClientZone(client), Revision: v.Revision(),
+		Frozen: h.config.Frozen(), Sites: status.Sites, Entries: h.directory.Entries(service, client).Entries,
 	}
 	for i, r := range svc.Rules {
 		if i < len(status.Shares) {
--- a/internal/selector/entry/forward/forward.go
+++ b/internal/selector/entry/forward/forward.go
@@ -116,7 +116,7 @@
 // request may always have run before, at its issuer.
 func (f *Forwarder) exchangeError(ctx context.Context, to member.Contact, kind peer.Kind, err error) error {
 	if errors.Is(err, peer.ErrNotSent) {
-		f.Peers.Failed(to.Host)
+		f.Peers.RecordFailure(to.Host)
 	}
 	if errors.Is(err, peer.ErrNotSent) && kind != peer.KindTicket {
 		return verdict.New(verdict.NotRun, verdict.PeerFailed, "%s can't be reached", to.Host)
--- a/internal/selector/entry/heartbeats/heartbeats.go
+++ b/internal/selector/entry/heartbeats/heartbeats.go
@@ -24,7 +24,7 @@
 	// FreshAge is the age of the proof that the revision is the newest.
 	FreshAge() int64
 	// MergeFreshness takes in a peer's proof, asked for at a time.
-	MergeFreshness(b member.Heartbeat, askedAt int64)
+	MergeFreshness(hb member.Heartbeat, askedAt int64)
 	// Fetch takes newer changes from a peer.
 	Fetch(ctx context.Context, from member.Contact)
 }
@@ -32,10 +32,10 @@
 // Rosters is the membership in the zone's roster.
 type Rosters interface {
 	// Describe adds how far this host follows the roster.
-	Describe(b *member.Heartbeat)
-	// Acknowledged takes in how far a peer follows it, and reports whether
+	Describe(hb *member.Heartbeat)
+	// MergeAck takes in how far a peer follows it, and reports whether
 	// that peer has a newer one.
-	Acknowledged(b member.Heartbeat) (newer bool)
+	MergeAck(hb member.Heartbeat) (newer bool)
 	// Fetch takes the newest roster from a peer.
 	Fetch(ctx context.Context, from member.Contact)
 	// Reconfigure works out anew what this host may use.
@@ -44,10 +44,10 @@
 
 // Upstreams are the states of the zone's upstreams.
 type Upstreams interface {
-	// Signs gives what this host reports of them.
-	Signs() []member.UpstreamStatus
+	// Statuses gives what this host reports of them.
+	Statuses() []member.UpstreamStatus
 	// Merge takes in a peer's reports and says whether any changed a state.
-	Merge(signs []member.UpstreamStatus) bool
+	Merge(statuses []member.UpstreamStatus) bool
 }
 
 // Options are what an Exchanger is made of.
@@ -105,8 +105,8 @@
 	}
 }
 
-// NotifyZone sends a heartbeat to every known host of the zone at once, with
-// news that all of them wait for: an acknowledgement, a new epoch, an
+// NotifyZone sends a heartbeat to every known host of the zone at once, when
+// all of them wait for it: an acknowledgement, a new epoch, an
 // upstream's state.
 func (e *Exchanger) NotifyZone() {
 	for _, p := range e.Peers.Zone(e.Zone) {
@@ -116,7 +116,7 @@
 
 // NotifyAll sends a heartbeat to every known host at once.
 func (e *Exchanger) NotifyAll() {
-	for _, c := range e.Peers.All() {
+	for _, c := range e.Peers.AllContacts() {
 		go e.Send(context.Background(), c)
 	}
 }
@@ -129,9 +129,9 @@
 	resp, size, err := peer.CallSized[member.Heartbeat](ctx, e.Mesh, to.PeerAddr, peer.KindHeartbeat, e.request(to))
 	if err != nil {
 		// The status shows hosts that do not answer.
-		e.Peers.Failed(to.Host)
+		e.Peers.RecordFailure(to.Host)
 		if ctx.Err() != nil {
-			// The connection may be cut without a sign; make a new one.
+			// The connection may be cut without an error; make a new one.
 			e.Mesh.Drop(to.PeerAddr)
 		}
 		return
@@ -146,73 +146,73 @@
 
 // Serve records a peer's heartbeat, responds with this host's own and merges
 // what the peer reports.
-func (e *Exchanger) Serve(ctx context.Context, b member.Heartbeat, w *peer.Responder) {
+func (e *Exchanger) Serve(ctx context.Context, hb member.Heartbeat, w *peer.Responder) {
 	// The time it took to come is not known, so that it proves that the
 	// peer lives and no more.
-	e.record(b, time.Now(), 0)
-	_ = w.Send(e.response(b)) // the peer sees the connection's loss itself
-	e.merge(ctx, b)
+	e.record(hb, time.Now(), 0)
+	_ = w.Send(e.response(hb)) // the peer sees the connection's loss itself
+	e.merge(ctx, hb)
 }
 
 // request makes the heartbeat that asks a host: who this host is and how far.
 func (e *Exchanger) request(to member.Contact) member.Heartbeat {
-	b := e.describe(to.Zone)
+	hb := e.describe(to.Zone)
 	p, _ := e.Peers.Get(to.Host)
-	b.ContactsHash = p.ContactsHash
-	return b
+	hb.ContactsHash = p.ContactsHash
+	return hb
 }
 
 // response makes the heartbeat that responds to one: the slots as well, and
-// the zone's hosts when the asker knows others.
+// the zone's hosts when the other host knows others.
 func (e *Exchanger) response(asked member.Heartbeat) member.Heartbeat {
-	b := e.describe(asked.Contact.Zone)
+	hb := e.describe(asked.Contact.Zone)
 	free := e.Services.Free()
-	b.Slots = member.Pack(free)
+	hb.Slots = member.Pack(free)
 	if asked.Contact.Zone != e.Zone {
-		b.ZoneSlots = member.Pack(e.Peers.ZoneFree(free))
+		hb.ZoneSlots = member.Pack(e.Peers.ZoneFree(free))
 	}
 	contacts := e.Peers.Contacts(e.Zone, e.Leaving())
-	b.ContactsHash = member.HashContacts(contacts)
-	if b.ContactsHash != asked.ContactsHash {
-		b.Contacts = contacts
+	hb.ContactsHash = member.HashContacts(contacts)
+	if hb.ContactsHash != asked.ContactsHash {
+		hb.Contacts = contacts
 	}
-	return b
+	return hb
 }
 
 // describe makes what every heartbeat to a host of a zone says.
 func (e *Exchanger) describe(zone string) member.Heartbeat {
 	v := e.Config.View()
-	b := member.Heartbeat{
+	hb := member.Heartbeat{
 		Contact:  e.Peers.Self(),
 		Revision: v.Revision(), Digest: v.State().Digest(), FreshAge: e.Config.FreshAge(),
 		Leaving: e.Leaving(), Handovers: e.Handovers(),
 	}
-	e.Rosters.Describe(&b)
+	e.Rosters.Describe(&hb)
 	if zone == e.Zone {
-		b.UpstreamStatuses = e.Upstreams.Signs()
+		hb.UpstreamStatuses = e.Upstreams.Statuses()
 	}
-	return b
+	return hb
 }
 
 // unpack names the services of a response's slots. At another revision they
-// can't be told apart, and the next response will do.
-func (e *Exchanger) unpack(b *member.Heartbeat) {
+// don't match, and the next response will do.
+func (e *Exchanger) unpack(hb *member.Heartbeat) {
 	v := e.Config.View()
-	if b.Revision != v.Revision() {
+	if hb.Revision != v.Revision() {
 		return
 	}
 	names := v.ServiceNames()
-	b.Free = member.Unpack(b.Slots, names)
-	b.ZoneFree = member.Unpack(b.ZoneSlots, names)
+	hb.Free = member.Unpack(hb.Slots, names)
+	hb.ZoneFree = member.Unpack(hb.ZoneSlots, names)
 }
 
 // record notes a heartbeat. A host that did not answer before may bring a zone
 // within reach, which decisions must know at once.
-func (e *Exchanger) record(b member.Heartbeat, asked time.Time, rtt time.Duration) {
+func (e *Exchanger) record(hb member.Heartbeat, asked time.Time, rtt time.Duration) {
 	var before member.Peer
 	e.Peers.Update(func(p *member.Peers) {
-		before, _ = p.Get(b.Contact.Host)
-		p.RecordHeartbeat(b, asked, rtt)
+		before, _ = p.Get(hb.Contact.Host)
+		p.RecordHeartbeat(hb, asked, rtt)
 	})
 	if !before.Up(time.Now()) {
 		e.PeerUp()
@@ -221,17 +221,17 @@
 
 // merge takes in what any heartbeat reports, and fetches what is newer at the
 // peer.
-func (e *Exchanger) merge(ctx context.Context, b member.Heartbeat) {
-	e.Peers.Learn(b.Contacts)
-	e.Peers.Update(func(p *member.Peers) { p.RecordSuccessors(b.Handovers, time.Now()) })
-	newer := e.Rosters.Acknowledged(b)
-	if e.Upstreams.Merge(b.UpstreamStatuses) {
+func (e *Exchanger) merge(ctx context.Context, hb member.Heartbeat) {
+	e.Peers.Learn(hb.Contacts)
+	e.Peers.Update(func(p *member.Peers) { p.RecordSuccessors(hb.Handovers, time.Now()) })
+	newer := e.Rosters.MergeAck(hb)
+	if e.Upstreams.Merge(hb.UpstreamStatuses) {
 		e.Rosters.Reconfigure()
 	}
 	if newer {
-		e.Rosters.Fetch(ctx, b.Contact)
+		e.Rosters.Fetch(ctx, hb.Contact)
 	}
-	if b.Revision > e.Config.View().Revision() {
-		e.Config.Fetch(ctx, b.Contact)
+	if hb.Revision > e.Config.View().Revision() {
+		e.Config.Fetch(ctx, hb.Contact)
 	}
 }
--- a/internal/selector/entry/heartbeats/heartbeats_test.go
+++ b/internal/selector/entry/heartbeats/heartbeats_test.go
@@ -38,10 +38,10 @@
 func (*membership) Describe(b *member.Heartbeat) {
 	b.Incarnation, b.Epoch = "00VHNCZB00REXF12R7MW9Z7CEE", 1
 }
-func (m *membership) Acknowledged(member.Heartbeat) bool    { return m.newer }
+func (m *membership) MergeAck(member.Heartbeat) bool        { return m.newer }
 func (m *membership) Fetch(context.Context, member.Contact) { *m.calls = append(*m.calls, "roster") }
 func (m *membership) Reconfigure()                          { *m.calls = append(*m.calls, "reconfigure") }
-func (*states) Signs() []member.UpstreamStatus {
+func (*states) Statuses() []member.UpstreamStatus {
 	return []member.UpstreamStatus{{Upstream: "up-1", Leaving: true}}
 }
 func (s *states) Merge([]member.UpstreamStatus) bool { return s.changes }
@@ -118,7 +118,7 @@
 	}
 }
 
-// TestPeerUp: the services are told at once when a peer answers that did not.
+// TestPeerUp: the services get the reports at once when a peer answers that did not.
 func TestPeerUp(t *testing.T) {
 	e, _, up := newExchanger(t, &membership{}, &states{})
 	b := heartbeat("costa-b-1", "costa-b")
@@ -126,7 +126,7 @@
 	require.Equal(t, 1, *up)
 	e.record(b, time.Now(), time.Millisecond)
 	require.Equal(t, 1, *up)
-	e.Peers.Failed("costa-b-1")
+	e.Peers.RecordFailure("costa-b-1")
 	e.record(b, time.Now(), time.Millisecond)
 	require.Equal(t, 2, *up)
 }
--- a/internal/selector/entry/host.go
+++ b/internal/selector/entry/host.go
@@ -204,15 +204,15 @@
 }
 
 // Start begins the host's duties. Clients must be able to reach the host by
-// then: callerAddr is the address of the listener opened for them.
-func (h *Host) Start(ctx context.Context, callerAddr string) error {
+// then: clientAddr is the address of the listener opened for them.
+func (h *Host) Start(ctx context.Context, clientAddr string) error {
 	addr, err := h.mesh.Listen(h.opts.Settings.Peers.Listen)
 	if err != nil {
 		return err
 	}
 	self := h.Self()
 	self.PeerAddr = settings.Default(self.PeerAddr, addr)
-	self.ClientAddr = settings.Default(self.ClientAddr, callerAddr)
+	self.ClientAddr = settings.Default(self.ClientAddr, clientAddr)
 	h.peers.SetSelf(self)
 	h.fence.Start()
 	ctx, h.stop = context.WithCancel(ctx)
--- a/internal/selector/entry/links/links.go
+++ b/internal/selector/entry/links/links.go
@@ -134,7 +134,7 @@
 	var out []member.Contact
 	for _, zone := range l.Peers.Zones() {
 		if v.Region(zone) == l.Region {
-			out = append(out, l.Peers.Up(zone)...)
+			out = append(out, l.Peers.UpContacts(zone)...)
 		}
 	}
 	return out[:min(maxLenders, len(out))]
--- a/internal/selector/entry/loop.go
+++ b/internal/selector/entry/loop.go
@@ -36,7 +36,7 @@
 	h.links.Retune(ctx)
 }
 
-// tickNow makes the loop tick early, to send news to other hosts at once.
+// tickNow makes the loop tick early, to send what changed to other hosts at once.
 func (h *Host) tickNow() {
 	select {
 	case h.wake <- struct{}{}:
@@ -50,7 +50,7 @@
 	h.services.Refresh(h.peers.ZoneReports(now), h.config.Frozen(), now, h.now())
 }
 
-// becomeReady opens a starting host to callers once its configuration is
+// becomeReady opens a starting host to clients once its configuration is
 // known to be the newest and there is somewhere to send requests to.
 func (h *Host) becomeReady() {
 	if h.ready.Load() || h.config.Frozen() || !h.canSend() {
--- a/internal/selector/entry/peers/peers.go
+++ b/internal/selector/entry/peers/peers.go
@@ -148,8 +148,8 @@
 	return out
 }
 
-// All gives how to reach every known host, answering or not.
-func (t *Table) All() []member.Contact {
+// AllContacts gives how to reach every known host, answering or not.
+func (t *Table) AllContacts() []member.Contact {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []member.Contact
@@ -161,8 +161,8 @@
 	return out
 }
 
-// Up gives the hosts of a zone that answer, by name.
-func (t *Table) Up(zone string) []member.Contact {
+// UpContacts gives the hosts of a zone that answer, by name.
+func (t *Table) UpContacts(zone string) []member.Contact {
 	now := time.Now()
 	var out []member.Contact
 	for _, p := range t.Zone(zone) {
@@ -177,7 +177,7 @@
 // that answer.
 func (t *Table) UpNames() []string {
 	hosts := []string{t.host}
-	for _, c := range t.Up(t.zone) {
+	for _, c := range t.UpContacts(t.zone) {
 		hosts = append(hosts, c.Host)
 	}
 	return hosts
@@ -196,10 +196,10 @@
 	return false
 }
 
-// Issuer finds the host that a ticket's request goes to: the one that the
+// ForTicket finds the host that a ticket's request goes to: the one that the
 // stopped issuer handed its tickets to, else the issuer, else, with anyOfZone,
 // a host of the issuer's zone, which may know.
-func (t *Table) Issuer(host, incarnation, zone string, anyOfZone bool) (member.Contact, bool) {
+func (t *Table) ForTicket(host, incarnation, zone string, anyOfZone bool) (member.Contact, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if successor, ok := t.peers.Successor(incarnation); ok {
@@ -214,8 +214,8 @@
 	return member.Contact{}, false
 }
 
-// Failed notes that a host did not answer.
-func (t *Table) Failed(host string) {
+// RecordFailure notes that a host did not answer.
+func (t *Table) RecordFailure(host string) {
 	t.Update(func(p *member.Peers) { p.RecordFailure(host, time.Now()) })
 }
 
--- a/internal/selector/entry/peers/peers_test.go
+++ b/internal/selector/entry/peers/peers_test.go
@@ -64,7 +64,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			c, ok := table.Issuer(tc.host, tc.incarnation, "costa-b", tc.anyOfZone)
+			c, ok := table.ForTicket(tc.host, tc.incarnation, "costa-b", tc.anyOfZone)
 			require.Equal(t, tc.want != "", ok)
 			require.Equal(t, tc.want, c.Host)
 		})
@@ -75,7 +75,7 @@
 // not answer, are not counted.
 func TestZoneFreeSumsTheOwnZone(t *testing.T) {
 	table := newTable(report("costa-a-2", "costa-a", 1), report("costa-a-3", "costa-a", 1), report("costa-b-1", "costa-b", 1))
-	table.Failed("costa-a-3")
+	table.RecordFailure("costa-a-3")
 	own := []member.ServiceSlots{{Service: "planning", Free: 2, Held: 4, Warm: 3}}
 	require.Equal(t, []member.ServiceSlots{{Service: "planning", Free: 3, Held: 8, Warm: 5}}, table.ZoneFree(own))
 	require.Equal(t, 2, own[0].Free, "the argument is not changed")
@@ -85,7 +85,7 @@
 // is not reported.
 func TestZoneReports(t *testing.T) {
 	table := newTable(report("costa-a-2", "costa-a", 1), report("costa-b-1", "costa-b", 1), report("sierra-a-1", "sierra-a", 1))
-	table.Failed("sierra-a-1")
+	table.RecordFailure("sierra-a-1")
 	up := map[string]bool{}
 	for _, z := range table.ZoneReports(time.Now()) {
 		up[z.Zone] = z.Up
@@ -99,7 +99,7 @@
 func TestSetSelfStartsOver(t *testing.T) {
 	table := newTable(report("costa-a-2", "costa-a", 1))
 	table.SetSelf(member.Contact{Host: "costa-a-1", Zone: "costa-a", PeerAddr: "late:2"})
-	require.Empty(t, table.All())
+	require.Empty(t, table.AllContacts())
 	require.Equal(t, "late:2", table.Contacts("costa-a", false)[0].PeerAddr)
 	require.Empty(t, table.Contacts("costa-a", true), "a leaving host is not named")
 }
--- a/internal/selector/entry/rosters/changes.go
+++ b/internal/selector/entry/rosters/changes.go
@@ -108,7 +108,7 @@
 	for range leaveTries {
 		r, version, err := m.readRoster(ctx)
 		if err == nil {
-			if !m.in(r) {
+			if !m.isMember(r) {
 				return
 			}
 			err = m.writeRoster(ctx, next(r), version)
@@ -123,8 +123,8 @@
 	}
 }
 
-// in reports whether this life of the host is in a roster.
-func (m *Membership) in(r roster.Roster) bool {
+// isMember reports whether this incarnation of the host is in a roster.
+func (m *Membership) isMember(r roster.Roster) bool {
 	own, ok := r.Member(m.Host)
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/selector/entry/rosters/loop.go
+++ b/internal/selector/entry/rosters/loop.go
@@ -178,14 +178,14 @@
 
 // Fetch takes the zone's roster from a host that has a newer one.
 func (m *Membership) Fetch(ctx context.Context, from member.Contact) {
-	if err := m.fetch(ctx, from); err != nil {
+	if err := m.tryFetch(ctx, from); err != nil {
 		// Its next heartbeat shows the newer epoch again.
 		m.Log.Debug().Str("peer", from.Host).Err(err).Msg("roster: fetch failed")
 	}
 }
 
-// fetch merges a peer's roster of this host's zone.
-func (m *Membership) fetch(ctx context.Context, from member.Contact) error {
+// tryFetch merges a peer's roster of this host's zone.
+func (m *Membership) tryFetch(ctx context.Context, from member.Contact) error {
 	r, err := peers.Call[roster.Roster](ctx, m.Mesh, from, peer.KindRoster, m.Zone)
 	if err != nil {
 		return err
@@ -209,7 +209,7 @@
 	}
 	m.Log.Debug().Err(err).Msg("roster: the platform can't be asked, asking the zone")
 	for _, p := range m.Peers.Zone(m.Zone) {
-		if m.fetch(ctx, p.Contact) == nil {
+		if m.tryFetch(ctx, p.Contact) == nil {
 			return true
 		}
 	}
--- a/internal/selector/entry/rosters/membership.go
+++ b/internal/selector/entry/rosters/membership.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// NewIncarnation draws the name of one life of a host.
+// NewIncarnation draws the name of one incarnation of a host.
 func NewIncarnation() string { return ulid.Make().String() }
 
 // Current is the newest roster of the zone.
@@ -104,30 +104,30 @@
 }
 
 // Describe adds to a heartbeat how far this host follows the roster.
-func (m *Membership) Describe(b *member.Heartbeat) {
+func (m *Membership) Describe(hb *member.Heartbeat) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	cur := m.holder.Current()
-	b.Incarnation, b.Epoch, b.Acked, b.ZoneHosts = m.holder.Incarnation(), cur.Epoch, m.acked, len(cur.Active())
+	hb.Incarnation, hb.Epoch, hb.Acked, hb.ZoneHosts = m.holder.Incarnation(), cur.Epoch, m.acked, len(cur.Active())
 }
 
-// Acknowledged takes in how far a host follows the roster, and reports whether
+// MergeAck takes in how far a host follows the roster, and reports whether
 // it has a newer one.
-func (m *Membership) Acknowledged(b member.Heartbeat) (newer bool) {
-	if b.Contact.Zone != m.Zone {
+func (m *Membership) MergeAck(hb member.Heartbeat) (newer bool) {
+	if hb.Contact.Zone != m.Zone {
 		return false
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.holder.Ack(b.Contact.Host, b.Incarnation, b.Acked)
-	return b.Epoch > m.holder.Current().Epoch
+	m.holder.Ack(hb.Contact.Host, hb.Incarnation, hb.Acked)
+	return hb.Epoch > m.holder.Current().Epoch
 }
 
 // Settle acknowledges the newest roster once nothing is outstanding beyond
 // what it gives this host, and takes the slots that it adds once all others
 // have acknowledged it.
 func (m *Membership) Settle() {
-	acked, changed := m.settle()
+	acked, changed := m.advance()
 	if changed {
 		m.Reconfigure()
 	}
@@ -136,9 +136,9 @@
 	}
 }
 
-// settle reports whether this host has acknowledged the newest roster now, and
+// advance reports whether this host has acknowledged the newest roster now, and
 // whether the slots that it may use have changed.
-func (m *Membership) settle() (acked, changed bool) {
+func (m *Membership) advance() (acked, changed bool) {
 	now := time.Now()
 	longest := m.Services.MaxTimeout()
 	m.mu.Lock()
@@ -159,7 +159,7 @@
 // Merge takes in a roster and applies what it changes.
 func (m *Membership) Merge(r roster.Roster) {
 	m.Peers.Learn(contacts(r))
-	isNew, lost := m.see(r)
+	isNew, lost := m.observe(r)
 	if !isNew {
 		return
 	}
@@ -171,9 +171,9 @@
 	m.NewEpoch()
 }
 
-// see reports whether a roster is new, and whether this host is no longer an
+// observe reports whether a roster is new, and whether this host is no longer an
 // active member by it.
-func (m *Membership) see(r roster.Roster) (isNew, lost bool) {
+func (m *Membership) observe(r roster.Roster) (isNew, lost bool) {
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/selector/entry/rosters/rosters_test.go
+++ b/internal/selector/entry/rosters/rosters_test.go
@@ -41,8 +41,8 @@
 	contact member.Contact
 	memory  *store.Memory
 	leaving bool
-	// told counts what the zone was told.
-	told int
+	// notified counts the heartbeats to the whole zone.
+	notified int
 }
 
 func newHost(t *testing.T, memory *store.Memory, name string) *host {
@@ -53,7 +53,7 @@
 	h.Membership = New(Options{
 		Host: name, Zone: "costa-a", Region: "costa", Incarnation: NewIncarnation(), View: view,
 		KnownZones: func() []string { return []string{"costa-a"} },
-		Leaving:    func() bool { return h.leaving }, NewEpoch: func() {}, NotifyZone: func() { h.told++ },
+		Leaving:    func() bool { return h.leaving }, NewEpoch: func() {}, NotifyZone: func() { h.notified++ },
 		Table: memory, HostList: memory,
 		Platform: platformcalls.New(1000, telemetry.NewMetrics(), func() {}),
 		Peers:    table, Services: set,
@@ -76,7 +76,7 @@
 		b := member.Heartbeat{Contact: h.contact}
 		h.Describe(&b)
 		for _, other := range hosts {
-			require.False(t, other.Acknowledged(b), "all have the newest epoch")
+			require.False(t, other.MergeAck(b), "all have the newest epoch")
 		}
 	}
 	for _, h := range hosts {
--- a/internal/selector/entry/tickets/tickets.go
+++ b/internal/selector/entry/tickets/tickets.go
@@ -121,7 +121,7 @@
 // askIssuer forwards a ticket's request to its issuer, or to a host of the
 // issuer's zone, which knows the issuer and forwards it once more.
 func (i *Issuer) askIssuer(ctx context.Context, t ticket.Ticket, req *call.Request, passed bool) (*call.Response, error) {
-	to, ok := i.Peers.Issuer(t.Host, t.Incarnation, t.Zone, !passed)
+	to, ok := i.Peers.ForTicket(t.Host, t.Incarnation, t.Zone, !passed)
 	if !ok {
 		return nil, verdict.New(verdict.MayHaveRun, verdict.TicketUnknown, "the ticket's host %s can't be reached", t.Host)
 	}
--- a/internal/selector/entry/upstreams/tracker_test.go
+++ b/internal/selector/entry/upstreams/upstreams_test.go
@@ -95,11 +95,11 @@
 // reports their instances.
 func TestProbesAreSharedOut(t *testing.T) {
 	tr, _ := newTracker(t)
-	require.Empty(t, tr.Signs())
+	require.Empty(t, tr.Statuses())
 	all := tr.probed()
 	require.Len(t, all, 1, "the only host of its zone probes all")
 	p := make(prober, 1)
 	tr.probe(context.Background(), p.Probe, all[0])
 	require.Equal(t, "up-1:1", <-p)
-	require.Equal(t, []member.UpstreamStatus{{Upstream: "up-1", Instance: "1", Seen: true}}, tr.Signs())
+	require.Equal(t, []member.UpstreamStatus{{Upstream: "up-1", Instance: "1", Seen: true}}, tr.Statuses())
 }
