--- a/internal/selector/entry/configsync/configsync.go
+++ b/internal/selector/entry/configsync/configsync.go
@@ -46,20 +46,20 @@
 	IsPoller func() bool
 	// Roster gives the newest roster of this host's zone.
 	Roster func() roster.Roster
-	// Changed applies the view that is in force now.
-	Changed func()
+	// Reconfigure applies the view that is in force now.
+	Reconfigure func()
 	// Confirmed is called when the revision in force is proved anew to be the
 	// newest.
 	Confirmed func()
 	// SendHeartbeat sends a heartbeat to a host and merges the response.
 	SendHeartbeat func(ctx context.Context, to member.Contact)
-	Log           *config.Log
+	ChangeLog     *config.Log
 	Platform      *platformcalls.Caller
 	Peers         *peers.Table
 	Services      *services.Set
 	Mesh          *peer.Mesh
 	Metrics       *telemetry.Metrics
-	Logger        zerolog.Logger
+	Log           zerolog.Logger
 }
 
 // Replica is this host's replica of the configuration.
@@ -145,7 +145,7 @@
 		r.recent = nil
 	}
 	r.mu.Unlock()
-	r.Changed()
+	r.Reconfigure()
 }
 
 // putInForce applies changes in order and passes them on. Those at or below
@@ -155,7 +155,7 @@
 	if err != nil || len(applied) == 0 {
 		return err
 	}
-	r.Changed()
+	r.Reconfigure()
 	r.Metrics.Add("cairndock_config_changes_total", len(applied))
 	r.relay(ctx, applied)
 	return nil
--- a/internal/selector/entry/configsync/configsync_test.go
+++ b/internal/selector/entry/configsync/configsync_test.go
@@ -36,17 +36,17 @@
 	random := func() float64 { return 0.5 }
 	r.Replica = New(Options{
 		Host: "costa-a-1", Zone: "costa-a", Random: random,
-		Now:       func() int64 { return int64(time.Hour) + int64(time.Since(made)) },
-		IsPoller:  func() bool { return true },
-		Roster:    func() roster.Roster { return roster.Roster{Zone: "costa-a"} },
-		Changed:   func() { r.changed++ },
-		Confirmed: func() {},
-		Log:       config.NewLog(r.memory, r.memory),
-		Platform:  platformcalls.New(1000, telemetry.NewMetrics(), func() {}),
-		Peers:     peers.New(member.Contact{Host: "costa-a-1", Zone: "costa-a"}),
-		Services:  services.NewSet(view, random),
-		Mesh:      peer.NewMesh(peer.Hello{Host: "costa-a-1"}, nil, nil),
-		Metrics:   telemetry.NewMetrics(), Logger: zerolog.Nop(),
+		Now:         func() int64 { return int64(time.Hour) + int64(time.Since(made)) },
+		IsPoller:    func() bool { return true },
+		Roster:      func() roster.Roster { return roster.Roster{Zone: "costa-a"} },
+		Reconfigure: func() { r.changed++ },
+		Confirmed:   func() {},
+		ChangeLog:   config.NewLog(r.memory, r.memory),
+		Platform:    platformcalls.New(1000, telemetry.NewMetrics(), func() {}),
+		Peers:       peers.New(member.Contact{Host: "costa-a-1", Zone: "costa-a"}),
+		Services:    services.NewSet(view, random),
+		Mesh:        peer.NewMesh(peer.Hello{Host: "costa-a-1"}, nil, nil),
+		Metrics:     telemetry.NewMetrics(), Log: zerolog.Nop(),
 	})
 	return r
 }
@@ -87,7 +87,7 @@
 		r := newReplica()
 		require.True(t, r.Frozen(), "never confirmed")
 		require.EqualValues(t, -1, r.FreshAge())
-		_, _, err := r.Log.Append(context.Background(), config.NewState(), zoneChange(t, 1))
+		_, _, err := r.ChangeLog.Append(context.Background(), config.NewState(), zoneChange(t, 1))
 		require.NoError(t, err)
 		require.NoError(t, r.poll(context.Background()))
 		require.False(t, r.Frozen())
--- a/internal/selector/entry/configsync/poll.go
+++ b/internal/selector/entry/configsync/poll.go
@@ -39,7 +39,7 @@
 		err := r.pollIfDue(ctx)
 		if (err != nil) != failing && ctx.Err() == nil {
 			failing = err != nil
-			r.Logger.Warn().Err(err).Bool("failing", failing).Msg("config: asking the platform")
+			r.Log.Warn().Err(err).Bool("failing", failing).Msg("config: asking the platform")
 		}
 		if err != nil {
 			wait = retry.NextBackOff()
@@ -72,7 +72,7 @@
 	if r.View().Revision() == 0 {
 		return r.loadAll(ctx, began)
 	}
-	headRev, err := platformcalls.Get(ctx, r.Platform, r.Log.Head)
+	headRev, err := platformcalls.Get(ctx, r.Platform, r.ChangeLog.Head)
 	if err != nil {
 		return err
 	}
@@ -88,7 +88,7 @@
 // readLog puts the next changes of the log in force.
 func (r *Replica) readLog(ctx context.Context) error {
 	changes, err := platformcalls.Get(ctx, r.Platform, func(ctx context.Context) ([]config.Change, error) {
-		return r.Log.Since(ctx, r.View().Revision())
+		return r.ChangeLog.Since(ctx, r.View().Revision())
 	})
 	if err != nil {
 		return err
@@ -104,7 +104,7 @@
 	if err := r.Platform.Wait(ctx); err != nil {
 		return err
 	}
-	s, err := r.Log.Load(ctx)
+	s, err := r.ChangeLog.Load(ctx)
 	if err != nil {
 		return err
 	}
@@ -120,6 +120,6 @@
 		return nil
 	}
 	return r.Platform.Do(ctx, func(ctx context.Context) error {
-		return r.Log.SaveSnapshot(ctx, r.View().State())
+		return r.ChangeLog.SaveSnapshot(ctx, r.View().State())
 	})
 }
--- a/internal/selector/entry/configsync/progress.go
+++ b/internal/selector/entry/configsync/progress.go
@@ -64,7 +64,7 @@
 	if err := r.Platform.Wait(appendCtx); err != nil {
 		return Applied{}, err
 	}
-	state, rev, err := r.Log.Append(appendCtx, r.View().State(), c)
+	state, rev, err := r.ChangeLog.Append(appendCtx, r.View().State(), c)
 	if err != nil {
 		return Applied{}, err
 	}
@@ -86,7 +86,7 @@
 	if before+1 == c.Revision {
 		if err := r.putInForce(ctx, []config.Change{c}); err != nil {
 			// The log has it; the next poll reads it from there.
-			r.Logger.Debug().Err(err).Uint64("revision", c.Revision).Msg("config: accepted change not put in force yet")
+			r.Log.Debug().Err(err).Uint64("revision", c.Revision).Msg("config: accepted change not put in force yet")
 		}
 	} else {
 		r.Adopt(state)
@@ -186,7 +186,7 @@
 	var rev uint64
 	var found bool
 	err := r.Platform.Do(ctx, func(ctx context.Context) (err error) {
-		rev, found, err = r.Log.ByID(ctx, id)
+		rev, found, err = r.ChangeLog.ByID(ctx, id)
 		return err
 	})
 	if err != nil || !found {
--- a/internal/selector/entry/configsync/relay.go
+++ b/internal/selector/entry/configsync/relay.go
@@ -78,7 +78,7 @@
 	// A host that misses the push sees the revision in the next heartbeat.
 	reply, err := peers.Call[PushReply](ctx, r.Mesh, to, peer.KindPush, Push{changes})
 	if err != nil {
-		r.Logger.Debug().Str("peer", to.Host).Err(err).Msg("config: push failed")
+		r.Log.Debug().Str("peer", to.Host).Err(err).Msg("config: push failed")
 		return
 	}
 	r.Peers.Update(func(p *member.Peers) { p.RecordRevision(to.Host, reply.Revision) })
@@ -88,7 +88,7 @@
 // fetches them from the sender.
 func (r *Replica) ServePush(ctx context.Context, from string, msg Push) PushReply {
 	if err := r.putInForce(ctx, msg.Changes); err != nil {
-		r.Logger.Debug().Str("peer", from).Err(err).Msg("config: pushed changes do not follow, fetching")
+		r.Log.Debug().Str("peer", from).Err(err).Msg("config: pushed changes do not follow, fetching")
 		if p, ok := r.Peers.Get(from); ok {
 			r.Fetch(ctx, p.Contact)
 		}
@@ -109,7 +109,7 @@
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	if err := r.tryFetch(ctx, from); err != nil {
-		r.Logger.Debug().Str("peer", from.Host).Err(err).Msg("config: fetch failed")
+		r.Log.Debug().Str("peer", from.Host).Err(err).Msg("config: fetch failed")
 	}
 }
 
@@ -160,7 +160,7 @@
 	}
 	head, err := peer.Encode(reply)
 	if err != nil {
-		r.Logger.Error().Err(err).Msg("config: changes can't be encoded")
+		r.Log.Error().Err(err).Msg("config: changes can't be encoded")
 		return
 	}
 	if w.Reply(head) != nil {
--- a/internal/selector/entry/dispatch/request.go
+++ b/internal/selector/entry/dispatch/request.go
@@ -39,7 +39,7 @@
 // run offers the request to one zone after another, and at last waits at one
 // that was full.
 func (r *request) run(ctx context.Context) (*call.Response, error) {
-	for r.mayTry() {
+	for r.triesLeft() {
 		choice, ok := r.next()
 		if !ok {
 			break
@@ -59,8 +59,8 @@
 	return r.queue(ctx)
 }
 
-// mayTry reports whether the request may be sent once more.
-func (r *request) mayTry() bool {
+// triesLeft reports whether the request may be sent once more.
+func (r *request) triesLeft() bool {
 	may := false
 	r.state.Decide(func(*steer.Decider) { may = mayTry(r.sends, r.offers, r.spent) })
 	return may
@@ -70,7 +70,7 @@
 func (r *request) queue(ctx context.Context) (*call.Response, error) {
 	until := queueUntil(time.Now(), r.req.Deadline)
 	for _, choice := range r.queueAt {
-		if ctx.Err() != nil || !r.mayTry() || time.Now().After(until) {
+		if ctx.Err() != nil || !r.triesLeft() || time.Now().After(until) {
 			break
 		}
 		resp, err := bufferPrefix(r.offer(ctx, choice, until))
--- a/internal/selector/entry/dispatch/try.go
+++ b/internal/selector/entry/dispatch/try.go
@@ -22,7 +22,7 @@
 // usual is also offered to the next choice, within the budget of retries;
 // the first response wins and the other try is cancelled.
 func (r *request) try(ctx context.Context, c steer.Choice) (*call.Response, error) {
-	delay, ok := r.hedgeDelay()
+	delay, ok := r.whenToHedge()
 	if !ok {
 		return bufferPrefix(r.offer(ctx, c, time.Time{}))
 	}
@@ -53,9 +53,9 @@
 	return cancel
 }
 
-// hedgeDelay gives when to hedge the first try, and whether to hedge at all:
+// whenToHedge gives when to hedge the first try, and whether to hedge at all:
 // not before the upstreams' usual latency is known.
-func (r *request) hedgeDelay() (time.Duration, bool) {
+func (r *request) whenToHedge() (time.Duration, bool) {
 	if !mayHedge(r.svc.Class, r.repeatable(), r.ticketed()) {
 		return 0, false
 	}
--- a/internal/selector/entry/host.go
+++ b/internal/selector/entry/host.go
@@ -85,7 +85,7 @@
 	directory *directory.Directory
 	drain     *drain.Counter
 
-	ready    atomic.Bool
+	serving  atomic.Bool
 	leaving  atomic.Bool
 	inFlight atomic.Int64
 	wake     chan struct{}
@@ -123,16 +123,17 @@
 	return h
 }
 
-// makeReplicas makes what follows the platform and the upstreams.
+// makeReplicas makes what follows the platform and the upstreams. The parts use
+// each other: what is made later is reached through a function.
 func (h *Host) makeReplicas() {
 	o, id := h.opts, h.opts.Settings.Host
 	h.config = configsync.New(configsync.Options{
 		Host: id.Name, Zone: id.Zone, Now: h.now, Random: h.random.Float64,
 		IsPoller: func() bool { return h.rosters.IsPoller() }, Roster: h.roster,
-		Changed: func() { h.rosters.Reconfigure() }, Confirmed: h.becomeReady,
+		Reconfigure: func() { h.rosters.Reconfigure() }, Confirmed: h.serveIfReady,
 		SendHeartbeat: func(ctx context.Context, to member.Contact) { h.heartbeats.Send(ctx, to) },
-		Log:           config.NewLog(o.Table, o.Objects), Platform: h.platform,
-		Peers: h.peers, Services: h.services, Mesh: h.mesh, Metrics: h.metrics, Logger: h.log,
+		ChangeLog:     config.NewLog(o.Table, o.Objects), Platform: h.platform,
+		Peers: h.peers, Services: h.services, Mesh: h.mesh, Metrics: h.metrics, Log: h.log,
 	})
 	h.upstreams = upstreams.New(upstreams.Options{
 		Host: id.Name, View: h.View, Services: h.services, Peers: h.peers,
@@ -248,7 +249,7 @@
 // Serving reports whether the host ever had a configuration that was known
 // to be the newest, and somewhere to send requests to. It never serves from an
 // old configuration alone.
-func (h *Host) Serving() bool { return h.ready.Load() }
+func (h *Host) Serving() bool { return h.serving.Load() }
 
 // Ready reports whether clients should come: the host serves, and it is not
 // leaving.
--- a/internal/selector/entry/loop.go
+++ b/internal/selector/entry/loop.go
@@ -29,7 +29,7 @@
 	h.fence.Tick(ctx, h.rosters.Prove)
 	h.heartbeats.Tick(ctx)
 	h.rosters.Settle()
-	h.becomeReady()
+	h.serveIfReady()
 	h.refreshServices()
 	h.directory.Refresh()
 	h.tickets.ForgetExpired()
@@ -50,13 +50,13 @@
 	h.services.Refresh(h.peers.ZoneReports(now), h.config.Frozen(), now, h.now())
 }
 
-// becomeReady opens a starting host to clients once its configuration is
+// serveIfReady opens a starting host to clients once its configuration is
 // known to be the newest and there is somewhere to send requests to.
-func (h *Host) becomeReady() {
-	if h.ready.Load() || h.config.Frozen() || !h.canSend() {
+func (h *Host) serveIfReady() {
+	if h.serving.Load() || h.config.Frozen() || !h.canSend() {
 		return
 	}
-	if h.ready.CompareAndSwap(false, true) {
+	if h.serving.CompareAndSwap(false, true) {
 		h.log.Info().Uint64("revision", h.View().Revision()).Msg("entry: host is ready")
 	}
 }
--- a/internal/selector/entry/rosters/loop.go
+++ b/internal/selector/entry/rosters/loop.go
@@ -34,11 +34,11 @@
 	maxRosterRows = 1000
 	// memberBytes is about the size of one member in a roster's row.
 	memberBytes = 110
-	// rosterBytes is what a poller may spend on reading the roster, in
+	// readBytesPerSecond is what a poller may spend on reading the roster, in
 	// bytes per second: a large one is read less often. Its writer sends
 	// the zone each new epoch anyway. Half of member.BytesPerSecond; chosen,
 	// not measured.
-	rosterBytes = 2000
+	readBytesPerSecond = 2000
 	// discoverInterval is the time between the first two looks at all zones'
 	// rosters while some zone can't be reached. It doubles up to
 	// maxDiscover. Chosen, not measured.
@@ -52,10 +52,10 @@
 // ctx ends. A failed tick is tried again after a pause that grows.
 func (m *Membership) Loop(ctx context.Context) {
 	retry := platformcalls.NewBackoff()
-	var looked looks
+	var last lastReads
 	for {
-		err := m.tick(ctx, &looked)
-		wait := max(rosterInterval, time.Duration(looked.bytes)*time.Second/rosterBytes)
+		err := m.tick(ctx, &last)
+		wait := max(rosterInterval, time.Duration(last.rosterSize)*time.Second/readBytesPerSecond)
 		if err != nil {
 			wait = retry.NextBackOff()
 			m.Log.Debug().Err(err).Msg("roster: tick failed")
@@ -68,22 +68,22 @@
 	}
 }
 
-// looks is when the roster loop last read the host list and all rosters, and
+// lastReads is when the roster loop last read the host list and all rosters, and
 // what it found.
-type looks struct {
+type lastReads struct {
 	hosts, zones time.Time
-	// every is the time until the next look at all rosters.
-	every time.Duration
-	// bytes is the size of the zone's roster.
-	bytes int
+	// zonesEvery is the time until the next look at all rosters.
+	zonesEvery time.Duration
+	// rosterSize is about the size of the zone's roster, in bytes.
+	rosterSize int
 }
 
 // tick joins the roster or, as a member, reads what is due.
-func (m *Membership) tick(ctx context.Context, looked *looks) error {
+func (m *Membership) tick(ctx context.Context, last *lastReads) error {
 	if !m.hasJoined() {
 		return m.join(ctx)
 	}
-	if err := m.discover(ctx, looked); err != nil {
+	if err := m.discover(ctx, last); err != nil {
 		return err
 	}
 	if !m.IsPoller() {
@@ -93,26 +93,26 @@
 	if err != nil {
 		return err
 	}
-	looked.bytes = memberBytes * len(r.Members)
-	if time.Since(looked.hosts) < HostsInterval {
+	last.rosterSize = memberBytes * len(r.Members)
+	if time.Since(last.hosts) < HostsInterval {
 		return nil
 	}
-	looked.hosts = time.Now()
+	last.hosts = time.Now()
 	return m.lookAtHosts(ctx)
 }
 
 // discover learns the hosts of other zones from their rosters, as long as
 // some configured zone has no host that answers. Heartbeats name the rest.
-func (m *Membership) discover(ctx context.Context, looked *looks) error {
+func (m *Membership) discover(ctx context.Context, last *lastReads) error {
 	if !m.missesZone() {
-		looked.every = 0
+		last.zonesEvery = 0
 		return nil
 	}
-	if time.Since(looked.zones) < looked.every {
+	if time.Since(last.zones) < last.zonesEvery {
 		return nil
 	}
-	looked.zones = time.Now()
-	looked.every = max(discoverInterval, min(2*looked.every, maxDiscover))
+	last.zones = time.Now()
+	last.zonesEvery = max(discoverInterval, min(2*last.zonesEvery, maxDiscover))
 	rows, err := platformcalls.Get(ctx, m.Platform, func(ctx context.Context) ([]store.Row, error) {
 		return m.Table.List(ctx, partitionRoster, "", maxRosterRows)
 	})
