--- a/internal/selector/entry/admission/admission.go
+++ b/internal/selector/entry/admission/admission.go
@@ -80,14 +80,15 @@
 // Send sends a request to the upstream of a slot, and releases the slot when
 // the upstream is done. Its error is a *verdict.Error.
 func (a *Admitter) Send(ctx context.Context, req *call.Request, lease slot.Lease) (*call.Response, error) {
-	target, ok := a.target(req.Service, lease.Upstream())
-	if !ok {
+	u, ok := a.View().LocalUpstream(lease.Upstream())
+	if !ok || u.Service != req.Service {
 		a.Cancel(req.Service, lease)
 		return nil, verdict.New(verdict.NotRun, verdict.NoUpstream, "upstream was removed")
 	}
-	ctx, span := a.Tracer.Start(ctx, "upstream", trace.WithAttributes(attribute.String("upstream", target.Name)))
+	ctx, span := a.Tracer.Start(ctx, "upstream", trace.WithAttributes(attribute.String("upstream", u.Name)))
 	defer span.End()
 	gate := a.Services.Get(req.Service).Gate
+	target := upstream.Target{Name: u.Name, Zone: u.Zone, Addr: u.Addr}
 	resp, err := a.Client.Send(ctx, target, req, func(o slot.Outcome, latency time.Duration) {
 		gate.Release(lease, o, latency)
 	})
@@ -97,12 +98,3 @@
 	}
 	return resp, nil
 }
-
-// target gives how to reach an upstream that a service still has here.
-func (a *Admitter) target(service, name string) (upstream.Target, bool) {
-	u, ok := a.View().LocalUpstream(name)
-	if !ok || u.Service != service {
-		return upstream.Target{}, false
-	}
-	return upstream.Target{Name: u.Name, Zone: u.Zone, Addr: u.Addr}, true
-}
--- a/internal/selector/entry/configsync/progress.go
+++ b/internal/selector/entry/configsync/progress.go
@@ -56,8 +56,8 @@
 	StatePending = "pending"
 )
 
-// Apply accepts a change and waits, for the given time at most, for every
-// zone to have it in force.
+// Apply accepts a change and waits, for the given time at most, until every zone
+// has it in force, or can't be asked and has frozen itself.
 func (r *Replica) Apply(ctx context.Context, c config.Change, wait time.Duration) (Applied, error) {
 	appendCtx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
@@ -72,7 +72,12 @@
 	r.forceTo(ctx, state, c.WithRevision(rev))
 	waitCtx, stop := context.WithTimeout(ctx, wait)
 	defer stop()
-	return r.await(waitCtx, rev, c.ID, accepted), nil
+	for {
+		a := r.progress(waitCtx, rev, c.ID, accepted)
+		if a.State == StateAccepted || !pause.For(waitCtx, confirmPause) {
+			return a, nil
+		}
+	}
 }
 
 // forceTo puts the state that an append gave in force here and pushes the
@@ -96,17 +101,6 @@
 	}
 }
 
-// await asks every zone until each has the revision in force, or can't be
-// asked and has frozen itself.
-func (r *Replica) await(ctx context.Context, rev uint64, id string, accepted time.Time) Applied {
-	for {
-		a := r.progress(ctx, rev, id, accepted)
-		if a.State == StateAccepted || !pause.For(ctx, confirmPause) {
-			return a
-		}
-	}
-}
-
 // progress says which zones have a revision in force. Accepted is when it
 // was accepted, or a later time.
 func (r *Replica) progress(ctx context.Context, rev uint64, id string, accepted time.Time) Applied {
--- a/internal/selector/entry/dispatch/try.go
+++ b/internal/selector/entry/dispatch/try.go
@@ -113,14 +113,6 @@
 // be asked for again (docs/design/request.md). Chosen, not measured.
 const maxPrefix = 32 << 10
 
-// prefixSize leaves one byte more than a small response has, to see its end.
-func prefixSize(length int64) int {
-	if length >= 0 && length < maxPrefix {
-		return int(length) + 1
-	}
-	return maxPrefix + 1
-}
-
 // bufferedBody gives the buffered prefix and then the rest.
 type bufferedBody struct {
 	io.Reader
@@ -134,7 +126,11 @@
 		return nil, err
 	}
 	small := resp.Length >= 0 && resp.Length <= maxPrefix
-	buf := make([]byte, prefixSize(resp.Length))
+	size := maxPrefix + 1 // one more, to see the end
+	if small {
+		size = int(resp.Length) + 1
+	}
+	buf := make([]byte, size)
 	n, readErr := 0, error(nil)
 	for readErr == nil && n < len(buf) {
 		var m int
--- a/internal/selector/entry/forward/forward.go
+++ b/internal/selector/entry/forward/forward.go
@@ -105,7 +105,9 @@
 	if err != nil {
 		return reply{}, verdict.New(verdict.MayHaveRun, verdict.PeerFailed, "%v", err)
 	}
-	f.noteFree(from, head.Free)
+	if head.Free.Service != "" {
+		f.Peers.Update(func(p *member.Peers) { p.RecordSlots(from.Host, head.Free) })
+	}
 	if head.Reason != "" {
 		return reply{}, head.err()
 	}
@@ -146,11 +148,3 @@
 	_, ok := f.Peers.WithMostFree(f.Zone, service, f.Random)
 	return ok
 }
-
-// noteFree takes in the slots that a peer reported with a reply.
-func (f *Forwarder) noteFree(from member.Contact, free member.ServiceSlots) {
-	if free.Service == "" {
-		return
-	}
-	f.Peers.Update(func(p *member.Peers) { p.RecordSlots(from.Host, free) })
-}
--- a/internal/selector/entry/host.go
+++ b/internal/selector/entry/host.go
@@ -118,7 +118,6 @@
 	h.services = services.NewSet(h.View, h.random.Float64)
 	h.makeReplicas()
 	h.makeRequestPath()
-	h.makeHeartbeats()
 	h.makeReports()
 	return h
 }
@@ -173,19 +172,15 @@
 	})
 }
 
-// makeHeartbeats makes the exchange of what the parts know with other hosts.
-func (h *Host) makeHeartbeats() {
+// makeReports makes what reports on the parts: to other hosts, to clients and to
+// operators.
+func (h *Host) makeReports() {
 	s := h.opts.Settings
 	h.heartbeats = heartbeats.New(heartbeats.Options{
 		Zone: h.zone, Seeds: s.Peers.Seeds, Peers: h.peers, Services: h.services, Config: h.config,
 		Rosters: h.rosters, Upstreams: h.upstreams, Handovers: h.tickets.Handovers, Leaving: h.leaving.Load,
 		Answered: h.fence.Answered, PeerUp: h.refreshServices, Now: h.now, Mesh: h.mesh,
 	})
-}
-
-// makeReports makes what clients and operators ask for beside requests.
-func (h *Host) makeReports() {
-	s := h.opts.Settings
 	h.directory = directory.New(directory.Options{
 		Zone: h.zone, TTL: time.Duration(s.Callers.TTL), View: h.View, Peers: h.peers, Leaving: h.leaving.Load,
 	})
--- a/internal/selector/entry/peers/slots.go
+++ b/internal/selector/entry/peers/slots.go
@@ -20,25 +20,26 @@
 		if !p.Up(now) {
 			continue
 		}
-		free := freeOf(p.Heartbeat.Free, service)
-		if zone == t.zone && free <= 0 {
+		slots, _ := SlotsOf(p.Heartbeat.Free, service)
+		if zone == t.zone && slots.Free <= 0 {
 			continue
 		}
-		if score := float64(free) + random(); score > bestFree {
+		if score := float64(slots.Free) + random(); score > bestFree {
 			best, bestFree = p.Contact, score
 		}
 	}
 	return best, bestFree >= 0
 }
 
-func freeOf(free []member.ServiceSlots, service string) int {
-	n := 0
-	for _, f := range free {
-		if f.Service == service {
-			n = f.Free
+// SlotsOf gives a service's slots among those of several, and whether they are
+// there.
+func SlotsOf(all []member.ServiceSlots, service string) (member.ServiceSlots, bool) {
+	for _, s := range all {
+		if s.Service == service {
+			return s, true
 		}
 	}
-	return n
+	return member.ServiceSlots{}, false
 }
 
 // ZoneFree sums the slots of this host's zone; own are this host's.
--- a/internal/selector/entry/services/services.go
+++ b/internal/selector/entry/services/services.go
@@ -26,7 +26,7 @@
 
 	mu      sync.Mutex
 	decider *steer.Decider
-	adopted bool
+	adopted bool // the shares of another host
 }
 
 // Decide runs f on the service's choice of zones, which it must not keep. No
@@ -53,17 +53,6 @@
 	return member.ServiceSlots{Service: s.name, Free: load.Free, Held: load.Held, Warm: load.Warm}
 }
 
-// adoptShares starts from the shares of another host of the zone, once.
-func (s *Service) adoptShares(shares map[string]float64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.adopted {
-		return
-	}
-	s.adopted = true
-	s.decider.Meter().Adopt(shares)
-}
-
 // Set is all services that this host has ever had a configuration of.
 type Set struct {
 	view     func() *config.View
@@ -145,7 +134,13 @@
 		return
 	}
 	for _, svc := range s.view().Services() {
-		s.Get(svc.Name).adoptShares(shares)
+		state := s.Get(svc.Name)
+		state.Decide(func(d *steer.Decider) {
+			if !state.adopted {
+				state.adopted = true
+				d.Meter().Adopt(shares)
+			}
+		})
 	}
 }
 
@@ -179,10 +174,9 @@
 
 // reportOf gives what a zone reported of a service, by the host's clock.
 func reportOf(z peers.ZoneReport, service string, now time.Time, clock int64) steer.Report {
-	for _, f := range z.Free {
-		if f.Service == service {
-			return steer.Report{Free: f.Free, Held: f.Warm, At: clock - int64(now.Sub(z.At))}
-		}
+	slots, ok := peers.SlotsOf(z.Free, service)
+	if !ok {
+		return steer.Report{}
 	}
-	return steer.Report{}
+	return steer.Report{Free: slots.Free, Held: slots.Warm, At: clock - int64(now.Sub(z.At))}
 }
--- a/internal/selector/entry/status.go
+++ b/internal/selector/entry/status.go
@@ -144,7 +144,12 @@
 	m := h.metrics
 	m.Gauge("cairndock_config_revision", func() float64 { return float64(h.View().Revision()) })
 	m.Gauge("cairndock_config_age_seconds", func() float64 { return h.config.Age().Seconds() })
-	m.Gauge("cairndock_frozen", func() float64 { return boolGauge(h.config.Frozen()) })
+	m.Gauge("cairndock_frozen", func() float64 {
+		if h.config.Frozen() {
+			return 1
+		}
+		return 0
+	})
 	m.Gauge("cairndock_in_flight", func() float64 { return float64(h.inFlight.Load()) })
 	m.Gauge("cairndock_slots_outstanding", func() float64 { return float64(h.services.Outstanding()) })
 	m.Gauge("cairndock_slots_held", func() float64 {
@@ -155,10 +160,3 @@
 		return float64(held)
 	})
 }
-
-func boolGauge(b bool) float64 {
-	if b {
-		return 1
-	}
-	return 0
-}
