--- a/internal/selector/entry/api.go
+++ b/internal/selector/entry/api.go
@@ -50,7 +50,8 @@
 	return h.drain.Count(ctx, upstreams)
 }
 
-// ServePeer serves one stream of another entry host.
+// ServePeer serves one stream of another entry host. A kind of message that this
+// version does not know gets no reply.
 func (h *Host) ServePeer(ctx context.Context, from peer.Hello, kind peer.Kind, payload []byte, w *peer.Responder) {
 	switch kind {
 	case peer.KindForward:
--- a/internal/selector/entry/clustertest/faults.go
+++ b/internal/selector/entry/clustertest/faults.go
@@ -75,11 +75,6 @@
 	time.AfterFunc(d, func() { c.Memory.SetFault(nil) })
 }
 
-// GoneAfter has the platform's list call a host gone after a time.
-func (c *Cluster) GoneAfter(name string, d time.Duration) {
-	time.AfterFunc(d, func() { c.Memory.SetHost(name, store.Gone) })
-}
-
 // FaultAll gives every upstream the same faults.
 func (c *Cluster) FaultAll(f standin.Faults) {
 	for _, u := range c.Upstreams {
--- a/internal/selector/entry/clustertest/slots_test.go
+++ b/internal/selector/entry/clustertest/slots_test.go
@@ -33,7 +33,7 @@
 		}, 0},
 		{"host paused for 30 s", func(c *Cluster) { c.Freeze("costa-a-1", 30*time.Second) }, 35 * time.Second},
 		{"host paused for 30 s and taken for gone", func(c *Cluster) {
-			c.GoneAfter("costa-a-1", 4*time.Second)
+			time.AfterFunc(4*time.Second, func() { c.Memory.SetHost("costa-a-1", store.Gone) })
 			c.Freeze("costa-a-1", 30*time.Second)
 			c.Memory.SetHost("costa-a-1", store.Live)
 		}, 35 * time.Second},
--- a/internal/selector/entry/peers/peers.go
+++ b/internal/selector/entry/peers/peers.go
@@ -28,7 +28,8 @@
 }
 
 // CallFirst calls hosts one after another until one replies, and reports
-// whether one did.
+// whether one did. Why a host did not is not kept: heartbeats find that out too,
+// and the status shows hosts that do not answer.
 func CallFirst[T any](ctx context.Context, m *peer.Mesh, hosts []member.Contact, kind peer.Kind, message any) (T, bool) {
 	for _, to := range hosts {
 		if reply, err := Call[T](ctx, m, to, kind, message); err == nil {
--- a/internal/selector/entry/rosters/loop.go
+++ b/internal/selector/entry/rosters/loop.go
@@ -209,7 +209,7 @@
 	}
 	m.Log.Debug().Err(err).Msg("roster: the platform can't be asked, asking the zone")
 	for _, p := range m.Peers.Zone(m.Zone) {
-		if m.tryFetch(ctx, p.Contact) == nil {
+		if m.tryFetch(ctx, p.Contact) == nil { // else the next host, or the next tick
 			return true
 		}
 	}
