--- a/internal/selector/entry/clustertest/cluster.go
+++ b/internal/selector/entry/clustertest/cluster.go
@@ -22,11 +22,15 @@
 	"cairndock/internal/settings"
 )
 
-// zones are the zones of the test cluster and how many hosts each has.
+// zones are the zones of the test cluster and their hosts.
 var zones = []struct {
 	zone, region string
-	hosts        int
-}{{"costa-a", "costa", 2}, {"costa-b", "costa", 1}, {"sierra-a", "sierra", 2}}
+	hosts        []string
+}{
+	{"costa-a", "costa", []string{"costa-a-1", "costa-a-2"}},
+	{"costa-b", "costa", []string{"costa-b-1"}},
+	{"sierra-a", "sierra", []string{"sierra-a-1", "sierra-a-2"}},
+}
 
 const (
 	// ZoneUpstreams is how many upstreams each zone has, and UpstreamSlots
@@ -35,7 +39,7 @@
 	UpstreamSlots = 2
 	// Latency is how long an upstream takes for a request.
 	Latency = 100 * time.Millisecond
-	// Timeout is how long callers wait.
+	// Timeout is how long clients wait.
 	Timeout = time.Second
 )
 
@@ -68,8 +72,8 @@
 		doc := c.startUpstreams() + extra
 		c.Apply("first", doc, 0)
 		for _, z := range zones {
-			for i := range z.hosts {
-				c.Start(fmt.Sprintf("%s-%d", z.zone, i+1), z.zone, z.region)
+			for _, name := range z.hosts {
+				c.Start(name, z.zone, z.region)
 			}
 		}
 		c.WaitSettled(30 * time.Second)
@@ -132,12 +136,11 @@
 	}
 	entry.Prepare(&set)
 	table := tableOf{c.Memory, c.Net, name}
-	h, err := entry.New(entry.Options{
+	h := entry.New(entry.Options{
 		Settings: set, Table: table, Objects: table, Hosts: table, Transport: c.Net.End(name),
 		DialUpstream: c.Net.End(name).DialUpstream, Log: zerolog.Nop(),
 		Traces: sdktrace.NewTracerProvider(sdktrace.WithSampler(sdktrace.NeverSample())), Seed: uint64(len(name)),
 	})
-	require.NoError(c.T, err)
 	require.NoError(c.T, h.Start(context.Background(), name+":3"))
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,8 +181,8 @@
 	defer c.mu.Unlock()
 	var out []*entry.Host
 	for _, z := range zones {
-		for i := range z.hosts {
-			if h := c.hosts[fmt.Sprintf("%s-%d", z.zone, i+1)]; h != nil {
+		for _, name := range z.hosts {
+			if h := c.hosts[name]; h != nil {
 				out = append(out, h)
 			}
 		}
--- a/internal/selector/entry/clustertest/faults.go
+++ b/internal/selector/entry/clustertest/faults.go
@@ -3,27 +3,25 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"strings"
 	"time"
 
 	"github.com/stretchr/testify/require"
 
 	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/clustertest/memnet"
 	"cairndock/internal/selector/standin"
 	"cairndock/internal/selector/store"
 )
 
-// Freeze cuts a host off from everything and, when it wakes, makes its own
-// loop look as if it had stood still.
+// Freeze cuts a host off from everything for a time, which must be longer than
+// the silence after which the host closes its fence by itself.
 func (c *Cluster) Freeze(name string, d time.Duration) {
-	h := c.Host(name)
 	others := append(c.Names(), "platform")
 	for _, o := range others {
 		c.Net.Cut(name, o)
 	}
 	time.Sleep(d)
-	h.Distrust()
 	for _, o := range others {
 		c.Net.Heal(name, o)
 	}
@@ -36,18 +34,14 @@
 		names = append(names, name)
 	}
 	for _, z := range zones {
-		for i := range z.hosts {
-			names = append(names, fmt.Sprintf("%s-%d", z.zone, i+1))
-		}
+		names = append(names, z.hosts...)
 	}
 	return names
 }
 
 // CutZone cuts a zone off from everything outside it.
 func (c *Cluster) CutZone(zone string, d time.Duration) {
-	inside := func(name string) bool {
-		return name == zone+"-1" || name == zone+"-2" || name == "up-"+zone+"-1" || name == "up-"+zone+"-2"
-	}
+	inside := func(name string) bool { return strings.HasPrefix(strings.TrimPrefix(name, "up-"), zone+"-") }
 	outside := append(c.Names(), "platform")
 	each := func(f func(a, b string)) {
 		for _, a := range c.Names() {
@@ -81,11 +75,6 @@
 	time.AfterFunc(d, func() { c.Memory.SetFault(nil) })
 }
 
-// GoneAfter has the platform's list call a host gone after a time.
-func (c *Cluster) GoneAfter(name string, d time.Duration) {
-	time.AfterFunc(d, func() { c.Memory.SetHost(name, store.Gone) })
-}
-
 // FaultAll gives every upstream the same faults.
 func (c *Cluster) FaultAll(f standin.Faults) {
 	for _, u := range c.Upstreams {
@@ -110,3 +99,41 @@
 	}
 	return n
 }
+
+// tableOf is the platform as one host reaches it: a cut link to the name
+// "platform" makes its calls hang until they time out.
+type tableOf struct {
+	*store.Memory
+	net  *memnet.Network
+	name string
+}
+
+func (p tableOf) reach(ctx context.Context) error { return p.net.WaitHealed(ctx, p.name, "platform") }
+
+func (p tableOf) Get(ctx context.Context, key store.Key) (store.Row, error) {
+	if err := p.reach(ctx); err != nil {
+		return store.Row{}, err
+	}
+	return p.Memory.Get(ctx, key)
+}
+
+func (p tableOf) Transact(ctx context.Context, writes []store.Write) error {
+	if err := p.reach(ctx); err != nil {
+		return err
+	}
+	return p.Memory.Transact(ctx, writes)
+}
+
+func (p tableOf) List(ctx context.Context, partition, after string, limit int) ([]store.Row, error) {
+	if err := p.reach(ctx); err != nil {
+		return nil, err
+	}
+	return p.Memory.List(ctx, partition, after, limit)
+}
+
+func (p tableOf) Hosts(ctx context.Context) ([]store.HostState, error) {
+	if err := p.reach(ctx); err != nil {
+		return nil, err
+	}
+	return p.Memory.Hosts(ctx)
+}
--- a/internal/selector/entry/clustertest/leaving_test.go
+++ b/internal/selector/entry/clustertest/leaving_test.go
@@ -32,7 +32,7 @@
 	require.NoError(c.T, err)
 }
 
-// TestLeavingUpstreamGetsNoNewWork: from the first sign on, no new request
+// TestLeavingUpstreamGetsNoNewWork: from the first report on, no new request
 // reaches it after 2 s, and no source that lags brings it back.
 func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
 	const name = "up-costa-a-1"
@@ -90,8 +90,8 @@
 		go func() {
 			defer close(stopped)
 			for _, z := range zones {
-				for i := range z.hosts {
-					c.replace(t, fmt.Sprintf("%s-%d", z.zone, i+1), z.zone, z.region)
+				for _, name := range z.hosts {
+					c.replace(t, name, z.zone, z.region)
 				}
 			}
 		}()
--- a/internal/selector/entry/configsync/configsync.go
+++ b/internal/selector/entry/configsync/configsync.go
@@ -46,20 +46,20 @@
 	IsPoller func() bool
 	// Roster gives the newest roster of this host's zone.
 	Roster func() roster.Roster
-	// Changed applies the view that is in force now.
-	Changed func()
+	// Reconfigure applies the view that is in force now.
+	Reconfigure func()
 	// Confirmed is called when the revision in force is proved anew to be the
 	// newest.
 	Confirmed func()
 	// SendHeartbeat sends a heartbeat to a host and merges the response.
 	SendHeartbeat func(ctx context.Context, to member.Contact)
-	Log           *config.Log
+	ChangeLog     *config.Log
 	Platform      *platformcalls.Caller
 	Peers         *peers.Table
 	Services      *services.Set
 	Mesh          *peer.Mesh
 	Metrics       *telemetry.Metrics
-	Logger        zerolog.Logger
+	Log           zerolog.Logger
 }
 
 // Replica is this host's replica of the configuration.
@@ -116,11 +116,11 @@
 // MergeFreshness takes in a peer's proof that its revision is the newest. Its
 // age counts from when this host asked, so that a slow response only makes the
 // proof older than it is.
-func (r *Replica) MergeFreshness(b member.Heartbeat, askedAt int64) {
-	if b.FreshAge < 0 || r.View().Revision() < b.Revision {
+func (r *Replica) MergeFreshness(hb member.Heartbeat, askedAt int64) {
+	if hb.FreshAge < 0 || r.View().Revision() < hb.Revision {
 		return
 	}
-	r.confirm(askedAt - b.FreshAge*int64(time.Millisecond))
+	r.confirm(askedAt - hb.FreshAge*int64(time.Millisecond))
 }
 
 // confirm notes that the revision in force was the newest at a time.
@@ -145,7 +145,7 @@
 		r.recent = nil
 	}
 	r.mu.Unlock()
-	r.Changed()
+	r.Reconfigure()
 }
 
 // putInForce applies changes in order and passes them on. Those at or below
@@ -155,7 +155,7 @@
 	if err != nil || len(applied) == 0 {
 		return err
 	}
-	r.Changed()
+	r.Reconfigure()
 	r.Metrics.Add("cairndock_config_changes_total", len(applied))
 	r.relay(ctx, applied)
 	return nil
--- a/internal/selector/entry/configsync/progress.go
+++ b/internal/selector/entry/configsync/progress.go
@@ -56,15 +56,15 @@
 	StatePending = "pending"
 )
 
-// Apply accepts a change and waits, for the given time at most, for every
-// zone to have it in force.
+// Apply accepts a change and waits, for the given time at most, until every zone
+// has it in force, or can't be asked and has frozen itself.
 func (r *Replica) Apply(ctx context.Context, c config.Change, wait time.Duration) (Applied, error) {
 	appendCtx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	if err := r.Platform.Wait(appendCtx); err != nil {
 		return Applied{}, err
 	}
-	state, rev, err := r.Log.Append(appendCtx, r.View().State(), c)
+	state, rev, err := r.ChangeLog.Append(appendCtx, r.View().State(), c)
 	if err != nil {
 		return Applied{}, err
 	}
@@ -72,7 +72,12 @@
 	r.forceTo(ctx, state, c.WithRevision(rev))
 	waitCtx, stop := context.WithTimeout(ctx, wait)
 	defer stop()
-	return r.await(waitCtx, rev, c.ID, accepted), nil
+	for {
+		a := r.progress(waitCtx, rev, c.ID, accepted)
+		if a.State == StateAccepted || !pause.For(waitCtx, confirmPause) {
+			return a, nil
+		}
+	}
 }
 
 // forceTo puts the state that an append gave in force here and pushes the
@@ -86,7 +91,7 @@
 	if before+1 == c.Revision {
 		if err := r.putInForce(ctx, []config.Change{c}); err != nil {
 			// The log has it; the next poll reads it from there.
-			r.Logger.Debug().Err(err).Uint64("revision", c.Revision).Msg("config: accepted change not put in force yet")
+			r.Log.Debug().Err(err).Uint64("revision", c.Revision).Msg("config: accepted change not put in force yet")
 		}
 	} else {
 		r.Adopt(state)
@@ -96,17 +101,6 @@
 	}
 }
 
-// await asks every zone until each has the revision in force, or can't be
-// asked and has frozen itself.
-func (r *Replica) await(ctx context.Context, rev uint64, id string, accepted time.Time) Applied {
-	for {
-		a := r.progress(ctx, rev, id, accepted)
-		if a.State == StateAccepted || !pause.For(ctx, confirmPause) {
-			return a
-		}
-	}
-}
-
 // progress says which zones have a revision in force. Accepted is when it
 // was accepted, or a later time.
 func (r *Replica) progress(ctx context.Context, rev uint64, id string, accepted time.Time) Applied {
@@ -116,7 +110,7 @@
 	a.Zones = make([]ZoneProgress, len(zones))
 	var asked sync.WaitGroup
 	for i, zone := range zones {
-		asked.Go(func() { a.Zones[i] = r.zoneProgress(ctx, zone, rev) })
+		asked.Go(func() { a.Zones[i] = r.askProgress(ctx, zone, rev) })
 	}
 	asked.Wait()
 	for i := range a.Zones {
@@ -129,26 +123,22 @@
 	return a
 }
 
-// zoneProgress asks the first host of a zone that answers. A zone none of whose
+// askProgress asks the first host of a zone that answers. A zone none of whose
 // hosts can be asked has not confirmed the change.
-func (r *Replica) zoneProgress(ctx context.Context, zone string, rev uint64) ZoneProgress {
+func (r *Replica) askProgress(ctx context.Context, zone string, rev uint64) ZoneProgress {
 	if zone == r.Zone {
-		return r.ZoneProgress(rev)
+		return r.OwnProgress(rev)
 	}
-	for _, c := range r.Peers.Contacts(zone, false) {
-		callCtx, cancel := context.WithTimeout(ctx, peers.CallTimeout)
-		reply, err := peer.Call[ZoneProgress](callCtx, r.Mesh, c.PeerAddr, peer.KindConfirm, rev)
-		cancel()
-		if err == nil {
-			return reply
-		}
+	reply, ok := peers.CallFirst[ZoneProgress](ctx, r.Mesh, r.Peers.Contacts(zone, false), peer.KindConfirm, rev)
+	if !ok {
+		return ZoneProgress{Zone: zone}
 	}
-	return ZoneProgress{Zone: zone}
+	return reply
 }
 
-// ZoneProgress says whether this host's zone has a revision in force, by what
+// OwnProgress says whether this host's zone has a revision in force, by what
 // its live members reported in heartbeats or in reply to a push.
-func (r *Replica) ZoneProgress(rev uint64) ZoneProgress {
+func (r *Replica) OwnProgress(rev uint64) ZoneProgress {
 	p := ZoneProgress{Zone: r.Zone}
 	if r.View().Revision() < rev {
 		p.Lagging = append(p.Lagging, r.Host)
@@ -190,7 +180,7 @@
 	var rev uint64
 	var found bool
 	err := r.Platform.Do(ctx, func(ctx context.Context) (err error) {
-		rev, found, err = r.Log.ByID(ctx, id)
+		rev, found, err = r.ChangeLog.ByID(ctx, id)
 		return err
 	})
 	if err != nil || !found {
--- a/internal/selector/entry/dispatch/request.go
+++ b/internal/selector/entry/dispatch/request.go
@@ -39,7 +39,7 @@
 // run offers the request to one zone after another, and at last waits at one
 // that was full.
 func (r *request) run(ctx context.Context) (*call.Response, error) {
-	for r.mayTry() {
+	for r.triesLeft() {
 		choice, ok := r.next()
 		if !ok {
 			break
@@ -52,15 +52,15 @@
 		if err == nil {
 			return resp, nil
 		}
-		if !r.failed(ctx, choice, err) {
+		if !r.noteFailure(ctx, choice, err) {
 			return nil, finalVerdict(r.last, r.doubt, r.plan.Capped)
 		}
 	}
 	return r.queue(ctx)
 }
 
-// mayTry reports whether the request may be sent once more.
-func (r *request) mayTry() bool {
+// triesLeft reports whether the request may be sent once more.
+func (r *request) triesLeft() bool {
 	may := false
 	r.state.Decide(func(*steer.Decider) { may = mayTry(r.sends, r.offers, r.spent) })
 	return may
@@ -70,7 +70,7 @@
 func (r *request) queue(ctx context.Context) (*call.Response, error) {
 	until := queueUntil(time.Now(), r.req.Deadline)
 	for _, choice := range r.queueAt {
-		if ctx.Err() != nil || !r.mayTry() || time.Now().After(until) {
+		if ctx.Err() != nil || !r.triesLeft() || time.Now().After(until) {
 			break
 		}
 		resp, err := bufferPrefix(r.offer(ctx, choice, until))
@@ -79,7 +79,7 @@
 		}
 		reason := r.note(err).Reason
 		if reason == verdict.Full {
-			r.bounced(choice)
+			r.noteFull(choice)
 		}
 		if !mayQueueElsewhere(reason) {
 			break
@@ -136,7 +136,8 @@
 		r.Admitter.Cancel(r.req.Service, lease)
 		return nil, err
 	}
-	return r.untilEnd(c)(r.Admitter.Send(ctx, r.req, lease))
+	resp, err := r.Admitter.Send(ctx, r.req, lease)
+	return r.untilEnd(c, resp, err)
 }
 
 // offerPeers forwards the request to a host of the choice's zone; of the own
@@ -145,48 +146,49 @@
 	if err := r.commit(c); err != nil {
 		return nil, err
 	}
-	return r.untilEnd(c)(r.Forwarder.Forward(ctx, r.req, c.Zone, c.Rule, until))
+	resp, err := r.Forwarder.Forward(ctx, r.req, c.Zone, c.Rule, until)
+	return r.untilEnd(c, resp, err)
 }
 
 // untilEnd counts a committed request as outstanding until its response is
 // read or it has failed.
-func (r *request) untilEnd(c steer.Choice) func(*call.Response, error) (*call.Response, error) {
-	var once sync.Once
-	ended := func() {
-		once.Do(func() {
-			r.state.Decide(func(dec *steer.Decider) { dec.Ended(c.Zone) })
-		})
-	}
-	return func(a *call.Response, err error) (*call.Response, error) {
-		if err != nil {
-			ended()
-			return nil, err
-		}
-		out := *a
-		out.Body = endBody{a.Body, ended}
-		return &out, nil
+func (r *request) untilEnd(c steer.Choice, resp *call.Response, err error) (*call.Response, error) {
+	if err != nil {
+		r.ended(c.Zone)
+		return nil, err
 	}
+	out := *resp
+	out.Body = &countedBody{ReadCloser: resp.Body, request: r, zone: c.Zone}
+	return &out, nil
+}
+
+// ended counts the request as no longer outstanding at a zone.
+func (r *request) ended(zone string) {
+	r.state.Decide(func(dec *steer.Decider) { dec.Ended(zone) })
 }
 
-// endBody does something once its body is closed.
-type endBody struct {
+// countedBody is the body of a request that is outstanding at a zone until it
+// is closed for the first time.
+type countedBody struct {
 	io.ReadCloser
-	end func()
+	request *request
+	zone    string
+	once    sync.Once
 }
 
-// Close closes the body and then does the rest.
-func (b endBody) Close() error {
+// Close closes the body and ends the count.
+func (b *countedBody) Close() error {
 	err := b.ReadCloser.Close()
-	b.end()
+	b.once.Do(func() { b.request.ended(b.zone) })
 	return err
 }
 
-// failed notes a failed try and says whether another may follow.
-func (r *request) failed(ctx context.Context, c steer.Choice, err error) bool {
+// noteFailure notes a failed try and says whether another may follow.
+func (r *request) noteFailure(ctx context.Context, c steer.Choice, err error) bool {
 	e := r.note(err)
 	if e.Reason == verdict.Full {
 		r.mayQueueAt(c)
-		r.bounced(c)
+		r.noteFull(c)
 	}
 	if slowsRamp(e.Reason) {
 		r.state.Decide(func(dec *steer.Decider) { dec.Meter().Slow(c.Rule) })
@@ -197,8 +199,8 @@
 	return mayRetry(e.Verdict, r.repeatable(), r.ticketed())
 }
 
-// bounced notes that a zone was full: nothing reached an upstream there.
-func (r *request) bounced(c steer.Choice) {
+// noteFull notes that a zone was full: nothing reached an upstream there.
+func (r *request) noteFull(c steer.Choice) {
 	now := r.Now()
 	r.state.Decide(func(dec *steer.Decider) {
 		dec.Refused(c.Zone, now)
--- a/internal/selector/entry/peers/peers.go
+++ b/internal/selector/entry/peers/peers.go
@@ -7,10 +7,12 @@
 package peers
 
 import (
+	"context"
 	"slices"
 	"sync"
 	"time"
 
+	"cairndock/internal/peer"
 	"cairndock/internal/selector/member"
 )
 
@@ -18,8 +20,29 @@
 // them. Chosen, not measured; it is below member.DownAfter.
 const CallTimeout = 1500 * time.Millisecond
 
+// Call sends a message to a host and gives its reply, within CallTimeout.
+func Call[T any](ctx context.Context, m *peer.Mesh, to member.Contact, kind peer.Kind, message any) (T, error) {
+	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
+	defer cancel()
+	return peer.Call[T](ctx, m, to.PeerAddr, kind, message)
+}
+
+// CallFirst calls hosts one after another until one replies, and reports
+// whether one did. Why a host did not is not kept: heartbeats find that out too,
+// and the status shows hosts that do not answer.
+func CallFirst[T any](ctx context.Context, m *peer.Mesh, hosts []member.Contact, kind peer.Kind, message any) (T, bool) {
+	for _, to := range hosts {
+		if reply, err := Call[T](ctx, m, to, kind, message); err == nil {
+			return reply, true
+		}
+	}
+	var none T
+	return none, false
+}
+
 // Table is the other hosts as this host knows them.
 type Table struct {
+	host string
 	zone string
 
 	mu    sync.Mutex
@@ -29,7 +52,7 @@
 
 // New makes a Table of a host that knows no other.
 func New(self member.Contact) *Table {
-	return &Table{zone: self.Zone, self: self, peers: member.NewPeers(self)}
+	return &Table{host: self.Host, zone: self.Zone, self: self, peers: member.NewPeers(self)}
 }
 
 // SetSelf starts the table over, once it is known how this host is reached.
@@ -126,8 +149,8 @@
 	return out
 }
 
-// All gives how to reach every known host, answering or not.
-func (t *Table) All() []member.Contact {
+// AllContacts gives how to reach every known host, answering or not.
+func (t *Table) AllContacts() []member.Contact {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []member.Contact
@@ -139,8 +162,8 @@
 	return out
 }
 
-// Up gives the hosts of a zone that answer, by name.
-func (t *Table) Up(zone string) []member.Contact {
+// UpContacts gives the hosts of a zone that answer, by name.
+func (t *Table) UpContacts(zone string) []member.Contact {
 	now := time.Now()
 	var out []member.Contact
 	for _, p := range t.Zone(zone) {
@@ -151,10 +174,11 @@
 	return out
 }
 
-// UpNames gives the names of this host's zone that answer, with self first.
-func (t *Table) UpNames(self string) []string {
-	hosts := []string{self}
-	for _, c := range t.Up(t.zone) {
+// UpNames gives the names of this host and, after it, of the hosts of its zone
+// that answer.
+func (t *Table) UpNames() []string {
+	hosts := []string{t.host}
+	for _, c := range t.UpContacts(t.zone) {
 		hosts = append(hosts, c.Host)
 	}
 	return hosts
@@ -166,19 +190,17 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, zone := range t.peers.Zones() {
-		for _, p := range t.peers.Zone(zone) {
-			if p.Up(now) {
-				return true
-			}
+		if slices.ContainsFunc(t.peers.Zone(zone), func(p member.Peer) bool { return p.Up(now) }) {
+			return true
 		}
 	}
 	return false
 }
 
-// Issuer finds the host that a ticket's request goes to: the one that the
+// ForTicket finds the host that a ticket's request goes to: the one that the
 // stopped issuer handed its tickets to, else the issuer, else, with anyOfZone,
 // a host of the issuer's zone, which may know.
-func (t *Table) Issuer(host, incarnation, zone string, anyOfZone bool) (member.Contact, bool) {
+func (t *Table) ForTicket(host, incarnation, zone string, anyOfZone bool) (member.Contact, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if successor, ok := t.peers.Successor(incarnation); ok {
@@ -193,8 +215,8 @@
 	return member.Contact{}, false
 }
 
-// Failed notes that a host did not answer.
-func (t *Table) Failed(host string) {
+// RecordFailure notes that a host did not answer.
+func (t *Table) RecordFailure(host string) {
 	t.Update(func(p *member.Peers) { p.RecordFailure(host, time.Now()) })
 }
 
--- a/internal/selector/entry/rosters/capacity.go
+++ b/internal/selector/entry/rosters/capacity.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"cairndock/internal/selector/config"
-	"cairndock/internal/selector/entry/services"
 	"cairndock/internal/selector/slot"
 	"cairndock/internal/selector/steer"
 )
@@ -22,12 +21,11 @@
 		s.Gate.Configure(m.specs(svc, now), m.ruleSpecs(svc, now))
 		s.Decide(func(d *steer.Decider) { d.Configure(svc, m.Zone, m.Region, now) })
 	}
-	m.Services.All(func(name string, s *services.Service) bool {
+	for name, s := range m.Services.All() {
 		if _, ok := v.Service(name); !ok {
 			s.Gate.Configure(nil, nil)
 		}
-		return true
-	})
+	}
 }
 
 // specs gives what the host holds of a service's upstreams; m.mu is held.
@@ -66,10 +64,7 @@
 			own = s.Slots
 		}
 	}
-	if total == 0 {
-		return 0
-	}
-	return float64(own) / float64(total)
+	return float64(own) / float64(max(1, total)) // without slots it is 0
 }
 
 // zonePart splits a rule's in-flight limit over its zones in proportion to
@@ -80,15 +75,12 @@
 	for _, s := range r.Sites {
 		total += s.Slots
 	}
-	if total == 0 {
-		return 0
-	}
 	sum := 0
 	for _, s := range r.Sites {
-		before := r.InFlight * sum / total
+		before := r.InFlight * sum / max(1, total)
 		sum += s.Slots
 		if s.Zone == zone {
-			return r.InFlight*sum/total - before
+			return r.InFlight*sum/max(1, total) - before
 		}
 	}
 	return 0
--- a/internal/selector/entry/rosters/loop.go
+++ b/internal/selector/entry/rosters/loop.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"slices"
 	"time"
 
 	"github.com/rotisserie/eris"
@@ -33,11 +34,11 @@
 	maxRosterRows = 1000
 	// memberBytes is about the size of one member in a roster's row.
 	memberBytes = 110
-	// rosterBytes is what a poller may spend on reading the roster, in
+	// readBytesPerSecond is what a poller may spend on reading the roster, in
 	// bytes per second: a large one is read less often. Its writer sends
 	// the zone each new epoch anyway. Half of member.BytesPerSecond; chosen,
 	// not measured.
-	rosterBytes = 2000
+	readBytesPerSecond = 2000
 	// discoverInterval is the time between the first two looks at all zones'
 	// rosters while some zone can't be reached. It doubles up to
 	// maxDiscover. Chosen, not measured.
@@ -51,10 +52,10 @@
 // ctx ends. A failed tick is tried again after a pause that grows.
 func (m *Membership) Loop(ctx context.Context) {
 	retry := platformcalls.NewBackoff()
-	var looked looks
+	var last lastReads
 	for {
-		err := m.tick(ctx, &looked)
-		wait := max(rosterInterval, time.Duration(looked.bytes)*time.Second/rosterBytes)
+		err := m.tick(ctx, &last)
+		wait := max(rosterInterval, time.Duration(last.rosterSize)*time.Second/readBytesPerSecond)
 		if err != nil {
 			wait = retry.NextBackOff()
 			m.Log.Debug().Err(err).Msg("roster: tick failed")
@@ -67,22 +68,22 @@
 	}
 }
 
-// looks is when the roster loop last read the host list and all rosters, and
+// lastReads is when the roster loop last read the host list and all rosters, and
 // what it found.
-type looks struct {
+type lastReads struct {
 	hosts, zones time.Time
-	// every is the time until the next look at all rosters.
-	every time.Duration
-	// bytes is the size of the zone's roster.
-	bytes int
+	// zonesEvery is the time until the next look at all rosters.
+	zonesEvery time.Duration
+	// rosterSize is about the size of the zone's roster, in bytes.
+	rosterSize int
 }
 
 // tick joins the roster or, as a member, reads what is due.
-func (m *Membership) tick(ctx context.Context, looked *looks) error {
+func (m *Membership) tick(ctx context.Context, last *lastReads) error {
 	if !m.hasJoined() {
 		return m.join(ctx)
 	}
-	if err := m.discover(ctx, looked); err != nil {
+	if err := m.discover(ctx, last); err != nil {
 		return err
 	}
 	if !m.IsPoller() {
@@ -92,30 +93,28 @@
 	if err != nil {
 		return err
 	}
-	looked.bytes = memberBytes * len(r.Members)
-	if time.Since(looked.hosts) < HostsInterval {
+	last.rosterSize = memberBytes * len(r.Members)
+	if time.Since(last.hosts) < HostsInterval {
 		return nil
 	}
-	looked.hosts = time.Now()
+	last.hosts = time.Now()
 	return m.lookAtHosts(ctx)
 }
 
 // discover learns the hosts of other zones from their rosters, as long as
 // some configured zone has no host that answers. Heartbeats name the rest.
-func (m *Membership) discover(ctx context.Context, looked *looks) error {
+func (m *Membership) discover(ctx context.Context, last *lastReads) error {
 	if !m.missesZone() {
-		looked.every = 0
+		last.zonesEvery = 0
 		return nil
 	}
-	if time.Since(looked.zones) < looked.every {
+	if time.Since(last.zones) < last.zonesEvery {
 		return nil
 	}
-	looked.zones = time.Now()
-	looked.every = max(discoverInterval, min(2*looked.every, maxDiscover))
-	var rows []store.Row
-	err := m.Platform.Do(ctx, func(ctx context.Context) (err error) {
-		rows, err = m.Table.List(ctx, partitionRoster, "", maxRosterRows)
-		return err
+	last.zones = time.Now()
+	last.zonesEvery = max(discoverInterval, min(2*last.zonesEvery, maxDiscover))
+	rows, err := platformcalls.Get(ctx, m.Platform, func(ctx context.Context) ([]store.Row, error) {
+		return m.Table.List(ctx, partitionRoster, "", maxRosterRows)
 	})
 	if err != nil {
 		return eris.Wrap(err, "read rosters")
@@ -132,12 +131,9 @@
 
 // missesZone reports whether no host of some other zone answers.
 func (m *Membership) missesZone() bool {
-	for _, zone := range m.KnownZones() {
-		if zone != m.Zone && len(m.Peers.Contacts(zone, false)) == 0 {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(m.KnownZones(), func(zone string) bool {
+		return zone != m.Zone && len(m.Peers.Contacts(zone, false)) == 0
+	})
 }
 
 // hasJoined reports whether there is nothing to join: this host is a member, or
@@ -151,13 +147,8 @@
 // IsPoller reports whether this host is among the first of its zone that
 // answer, in an order that differs from zone to zone.
 func (m *Membership) IsPoller() bool {
-	ranked := roster.Rank("poll:"+m.Zone, m.Peers.UpNames(m.Host))
-	for _, host := range ranked[:min(pollers, len(ranked))] {
-		if host == m.Host {
-			return true
-		}
-	}
-	return false
+	ranked := roster.Rank("poll:"+m.Zone, m.Peers.UpNames())
+	return slices.Contains(ranked[:min(pollers, len(ranked))], m.Host)
 }
 
 // rosterKey is where a zone's roster is in the table.
@@ -168,10 +159,8 @@
 // readRoster reads the zone's roster and its row's version from the table, and
 // merges it. A zone without a row has an empty roster at version 0.
 func (m *Membership) readRoster(ctx context.Context) (roster.Roster, int64, error) {
-	var row store.Row
-	err := m.Platform.Do(ctx, func(ctx context.Context) (err error) {
-		row, err = m.Table.Get(ctx, rosterKey(m.Zone))
-		return err
+	row, err := platformcalls.Get(ctx, m.Platform, func(ctx context.Context) (store.Row, error) {
+		return m.Table.Get(ctx, rosterKey(m.Zone))
 	})
 	if errors.Is(err, store.ErrNotFound) {
 		return roster.Roster{Zone: m.Zone}, 0, nil
@@ -189,17 +178,15 @@
 
 // Fetch takes the zone's roster from a host that has a newer one.
 func (m *Membership) Fetch(ctx context.Context, from member.Contact) {
-	if err := m.fetch(ctx, from); err != nil {
+	if err := m.tryFetch(ctx, from); err != nil {
 		// Its next heartbeat shows the newer epoch again.
 		m.Log.Debug().Str("peer", from.Host).Err(err).Msg("roster: fetch failed")
 	}
 }
 
-// fetch merges a peer's roster of this host's zone.
-func (m *Membership) fetch(ctx context.Context, from member.Contact) error {
-	ctx, cancel := context.WithTimeout(ctx, peers.CallTimeout)
-	defer cancel()
-	r, err := peer.Call[roster.Roster](ctx, m.Mesh, from.PeerAddr, peer.KindRoster, m.Zone)
+// tryFetch merges a peer's roster of this host's zone.
+func (m *Membership) tryFetch(ctx context.Context, from member.Contact) error {
+	r, err := peers.Call[roster.Roster](ctx, m.Mesh, from, peer.KindRoster, m.Zone)
 	if err != nil {
 		return err
 	}
@@ -222,7 +209,7 @@
 	}
 	m.Log.Debug().Err(err).Msg("roster: the platform can't be asked, asking the zone")
 	for _, p := range m.Peers.Zone(m.Zone) {
-		if m.fetch(ctx, p.Contact) == nil {
+		if m.tryFetch(ctx, p.Contact) == nil { // else the next host, or the next tick
 			return true
 		}
 	}
--- a/internal/selector/entry/services/services.go
+++ b/internal/selector/entry/services/services.go
@@ -6,10 +6,12 @@
 package services
 
 import (
+	"iter"
 	"sync"
 	"time"
 
 	"cairndock/internal/selector/config"
+	"cairndock/internal/selector/entry/peers"
 	"cairndock/internal/selector/member"
 	"cairndock/internal/selector/shift"
 	"cairndock/internal/selector/slot"
@@ -18,12 +20,13 @@
 
 // Service is one service's state on this host.
 type Service struct {
+	name string
 	// Gate admits requests to the slots that this host holds.
 	Gate *slot.Gate
 
 	mu      sync.Mutex
 	decider *steer.Decider
-	adopted bool
+	adopted bool // the shares of another host
 }
 
 // Decide runs f on the service's choice of zones, which it must not keep. No
@@ -45,20 +48,9 @@
 }
 
 // Free gives the service's slots as they are reported to other hosts.
-func (s *Service) Free(name string) member.ServiceSlots {
+func (s *Service) Free() member.ServiceSlots {
 	load := s.Gate.Load()
-	return member.ServiceSlots{Service: name, Free: load.Free, Held: load.Held, Warm: load.Warm}
-}
-
-// adoptShares starts from the shares of another host of the zone, once.
-func (s *Service) adoptShares(shares map[string]float64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.adopted {
-		return
-	}
-	s.adopted = true
-	s.decider.Meter().Adopt(shares)
+	return member.ServiceSlots{Service: s.name, Free: load.Free, Held: load.Held, Warm: load.Warm}
 }
 
 // Set is all services that this host has ever had a configuration of.
@@ -80,21 +72,23 @@
 		return svc.(*Service)
 	}
 	meter := shift.NewMeter(s.random, time.Now())
-	svc, _ := s.services.LoadOrStore(name, &Service{Gate: slot.NewGate(), decider: steer.New(meter)})
+	svc, _ := s.services.LoadOrStore(name, &Service{name: name, Gate: slot.NewGate(), decider: steer.New(meter)})
 	return svc.(*Service)
 }
 
-// All runs f on every service until it returns false, those that are no
-// longer configured included.
-func (s *Set) All(f func(name string, svc *Service) bool) {
-	s.services.Range(func(name, svc any) bool { return f(name.(string), svc.(*Service)) })
+// All gives every service by its name, those that are no longer configured
+// included.
+func (s *Set) All() iter.Seq2[string, *Service] {
+	return func(yield func(string, *Service) bool) {
+		s.services.Range(func(name, svc any) bool { return yield(name.(string), svc.(*Service)) })
+	}
 }
 
 // Free gives the slots of each configured service.
 func (s *Set) Free() []member.ServiceSlots {
 	var out []member.ServiceSlots
 	for _, svc := range s.view().Services() {
-		out = append(out, s.Get(svc.Name).Free(svc.Name))
+		out = append(out, s.Get(svc.Name).Free())
 	}
 	return out
 }
@@ -102,20 +96,21 @@
 // Outstanding counts the slots that are taken now.
 func (s *Set) Outstanding() int {
 	out := 0
-	s.All(func(_ string, svc *Service) bool {
+	for _, svc := range s.All() {
 		out += svc.Gate.Load().Outstanding
-		return true
-	})
+	}
 	return out
 }
 
 // Within reports whether only slots are taken that this host holds.
 func (s *Set) Within() bool {
 	ok := true
-	s.All(func(_ string, svc *Service) bool {
-		svc.Gate.Do(func(p *slot.Pool) { ok = ok && p.Within() })
-		return ok
-	})
+	for _, svc := range s.All() {
+		svc.Gate.Do(func(p *slot.Pool) { ok = p.Within() })
+		if !ok {
+			break
+		}
+	}
 	return ok
 }
 
@@ -139,7 +134,13 @@
 		return
 	}
 	for _, svc := range s.view().Services() {
-		s.Get(svc.Name).adoptShares(shares)
+		state := s.Get(svc.Name)
+		state.Decide(func(d *steer.Decider) {
+			if !state.adopted {
+				state.adopted = true
+				d.Meter().Adopt(shares)
+			}
+		})
 	}
 }
 
@@ -151,3 +152,31 @@
 	}
 	return longest
 }
+
+// Refresh gives each service the latest reports of the zones, and advances its
+// ramps unless the configuration is frozen. Clock is the reading of the
+// host's monotonic clock, in nanoseconds, at the time now.
+func (s *Set) Refresh(zones []peers.ZoneReport, frozen bool, now time.Time, clock int64) {
+	for _, svc := range s.view().Services() {
+		state := s.Get(svc.Name)
+		held, out, latency := state.Usage()
+		state.Decide(func(d *steer.Decider) {
+			d.SetLocal(held, out, latency)
+			d.SetFrozen(frozen)
+			d.Meter().Advance(now, frozen)
+			for _, z := range zones {
+				d.SetZone(z.Zone, reportOf(z, svc.Name, now, clock), z.RTT, z.Up)
+			}
+			d.Rank()
+		})
+	}
+}
+
+// reportOf gives what a zone reported of a service, by the host's clock.
+func reportOf(z peers.ZoneReport, service string, now time.Time, clock int64) steer.Report {
+	slots, ok := peers.SlotsOf(z.Free, service)
+	if !ok {
+		return steer.Report{}
+	}
+	return steer.Report{Free: slots.Free, Held: slots.Warm, At: clock - int64(now.Sub(z.At))}
+}
--- a/internal/selector/entry/status.go
+++ b/internal/selector/entry/status.go
@@ -64,7 +64,7 @@
 	s := Status{
 		Host: h.Self().Host, Zone: h.zone, Revision: v.Revision(),
 		FreshMillis: h.config.Age().Milliseconds(),
-		Frozen:      h.Frozen(), Ready: h.Ready(), Leaving: h.leaving.Load(),
+		Frozen:      h.config.Frozen(), Ready: h.Ready(), Leaving: h.leaving.Load(),
 		InFlight: h.inFlight.Load(), Tickets: h.tickets.Kept(),
 	}
 	for _, svc := range v.Services() {
@@ -138,3 +138,25 @@
 		z.Held += f.Held
 	}
 }
+
+// registerMetrics adds the gauges that read the host's state when asked.
+func (h *Host) registerMetrics() {
+	m := h.metrics
+	m.Gauge("cairndock_config_revision", func() float64 { return float64(h.View().Revision()) })
+	m.Gauge("cairndock_config_age_seconds", func() float64 { return h.config.Age().Seconds() })
+	m.Gauge("cairndock_frozen", func() float64 {
+		if h.config.Frozen() {
+			return 1
+		}
+		return 0
+	})
+	m.Gauge("cairndock_in_flight", func() float64 { return float64(h.inFlight.Load()) })
+	m.Gauge("cairndock_slots_outstanding", func() float64 { return float64(h.services.Outstanding()) })
+	m.Gauge("cairndock_slots_held", func() float64 {
+		held := 0
+		for _, f := range h.services.Free() {
+			held += f.Held
+		}
+		return float64(held)
+	})
+}
--- a/internal/selector/entry/tickets/tickets.go
+++ b/internal/selector/entry/tickets/tickets.go
@@ -27,7 +27,7 @@
 // Forwarder exchanges requests and responses with other hosts.
 type Forwarder interface {
 	Exchange(ctx context.Context, to member.Contact, kind peer.Kind, msg forward.Message) (*call.Response, error)
-	Respond(ctx context.Context, from peer.Hello, service string, a *call.Response, err error, w *peer.Responder)
+	Respond(ctx context.Context, from peer.Hello, service string, resp *call.Response, err error, w *peer.Responder)
 }
 
 // Options are what an Issuer is made of.
@@ -50,22 +50,26 @@
 
 	mu  sync.Mutex
 	own *ticket.Store
-	// adopted are the stores of stopped hosts, by incarnation, adoptedAt when
-	// each came and handovers what other hosts are to know of them.
-	adopted   map[string]*ticket.Store
-	adoptedAt map[string]time.Time
+	// adopted are the stores of stopped hosts, by incarnation, and handovers
+	// what other hosts are to know of them.
+	adopted   map[string]adoptedStore
 	handovers []member.Handover
 
 	running sync.WaitGroup
 }
 
+// adoptedStore is the store of a stopped host, and when it came here.
+type adoptedStore struct {
+	*ticket.Store
+	at time.Time
+}
+
 // New makes an Issuer that has issued no ticket.
 func New(o Options) *Issuer {
 	return &Issuer{
-		Options:   o,
-		own:       ticket.NewStore(o.Host, o.Zone, o.Incarnation, ticket.NewKey()),
-		adopted:   map[string]*ticket.Store{},
-		adoptedAt: map[string]time.Time{},
+		Options: o,
+		own:     ticket.NewStore(o.Host, o.Zone, o.Incarnation, ticket.NewKey()),
+		adopted: map[string]adoptedStore{},
 	}
 }
 
@@ -117,7 +121,7 @@
 // askIssuer forwards a ticket's request to its issuer, or to a host of the
 // issuer's zone, which knows the issuer and forwards it once more.
 func (i *Issuer) askIssuer(ctx context.Context, t ticket.Ticket, req *call.Request, passed bool) (*call.Response, error) {
-	to, ok := i.Peers.Issuer(t.Host, t.Incarnation, t.Zone, !passed)
+	to, ok := i.Peers.ForTicket(t.Host, t.Incarnation, t.Zone, !passed)
 	if !ok {
 		return nil, verdict.New(verdict.MayHaveRun, verdict.TicketUnknown, "the ticket's host %s can't be reached", t.Host)
 	}
@@ -133,7 +137,7 @@
 	if t.Host == i.Host && t.Incarnation == i.Incarnation {
 		return i.own
 	}
-	return i.adopted[t.Incarnation]
+	return i.adopted[t.Incarnation].Store
 }
 
 // Serve serves a ticket's request that another host forwarded. It forwards it
--- a/internal/selector/server/server.go
+++ b/internal/selector/server/server.go
@@ -76,10 +76,7 @@
 // Start starts a host and its listeners. The host serves until Stop or Close; ctx
 // ends its background work too.
 func Start(ctx context.Context, o entry.Options) (*Server, error) {
-	h, err := entry.New(o)
-	if err != nil {
-		return nil, err
-	}
+	h := entry.New(o)
 	callers, err := net.Listen("tcp", o.Settings.Callers.Listen)
 	if err != nil {
 		return nil, eris.Wrap(err, "listen for callers")
