--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net"
 	"sync"
 	"time"
 
@@ -135,16 +134,3 @@
 // lost, or the response is larger than a frame; the peer's deadline ends its
 // request then, and it goes to another host or to the store.
 func respond(w *peer.Responder, response any) { _ = w.Send(response) }
-
-// TCP is the transport between hosts: plain TCP, dialed by a DialContext. That
-// must bound how long sent data may stay unacknowledged, so that a silent
-// partition breaks the connection.
-type TCP func(ctx context.Context, network, address string) (net.Conn, error)
-
-// Dial connects to a peer.
-func (t TCP) Dial(ctx context.Context, address string) (net.Conn, error) {
-	return t(ctx, "tcp", address)
-}
-
-// Listen listens for peers.
-func (TCP) Listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
--- a/internal/gateway/fleet/harness_test.go
+++ b/internal/gateway/fleet/harness_test.go
@@ -10,6 +10,8 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
+
+	"cairndock/internal/peer"
 )
 
 var readyStatus = Status{Ready: true}
@@ -111,7 +113,7 @@
 	h.PeerAddress = freeAddress(t)
 	f := New(Options{
 		Self: h, Registry: r, Report: noReport{}, Status: func() Status { return readyStatus },
-		Seeds: seeds, Transport: TCP((&net.Dialer{}).DialContext), Tables: tables,
+		Seeds: seeds, Transport: peer.TCP((&net.Dialer{}).DialContext), Tables: tables,
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	require.NoError(t, f.Start(ctx))
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -118,10 +118,10 @@
 func defaultSettings() Settings {
 	return Settings{
 		Limits: LimitSettings{
-			RetryRatio: defaultRetryRatio, RetryWindow: settings.Seconds(defaultRetryWindow), WarmUpOvershoot: defaultOvershoot,
-			DirectoryTTL: settings.Seconds(defaultDirectoryTTL),
+			RetryRatio: defaultRetryRatio, RetryWindow: settings.Duration(defaultRetryWindow), WarmUpOvershoot: defaultOvershoot,
+			DirectoryTTL: settings.Duration(defaultDirectoryTTL),
 		},
-		Stop: StopSettings{Grace: settings.Seconds(defaultGrace)},
+		Stop: StopSettings{Grace: settings.Duration(defaultGrace)},
 	}
 }
 
--- a/internal/gateway/wiring.go
+++ b/internal/gateway/wiring.go
@@ -13,6 +13,7 @@
 	"cairndock/internal/gateway/retry"
 	"cairndock/internal/gateway/routing"
 	"cairndock/internal/gateway/watch"
+	"cairndock/internal/peer"
 	"cairndock/platform"
 )
 
@@ -45,7 +46,7 @@
 			Incarnation: ulid.Make().String(), // a restart is a new one
 		},
 		Registry: platform.Registry{Store: store, Log: g.log}, Report: g.log, Observations: g.detector,
-		Status: g.status, Seeds: g.settings.peerSeeds(), Transport: fleet.TCP(dial.New(storeDialTimeout).DialContext),
+		Status: g.status, Seeds: g.settings.peerSeeds(), Transport: peer.TCP(dial.New(storeDialTimeout).DialContext),
 		Tables: g.tables[:], MaxAge: g.timing.MaxAge(),
 	})
 }
--- a/internal/selector/entry/bench_test.go
+++ b/internal/selector/entry/bench_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"fmt"
+	"net"
 	"net/netip"
 	"runtime"
 	"testing"
@@ -13,6 +14,7 @@
 	"github.com/stretchr/testify/require"
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 
+	"cairndock/internal/peer"
 	"cairndock/internal/selector/config"
 	"cairndock/internal/selector/entry/configsync"
 	"cairndock/internal/selector/member"
@@ -42,11 +44,11 @@
 	memory := store.NewMemory()
 	set := servesettings.Settings{
 		Host:    settings.Host{Name: "zone-00-00", Zone: "zone-00", Region: "region-00"},
-		Callers: servesettings.Callers{TTL: settings.Seconds(5 * time.Second)},
+		Callers: servesettings.Callers{TTL: settings.Duration(5 * time.Second)},
 	}
-	Prepare(&set)
+	Default(&set)
 	h := New(Options{
-		Settings: set, Table: memory, Objects: memory, Hosts: memory, Transport: TCP{}, Log: zerolog.Nop(),
+		Settings: set, Table: memory, Objects: memory, Hosts: memory, Transport: peer.TCP((&net.Dialer{}).DialContext), Log: zerolog.Nop(),
 		Traces: sdktrace.NewTracerProvider(sdktrace.WithSampler(sdktrace.NeverSample())),
 	})
 	h.rosters.Merge(bigRoster(74))
--- a/internal/selector/entry/clustertest/cluster.go
+++ b/internal/selector/entry/clustertest/cluster.go
@@ -131,10 +131,10 @@
 func (c *Cluster) Start(name, zone, region string) *entry.Host {
 	set := servesettings.Settings{
 		Host:    settings.Host{Name: name, Zone: zone, Region: region},
-		Callers: servesettings.Callers{TTL: settings.Seconds(5 * time.Second)},
+		Callers: servesettings.Callers{TTL: settings.Duration(5 * time.Second)},
 		Peers:   servesettings.Peers{Listen: name + ":2", Seeds: []string{"costa-b-1:2"}},
 	}
-	entry.Prepare(&set)
+	entry.Default(&set)
 	table := tableOf{c.Memory, c.Net, name}
 	h := entry.New(entry.Options{
 		Settings: set, Table: table, Objects: table, Hosts: table, Transport: c.Net.End(name),
--- a/internal/selector/entry/configsync/relay.go
+++ b/internal/selector/entry/configsync/relay.go
@@ -168,7 +168,7 @@
 	}
 	if reply.Snapshot {
 		// Small writes are gathered, so that each frame is worth its cost.
-		body := bufio.NewWriterSize(w, link.Chunk)
+		body := bufio.NewWriterSize(w, link.MaxChunk)
 		if state.WriteSnapshot(body) != nil || body.Flush() != nil {
 			_ = w.Fail() // the connection may be what failed
 			return
--- a/internal/selector/entry/dispatch/dispatch_test.go
+++ b/internal/selector/entry/dispatch/dispatch_test.go
@@ -95,7 +95,7 @@
 	planning.Decide(func(d *steer.Decider) {
 		d.Configure(svc, "costa-a", "costa", time.Now())
 		d.SetLocal(1, 0, 0)
-		d.SetZone("costa-b", steer.Report{Free: 2, Held: 2, At: now()}, time.Millisecond, true)
+		d.SetZone("costa-b", steer.Report{Free: 2, Warm: 2, At: now()}, time.Millisecond, true)
 		d.Rank()
 	})
 	s := &system{}
--- a/internal/selector/entry/forward/serve.go
+++ b/internal/selector/entry/forward/serve.go
@@ -79,11 +79,11 @@
 }
 
 // chunks are the buffers of bodies on their way.
-var chunks = sync.Pool{New: func() any { return new([link.Chunk]byte) }}
+var chunks = sync.Pool{New: func() any { return new([link.MaxChunk]byte) }}
 
 // copyBody sends a body in chunks, each at the pace of the link.
 func (f *Forwarder) copyBody(ctx context.Context, from peer.Hello, service string, body io.Reader, w *peer.Responder) error {
-	pooled := chunks.Get().(*[link.Chunk]byte)
+	pooled := chunks.Get().(*[link.MaxChunk]byte)
 	defer chunks.Put(pooled)
 	buf := pooled[:f.Links.Chunk(from.Zone)]
 	for {
--- a/internal/selector/entry/heartbeats/bench_test.go
+++ b/internal/selector/entry/heartbeats/bench_test.go
@@ -43,7 +43,7 @@
 	return New(Options{
 		Zone: "zone-00", Peers: table, Services: services.NewSet(r.View, func() float64 { return 0.5 }),
 		Config: r, Rosters: &membership{}, Upstreams: &states{},
-		Handovers: func() []member.Handover { return nil }, Leaving: func() bool { return false },
+		Successors: func() []member.Successor { return nil }, Leaving: func() bool { return false },
 	})
 }
 
--- a/internal/selector/entry/heartbeats/heartbeats.go
+++ b/internal/selector/entry/heartbeats/heartbeats.go
@@ -60,8 +60,8 @@
 	Config    Config
 	Rosters   Rosters
 	Upstreams Upstreams
-	// Handovers gives whose successor this host is.
-	Handovers func() []member.Handover
+	// Successors gives whose successor this host is.
+	Successors func() []member.Successor
 	// Leaving reports whether this host is stopping.
 	Leaving func() bool
 	// Answered is called when a peer has answered.
@@ -185,7 +185,7 @@
 	hb := member.Heartbeat{
 		Contact:  e.Peers.Self(),
 		Revision: v.Revision(), Digest: v.State().Digest(), FreshAge: e.Config.FreshAge(),
-		Leaving: e.Leaving(), Handovers: e.Handovers(),
+		Leaving: e.Leaving(), Successors: e.Successors(),
 	}
 	e.Rosters.Describe(&hb)
 	if zone == e.Zone {
@@ -202,8 +202,8 @@
 		return
 	}
 	names := v.ServiceNames()
-	hb.Free = member.Unpack(hb.Slots, names)
-	hb.ZoneFree = member.Unpack(hb.ZoneSlots, names)
+	hb.ServiceSlots = member.Unpack(hb.Slots, names)
+	hb.ZoneServiceSlots = member.Unpack(hb.ZoneSlots, names)
 }
 
 // record notes a heartbeat. A host that did not answer before may bring a zone
@@ -223,7 +223,7 @@
 // peer.
 func (e *Exchanger) merge(ctx context.Context, hb member.Heartbeat) {
 	e.Peers.Learn(hb.Contacts)
-	e.Peers.Update(func(p *member.Peers) { p.RecordSuccessors(hb.Handovers, time.Now()) })
+	e.Peers.Update(func(p *member.Peers) { p.RecordSuccessors(hb.Successors, time.Now()) })
 	newer := e.Rosters.MergeAck(hb)
 	if e.Upstreams.Merge(hb.UpstreamStatuses) {
 		e.Rosters.Reconfigure()
--- a/internal/selector/entry/heartbeats/heartbeats_test.go
+++ b/internal/selector/entry/heartbeats/heartbeats_test.go
@@ -55,7 +55,7 @@
 	return New(Options{
 		Zone: "costa-a", Peers: peers.New(member.Contact{Host: "costa-a-1", Zone: "costa-a", PeerAddr: "costa-a-1:2"}),
 		Services: services.NewSet(r.View, func() float64 { return 0.5 }), Config: r, Rosters: m, Upstreams: s,
-		Handovers: func() []member.Handover { return nil }, Leaving: func() bool { return false },
+		Successors: func() []member.Successor { return nil }, Leaving: func() bool { return false },
 		Answered: func() {}, PeerUp: func() { *up++ }, Now: func() int64 { return 1 },
 	}), calls, up
 }
@@ -138,8 +138,8 @@
 	b := heartbeat("costa-b-1", "costa-b")
 	b.Slots = []uint32{1, 2, 3}
 	e.unpack(&b)
-	require.Equal(t, []member.ServiceSlots{{Service: "planning", Free: 1, Held: 2, Warm: 3}}, b.Free)
-	b.Free, b.Revision = nil, 2
+	require.Equal(t, []member.ServiceSlots{{Service: "planning", Free: 1, Held: 2, Warm: 3}}, b.ServiceSlots)
+	b.ServiceSlots, b.Revision = nil, 2
 	e.unpack(&b)
-	require.Empty(t, b.Free)
+	require.Empty(t, b.ServiceSlots)
 }
--- a/internal/selector/entry/host.go
+++ b/internal/selector/entry/host.go
@@ -1,6 +1,7 @@
 package entry
 
 import (
+	"cmp"
 	"context"
 	"math/rand/v2"
 	"sync"
@@ -31,7 +32,6 @@
 	"cairndock/internal/selector/roster"
 	"cairndock/internal/selector/servesettings"
 	"cairndock/internal/selector/upstream"
-	"cairndock/internal/settings"
 	"cairndock/internal/telemetry"
 )
 
@@ -178,7 +178,7 @@
 	s := h.opts.Settings
 	h.heartbeats = heartbeats.New(heartbeats.Options{
 		Zone: h.zone, Seeds: s.Peers.Seeds, Peers: h.peers, Services: h.services, Config: h.config,
-		Rosters: h.rosters, Upstreams: h.upstreams, Handovers: h.tickets.Handovers, Leaving: h.leaving.Load,
+		Rosters: h.rosters, Upstreams: h.upstreams, Successors: h.tickets.Successors, Leaving: h.leaving.Load,
 		Answered: h.fence.Answered, PeerUp: h.refreshServices, Now: h.now, Mesh: h.mesh,
 	})
 	h.directory = directory.New(directory.Options{
@@ -207,8 +207,8 @@
 		return err
 	}
 	self := h.Self()
-	self.PeerAddr = settings.Default(self.PeerAddr, addr)
-	self.ClientAddr = settings.Default(self.ClientAddr, clientAddr)
+	self.PeerAddr = cmp.Or(self.PeerAddr, addr)
+	self.ClientAddr = cmp.Or(self.ClientAddr, clientAddr)
 	h.peers.SetSelf(self)
 	h.fence.Start()
 	ctx, h.stop = context.WithCancel(ctx)
--- a/internal/selector/entry/links/links.go
+++ b/internal/selector/entry/links/links.go
@@ -76,7 +76,7 @@
 	if limit, ok := l.limitTo(l.View(), zone); ok {
 		return l.pacer(limit).Chunk()
 	}
-	return link.Chunk
+	return link.MaxChunk
 }
 
 // limitTo gives the limited link to a zone's region, if there is one.
--- a/internal/selector/entry/links/links_test.go
+++ b/internal/selector/entry/links/links_test.go
@@ -51,7 +51,7 @@
 			l := newLinks(t, 1)
 			require.NoError(t, l.Wait(context.Background(), "planning", zone, 100))
 			require.Equal(t, counted, l.Sent("sierra")+l.Sent("marmara")+l.Sent("costa"))
-			require.LessOrEqual(t, l.Chunk(zone), link.Chunk)
+			require.LessOrEqual(t, l.Chunk(zone), link.MaxChunk)
 		})
 	}
 }
--- a/internal/selector/entry/peers/peers_test.go
+++ b/internal/selector/entry/peers/peers_test.go
@@ -24,7 +24,7 @@
 
 func report(host, zone string, free int) member.Heartbeat {
 	f := []member.ServiceSlots{{Service: "planning", Free: free, Held: 4, Warm: 2}}
-	return member.Heartbeat{Contact: contact(host, zone), Free: f, ZoneFree: f, Slots: member.Pack(f), ZoneSlots: member.Pack(f)}
+	return member.Heartbeat{Contact: contact(host, zone), ServiceSlots: f, ZoneServiceSlots: f, Slots: member.Pack(f), ZoneSlots: member.Pack(f)}
 }
 
 // TestWithMostFree: most free slots first; a full host is asked in another
@@ -49,7 +49,7 @@
 // TestIssuer: the successor of a stopped issuer, else the issuer, else any
 // host of its zone.
 func TestIssuer(t *testing.T) {
-	handover := []member.Handover{{Incarnation: "stopped", Host: "costa-b-2"}}
+	handover := []member.Successor{{Incarnation: "stopped", Host: "costa-b-2"}}
 	table := newTable(report("costa-b-1", "costa-b", 1), report("costa-b-2", "costa-b", 1))
 	table.Update(func(p *member.Peers) { p.RecordSuccessors(handover, time.Now()) })
 	cases := []struct {
--- a/internal/selector/entry/peers/slots.go
+++ b/internal/selector/entry/peers/slots.go
@@ -20,7 +20,7 @@
 		if !p.Up(now) {
 			continue
 		}
-		slots, _ := SlotsOf(p.Heartbeat.Free, service)
+		slots, _ := SlotsOf(p.Heartbeat.ServiceSlots, service)
 		if zone == t.zone && slots.Free <= 0 {
 			continue
 		}
@@ -48,7 +48,7 @@
 	sum := slices.Clone(own)
 	for _, p := range t.Zone(t.zone) {
 		if p.Up(now) {
-			addFree(sum, p.Heartbeat.Free)
+			addFree(sum, p.Heartbeat.ServiceSlots)
 		}
 	}
 	return sum
@@ -100,7 +100,7 @@
 		}
 		z.Up = true
 		if p.SlotsAt.After(z.At) {
-			z.At, z.Free = p.SlotsAt, p.Heartbeat.ZoneFree
+			z.At, z.Free = p.SlotsAt, p.Heartbeat.ZoneServiceSlots
 		}
 		if z.RTT == 0 || (p.RTT > 0 && p.RTT < z.RTT) {
 			z.RTT = p.RTT
--- a/internal/selector/entry/services/services.go
+++ b/internal/selector/entry/services/services.go
@@ -106,7 +106,7 @@
 func (s *Set) Within() bool {
 	ok := true
 	for _, svc := range s.All() {
-		svc.Gate.Do(func(p *slot.Pool) { ok = p.Within() })
+		svc.Gate.Do(func(p *slot.Pool) { ok = p.WithinHeld() })
 		if !ok {
 			break
 		}
@@ -178,5 +178,5 @@
 	if !ok {
 		return steer.Report{}
 	}
-	return steer.Report{Free: slots.Free, Held: slots.Warm, At: clock - int64(now.Sub(z.At))}
+	return steer.Report{Free: slots.Free, Warm: slots.Warm, At: clock - int64(now.Sub(z.At))}
 }
--- a/internal/selector/entry/settings.go
+++ b/internal/selector/entry/settings.go
@@ -1,6 +1,7 @@
 package entry
 
 import (
+	"cmp"
 	"time"
 
 	"cairndock/internal/selector/servesettings"
@@ -19,14 +20,14 @@
 	callsPerSecond = 5
 )
 
-// Prepare fills the defaults of a host's settings.
-func Prepare(s *servesettings.Settings) {
-	s.Stop.Window = settings.Default(s.Stop.Window, settings.Seconds(stopWindow))
-	s.Stop.Grace = settings.Default(s.Stop.Grace, settings.Seconds(stopGrace))
-	s.Platform.CallsPerSecond = settings.Default(s.Platform.CallsPerSecond, callsPerSecond)
-	s.Platform.Region = settings.Default(s.Platform.Region, "local")
-	s.Platform.Table = settings.Default(s.Platform.Table, "cairndock")
-	s.Platform.Bucket = settings.Default(s.Platform.Bucket, "cairndock")
+// Default fills the defaults of a host's settings.
+func Default(s *servesettings.Settings) {
+	s.Stop.Window = cmp.Or(s.Stop.Window, settings.Duration(stopWindow))
+	s.Stop.Grace = cmp.Or(s.Stop.Grace, settings.Duration(stopGrace))
+	s.Platform.CallsPerSecond = cmp.Or(s.Platform.CallsPerSecond, callsPerSecond)
+	s.Platform.Region = cmp.Or(s.Platform.Region, "local")
+	s.Platform.Table = cmp.Or(s.Platform.Table, "cairndock")
+	s.Platform.Bucket = cmp.Or(s.Platform.Bucket, "cairndock")
 }
 
 // Check notes the faults of a host's settings.
--- a/internal/selector/entry/status.go
+++ b/internal/selector/entry/status.go
@@ -126,7 +126,7 @@
 			newest = p.HeardAt
 			z.Free, z.Held = 0, 0
 			z.FreshMillis = p.Heartbeat.FreshAge + now.Sub(p.HeardAt).Milliseconds()
-			z.add(p.Heartbeat.ZoneFree)
+			z.add(p.Heartbeat.ZoneServiceSlots)
 		}
 	}
 	return z
--- a/internal/selector/entry/tickets/handover.go
+++ b/internal/selector/entry/tickets/handover.go
@@ -49,14 +49,14 @@
 		if _, known := i.adopted[s.Incarnation]; !known {
 			i.adopted[s.Incarnation] = adoptedStore{ticket.FromHandover(s), time.Now()}
 			i.handovers = append(i.handovers[:len(i.handovers):len(i.handovers)],
-				member.Handover{Incarnation: s.Incarnation, Host: i.Host})
+				member.Successor{Incarnation: s.Incarnation, Host: i.Host})
 		}
 	}
 }
 
-// Handovers gives the incarnations whose successor this host is, for
+// Successors gives the incarnations whose successor this host is, for
 // heartbeats.
-func (i *Issuer) Handovers() []member.Handover {
+func (i *Issuer) Successors() []member.Successor {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.handovers
@@ -73,6 +73,6 @@
 		}
 		delete(i.adopted, incarnation)
 		// Heartbeats on their way may still read the old slice.
-		i.handovers = slices.DeleteFunc(slices.Clone(i.handovers), func(o member.Handover) bool { return o.Incarnation == incarnation })
+		i.handovers = slices.DeleteFunc(slices.Clone(i.handovers), func(o member.Successor) bool { return o.Incarnation == incarnation })
 	}
 }
--- a/internal/selector/entry/tickets/run.go
+++ b/internal/selector/entry/tickets/run.go
@@ -35,7 +35,7 @@
 // ticketError gives the verdict on a ticket that its store refuses.
 func ticketError(err error) error {
 	switch {
-	case errors.Is(err, ticket.ErrOther):
+	case errors.Is(err, ticket.ErrOtherRequest):
 		return verdict.New(verdict.NotRun, verdict.TicketConflict, "%v", err)
 	case errors.Is(err, ticket.ErrForged):
 		return verdict.New(verdict.NotRun, verdict.BadTicket, "%s: %v", call.HeaderTicket, err)
--- a/internal/selector/entry/tickets/tickets.go
+++ b/internal/selector/entry/tickets/tickets.go
@@ -53,7 +53,7 @@
 	// adopted are the stores of stopped hosts, by incarnation, and handovers
 	// what other hosts are to know of them.
 	adopted   map[string]adoptedStore
-	handovers []member.Handover
+	handovers []member.Successor
 
 	running sync.WaitGroup
 }
--- a/internal/selector/entry/tickets/tickets_test.go
+++ b/internal/selector/entry/tickets/tickets_test.go
@@ -140,17 +140,17 @@
 		_, err = stopped.Issue("planning")
 		require.Equal(t, verdict.Stopping, verdict.From(err).Reason)
 		successor.Adopt([]ticket.Handover{stopped.own.Handover(true)})
-		require.Equal(t, []member.Handover{{Incarnation: "2", Host: "costa-a-1"}}, successor.Handovers())
+		require.Equal(t, []member.Successor{{Incarnation: "2", Host: "costa-a-1"}}, successor.Successors())
 		a, err := successor.Do(context.Background(), booking(tk))
 		require.NoError(t, err)
 		require.NoError(t, a.Body.Close())
 
 		time.Sleep(2*ticket.Lifetime - 1)
 		successor.ForgetExpired()
-		require.Len(t, successor.Handovers(), 1)
+		require.Len(t, successor.Successors(), 1)
 		time.Sleep(time.Nanosecond)
 		successor.ForgetExpired()
-		require.Empty(t, successor.Handovers())
+		require.Empty(t, successor.Successors())
 	})
 }
 
--- a/internal/selector/link/bucket_test.go
+++ b/internal/selector/link/bucket_test.go
@@ -35,9 +35,9 @@
 			queue = queue[1:]
 		}
 		if now >= bulkAt {
-			wait := b.take(Bulk, Chunk, int64(now))
+			wait := b.take(Bulk, MaxChunk, int64(now))
 			if wait == 0 {
-				sent = append(sent, sending{now, Bulk, Chunk})
+				sent = append(sent, sending{now, Bulk, MaxChunk})
 			}
 			bulkAt = now + wait
 		}
@@ -65,7 +65,7 @@
 				sum += sent[j].n
 			}
 			// One chunk of slack: a chunk is never sent in parts.
-			if sum > testLimit+Chunk {
+			if sum > testLimit+MaxChunk {
 				t.Fatalf("%d bytes in the second from %s on", sum, sent[i].at)
 			}
 		}
--- a/internal/selector/link/pacer.go
+++ b/internal/selector/link/pacer.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// Chunk is the most bytes to send at once. Chosen, not measured.
-	Chunk = 16 << 10
+	// MaxChunk is the most bytes to send at once. Chosen, not measured.
+	MaxChunk = 16 << 10
 	// leastChunk is the most bytes to send at once on the slowest links. Chosen,
 	// not measured.
 	leastChunk = 1 << 10
@@ -49,7 +49,7 @@
 func (p *Pacer) Chunk() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(leastChunk, min(Chunk, int(p.bucket.rate*chunkTime.Seconds())))
+	return max(leastChunk, min(MaxChunk, int(p.bucket.rate*chunkTime.Seconds())))
 }
 
 // Wait waits until n bytes of a class may be sent. Its error is that of ctx.
--- a/internal/selector/link/pacer_test.go
+++ b/internal/selector/link/pacer_test.go
@@ -65,7 +65,7 @@
 		limit float64
 		want  int
 	}{
-		{"a fast link takes whole chunks", 1e9, Chunk},
+		{"a fast link takes whole chunks", 1e9, MaxChunk},
 		{"a slow one as much as passes in 4 ms", testLimit, 3809},
 		{"and never less than the least", 1000, leastChunk},
 		{"nor with no limit to speak of", 0, leastChunk},
--- a/internal/selector/member/heartbeat.go
+++ b/internal/selector/member/heartbeat.go
@@ -48,8 +48,8 @@
 	return out
 }
 
-// Handover says that a host serves the tickets of a stopped incarnation.
-type Handover struct {
+// Successor says that a host serves the tickets of a stopped incarnation.
+type Successor struct {
 	Incarnation string `msgpack:"i"`
 	Host        string `msgpack:"h"`
 }
@@ -86,9 +86,9 @@
 	// them. They are in responses only.
 	Slots     []uint32 `msgpack:"s,omitempty"`
 	ZoneSlots []uint32 `msgpack:"z,omitempty"`
-	// Free and ZoneFree are the same, as Unpack reads them; they are not sent.
-	Free     []ServiceSlots `msgpack:"-"`
-	ZoneFree []ServiceSlots `msgpack:"-"`
+	// ServiceSlots and ZoneServiceSlots are the same, as Unpack reads them; they are not sent.
+	ServiceSlots     []ServiceSlots `msgpack:"-"`
+	ZoneServiceSlots []ServiceSlots `msgpack:"-"`
 	// ZoneHosts is how many hosts of the zone hold slots.
 	ZoneHosts int `msgpack:"n"`
 	// Contacts are hosts of the own zone. They are in a response only when their
@@ -97,7 +97,7 @@
 	ContactsHash uint64    `msgpack:"q"`
 	// UpstreamStatuses are sent within the zone only.
 	UpstreamStatuses []UpstreamStatus `msgpack:"g,omitempty"`
-	Handovers        []Handover       `msgpack:"t,omitempty"`
+	Successors       []Successor      `msgpack:"t,omitempty"`
 }
 
 // HashContacts gives a hash of the hosts that a zone names. Hosts of all versions
--- a/internal/selector/member/peers.go
+++ b/internal/selector/member/peers.go
@@ -115,7 +115,7 @@
 	}
 	if b.Slots == nil {
 		// A request has no slots: those of the last response still count.
-		b.Free, b.ZoneFree, b.ZoneHosts = peer.Heartbeat.Free, peer.Heartbeat.ZoneFree, peer.Heartbeat.ZoneHosts
+		b.ServiceSlots, b.ZoneServiceSlots, b.ZoneHosts = peer.Heartbeat.ServiceSlots, peer.Heartbeat.ZoneServiceSlots, peer.Heartbeat.ZoneHosts
 	} else {
 		peer.ContactsHash, peer.SlotsAt = b.ContactsHash, askedAt
 	}
@@ -188,13 +188,13 @@
 	if !ok {
 		return
 	}
-	free := slices.Clone(peer.Heartbeat.Free)
+	free := slices.Clone(peer.Heartbeat.ServiceSlots)
 	for i := range free {
 		if free[i].Service == slots.Service {
 			free[i] = slots
 		}
 	}
-	peer.Heartbeat.Free = free
+	peer.Heartbeat.ServiceSlots = free
 	p.peers[host] = peer
 }
 
--- a/internal/selector/member/peers_test.go
+++ b/internal/selector/member/peers_test.go
@@ -104,21 +104,21 @@
 	p := NewPeers(contact("own", 0))
 	c := contact("zone-00", 1)
 	now := time.Now()
-	p.RecordHeartbeat(Heartbeat{Contact: c, Slots: Pack(free), Free: free, ZoneHosts: 3}, now, time.Millisecond)
+	p.RecordHeartbeat(Heartbeat{Contact: c, Slots: Pack(free), ServiceSlots: free, ZoneHosts: 3}, now, time.Millisecond)
 	p.RecordHeartbeat(Heartbeat{Contact: c}, now.Add(time.Second), 0)
 	peer, _ := p.Get(c.Host)
-	require.Equal(t, free, peer.Heartbeat.Free, "a heartbeat that asks has no slots and clears none")
+	require.Equal(t, free, peer.Heartbeat.ServiceSlots, "a heartbeat that asks has no slots and clears none")
 }
 
 func TestSuccessors(t *testing.T) {
 	p := NewPeers(contact("own", 0))
 	now := time.Now()
 	p.AddKnown(contact("own", 1))
-	p.RecordSuccessors([]Handover{{Incarnation: "gone", Host: "own-01"}}, now)
+	p.RecordSuccessors([]Successor{{Incarnation: "gone", Host: "own-01"}}, now)
 	c, ok := p.Successor("gone")
 	require.True(t, ok)
 	require.Equal(t, "own-01", c.Host)
-	p.RecordSuccessors([]Handover{{Incarnation: "other", Host: "own-01"}}, now.Add(successorAge+time.Second))
+	p.RecordSuccessors([]Successor{{Incarnation: "other", Host: "own-01"}}, now.Add(successorAge+time.Second))
 	_, ok = p.Successor("gone")
 	require.False(t, ok, "forgotten when no longer named")
 }
@@ -171,12 +171,12 @@
 	require.False(t, known, "of an unknown host")
 
 	before := []ServiceSlots{{"a", 1, 2, 3}, {"b", 4, 5, 6}}
-	p.RecordHeartbeat(Heartbeat{Contact: c, Slots: Pack(before), Free: before, Revision: 5}, time.Now(), time.Millisecond)
+	p.RecordHeartbeat(Heartbeat{Contact: c, Slots: Pack(before), ServiceSlots: before, Revision: 5}, time.Now(), time.Millisecond)
 	p.RecordSlots(c.Host, ServiceSlots{"b", 0, 5, 6})
 	p.RecordSlots(c.Host, ServiceSlots{"not in the heartbeat", 1, 1, 1})
 	p.RecordRevision(c.Host, 4)
 	peer, _ := p.Get(c.Host)
-	require.Equal(t, []ServiceSlots{{"a", 1, 2, 3}, {"b", 0, 5, 6}}, peer.Heartbeat.Free)
+	require.Equal(t, []ServiceSlots{{"a", 1, 2, 3}, {"b", 0, 5, 6}}, peer.Heartbeat.ServiceSlots)
 	require.Equal(t, 4, before[1].Free, "the heartbeat's own slots are not changed")
 	require.Equal(t, uint64(5), peer.Heartbeat.Revision)
 	p.RecordRevision(c.Host, 6)
--- a/internal/selector/member/successor.go
+++ b/internal/selector/member/successor.go
@@ -26,7 +26,7 @@
 
 // RecordSuccessors adds the successors that a heartbeat names, and forgets those
 // that no heartbeat has named for long.
-func (p *Peers) RecordSuccessors(hs []Handover, now time.Time) {
+func (p *Peers) RecordSuccessors(hs []Successor, now time.Time) {
 	for _, h := range hs {
 		p.successors[h.Incarnation] = successor{h.Host, now}
 	}
--- a/internal/selector/member/wire_test.go
+++ b/internal/selector/member/wire_test.go
@@ -13,10 +13,10 @@
 	raw, err := msgpack.Marshal(Heartbeat{
 		Contact:     Contact{Host: "host", Zone: "zone", PeerAddr: "peer:1", ClientAddr: "caller:2"},
 		Incarnation: "incarnation", Epoch: 1, Acked: 2, Revision: 3, Digest: 4, FreshAge: -1, Leaving: true,
-		Slots: []uint32{5}, ZoneSlots: []uint32{6}, Free: []ServiceSlots{{Service: "not sent"}}, ZoneFree: []ServiceSlots{{Service: "not sent"}},
+		Slots: []uint32{5}, ZoneSlots: []uint32{6}, ServiceSlots: []ServiceSlots{{Service: "not sent"}}, ZoneServiceSlots: []ServiceSlots{{Service: "not sent"}},
 		ZoneHosts: 7, Contacts: []Contact{{Host: "other"}}, ContactsHash: 8,
 		UpstreamStatuses: []UpstreamStatus{{Upstream: "upstream", Instance: "instance", Leaving: true, Seen: true}},
-		Handovers:        []Handover{{Incarnation: "stopped", Host: "successor"}},
+		Successors:       []Successor{{Incarnation: "stopped", Host: "successor"}},
 	})
 	require.NoError(t, err)
 	var sent map[string]any
--- a/internal/selector/server/server.go
+++ b/internal/selector/server/server.go
@@ -16,6 +16,7 @@
 	"github.com/rs/zerolog"
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 
+	"cairndock/internal/peer"
 	"cairndock/internal/selector/caller"
 	"cairndock/internal/selector/entry"
 	"cairndock/internal/selector/operator"
@@ -29,7 +30,7 @@
 // Prepare applies the defaults of all sections and checks them. Its error joins
 // every fault.
 func Prepare(s *servesettings.Settings) error {
-	entry.Prepare(s)
+	entry.Default(s)
 	caller.Default(&s.Callers)
 	telemetry.Default(&s.Telemetry)
 	var f settings.Faults
@@ -59,7 +60,7 @@
 // settings, and mutual TLS between hosts if they have it.
 func HostOptions(s servesettings.Settings, log zerolog.Logger, tp *sdktrace.TracerProvider) (entry.Options, error) {
 	o := entry.Options{
-		Settings: s, Log: log, Traces: tp, Transport: entry.TCP{},
+		Settings: s, Log: log, Traces: tp, Transport: peer.TCP((&net.Dialer{}).DialContext),
 		Table: store.NewTable(s.Platform), Objects: store.NewObjects(s.Platform),
 		Hosts: store.NewHostList(s.Platform), Seed: uint64(time.Now().UnixNano()),
 	}
--- a/internal/selector/slot/history_test.go
+++ b/internal/selector/slot/history_test.go
@@ -80,7 +80,7 @@
 			held += s.Held
 		}
 	}
-	require.Equal(t, within, p.Within())
+	require.Equal(t, within, p.WithinHeld())
 	gotHeld, gotOut := p.Usage()
 	require.Equal(t, held, gotHeld)
 	require.Equal(t, len(m.leases), gotOut)
--- a/internal/selector/slot/pool.go
+++ b/internal/selector/slot/pool.go
@@ -183,9 +183,9 @@
 	return time.Duration(sum / float64(n) * float64(time.Second))
 }
 
-// Within reports whether no upstream has more requests outstanding than the
+// WithinHeld reports whether no upstream has more requests outstanding than the
 // host holds slots of it: the condition for acknowledging a roster epoch.
-func (p *Pool) Within() bool {
+func (p *Pool) WithinHeld() bool {
 	for _, u := range p.upstreams {
 		if u.outstanding > u.held {
 			return false
--- a/internal/selector/slot/pool_test.go
+++ b/internal/selector/slot/pool_test.go
@@ -93,7 +93,7 @@
 			first, second := take(t, p, a, start), take(t, p, a, start)
 			configure(p, tc.specs...)
 
-			require.Equal(t, tc.within, p.Within())
+			require.Equal(t, tc.within, p.WithinHeld())
 			require.Equal(t, 2, p.Outstanding(a))
 			gotHeld, gotOut := p.Usage()
 			require.Equal(t, tc.held, gotHeld)
@@ -108,7 +108,7 @@
 			require.Equal(t, 1, p.Outstanding(a))
 			p.Release(second, slot.Success, time.Millisecond, start)
 			require.Zero(t, p.Outstanding(a))
-			require.True(t, p.Within())
+			require.True(t, p.WithinHeld())
 		})
 	}
 }
--- a/internal/selector/steer/plan_test.go
+++ b/internal/selector/steer/plan_test.go
@@ -25,7 +25,7 @@
 func TestOwnRequestsCountUntilTheyEnd(t *testing.T) {
 	now := int64(time.Hour)
 	d := newDecider(config.PreferLatency, 2)
-	d.SetZone("z001", Report{Free: 6, Held: 8, At: now}, 0, true)
+	d.SetZone("z001", Report{Free: 6, Warm: 8, At: now}, 0, true)
 	use := func() float64 { return status(d, "z001", now).Use }
 	var p Plan
 	send := func() {
@@ -39,7 +39,7 @@
 	d.Ended("z001")
 	require.InDelta(t, 0.375, use(), 1e-9)
 
-	d.SetZone("z001", Report{Free: 5, Held: 8, At: now + 1}, 0, true)
+	d.SetZone("z001", Report{Free: 5, Warm: 8, At: now + 1}, 0, true)
 	require.InDelta(t, 0.375, use(), 1e-9, "the one that is left is in the newer report")
 	send()
 	d.Ended("z001")
@@ -48,14 +48,14 @@
 	send()
 	require.InDelta(t, 0.5, use(), 1e-9, "those in the report have ended, this one is not in it")
 	d.Ended("z001")
-	d.SetZone("z001", Report{Free: 8, Held: 8, At: now - 1}, 0, true)
+	d.SetZone("z001", Report{Free: 8, Warm: 8, At: now - 1}, 0, true)
 	require.InDelta(t, 0.375, use(), 1e-9, "an older report is dropped")
 }
 
 func TestARefusalCountsFor200Milliseconds(t *testing.T) {
 	now := int64(time.Hour)
 	d := newDecider(config.PreferLatency, 2)
-	d.SetZone("z001", Report{Free: 8, Held: 8, At: now}, 0, true)
+	d.SetZone("z001", Report{Free: 8, Warm: 8, At: now}, 0, true)
 	d.Refused("z001", now)
 	require.InDelta(t, 1, status(d, "z001", now+int64(refusedPause)-1).Use, 0)
 	require.Less(t, status(d, "z001", now+int64(refusedPause)).Use, 1.0)
--- a/internal/selector/steer/score.go
+++ b/internal/selector/steer/score.go
@@ -59,7 +59,7 @@
 	if r.At == 0 || fresh <= 0 {
 		return neutralUse
 	}
-	known := ratio(r.Held-r.Free+since, r.Held)
+	known := ratio(r.Warm-r.Free+since, r.Warm)
 	return neutralUse + (known-neutralUse)*fresh
 }
 
--- a/internal/selector/steer/score_test.go
+++ b/internal/selector/steer/score_test.go
@@ -40,12 +40,12 @@
 		want   float64
 	}{
 		{"no report is neutral", Report{}, 0, 0, 0.5},
-		{"a fresh report counts whole", Report{Free: 6, Held: 8, At: 1}, 0, 0, 0.25},
-		{"own requests since are added", Report{Free: 6, Held: 8, At: 1}, 4, 0, 0.75},
+		{"a fresh report counts whole", Report{Free: 6, Warm: 8, At: 1}, 0, 0, 0.25},
+		{"own requests since are added", Report{Free: 6, Warm: 8, At: 1}, 4, 0, 0.75},
 		{"a zone without slots is full", Report{At: 1}, 0, 0, 1},
-		{"a report fades to neutral", Report{Free: 0, Held: 8, At: 1}, 0, 1500 * time.Millisecond, 0.75},
-		{"a report of 3 s ago is neutral", Report{Free: 0, Held: 8, At: 1}, 0, 3 * time.Second, 0.5},
-		{"an older one too", Report{Free: 0, Held: 8, At: 1}, 0, time.Hour, 0.5},
+		{"a report fades to neutral", Report{Free: 0, Warm: 8, At: 1}, 0, 1500 * time.Millisecond, 0.75},
+		{"a report of 3 s ago is neutral", Report{Free: 0, Warm: 8, At: 1}, 0, 3 * time.Second, 0.5},
+		{"an older one too", Report{Free: 0, Warm: 8, At: 1}, 0, time.Hour, 0.5},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/selector/steer/steer.go
+++ b/internal/selector/steer/steer.go
@@ -33,10 +33,10 @@
 
 // Report is what a zone last said of its slots for one service.
 type Report struct {
-	// Free is how many slots could be taken then, of Held: those that the
+	// Free is how many slots could be taken then, of Warm: those that the
 	// upstreams' concurrency limits allowed (slot.Load.Warm).
 	Free int
-	Held int
+	Warm int
 	// At is when the report was asked for, in monotonic nanoseconds.
 	At int64
 }
--- a/internal/selector/steer/steer_test.go
+++ b/internal/selector/steer/steer_test.go
@@ -57,7 +57,7 @@
 		{"own zone full: the near one", func(d *Decider) { d.SetLocal(24, 24, 0) }, "z001"},
 		{"near one reported full too: still the near queue before a far trip", func(d *Decider) {
 			d.SetLocal(24, 24, 0)
-			d.SetZone("z001", Report{Free: 0, Held: 24, At: now}, 0, true)
+			d.SetZone("z001", Report{Free: 0, Warm: 24, At: now}, 0, true)
 		}, "z000"},
 		{"own zone full, near one cut off, slow upstreams: a far one", func(d *Decider) {
 			d.SetLocal(24, 24, 50*time.Millisecond)
@@ -69,7 +69,7 @@
 		}, "z000"},
 		{"an old report of a full zone fades", func(d *Decider) {
 			d.SetLocal(24, 24, 0)
-			d.SetZone("z001", Report{Free: 0, Held: 24, At: now - int64(time.Minute)}, 0, true)
+			d.SetZone("z001", Report{Free: 0, Warm: 24, At: now - int64(time.Minute)}, 0, true)
 		}, "z001"},
 		{"a refusal counts for a while", func(d *Decider) {
 			d.SetLocal(24, 20, 0)
@@ -92,7 +92,7 @@
 		for out := range 25 {
 			d := newDecider(prefer, 2)
 			d.SetLocal(24, out, 5*time.Millisecond)
-			d.SetZone("z001", Report{Free: 24, Held: 24, At: int64(time.Hour)}, 0, true)
+			d.SetZone("z001", Report{Free: 24, Warm: 24, At: int64(time.Hour)}, 0, true)
 			if firstChoice(d, int64(time.Hour)) != "z000" {
 				return out
 			}
--- a/internal/selector/ticket/store.go
+++ b/internal/selector/ticket/store.go
@@ -99,7 +99,7 @@
 	rec, used := s.records[t.Sequence]
 	switch {
 	case used && rec.Digest != d:
-		return Record{}, false, ErrOther
+		return Record{}, false, ErrOtherRequest
 	case used:
 		return rec, false, nil
 	case now.Unix() >= t.Expiry:
--- a/internal/selector/ticket/ticket.go
+++ b/internal/selector/ticket/ticket.go
@@ -36,8 +36,8 @@
 	// ErrExpired says that the ticket is past its expiry and no record of it is
 	// left: it may have been used.
 	ErrExpired = eris.New("ticket has expired")
-	// ErrOther says that the ticket is bound to another request.
-	ErrOther = eris.New("ticket is bound to another request")
+	// ErrOtherRequest says that the ticket is bound to another request.
+	ErrOtherRequest = eris.New("ticket is bound to another request")
 	// ErrSealed says that the store neither issues nor dispatches any more.
 	ErrSealed = eris.New("host is stopping and has closed its tickets")
 )
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -3,11 +3,7 @@
 // gateway and servesettings.
 package settings
 
-import (
-	"time"
-
-	"cairndock/internal/tomlfile"
-)
+import "cairndock/internal/tomlfile"
 
 // Duration is a duration written as text, such as "1.5s".
 type Duration = tomlfile.Duration
@@ -48,15 +44,3 @@
 		*f = append(*f, tomlfile.KeyError{Key: key, Problem: problem})
 	}
 }
-
-// Default returns v, or def if v is the zero value.
-func Default[T comparable](v, def T) T {
-	var zero T
-	if v == zero {
-		return def
-	}
-	return v
-}
-
-// Seconds returns d as a setting.
-func Seconds(d time.Duration) Duration { return Duration(d) }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -3,6 +3,7 @@
 package telemetry
 
 import (
+	"cmp"
 	"context"
 	"io"
 	"slices"
@@ -32,9 +33,9 @@
 
 // Default fills the section's defaults.
 func Default(s *settings.Telemetry) {
-	s.LogLevel = settings.Default(s.LogLevel, "info")
-	s.Traces = settings.Default(s.Traces, tracesNone)
-	s.TraceShare = settings.Default(s.TraceShare, 0.01)
+	s.LogLevel = cmp.Or(s.LogLevel, "info")
+	s.Traces = cmp.Or(s.Traces, tracesNone)
+	s.TraceShare = cmp.Or(s.TraceShare, 0.01)
 }
 
 // Check notes the section's faults.
