--- a/internal/gateway/proxy/response.go
+++ b/internal/gateway/proxy/response.go
@@ -16,7 +16,8 @@
 const (
 	// prefixBytes is how much of a response is buffered before any of it is
 	// forwarded, in bytes. One that breaks off within it is a failed attempt,
-	// and the request may be sent again. Chosen, not measured.
+	// and the request may be sent again. selector/entry/dispatch has its own,
+	// which forwards longer ones from their first bytes. Chosen, not measured.
 	prefixBytes = 32 << 10
 	// copyBuffer is the size of the buffers that forward what is longer, in
 	// bytes. Chosen, not measured.
--- a/internal/selector/entry/dispatch/try.go
+++ b/internal/selector/entry/dispatch/try.go
@@ -119,8 +119,9 @@
 	io.Closer
 }
 
-// bufferPrefix reads the beginning of a response ahead. The gateway does the
-// same to its responses in proxy; those are HTTP bodies without a verdict.
+// bufferPrefix reads the beginning of a response ahead: a short body whole, and
+// of one that is longer, or of unknown length, its first bytes. gateway/proxy
+// has its own, which always waits for the whole prefix.
 func bufferPrefix(resp *call.Response, err error) (*call.Response, error) {
 	if err != nil {
 		return nil, err
