--- a/internal/gateway/exchange/exchange.go
+++ b/internal/gateway/exchange/exchange.go
@@ -46,7 +46,9 @@
 	Waiting int
 }
 
-// ResponseInfo is what a response's header says in the product's terms.
+// ResponseInfo is what a response's header says, in the product's terms. It is
+// not selector/upstream.Status: that protocol names an upstream's incarnation
+// and whether it leaves; here the store says both, and a response proves itself.
 type ResponseInfo struct {
 	// WrongRequest is set when the response belongs to another request.
 	WrongRequest bool
--- a/internal/selector/member/heartbeat.go
+++ b/internal/selector/member/heartbeat.go
@@ -54,8 +54,8 @@
 	Host        string `msgpack:"h"`
 }
 
-// UpstreamStatus is what a host knows of an upstream's instance: one run of the
-// upstream's process.
+// UpstreamStatus is what a host knows of one incarnation of an upstream, from
+// the headers that upstream.Status holds, for the zone's other hosts.
 type UpstreamStatus struct {
 	Upstream string `msgpack:"u"`
 	Instance string `msgpack:"i"`
--- a/internal/selector/upstream/client.go
+++ b/internal/selector/upstream/client.go
@@ -33,7 +33,8 @@
 
 const (
 	// dialTimeout limits connecting. Chosen, not measured: far above a round
-	// trip within a zone, and half of a service's default timeout of 2 s.
+	// trip within a zone, and half of a service's default timeout of 2 s. Cut
+	// links are not probed as by gateway/dial: upstreams are in the own zone.
 	dialTimeout = time.Second
 	// idleTimeout closes connections without a request. Chosen, not measured.
 	idleTimeout = 30 * time.Second
@@ -48,8 +49,10 @@
 // DialFunc connects to an upstream.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Status is what an upstream reports of itself in the headers of a
-// response or probe.
+// Status is what an upstream reports of itself in the headers of a response or
+// probe. It is not gateway/exchange.ResponseInfo, which tells whether a response
+// belongs to its request: here the connection carries one request at a time and
+// is not used again after one that broke off.
 type Status struct {
 	// Incarnation is one life of the upstream's process.
 	Incarnation string
