--- a/internal/selector/entry/clustertest/cluster.go
+++ b/internal/selector/entry/clustertest/cluster.go
@@ -33,9 +33,10 @@
 }
 
 const (
-	// ZoneUpstreams is how many upstreams each zone has, and UpstreamSlots
-	// how many slots each of them.
+	// ZoneUpstreams is how many upstreams each zone has.
 	ZoneUpstreams = 2
+	// UpstreamSlots is how many slots each upstream has: few, so that limits are
+	// reached soon.
 	UpstreamSlots = 2
 	// Latency is how long an upstream takes for a request.
 	Latency = 100 * time.Millisecond
