--- a/internal/docscheck/names_test.go
+++ b/internal/docscheck/names_test.go
@@ -185,6 +185,26 @@
 	}
 }
 
+// citedName is a package and an exported name in it, as comments cite them.
+var citedName = regexp.MustCompile(`(?:^|[\s(])(([a-z]\w+)\.[A-Z]\w*)`)
+
+func TestCommentsCiteOnlyNamesThatExist(t *testing.T) {
+	s := loadSource(t)
+	own := map[string]bool{}
+	for _, f := range s.files {
+		own[strings.TrimSuffix(f.ast.Name.Name, "_test")] = true
+	}
+	for _, f := range s.files {
+		for _, group := range f.ast.Comments {
+			for _, cited := range citedName.FindAllStringSubmatch(group.Text(), -1) {
+				if own[cited[2]] && !s.members[cited[1]] {
+					t.Errorf("a comment of %s cites %s, which isn't there", f.path, cited[1])
+				}
+			}
+		}
+	}
+}
+
 func TestANameThatIsNotThereIsFound(t *testing.T) {
 	s := loadSource(t)
 	for _, c := range []struct {
--- a/internal/gateway/balance/admission_test.go
+++ b/internal/gateway/balance/admission_test.go
@@ -54,8 +54,8 @@
 	require.Equal(t, balance.Chosen, reason)
 }
 
-// A host dials an upstream only for a request that finds no idle connection
-// (exchange.Pool), so its connections to one upstream, idle ones included,
+// A host dials an upstream only for a request that finds no idle connection in
+// package exchange's pool, so its connections to one upstream, idle ones included,
 // never outnumber the requests that were outstanding there at once. A request
 // is admitted while that number is below rejectAbove x capacity.
 func TestConnectionsToAnUpstreamStayBelowItsLimit(t *testing.T) {
--- a/internal/gateway/routing/state.go
+++ b/internal/gateway/routing/state.go
@@ -83,7 +83,7 @@
 	return t.Service(service).WarmUp
 }
 
-// Table is the configuration in force, or nil before the first.
+// Config is the configuration in force, or nil before the first.
 func (s *State) Config() *route.Table { return s.config.Load() }
 
 // Limits are the limits on clients in force; zero values are no limits.
@@ -95,7 +95,7 @@
 	return t.Limits
 }
 
-// Set is the upstreams known.
+// Upstreams is the upstreams known.
 func (s *State) Upstreams() *upstream.Set { return s.upstreams.Load() }
 
 // Ready reports whether the host knows enough to serve: a configuration, and
--- a/internal/selector/caller/caller.go
+++ b/internal/selector/caller/caller.go
@@ -35,7 +35,7 @@
 	// is set. Chosen, not measured.
 	defaultMaxBody = 256 << 10
 	// largestMaxBody is the highest callers.max_body, in bytes: a request
-	// travels between hosts in one frame of at most 1 MB (peer.MaxFrame), with
+	// travels between hosts in one frame of at most 1 MB (package peer), with
 	// its headers.
 	largestMaxBody = 768 << 10
 	// defaultMaxHeader limits a request's headers, in bytes, unless
--- a/internal/selector/config/append.go
+++ b/internal/selector/config/append.go
@@ -36,7 +36,7 @@
 // that revision again and a state that may not have reached it.
 //
 // The error is a *Conflict if another change of an object came first, and
-// joined tomlfile.KeyErrors if references of the result would not hold; in both
+// joined errors of tomlfile.KeyError if references of the result would not hold; in both
 // cases nothing was written. After any other error the outcome is unknown until
 // the id is read; appending the same id again is safe.
 func (l *Log) Append(ctx context.Context, s *State, c Change) (*State, uint64, error) {
--- a/internal/selector/entry/rosters/loop.go
+++ b/internal/selector/entry/rosters/loop.go
@@ -36,8 +36,8 @@
 	memberBytes = 110
 	// readBytesPerSecond is what a poller may spend on reading the roster, in
 	// bytes per second: a large one is read less often. Its writer sends
-	// the zone each new epoch anyway. Half of member.BytesPerSecond; chosen,
-	// not measured.
+	// the zone each new epoch anyway. Half of what heartbeats may take (package
+	// member); chosen, not measured.
 	readBytesPerSecond = 2000
 	// discoverInterval is the time between the first two looks at all zones'
 	// rosters while some zone can't be reached. It doubles up to
