--- a/internal/docscheck/source_test.go
+++ b/internal/docscheck/source_test.go
@@ -12,6 +12,7 @@
 	"slices"
 	"strconv"
 	"strings"
+	"sync"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -49,9 +50,22 @@
 
 var testName = regexp.MustCompile(`^(Test|Benchmark|Fuzz)[A-Z]`)
 
-// loadSource parses all Go files of the repository.
+// parsed is the repository's Go code, parsed once for all tests, which only read
+// it.
+var parsed = sync.OnceValues(parseSource)
+
+// loadSource gives all Go files of the repository.
 func loadSource(t *testing.T) *source {
 	t.Helper()
+	s, err := parsed()
+	require.NoError(t, err)
+	require.NotEmpty(t, s.commands)
+	require.NotEmpty(t, s.flags)
+	require.NotEmpty(t, s.settings)
+	return s
+}
+
+func parseSource() (*source, error) {
 	s := &source{
 		tests: map[string]bool{}, identifiers: map[string]bool{}, members: map[string]bool{}, literals: map[string]bool{},
 		commands: map[string]bool{}, flags: map[string]bool{}, settings: map[string]bool{},
@@ -78,12 +92,11 @@
 		s.add(sourceFile{path: filepath.ToSlash(rel), ast: file})
 		return nil
 	})
-	require.NoError(t, err)
+	if err != nil {
+		return nil, err
+	}
 	s.metrics = metricNames(s)
-	require.NotEmpty(t, s.commands)
-	require.NotEmpty(t, s.flags)
-	require.NotEmpty(t, s.settings)
-	return s
+	return s, nil
 }
 
 func (s *source) add(f sourceFile) {
