--- a/internal/gateway/balance/admission_test.go
+++ b/internal/gateway/balance/admission_test.go
@@ -21,7 +21,7 @@
 		for _, n := range chooseUntilRejected(t, b, q) {
 			taken[priority] += n
 		}
-		// A more urgent request finds the room that the less urgent left.
+		// A more urgent request is served by the capacity that less urgent requests left.
 		q.Priority = 0
 		_, reason := b.Choose(q)
 		require.Equal(t, priority != 0, reason == balance.Chosen)
@@ -50,13 +50,14 @@
 		}
 	}
 	require.Greater(t, len(sent), 20)
-	// Warm, it takes what it has room for.
+	// Once warm, the upstream accepts requests up to its capacity.
 	_, reason := b.Choose(balance.Query{Key: "k", Upstreams: []*upstream.Upstream{cold}, Now: cold.ColdUntil})
 	require.Equal(t, balance.Chosen, reason)
 }
 
-// An upstream turns cold at any moment, while it gets what a warm one bears. What it
-// got within the second is in its second too.
+// An upstream may turn cold right after it received the load of a warm one. The requests
+// of the last second must then use its warm-up quota; otherwise the upstream gets more
+// than a cold one can serve.
 func TestRequestsSentToAWarmUpstreamCountOnceItIsCold(t *testing.T) {
 	const quota = 3
 	b, now := newBalancer(quota), time.Now()
@@ -75,7 +76,8 @@
 	choose(t, b, q)
 }
 
-// An upstream whose entry goes and comes back within the second is the same one.
+// An upstream whose entry disappears and returns within a second is the same run. If its
+// recent requests were dropped in between, it would get its quota twice.
 func TestWhatWasSentLatelyIsRetained(t *testing.T) {
 	b, now := newBalancer(1), time.Now()
 	cold := newUpstream("u", "west-1", "west")
@@ -87,10 +89,10 @@
 	require.Equal(t, balance.WarmUpLimited, reason)
 }
 
-// A host dials an upstream only for a request that finds no idle connection in
-// package exchange's pool, so its connections to one upstream, idle ones included,
-// never outnumber the requests that were outstanding there at once. A request
-// is admitted while that number is below rejectAbove x capacity.
+// A host dials an upstream only for a request that finds no idle connection in package
+// exchange's pool. Its connections to one upstream, including idle ones, therefore never
+// outnumber the requests that were outstanding there at once. A request is admitted while
+// that number is below rejectAbove x capacity.
 func TestConnectionsToAnUpstreamStayBelowItsLimit(t *testing.T) {
 	for _, c := range []struct {
 		deployment     string
--- a/internal/gateway/balance/balance.go
+++ b/internal/gateway/balance/balance.go
@@ -14,24 +14,26 @@
 	"cairndock/internal/gateway/warmup"
 )
 
-// WarmUpQuotas splits the rate of a cold upstream over the hosts.
+// WarmUpQuotas divides the request rate of a cold upstream among the hosts.
 type WarmUpQuotas interface {
-	// WarmUpQuota returns this host's part of the requests a second to a cold
-	// upstream of a region that bears a rate of them from all hosts together.
+	// WarmUpQuota returns this host's share of rate, the requests per second that a cold
+	// upstream of a region can serve from all hosts together.
 	WarmUpQuota(upstream, region string, rate float64) warmup.Quota
 }
 
-// OutlierDetector knows which upstreams are ejected for failed or overdue
+// OutlierDetector reports which upstreams are ejected because of failed or overdue
 // requests.
 type OutlierDetector interface {
 	Ejected(run upstream.Run, now time.Time) bool
 }
 
-// Notices knows what upstreams say of themselves. *notice.Table implements it.
+// Notices provides the notices that upstreams send about themselves. *notice.Table
+// implements it.
 type Notices interface {
-	// Withheld returns why an upstream gets no request now; the zero value if it may.
+	// Withheld returns why an upstream must get no request now, or the zero value if it
+	// may get one.
 	Withheld(u *upstream.Upstream, now time.Time) notice.Withheld
-	// RestsElsewhere reports whether an upstream wants none of another host.
+	// RestsElsewhere reports whether an upstream has asked another host to back off.
 	RestsElsewhere(run upstream.Run, now time.Time) bool
 	// Take counts a request for which an upstream was chosen.
 	Take(u *upstream.Upstream, now time.Time)
@@ -47,37 +49,40 @@
 
 	mu     sync.Mutex
 	states map[upstream.Run]*state
-	// reserved are the parts of capacity that requests bound to a region need.
+	// reserved holds the fractions of capacity that requests bound to a region need.
 	reserved reservations
-	// summaries has that of each list of upstreams, by its first one.
+	// summaries holds the summary of each list of upstreams, by the first upstream of the
+	// list.
 	summaries map[*upstream.Upstream]*summary
 }
 
-// state is what the host knows of one run of an upstream.
+// state holds the load and the recent requests of one run of an upstream, as this host
+// sees them.
 type state struct {
 	load loadEstimate
-	// sends are the last requests for which it was chosen.
+	// sends are the recent requests for which the upstream was chosen.
 	sends warmup.Sends
 }
 
-// New makes a balancer for a host at a location, which decides by a policy.
+// New returns a balancer for a host at a location. The policy p sets its limits and costs.
 func New(location Location, quotas WarmUpQuotas, detector OutlierDetector, p Policy) *Balancer {
 	return &Balancer{location: location, quotas: quotas, detector: detector, policy: p, states: map[upstream.Run]*state{}, summaries: map[*upstream.Upstream]*summary{}, notices: noNotices{}}
 }
 
-// HonorNotices has upstreams that say that they take no request now get none. It is
+// HonorNotices sets the notices that exclude upstreams from new requests. It must be
 // called before the balancer is used.
 func (b *Balancer) HonorNotices(n Notices) { b.notices = n }
 
-// noNotices is for balancers to which upstreams say nothing.
+// noNotices implements Notices for balancers that get no notices.
 type noNotices struct{}
 
 func (noNotices) Withheld(*upstream.Upstream, time.Time) notice.Withheld { return notice.Withheld{} }
 func (noNotices) Take(*upstream.Upstream, time.Time)                     {}
 func (noNotices) RestsElsewhere(upstream.Run, time.Time) bool            { return false }
 
-// Suspended has load reports be older by the time for which the machine was suspended.
-// What was sent to cold upstreams is not: it counts for longer than it has to.
+// Suspended ages the load reports by gap, the time for which the machine was suspended.
+// Requests sent to cold upstreams are not aged: they only use up quota for longer than
+// necessary.
 func (b *Balancer) Suspended(gap time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -88,10 +93,10 @@
 	}
 }
 
-// Choose chooses an upstream and counts the request as outstanding there
-// until Done. When it rejects the request, the choice is the first upstream in
-// order, so that the log can say what its load was and whether it was cold;
-// with NoUpstream it is the zero value.
+// Choose chooses an upstream and counts the request as outstanding there until Done. If
+// the request is rejected, the choice is the first upstream in order, so that the log can
+// report its load and whether it was cold. With NoUpstream and Withholding the choice has
+// no upstream.
 func (b *Balancer) Choose(q Query) (Choice, Reason) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -126,24 +131,25 @@
 	return choice, reason
 }
 
-// warmUp says how much of this host's quota at a cold upstream is used.
+// warmUp returns how much of this host's quota for a cold upstream is used.
 func warmUp(u *scored, a admission) WarmUp {
 	cold := u.state.sends.Cold(a.now)
 	return WarmUp{Quota: a.quota(u.upstream), Sent: cold, SentWarm: u.state.sends.Count(a.now) - cold}
 }
 
-// scored is an upstream with what decides whether one request goes there.
+// scored is an upstream with the values that decide whether a request goes there.
 type scored struct {
 	upstream *upstream.Upstream
 	state    *state
-	// cost orders the upstreams; the lowest is tried first.
+	// cost orders the upstreams; the upstream with the lowest cost is tried first.
 	cost float64
 	// load is the estimated load, in the upstream's capacities.
 	load float64
 }
 
-// ordered returns the upstreams that may serve a request without affinity and were
-// not tried yet, in the order in which they are tried, and what was withheld from it.
+// ordered returns the upstreams that may serve a request without affinity and were not
+// tried yet, in the order in which they are tried. It also returns the upstreams that were
+// withheld.
 func (b *Balancer) ordered(q Query) ([]scored, Withheld) {
 	key := xxhash.Sum64String(q.Key)
 	sum := b.summary(q)
@@ -165,29 +171,29 @@
 	return list, held
 }
 
-// honorsEjections reports whether ejected upstreams come last for a request.
+// honorsEjections reports whether ejected upstreams are tried last for a request.
 func (b *Balancer) honorsEjections(q Query, sum *summary) bool {
 	return b.policy.Ejections && sum.honorEjections(q)
 }
 
-// comesLast reports whether an upstream is tried after all others: it is ejected or refuses
-// another host, while ejections are honored, or is beside ones that the request could not
-// reach.
+// isTriedLast reports whether an upstream is tried after all others. An upstream is tried
+// last if it is ejected or refuses requests of another host, while ejections are honored,
+// or if it is close to upstreams that the request could not reach.
 func (b *Balancer) comesLast(u *upstream.Upstream, q *Query, ejections bool) bool {
 	return ejections && b.avoided(u, q.Now) || q.besideUnreachable(u)
 }
 
-// avoided reports whether an upstream is ejected, or refuses another host.
+// avoided reports whether an upstream is ejected or refuses requests of another host.
 func (b *Balancer) avoided(u *upstream.Upstream, now time.Time) bool {
 	return b.detector.Ejected(u.Run(), now) || b.notices.RestsElsewhere(u.Run(), now)
 }
 
-// order is the one of the upstreams for a request with a key's hash.
+// order returns the order of upstreams for a request whose key has the given hash.
 func (b *Balancer) order(key uint64, q Query, sum *summary) order {
 	return order{location: b.location, noAffinity: q.NoAffinity, regionCost: b.policy.RegionCost, region: b.servingRegion(key, q, sum)}
 }
 
-// scored gives an upstream of a cost what else decides whether it takes a request.
+// score returns an upstream with its cost, state and estimated load.
 func (b *Balancer) scored(u *upstream.Upstream, cost float64, now time.Time) scored {
 	s := b.state(u)
 	return scored{upstream: u, state: s, cost: cost, load: s.load.inCapacities(now, u.Capacity, b.policy.ReportLasts)}
@@ -203,8 +209,8 @@
 	return s
 }
 
-// Sent notes that the request of a choice was sent. It counts against the host's
-// warm-up quota from now on for as long as any request does.
+// Sent records that the request of a choice was sent at now. From then on the request uses
+// the host's warm-up quota for as long as any sent request does.
 func (b *Balancer) Sent(c Choice, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -220,7 +226,7 @@
 	c.send.End()
 }
 
-// ObserveLoad records an upstream's own report of its load, in requests.
+// ObserveLoad records an upstream's own report of its running and waiting requests.
 func (b *Balancer) ObserveLoad(u *upstream.Upstream, running, waiting int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -229,9 +235,9 @@
 	}
 }
 
-// Retain drops the state of the runs that keep rejects, except those with
-// outstanding requests, or requests that still count against a warm-up quota: an
-// upstream whose entry comes back is the same one.
+// Retain drops the state of runs for which keep returns false. It keeps the state of runs
+// with outstanding requests or with requests that still use warm-up quota, because an
+// upstream whose entry reappears is the same run.
 func (b *Balancer) Retain(keep func(upstream.Run) bool, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/gateway/balance/balance_test.go
+++ b/internal/gateway/balance/balance_test.go
@@ -12,7 +12,7 @@
 	"cairndock/internal/gateway/warmup"
 )
 
-// fixedQuota is a host's warm-up quota at every cold upstream.
+// fixedQuota is a host's warm-up quota for every cold upstream, in requests.
 type fixedQuota int
 
 func (f fixedQuota) WarmUpQuota(string, string, float64) warmup.Quota {
@@ -34,8 +34,8 @@
 	return &upstream.Upstream{Registration: upstream.Registration{ID: id, Service: "s", Zone: zone, Region: region, Capacity: 4}}
 }
 
-// upstreams returns n upstreams, of which those that own accepts are in the
-// host's own region.
+// upstreams returns n upstreams. Those for which own returns true are in the host's own
+// region.
 func upstreams(n int, own func(i int) bool) []*upstream.Upstream {
 	var out []*upstream.Upstream
 	for i := range n {
@@ -53,7 +53,7 @@
 	return upstreams(n, func(i int) bool { return i%2 == 0 })
 }
 
-// ownAndOther returns upstreams of which only own are in the host's region.
+// ownAndOther returns all upstreams, of which the first own are in the host's region.
 func ownAndOther(own, all int) []*upstream.Upstream {
 	return upstreams(all, func(i int) bool { return i < own })
 }
@@ -65,8 +65,8 @@
 	return c
 }
 
-// chooseUntilRejected chooses until the reason is Overloaded and returns how
-// many requests each upstream took.
+// chooseUntilRejected chooses until the reason is Overloaded. It returns the number of
+// requests by upstream.
 func chooseUntilRejected(t *testing.T, b *balance.Balancer, q balance.Query) map[string]int {
 	t.Helper()
 	taken := map[string]int{}
@@ -118,8 +118,8 @@
 	require.Negative(t, c.LoadAge, "no load report is known")
 }
 
-// What was outstanding at a process that ended, and what it had reported of its
-// load, counted against the one that started again under its id.
+// The outstanding requests and the load reports of a terminated process were counted as
+// load of the process that started again under the same ID.
 func TestARunStartsWithoutTheLoadOfTheOneBefore(t *testing.T) {
 	b, now := newBalancer(1), time.Now()
 	old := newUpstream("u", "west-1", "west")
--- a/internal/gateway/balance/bench_test.go
+++ b/internal/gateway/balance/bench_test.go
@@ -9,7 +9,8 @@
 	"cairndock/internal/gateway/warmup"
 )
 
-// sizes are a small service, one of 80 hosts, one of 295, and the planned one.
+// sizes are the numbers of upstreams: a small service, one of 80 hosts, one of 295, and
+// the planned one.
 var sizes = []int{20, 204, 1188, 43200}
 
 type benchQuota struct{}
@@ -34,8 +35,9 @@
 	return New(Location{Zone: "0", Region: "0", Regions: 3}, benchQuota{}, benchDetector{}, DefaultPolicy())
 }
 
-// A choice with affinity of 20, 204, 1,188 and 43,200 upstreams, when all were scored
-// and sorted: 25 us, 68 us, 428 us, 32 ms, and 1.2, 8.5, 49.7 and 2,400 KB.
+// When all upstreams were scored and sorted, a choice with affinity among 20, 204, 1,188
+// and 43,200 upstreams took 25 us, 68 us, 428 us and 32 ms, and 1.2, 8.5, 49.7 and 2,400
+// KB.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/gateway/balance/ejected_test.go
+++ b/internal/gateway/balance/ejected_test.go
@@ -11,7 +11,7 @@
 	"cairndock/internal/gateway/upstream"
 )
 
-// noReporter ignores what a detector reports.
+// noReporter ignores the reports of a detector.
 type noReporter struct{}
 
 func (noReporter) FailureSeen()             {}
@@ -27,7 +27,7 @@
 	b.Done(c)
 	detector.RecordOutcome(c.Upstream.Run(), outlier.Unreachable, now)
 	require.NotEqual(t, first, choose(t, b, q).Upstream.ID)
-	// As the only one it is tried all the same.
+	// If it is the only upstream, it is tried nevertheless.
 	for _, u := range all {
 		if u.ID == first {
 			q.Upstreams = []*upstream.Upstream{u}
--- a/internal/gateway/balance/export_test.go
+++ b/internal/gateway/balance/export_test.go
@@ -1,8 +1,8 @@
 package balance
 
 const (
-	// PreferenceListSize is preferenceListSize for the tests of the Balancer.
+	// PreferenceListSize exports preferenceListSize to the tests of the Balancer.
 	PreferenceListSize = preferenceListSize
-	// RejectAbove is rejectAbove for the tests of the Balancer.
+	// RejectAbove exports rejectAbove to the tests of the Balancer.
 	RejectAbove = rejectAbove
 )
--- a/internal/gateway/balance/leastloaded_test.go
+++ b/internal/gateway/balance/leastloaded_test.go
@@ -11,8 +11,8 @@
 	"cairndock/internal/gateway/upstream"
 )
 
-// fourZones returns four upstreams in each of two zones of the own region and
-// of another region.
+// fourZones returns four upstreams in each of two zones of the host's own region and of
+// two zones of another region.
 func fourZones() []*upstream.Upstream {
 	var all []*upstream.Upstream
 	for i := range 4 {
--- a/internal/gateway/balance/load.go
+++ b/internal/gateway/balance/load.go
@@ -2,37 +2,38 @@
 
 import "time"
 
-// How long an upstream's report of its load counts, its weight falling evenly to zero:
-// reportLasts times the time from one report to the next, within the two bounds. A host
-// that hears of an upstream many times a second has no use for an old report; one that
-// is one of many, and does so once in seconds, took a full queue for idle between two,
-// and so did all others. With 33 hosts in a zone callers got 0.878 of the credit that
-// responses in time earn where reports counted for 1 s, and 0.895 so; with 3 hosts
-// 0.912 and 0.911 (TestReportsCountLongerWhereTheyComeSeldom). Five intervals rather than
-// two and a half by plays of days (docs/design/shifted-work.md).
+// An upstream's load report expires after reportTTLIntervals times the interval between
+// its reports, within the two bounds below. Until then, the weight of the report falls
+// linearly to zero. A host that receives many reports a second from an upstream does not
+// need old ones. A host that is one of many receives a report only every few seconds. When
+// reports were valid for 1 s, such hosts all took a full queue for an empty one between
+// two reports. With 33 hosts in a zone, clients got 0.878 of the credit for responses in
+// time with a TTL of 1 s, and 0.895 with these constants; with 3 hosts 0.912 and 0.911
+// (TestReportsCountLongerWhereTheyComeSeldom). In simulations of whole days, five
+// intervals did better than two and a half (docs/design/shifted-work.md).
 const (
 	reportLasts    = 5.0
 	leastReportTTL = time.Second
 	mostReportTTL  = 4 * time.Second
-	// intervalWeight is the weight of the last interval in the average.
+	// intervalWeight is the weight of the latest interval in the moving average.
 	intervalWeight = 0.25
 )
 
-// noLoadReport is the age of a load report that never came.
+// noLoadReport is the age of a load report that was never received.
 const noLoadReport time.Duration = -1
 
-// loadEstimate estimates an upstream's load from this host's own outstanding
-// requests and the upstream's last report, which also counts other hosts'.
+// loadEstimate estimates an upstream's load from this host's own outstanding requests and
+// the upstream's last report, which includes the requests of other hosts.
 type loadEstimate struct {
-	// outstanding is the number of this host's requests there.
+	// outstanding is the number of this host's outstanding requests at the upstream.
 	outstanding int
-	// reported is the number of requests that the upstream last reported, at
-	// reportedAt, when outstandingAtReport were this host's own.
+	// reported is the number of requests in the upstream's last report, received at
+	// reportedAt, when this host had outstandingAtReport requests outstanding.
 	reported            int
 	outstandingAtReport int
 	reportedAt          time.Time
-	// interval is the time from one report to the next, averaged; zero until there are
-	// two.
+	// interval is the moving average of the time between reports; zero until there are two
+	// reports.
 	interval time.Duration
 }
 
@@ -52,13 +53,14 @@
 	e.interval += time.Duration(intervalWeight * float64(d-e.interval))
 }
 
-// reportTTL is how long the last report counts, if that is lasts times the interval.
+// reportTTL returns how long the last report is valid: ttlIntervals times the interval,
+// within the bounds.
 func (e *loadEstimate) reportTTL(lasts float64) time.Duration {
 	return max(leastReportTTL, min(time.Duration(lasts*float64(e.interval)), mostReportTTL))
 }
 
-// inCapacities returns the estimated load divided by the upstream's capacity,
-// the number of requests that it works on at once.
+// inCapacities returns the estimated load divided by the upstream's capacity, the number
+// of requests that it processes concurrently.
 func (e *loadEstimate) inCapacities(now time.Time, capacity int, lasts float64) float64 {
 	requests := float64(e.outstanding)
 	age, ttl := now.Sub(e.reportedAt), e.reportTTL(lasts)
--- a/internal/gateway/balance/order_test.go
+++ b/internal/gateway/balance/order_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// When an upstream goes its keys move, and of the others only as many as the
+// When an upstream is removed, its keys move. Of the other keys, only as many move as the
 // region has lost capacity for.
 func TestFewKeysMoveWhenAnUpstreamIsGone(t *testing.T) {
 	b, now, all := newBalancer(1), time.Now(), twoRegions(12)
@@ -60,8 +60,8 @@
 	require.InDelta(t, 2*3.0/24, float64(own)/keys, 0.08)
 }
 
-// A region with half the capacity that its keys need serves the large
-// responses itself and leaves the small ones to others.
+// A region with half the capacity that its keys need serves the large responses itself and
+// leaves the small ones to other regions.
 func TestLargeResponsesAreServedInTheOwnRegionFirst(t *testing.T) {
 	b, now, all := newBalancer(1), time.Now(), ownAndOther(3, 12)
 	own := map[bool]int{}
--- a/internal/gateway/balance/preferencelist.go
+++ b/internal/gateway/balance/preferencelist.go
@@ -14,18 +14,19 @@
 	cost     float64
 }
 
-// lowest are the upstreams of lowest cost, in order.
+// lowestCost holds the upstreams of the lowest costs, in ascending order; at most size of
+// them.
 type lowest struct {
 	list []ranked
 	size int
 }
 
-// admits reports whether an upstream of a cost would be among them.
+// admits reports whether an upstream with this cost would be in the list.
 func (l *lowest) admits(cost float64) bool {
 	return len(l.list) < l.size || cost < l.list[len(l.list)-1].cost
 }
 
-// add adds an upstream that is admitted.
+// add inserts an upstream that the list admits.
 func (l *lowest) add(u *upstream.Upstream, cost float64) {
 	at := len(l.list)
 	for at > 0 && cost < l.list[at-1].cost {
@@ -35,19 +36,19 @@
 	l.list = l.list[:min(len(l.list), l.size)]
 }
 
-// preferenceList returns the upstreams that serve a key, in the order in which they
-// are tried: those that may serve the request and were not tried yet, by cost, and what
-// was withheld from it. Those that are withheld make room for the next ones.
+// preferenceList returns the upstreams that serve a key, in the order in which they are
+// tried: those that may serve the request and were not tried yet, by cost. It also returns
+// the upstreams that were withheld; the next upstreams in order take their positions.
 //
-// The whole order is not needed: what costs time, load and health, is asked of the few
-// only that may be among the first (BenchmarkChoose).
+// The whole order is not computed. Load and health are expensive to look up, so only the
+// few upstreams that may be among the first are checked (BenchmarkChoose).
 func (b *Balancer) preferenceList(q Query) ([]scored, Withheld) {
 	key := xxhash.Sum64String(q.Key)
 	sum := b.summary(q)
 	o := b.order(key, q, sum)
 	ejections := b.honorsEjections(q, sum)
 	last := func(u *upstream.Upstream) bool { return b.comesLast(u, &q, ejections) }
-	// One more, as the region's best may be among them.
+	// One more, because the region's best upstream may be among them.
 	first := lowest{size: b.policy.PreferenceList + 1}
 	regionBest := lowest{size: 1}
 	var held Withheld
@@ -80,10 +81,10 @@
 	return list, held
 }
 
-// prefer puts the best upstream of the region that serves the key before all others,
-// whatever their cost, unless it comes last. Otherwise a region with few upstreams has
-// none among the lowest of many random costs. What follows it in the order may be of any
-// region.
+// moveToFront puts the best upstream of the region that serves the key before all others,
+// whatever their cost, unless this upstream is tried last. Without this rule, a region
+// with few upstreams would have none among the lowest of many random costs. The upstreams
+// after it in the order may be of any region.
 func (l *lowest) prefer(best ranked, last func(*upstream.Upstream) bool) {
 	l.list = slices.DeleteFunc(l.list, func(r ranked) bool { return r.upstream == best.upstream })
 	cost := best.cost - 2*affinitySpread
--- a/internal/gateway/balance/preferred.go
+++ b/internal/gateway/balance/preferred.go
@@ -1,21 +1,21 @@
 package balance
 
 const (
-	// preferenceListSize is how many upstreams serve a key. At any other one
-	// the object is not warm, and a request takes about three times as long.
+	// preferenceListSize is the number of upstreams that serve a key. On any other
+	// upstream the object is not warm, and a request takes about three times as long.
 	preferenceListSize = 2
-	// spillAbove is the load, in capacities, from which a request goes to the
-	// next upstream of its key's preference list.
+	// spillAbove is the load, in capacities, from which a request goes to the next
+	// upstream of its key's preference list.
 	spillAbove = 1.3
-	// spillBelow is the load from which an upstream takes no request that
-	// spills from another one: that one is as full, and does not know the
-	// object.
+	// spillBelow is the load, in capacities, from which an upstream accepts no request
+	// that spills from another one. Above it the upstream is about as busy as the other
+	// one, and the object is not warm there.
 	spillBelow = 0.9
 )
 
-// pickPreferred returns the rank of the upstream that takes a request with
-// affinity: the first in the key's preference list that takes it, unless its
-// load is SpillAbove or more and a later one's is below SpillBelow.
+// pickPreferred returns the rank of the upstream that serves a request with affinity. This
+// is the first upstream of the key's preference list that accepts the request, unless its
+// load is SpillAbove or more and the load of a later upstream is below SpillBelow.
 func pickPreferred(list []scored, a admission) (int, Reason) {
 	first, reason := -1, Overloaded
 	for i := range list[:min(len(list), a.policy.PreferenceList)] {
--- a/internal/gateway/balance/preferred_test.go
+++ b/internal/gateway/balance/preferred_test.go
@@ -10,9 +10,10 @@
 	"cairndock/internal/gateway/balance"
 )
 
-// Under overload a request at an upstream where its object is not warm takes
-// more than it relieves: a key is served at two upstreams and rejected beyond
-// them, while other keys' upstreams have room.
+// On an upstream where its object is not warm, a request takes more capacity than it saves
+// elsewhere. Under overload a key is therefore served only by the two upstreams of its
+// preference list and rejected beyond them, although upstreams of other keys have free
+// capacity.
 func TestKeyIsServedByItsPreferenceListOnly(t *testing.T) {
 	b, now, all := newBalancer(1), time.Now(), twoRegions(12)
 	q := balance.Query{Key: "k", Upstreams: all, Now: now}
@@ -27,8 +28,8 @@
 	t.Fatal("no other key was served")
 }
 
-// A busy upstream with room spills a request only to one that is not busy,
-// too: the object is not warm there, and the request takes three times as long.
+// A busy upstream that still accepts requests spills a request only to an upstream that is
+// not busy. The object is not warm there, and the request takes three times as long.
 func TestBusyUpstreamSpillsOnlyToOneWithRoom(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -63,7 +64,7 @@
 	next := choose(t, b, q)
 	require.NotEqual(t, first, next.Upstream)
 	require.Equal(t, 1, next.Rank)
-	// An old report counts for nothing.
+	// An expired report is ignored.
 	q.Now = now.Add(2 * time.Second)
 	require.Equal(t, first, choose(t, b, q).Upstream)
 }
--- a/internal/gateway/balance/query.go
+++ b/internal/gateway/balance/query.go
@@ -15,23 +15,21 @@
 	Regions int
 }
 
-// Query is one request for which an upstream is sought.
+// Query describes a request that needs an upstream.
 type Query struct {
-	// Key is the object that the request is about, or any value that spreads
-	// requests.
+	// Key is the object that the request is about, or any value that spreads requests.
 	Key string
-	// NoAffinity means that an upstream that served the key lately is no
-	// faster on it.
+	// NoAffinity means that an upstream that served the key recently is no faster on it.
 	NoAffinity bool
-	// Upstreams are those of the service. The list is not changed once a query has
-	// it, as summaries are kept by list.
+	// Upstreams are the upstreams of the service. The list must not change once it is in a
+	// query, because summaries are cached by list.
 	Upstreams []*upstream.Upstream
-	// Allows reports whether the request may be served in a region; nil
-	// allows all.
+	// Allows reports whether the request may be served in a region; nil allows all
+	// regions.
 	Allows func(region string) bool
-	// Reserved gives, by region, the part of the requests for all services that may be
-	// served there only, from 0 to 1. It counts for requests that may be served
-	// anywhere. The map is not changed.
+	// Reserved gives, by region, the fraction (0 to 1) of the requests to all services
+	// that may be served only there. It applies to requests that may be served anywhere.
+	// The map must not change.
 	Reserved map[string]float64
 	// Bulk means that the response is large.
 	Bulk bool
@@ -39,48 +37,47 @@
 	Mixed bool
 	// Priority orders requests under overload; 0 is the most urgent.
 	Priority int
-	// Tried are the ids of the upstreams that earlier attempts were sent to.
+	// Tried are the IDs of the upstreams that earlier attempts were sent to.
 	Tried []string
-	// Refused are those of them that refused the connection, and Unanswered those that did
-	// not answer it in time.
+	// Refused are those of the tried upstreams that refused the connection. Unanswered are
+	// those to which the connection timed out.
 	Refused, Unanswered []*upstream.Upstream
-	// WarmUpRate is how many requests a second a cold upstream bears from all
-	// hosts together.
+	// WarmUpRate is the rate of requests per second that a cold upstream can serve from
+	// all hosts together.
 	WarmUpRate float64
 	Now        time.Time
 }
 
 func (q Query) allows(region string) bool { return q.Allows == nil || q.Allows(region) }
 
-// Choice is the upstream chosen, with what decided it.
+// Choice is the chosen upstream, with the values that led to the choice.
 type Choice struct {
 	Upstream *upstream.Upstream
 	// Load is the upstream's estimated load, in its capacities.
 	Load float64
-	// LoadAge is the age of the upstream's last load report; negative when
-	// there is none.
+	// LoadAge is the age of the upstream's last load report; negative if there is none.
 	LoadAge time.Duration
-	// Rank is how many upstreams come before it in the request's order.
+	// Rank is the number of upstreams that come before it in the request's order.
 	Rank int
 	// Cold means that the upstream is warming up.
 	Cold bool
-	// WarmUp is the host's use of its quota there; zero unless the upstream is
+	// WarmUp is the use of the host's quota for the upstream; zero unless the upstream is
 	// cold.
 	WarmUp WarmUp
-	// Withheld says which upstreams were passed over for what they say.
+	// Withheld lists the upstreams that were skipped because of their own notices.
 	Withheld Withheld
 
-	// send counts the request against the quota; nil unless it was chosen.
+	// send counts the request against the quota; nil unless an upstream was chosen.
 	send *warmup.Send
 }
 
-// WarmUp is a host's use of its quota at a cold upstream.
+// WarmUp is the use of a host's quota for a cold upstream.
 type WarmUp struct {
 	Quota warmup.Quota
-	// Sent is how many requests count against it that the upstream was chosen
-	// for while it counted as cold, this one included.
+	// Sent is the number of requests counted against the quota for which the upstream was
+	// chosen while it was cold, including this one.
 	Sent int
-	// SentWarm is how many count besides.
+	// SentWarm is the number of other requests counted against the quota.
 	SentWarm int
 }
 
@@ -88,19 +85,19 @@
 type Reason uint8
 
 const (
-	// Chosen means that the request goes to the upstream chosen.
+	// Chosen means that the request goes to the chosen upstream.
 	Chosen Reason = iota
-	// NoUpstream means that no upstream may serve the request, or that all
-	// that may were tried.
+	// NoUpstream means that no upstream may serve the request, or that all that may were
+	// tried.
 	NoUpstream
-	// Overloaded means that all upstreams considered, which are the key's
-	// preference list or, without affinity, all that may serve the request,
-	// are at or above the load from which they take none of its priority.
+	// Overloaded means that all upstreams considered have reached the load from which they
+	// accept no request of this priority. With affinity, these are the upstreams of the
+	// key's preference list; without affinity, all that may serve the request.
 	Overloaded
-	// WarmUpLimited means that each upstream considered that is not
-	// overloaded is cold, and that this host has used its quota there.
+	// WarmUpLimited means that each upstream considered is overloaded, or is cold and this
+	// host's quota for it is used up; at least one is cold.
 	WarmUpLimited
-	// Withholding means that all upstreams that may serve the request say that they take
-	// none now.
+	// Withholding means that all upstreams that may serve the request have notices in
+	// force that they accept none now.
 	Withholding
 )
--- a/internal/gateway/balance/region.go
+++ b/internal/gateway/balance/region.go
@@ -1,12 +1,12 @@
 package balance
 
-// overflowSalt makes the choice of the region that takes a key over independent of
-// the choice whether the key leaves its own. Any odd constant would do; this is the
-// multiplier of MurmurHash2, twice.
+// overflowSalt makes the choice of the region that takes over a key independent of the
+// choice whether the key leaves its own region. Any odd constant is suitable; this one is
+// the multiplier of MurmurHash2, twice.
 const overflowSalt = 0x5bd1e9955bd1e995
 
-// capacities are what the upstreams that may serve a request work on at once, in
-// requests, by region in the order of their names.
+// capacities are the numbers of requests that the upstreams which may serve a request
+// process concurrently, by region, sorted by name.
 type capacities struct {
 	regions []regionCapacity
 	all     int
@@ -27,7 +27,7 @@
 	return 0
 }
 
-// capacities returns those of the regions that may serve a query.
+// capacities returns the capacities of the regions that may serve a query.
 func (s *summary) capacities(q Query) capacities {
 	c := capacities{regions: make([]regionCapacity, 0, len(s.regions))}
 	for _, r := range s.regions {
@@ -39,8 +39,9 @@
 	return c
 }
 
-// without returns the capacities that requests which may be served anywhere leave to those
-// that are bound to a region: what these need of it while all upstreams are used alike.
+// withoutReserved returns the capacities that remain for requests that may be served
+// anywhere. It subtracts the capacity that requests bound to a region need there if all
+// upstreams are equally loaded.
 func (c capacities) without(reserved map[string]float64) capacities {
 	if len(reserved) == 0 {
 		return c
@@ -54,9 +55,9 @@
 	return left
 }
 
-// servingRegion returns the region whose upstreams a key goes to first: the host's
-// own for the part of its keys that it has the capacity for, and for the others
-// one with capacity to spare.
+// servingRegion returns the region whose upstreams a key goes to first. This is the host's
+// own region for the fraction of its keys that the region has the capacity for, and a
+// region with spare capacity for the others.
 func (b *Balancer) servingRegion(key uint64, q Query, sum *summary) string {
 	l := b.location
 	c := sum.capacities(q).without(b.reserved.follow(q, l.Regions))
@@ -74,16 +75,18 @@
 	return overflowRegion(c, l, even, unit(mix(key^overflowSalt)))
 }
 
-// overflowRegion returns the region that serves a key which its own region has no
-// capacity for. Each other region takes a part in proportion to the capacity that
-// it has above even, a region's even share, so that all upstreams are used alike;
-// at is the key's place among these parts, from 0 to 1. By their size alone a region that
-// needs its upstreams itself took as much as one with half of them to spare. With
-// 2, 8 and 10 upstreams in three regions, in calm hours, 94.7 of 100 responses came
-// in time by size and 95.1 by what is spare; in a busy one there is nothing spare
-// (92.5 and 92.1). Plays of whole days: docs/studies/decisions-under-load.md.
+// overflowRegion returns the region that serves a key for which its own region has no
+// capacity. Each other region takes a share in proportion to its capacity above evenShare,
+// a region's even share of all capacity, so that all upstreams are equally loaded.
+// position is the key's position among these shares, from 0 to 1.
 //
-// Without a region that has more than its share it is the own region.
+// With shares in proportion to the size of the regions, a region that needs its upstreams
+// itself took as many keys as one with half of its upstreams to spare. With 2, 8 and 10
+// upstreams in three regions, in quiet hours, 94.7 of 100 responses arrived in time with
+// shares by size and 95.1 by spare capacity. In a busy hour there is no spare capacity
+// (92.5 and 92.1). Simulations of whole days are in docs/studies/decisions-under-load.md.
+//
+// If no other region has more than its even share, the result is the host's own region.
 func overflowRegion(c capacities, l Location, even int, at float64) string {
 	total := 0
 	for _, r := range c.regions {
@@ -105,22 +108,23 @@
 	return l.Region
 }
 
-// ownKeysPart returns the part of its keys that a region serves itself, for
-// the capacity that the region has of the service and the capacity of all
-// regions, in requests. It is 1 or more when the capacity is the region's
-// even share; a region with less leaves the rest of its keys to the others.
-// It assumes that all regions ask for the same. A constant cost of distance
-// in its place overloaded a region with 16 of 204 upstreams on a calm day. Following
-// the requests that hosts measure, at 0.03 a second, cost more first requests for
-// objects than it saved (docs/studies/decisions-under-load.md).
+// ownKeysFraction returns the fraction of its keys that a region serves itself, given the
+// service's capacity in the region and in all regions, in requests. It is 1 or more if the
+// region has at least its even share; a region with less leaves the rest of its keys to
+// the others. It assumes that all regions have the same demand.
+//
+// Two alternatives did worse (docs/studies/decisions-under-load.md). A constant cost of
+// distance overloaded a region with 16 of 204 upstreams on a quiet day. Following the
+// demand that hosts measure, at 0.03 a second, cost more first requests for objects than
+// it saved.
 func ownKeysPart(own, all, regions int) float64 {
 	return float64(own) * float64(regions) / float64(max(1, all))
 }
 
-// bulkFirst splits a region's part of the keys of a service that has both
-// large and small responses: the large ones are served in the region first,
-// as they cost the most bytes between regions. It assumes as many requests of
-// each sort.
+// bulkFirst splits the fraction of its keys that a region serves itself, for a service
+// with both large and small responses. Large responses are served in the region first,
+// because they cause the most traffic between regions. It assumes equal numbers of large
+// and small responses.
 func bulkFirst(part float64, bulk bool) float64 {
 	large := min(1, 2*part)
 	if bulk {
--- a/internal/gateway/balance/region_test.go
+++ b/internal/gateway/balance/region_test.go
@@ -11,7 +11,8 @@
 	"cairndock/internal/gateway/upstream"
 )
 
-// threeRegions returns the upstreams of three regions, 2 in the host's own.
+// threeRegions returns the upstreams of three regions: 2 in the host's own region west,
+// and the given numbers in the others.
 func threeRegions(east, north int) []*upstream.Upstream {
 	var all []*upstream.Upstream
 	for region, n := range map[string]int{"west": 2, "east": east, "north": north} {
@@ -22,7 +23,7 @@
 	return all
 }
 
-// shares returns the part of its keys that each region gets first.
+// shares returns the fraction of the own region's keys that each region serves first.
 func shares(t *testing.T, p balance.Policy, all []*upstream.Upstream, change func(*balance.Query)) map[string]float64 {
 	t.Helper()
 	l := balance.Location{Zone: "west-1", Region: "west", Regions: 3}
@@ -41,12 +42,13 @@
 	return got
 }
 
-// On a deployment with 2, 8 and 10 upstreams in three regions whose clients ask
-// for the same, the first region kept 0.13 to 0.19 of its requests in place of 0.3
-// that it has capacity for: its 2 upstreams seldom had the lowest of 20 random
-// costs. The rest went to the others by their size, though the second has hardly
-// more than it needs itself: in the log of a day of high load its zones lost the
-// most, 0.115 and 0.137 of their worth, the third region's 0.099 and 0.094.
+// In a deployment with 2, 8 and 10 upstreams in three regions and equal demand, the first
+// region served 0.13 to 0.19 of its requests itself, although it has capacity for 0.3: its
+// 2 upstreams seldom had the lowest of 20 random costs. The other requests went to the
+// other regions in proportion to their size, although the second region has hardly more
+// capacity than it needs itself. In the log of a day of high load, the zones of the second
+// region lost the most, 0.115 and 0.137 of their credit; those of the third lost 0.099 and
+// 0.094.
 func TestARegionShortOfUpstreamsIsServedByThoseWithCapacityToSpare(t *testing.T) {
 	got := shares(t, balance.DefaultPolicy(), threeRegions(8, 10), nil)
 	require.InDelta(t, 0.3, got["west"], 0.03)
@@ -61,15 +63,15 @@
 	require.InDelta(t, 0.6, got["north"], 0.03)
 }
 
-// Requests without affinity go by the same regions.
+// Requests without affinity overflow to the same regions.
 func TestOverflowWithoutAffinityGoesWhereCapacityIsSpare(t *testing.T) {
 	got := shares(t, balance.DefaultPolicy(), threeRegions(3, 10), func(q *balance.Query) { q.NoAffinity = true })
 	require.Zero(t, got["east"])
 	require.Greater(t, got["north"], 0.5)
 }
 
-// A route that is not allowed in the host's region is served where it may be, by
-// one region only too.
+// A route that is not allowed in the host's region is served where it is allowed, even if
+// only one region is.
 func TestARouteKeepsToItsRegions(t *testing.T) {
 	for _, allowed := range []string{"east", "north", "west"} {
 		got := shares(t, balance.DefaultPolicy(), threeRegions(8, 10), func(q *balance.Query) {
@@ -90,9 +92,9 @@
 	}
 }
 
-// An evacuated or crashed region's upstreams are not in the list: what it served
-// for itself and others goes where there is capacity, and no region that is short
-// itself takes more.
+// The upstreams of an evacuated or crashed region are not in the list. The keys that it
+// served for itself and for others go to regions with spare capacity. No region that lacks
+// capacity itself takes over more.
 func TestTheOthersTakeOverFromARegionThatIsGone(t *testing.T) {
 	got := shares(t, balance.DefaultPolicy(), threeRegions(8, 0), nil)
 	require.InDelta(t, 0.6, got["west"], 0.03)
--- a/internal/gateway/balance/reserved.go
+++ b/internal/gateway/balance/reserved.go
@@ -2,30 +2,34 @@
 
 import "time"
 
-// reservedStep is how fast, in parts of a region's requests a second, they may move as
-// what is reserved changes: a limit or a home that an operator changes must not have many
-// go to another region at once, whose upstreams don't know their objects: below half of
-// the 0.15 in 2 s that users allow.
+// maxReservedChangePerSecond bounds how fast the reserved fractions change, as a fraction
+// of a region's requests per second. When an operator changes the limit or the regions of
+// an account, only few requests at once may move to another region, because their objects
+// are not warm on the upstreams there. The bound is below half of the 0.15 in 2 s that
+// users allow.
 const reservedStep = 0.03
 
-// reservations are the parts of capacity that requests which are bound to a region need
-// there, by region. Requests that may be served anywhere leave them to those.
+// reservations are the fractions of capacity that requests bound to a region need there,
+// by region. Requests that may be served anywhere leave this capacity to the bound
+// requests.
 //
-// A region with a tenth of the upstreams and a third of the clients served, by its
-// capacity alone, three tenths of its free requests itself beside all that are bound to
-// it: twice what it could, all day long, and the bound ones waited in full queues.
+// Without reservations, a region with a tenth of the upstreams and a third of the clients
+// served, by its capacity alone, three tenths of its unbound requests itself, in addition
+// to all requests bound to it. This was twice its capacity, all day long, and the bound
+// requests waited in full queues.
 type reservations struct {
 	parts map[string]float64
 	at    time.Time
 }
 
-// follow moves the parts towards those of a query, and returns them; none for a request
-// that is bound itself.
+// update moves the fractions towards those of a query and returns them. It returns none
+// for a request that is bound itself.
 func (r *reservations) follow(q Query, regions int) map[string]float64 {
 	if q.Allows != nil {
 		return nil
 	}
-	// A part of all requests is as many times that part of one region's.
+	// A region has 1/regions of all requests, so its fraction of all requests changes by
+	// that much less.
 	step := reservedStep / float64(max(1, regions)) * max(0, q.Now.Sub(r.at).Seconds())
 	if r.parts == nil {
 		r.parts, step = map[string]float64{}, 1 // nothing has been moved yet
--- a/internal/gateway/balance/reserved_test.go
+++ b/internal/gateway/balance/reserved_test.go
@@ -10,9 +10,9 @@
 	"cairndock/internal/gateway/balance"
 )
 
-// One region had 2 of 20 upstreams and a third of the clients, and a tenth of all
-// requests was bound to it: with three tenths of its free ones beside them its upstreams
-// were asked for twice what they can do, and answered after up to 3 s, all day long.
+// One region had 2 of 20 upstreams and a third of the clients, and a tenth of all requests
+// was bound to it. It also served three tenths of its unbound requests. Its upstreams got
+// twice the requests that they can serve, and responded after up to 3 s, all day long.
 func TestFreeRequestsLeaveARegionToThoseThatAreBoundToIt(t *testing.T) {
 	all := threeRegions(8, 10)
 	for _, c := range []struct {
@@ -41,7 +41,7 @@
 	require.InDelta(t, 1, got["west"], 1e-6)
 }
 
-// Whatever an operator changes, no region's requests move by more than users allow.
+// Whatever an operator changes, no region's requests move faster than users allow.
 func TestWhatIsReservedChangesSlowly(t *testing.T) {
 	all := threeRegions(8, 10)
 	b := balance.New(balance.Location{Zone: "west-1", Region: "west", Regions: 3}, fixedQuota(1), noneEjected{}, balance.DefaultPolicy())
--- a/internal/gateway/balance/rules_test.go
+++ b/internal/gateway/balance/rules_test.go
@@ -60,7 +60,8 @@
 	}
 }
 
-// Whether ejections are honored where none is ejected moves no request.
+// Cases without ejected upstreams are left out, because no request then depends on the
+// result.
 func TestEjectionsAreHonoredWhileMostUpstreamsAreHealthyAndHaveRoom(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/internal/gateway/balance/split_test.go
+++ b/internal/gateway/balance/split_test.go
@@ -14,13 +14,12 @@
 )
 
 const (
-	// splitTrials is how many random splits are tried; each takes a few
-	// milliseconds.
+	// splitTrials is the number of random splits; each takes a few milliseconds.
 	splitTrials = 100
-	// splitRequests is how many requests a trial has: several windows.
+	// splitRequests is the number of requests of a trial, which span several windows.
 	splitRequests = 600
-	// splitWindow and splitTolerance are the platform's bound on the share of
-	// a backend: within 0.2 of its weight in any 200 requests.
+	// splitWindow and splitTolerance are the platform's bound on the share of a backend:
+	// within 0.2 of its weight in any 200 requests.
 	splitWindow    = 200
 	splitTolerance = 0.2
 	// splitInterval is the time between two requests.
@@ -31,13 +30,13 @@
 type split struct {
 	route     route.Route
 	upstreams map[string][]*upstream.Upstream
-	// served is how long an upstream works on a request.
+	// serviceTime is how long an upstream works on a request.
 	served time.Duration
 }
 
-// newSplit makes a split of two to four backends with random weights, zero
-// included, and up to three upstreams each. They work for 0.1 to 2 s on a
-// request, so that of 100 requests a second from none to most find no room.
+// newSplit makes a split of two to four backends with random weights, zero included, and
+// up to three upstreams each. The upstreams work for 0.1 to 2 s on a request, so that of
+// 100 requests a second between none and most find no free capacity.
 func newSplit(rng *rand.Rand) split {
 	s := split{
 		upstreams: map[string][]*upstream.Upstream{},
@@ -56,8 +55,8 @@
 	return s
 }
 
-// withRoom returns the split with so much capacity everywhere that nothing is
-// rejected, but for one service, which keeps what it has.
+// withCapacity returns the split with enough capacity everywhere that nothing is rejected.
+// Only the service except keeps its upstreams.
 func (s split) withRoom(except string) split {
 	roomy := split{route: s.route, served: s.served, upstreams: map[string][]*upstream.Upstream{}}
 	for _, b := range s.route.Backends {
@@ -72,17 +71,17 @@
 	return roomy
 }
 
-// outcome is what became of one request.
+// outcome is the result of one request.
 type outcome struct {
-	// service is the one that the route picked.
+	// service is the service that the route picked.
 	service string
-	// upstream has the request; it is empty when it was rejected.
+	// upstream is the ID of the upstream chosen; it is empty if the request was rejected.
 	upstream string
 	reason   balance.Reason
 }
 
-// send sends the requests of the ids to a split through one host: the route
-// picks a service, and the balancer an upstream of it.
+// send sends requests with the given IDs to a split through one host: the route picks a
+// service, and the balancer chooses an upstream of it.
 func (s split) send(t *testing.T, ids []string, noAffinity bool) []outcome {
 	t.Helper()
 	b, now := newBalancer(1), time.Now()
@@ -107,7 +106,7 @@
 	return out
 }
 
-// randomIDs returns ids as clients make them.
+// randomIDs returns IDs in the form that clients use.
 func randomIDs(rng *rand.Rand) []string {
 	ids := make([]string, splitRequests)
 	for i := range ids {
@@ -116,7 +115,7 @@
 	return ids
 }
 
-// requireSharesOfWeights checks the shares of all services in each window.
+// requireSharesOfWeights checks that each service gets its share in each window.
 func requireSharesOfWeights(t *testing.T, r route.Route, out []outcome) {
 	t.Helper()
 	total := 0
@@ -150,8 +149,8 @@
 	return of
 }
 
-// requireSameOutcomes checks that a service's requests went the same way in two
-// runs. It names only the first that differs, as there are hundreds.
+// requireSameOutcomes checks that a service's requests had the same outcomes in two runs.
+// It reports only the first difference, because there may be hundreds.
 func requireSameOutcomes(t *testing.T, want, got []outcome, service string) {
 	t.Helper()
 	require.Len(t, got, len(want), service)
@@ -160,7 +159,7 @@
 	}
 }
 
-// count returns how many of the outcomes have a reason.
+// count returns the number of outcomes with a reason.
 func count(out []outcome, reason balance.Reason) int {
 	n := 0
 	for _, o := range out {
@@ -171,9 +170,9 @@
 	return n
 }
 
-// A backend that lacks room keeps its share of the requests: what has no room
-// there is rejected, and never sent to another backend. So whether the others
-// have room changes nothing at a backend.
+// A backend without free capacity keeps its share of the requests: excess requests are
+// rejected there and never sent to another backend. The free capacity of other backends
+// therefore changes nothing at this backend.
 func TestBackendWithoutRoomKeepsItsShareAndTheOthersTheirs(t *testing.T) {
 	rejectedBesideRoom := 0
 	for seed := range uint64(splitTrials) {
--- a/internal/gateway/balance/summary.go
+++ b/internal/gateway/balance/summary.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// summaryEvery is how long a summary of a list holds. What it says, how much
-	// capacity regions have and whether most upstreams fail, changes over seconds.
+	// summaryTTL is how long a summary of a list is valid. Its content, the capacity of
+	// regions and whether most upstreams fail, changes over seconds.
 	summaryEvery = 50 * time.Millisecond
-	// summaryEveryUpstream is how much longer it holds for each upstream, so that a
-	// host spends about 1 part in 400 of its processor time on summaries, however
-	// many upstreams there are: one takes 0.05 us an upstream (BenchmarkSummary).
+	// summaryTTLPerUpstream extends the TTL for each upstream, so that a host spends about
+	// 1 part in 400 of its processor time on summaries, however many upstreams there are.
+	// A summary takes 0.05 us per upstream (BenchmarkSummary).
 	summaryEveryUpstream = 20 * time.Microsecond
 )
 
-// summary is what a choice asks of all upstreams of a list together.
+// summary aggregates the upstreams of a list for the choice of one of them.
 type summary struct {
 	at time.Time
-	// size is how many upstreams there are.
+	// size is the number of upstreams.
 	size    int
 	regions []regionSummary
 }
@@ -29,17 +29,17 @@
 // regionSummary is a summary of the upstreams of one region.
 type regionSummary struct {
 	region string
-	// capacity is what they work on at once, in requests.
+	// capacity is the number of requests that the upstreams process concurrently.
 	capacity int
-	// ejected are how many are ejected, and healthy how many are not.
+	// ejected and healthy are the numbers of upstreams that are ejected and that are not.
 	ejected, healthy int
-	// healthyLoad is the sum of the loads of these, in capacities.
+	// healthyLoad is the sum of the loads of the healthy upstreams, in capacities.
 	healthyLoad float64
 }
 
-// summary returns that of a query's upstreams, which it keeps while the list is the
-// same. Lists are not changed once they are made, so that the first upstream and the
-// number of them tell lists apart.
+// summary returns the summary of a query's upstreams, which is cached while the list is
+// the same. Lists are not changed once they are made, so the first upstream and the length
+// identify a list.
 func (b *Balancer) summary(q Query) *summary {
 	if len(q.Upstreams) == 0 {
 		return &summary{}
@@ -52,7 +52,7 @@
 	return s
 }
 
-// holds reports whether the summary is still that of a query's upstreams.
+// isValid reports whether the summary is still valid for a query's upstreams.
 func (s *summary) holds(q Query) bool {
 	age := q.Now.Sub(s.at)
 	return s.size == len(q.Upstreams) && age >= 0 && age < summaryEvery+time.Duration(s.size)*summaryEveryUpstream
@@ -74,7 +74,7 @@
 	return s
 }
 
-// region returns the summary of a region, which it adds if there is none.
+// region returns the summary of a region, and adds an empty one if there is none.
 func (s *summary) region(name string) *regionSummary {
 	for i := range s.regions {
 		if s.regions[i].region == name {
@@ -85,8 +85,8 @@
 	return &s.regions[len(s.regions)-1]
 }
 
-// knownLoad is an upstream's estimated load, in its capacities; zero if the host knows
-// nothing of it.
+// knownLoad returns an upstream's estimated load, in its capacities; zero if the host has
+// no state of it.
 func (b *Balancer) knownLoad(u *upstream.Upstream, now time.Time) float64 {
 	if s := b.states[u.Run()]; s != nil {
 		return s.load.inCapacities(now, u.Capacity, b.policy.ReportLasts)
--- a/internal/gateway/balance/unreachable.go
+++ b/internal/gateway/balance/unreachable.go
@@ -6,20 +6,22 @@
 	"cairndock/internal/gateway/upstream"
 )
 
-// An upstream that ended alone says nothing of the ones beside it. Where several of a zone
-// refuse one request, the zone has probably lost them together, and where one does not
-// answer, its zone is probably cut off or without power. A request that went through such a
-// zone's upstreams one by one would be given up before it reached a running one.
+// A single unreachable upstream does not imply that the others near it are unreachable. If
+// several upstreams of a zone refuse the connections of one request, the whole zone has
+// probably failed. If one does not answer, its zone is probably cut off or without power.
+// A request that tried the upstreams of such a zone one by one would time out before it
+// reached a running upstream.
 const (
-	// refusedPerZone is how many upstreams of a zone refuse a request until the zone's
-	// others come last for it.
+	// minRefusedPerZone is how many upstreams of a zone must refuse a request until the
+	// other upstreams of the zone are tried last.
 	refusedPerZone = 2
-	// refusedPerRegion is the same of a region: more than one of its zones is concerned.
+	// minRefusedPerRegion is the same for a region: more than one of its zones has then
+	// failed.
 	refusedPerRegion = 3
 )
 
-// besideUnreachable reports whether an upstream comes last for the request, as it could
-// reach none of others around it.
+// isNearUnreachable reports whether an upstream is tried last because the request could
+// not reach others in its zone or region.
 func (q *Query) besideUnreachable(u *upstream.Upstream) bool {
 	sameZone := func(o *upstream.Upstream) bool { return o.Zone == u.Zone && o.Region == u.Region }
 	if slices.ContainsFunc(q.Unanswered, sameZone) {
--- a/internal/gateway/balance/unreachable_test.go
+++ b/internal/gateway/balance/unreachable_test.go
@@ -14,7 +14,7 @@
 	"cairndock/internal/gateway/upstream"
 )
 
-// upstreamsIn makes an upstream in each of some zones, whose names begin with their region's.
+// upstreamsIn makes one upstream per zone. The name of a zone begins with its region.
 func upstreamsIn(zones []string) (all []*upstream.Upstream) {
 	for n, zone := range zones {
 		region, _, _ := strings.Cut(zone, "-")
@@ -27,11 +27,11 @@
 	all := upstreamsIn(slices.Repeat([]string{"west-1", "west-2", "east-1"}, 6))
 	for _, c := range []struct {
 		name string
-		// refused are the zones of the upstreams that refused the connection, and unanswered
-		// of those that did not answer it.
+		// refused are the zones of the upstreams that refused the connection; unanswered
+		// those of the upstreams to which the connection timed out.
 		refused, unanswered []string
-		// last is what the zone of the next upstream must not begin with; empty if the order
-		// is as without refusals.
+		// last is the prefix that the zone of the chosen upstream must not have; empty if
+		// the order must be the same as without failures.
 		last string
 	}{
 		{"one says nothing of its zone", []string{"west-1"}, nil, ""},
--- a/internal/gateway/balance/withheld.go
+++ b/internal/gateway/balance/withheld.go
@@ -6,17 +6,18 @@
 	"cairndock/internal/gateway/notice"
 )
 
-// Withheld says which upstreams a choice passed over, as they say that they take no
-// request now. The zero value is none.
+// Withheld describes the upstreams that a choice skipped because their notices say that
+// they accept no request now. The zero value means none.
 type Withheld struct {
-	// Count is how many, as far as they were looked at, and Last one of them.
+	// Count is the number of skipped upstreams among those examined, and Last is one of
+	// them.
 	Count int
 	Last  notice.Withheld
-	// For is how long it takes until the first of them takes one; zero if that is not known.
+	// For is the time until the first of them accepts a request again; zero if unknown.
 	For time.Duration
 }
 
-// add adds an upstream, and reports whether it is withheld.
+// add records w if its upstream is withheld, and reports whether it is.
 func (h *Withheld) add(w notice.Withheld) bool {
 	if w.Upstream == "" {
 		return false
@@ -29,7 +30,7 @@
 	return true
 }
 
-// reason is why nothing was chosen from an empty list.
+// reason returns why nothing was chosen from an empty list.
 func (h *Withheld) reason() Reason {
 	if h.Count > 0 {
 		return Withholding
--- a/internal/gateway/route/route_test.go
+++ b/internal/gateway/route/route_test.go
@@ -59,9 +59,9 @@
 	require.Zero(t, counts["c"])
 }
 
-// The log writes one in a hundred successful requests, by a hash of their id.
-// Where weights added up to 100, it showed the first backend of a route only:
-// the backend was picked by the same remainder of the same hash.
+// The log contains one in a hundred successful requests, sampled by a hash of their ID.
+// When the backend was picked by the same remainder of the same hash and the weights of a
+// route added up to 100, all sampled requests were those of its first backend.
 func TestSampledRequestsGoToEachBackendByItsWeight(t *testing.T) {
 	r := route.Route{Backends: []route.Backend{{Service: "a", Weight: 70}, {Service: "b", Weight: 30}}}
 	counts, sampled := map[string]int{}, 0
--- a/internal/gateway/route/table.go
+++ b/internal/gateway/route/table.go
@@ -15,39 +15,40 @@
 	Name string
 	// WarmUp is how long an upstream stays cold after its start.
 	WarmUp time.Duration
-	// WarmUpRate is how many requests a second a cold upstream bears.
+	// WarmUpRate is the rate of requests per second that a cold upstream can serve.
 	WarmUpRate float64
 }
 
-// Limits bound what a client may send; zero values are no limits.
+// Limits bound what a client may send; a zero value means no limit.
 type Limits struct {
-	// HeaderBytes bounds the size of a request's header.
+	// HeaderBytes is the maximum size of a request's header.
 	HeaderBytes int
-	// BodyBytes bounds the size of a request's body.
+	// BodyBytes is the maximum size of a request's body.
 	BodyBytes int64
-	// HeaderTimeout bounds the time in which a request's header is read.
+	// HeaderTimeout is the maximum time for reading a request's header.
 	HeaderTimeout time.Duration
-	// IdleTimeout bounds how long a connection is idle between two requests.
+	// IdleTimeout is the maximum time for which a connection may be idle between two
+	// requests.
 	IdleTimeout time.Duration
 }
 
-// Table is one version of the configuration. It is not changed after NewTable.
+// Table is one version of the configuration. It is immutable.
 type Table struct {
-	// Version orders tables; a host never goes back to a lower one.
+	// Version orders tables; a host never applies an older table.
 	Version int64
 	Limits  Limits
-	// Accounts are the client accounts; nil where requests need none.
+	// Accounts are the client accounts; nil if requests need no account.
 	Accounts *account.Set
 
-	// byHost has the routes of each host name, the longest prefix first.
+	// byHost holds the routes of each host name, the longest prefix first.
 	byHost   map[string][]*Route
 	services map[string]Service
-	// mixed has the services with large and small responses.
+	// mixed holds the services with both large and small responses.
 	mixed  map[string]bool
 	routes int
 }
 
-// NewTable makes a table. It keeps the routes.
+// NewTable returns a table. The table keeps the slice of routes.
 func NewTable(version int64, routes []Route, services []Service, limits Limits) *Table {
 	t := &Table{
 		Version: version, Limits: limits, byHost: map[string][]*Route{}, services: map[string]Service{},
@@ -68,9 +69,8 @@
 	return t
 }
 
-// mixedServices returns the services that are the main backend, the one with
-// the highest weight, of routes with large responses and of routes with small
-// ones.
+// mixedServices returns the services that are the main backend (the one with the highest
+// weight) both of a route with large responses and of a route with small ones.
 func mixedServices(routes []Route) map[string]bool {
 	large, small := map[string]bool{}, map[string]bool{}
 	for _, r := range routes {
@@ -102,8 +102,8 @@
 	return nil, false
 }
 
-// HostRegions returns the regions in which routes of a host name may be served,
-// sorted; empty is any, as soon as one route may be served in any.
+// HostRegions returns the regions in which routes of a host name may be served, sorted. It
+// returns nil, which means any region, if one of the routes may be served anywhere.
 func (t *Table) HostRegions(host string) []string {
 	var regions []string
 	for _, r := range t.byHost[host] {
@@ -116,7 +116,7 @@
 	return slices.Compact(regions)
 }
 
-// Service returns a service's configuration, or the zero value.
+// Service returns a service's configuration, or the zero value if there is none.
 func (t *Table) Service(name string) Service { return t.services[name] }
 
 // Mixed reports whether a service has both large and small responses.
--- a/internal/gateway/routing/operator.go
+++ b/internal/gateway/routing/operator.go
@@ -9,14 +9,14 @@
 	"cairndock/internal/gateway/watch"
 )
 
-// OperatorSink applies changes of the operators' table.
+// OperatorSink returns a sink that applies changes of the operators' table.
 func (s *State) OperatorSink() watch.Sink {
 	return &sink{state: s, table: OperatorTable, apply: s.applyOperatorRows}
 }
 
-// applyOperatorRows applies changed rows. A deleted row ends its evacuation; a
-// deleted configuration stays in force, as there is none to replace it. Of a store
-// that came back from an older copy an evacuation is taken, and none ends.
+// applyOperatorRows applies changed rows. A deleted row ends its evacuation. A deleted
+// configuration stays in force, because there is none to replace it. From a store that was
+// restored from an older copy, evacuations are applied but not ended.
 func (s *State) applyOperatorRows(u watch.Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,7 +42,7 @@
 	s.evacuate(evacuated, version)
 }
 
-// useConfig puts a configuration in force unless the one in force is as new.
+// useConfig puts a configuration in force unless the current one is as new.
 func (s *State) useConfig(t *route.Table) {
 	if old := s.config.Load(); old != nil && t.Version <= old.Version {
 		return
@@ -51,8 +51,8 @@
 	s.log.Config(t.Version, t.Routes())
 }
 
-// evacuate puts the evacuations in force, given as zones by their rows' keys.
-// version is the newest of the rows that changed, for the log.
+// evacuate puts the evacuations in force. byKey holds the evacuated zones by the keys of
+// their rows. version is the newest version of the changed rows, for the log.
 func (s *State) evacuate(byKey map[string]string, version int64) {
 	if maps.Equal(byKey, s.evacuated) {
 		return
--- a/internal/gateway/routing/restored.go
+++ b/internal/gateway/routing/restored.go
@@ -7,10 +7,10 @@
 	"cairndock/internal/gateway/watch"
 )
 
-// holdEvacuations keeps the evacuations in force that a store which came back from an older
-// copy lacks, until their rows are written again or upstream.RestoreGrace is over. Each
-// return gives those that are held that time anew. It returns the other reverted rows. s.mu
-// is held.
+// holdEvacuations handles the evacuations that are missing from a store that was restored
+// from an older copy. They stay in force until their rows are written again or until
+// upstream.RestoreGrace has passed. Each further restore restarts this period for the held
+// evacuations. holdEvacuations returns the other reverted rows. s.mu must be held.
 func (s *State) holdEvacuations(u watch.Update) (others []watch.Row) {
 	if !u.Restored {
 		return nil
--- a/internal/gateway/routing/restored_test.go
+++ b/internal/gateway/routing/restored_test.go
@@ -11,7 +11,7 @@
 	"cairndock/internal/gateway/watch"
 )
 
-// restored is an update by a store that came back from an older copy.
+// restored returns an update by a store that was restored from an older copy.
 func restored(rows ...watch.Row) watch.Update {
 	u := watch.Update{Full: true, Restored: true, StoreReturned: time.Now()}
 	for _, r := range rows {
@@ -24,10 +24,10 @@
 	const second = time.Second
 	for _, c := range []struct {
 		name string
-		// then is what the operator or the store does a second after its return.
+		// then is the action of the operator or the store a second after the restore.
 		then func(h host)
-		// serving is whether the zone serves a second after that, after most of the grace
-		// and after it.
+		// soon, before and after are whether the zone serves requests a second after that,
+		// just before the end of the grace period, and at its end.
 		soon, before, after bool
 	}{
 		{"the operator does nothing", func(host) {}, false, false, true},
@@ -106,7 +106,8 @@
 	})
 }
 
-// A host that was cut off for long would send to upstreams that left meanwhile.
+// A host that was cut off for a long time would otherwise send requests to upstreams that
+// left in the meantime.
 func TestAnUpstreamThatWasRemovedBeforeTheCopyIsGoneAtOnce(t *testing.T) {
 	h := newHost()
 	defer h.log.Close()
--- a/internal/gateway/routing/routing_test.go
+++ b/internal/gateway/routing/routing_test.go
@@ -22,7 +22,7 @@
 
 const warmUp = time.Minute
 
-// decoder reads "config VERSION", "evacuate ZONE" and "upstream ZONE".
+// decoder decodes "config VERSION", "evacuate ZONE" and "upstream ZONE".
 type decoder struct{}
 
 func (decoder) OperatorRow(_ string, value []byte) (routing.OperatorRow, error) {
@@ -61,7 +61,7 @@
 	return host{state: routing.New(decoder{}, log, m), log: log, lines: lines}
 }
 
-// logged ends the log and gives its lines.
+// logged closes the log and returns its lines.
 func (h host) logged() string {
 	h.log.Close()
 	return h.lines.String()
@@ -77,7 +77,7 @@
 
 func deleted(key string) watch.Row { return watch.Row{Key: key, Deleted: true} }
 
-// serving gives the ids of the upstreams that may receive requests.
+// serving returns the IDs of the upstreams that may receive requests.
 func (h host) serving() []string {
 	ids := []string{}
 	for _, u := range h.state.Upstreams().Service("s") {
@@ -125,9 +125,9 @@
 	require.Equal(t, 2*2, strings.Count(h.logged(), `"event":"bad-row"`))
 }
 
-// Another writer put a row that names no upstream over one that was served, and
-// one where none stood. The upstream went on getting requests, though nothing in
-// the table named it any more.
+// Another writer replaced the row of a served upstream by a row that names no upstream,
+// and added another such row. The upstream kept getting requests, although no row in the
+// table named it any more.
 func TestAnUpstreamWhoseRowCannotBeDecodedIsNotUsedUntilItCan(t *testing.T) {
 	h := newHost()
 	h.operator(row("config", "config 1"))
@@ -185,7 +185,8 @@
 func TestAnEntryThatLapsesWhileTheStoreWasAwayHasTimeToComeBack(t *testing.T) {
 	for _, c := range []struct {
 		rule string
-		// away says that the store had been away, back that the entry returns.
+		// unavailable is whether the store had been unavailable, returns whether the entry
+		// is written again.
 		away, back    bool
 		during, after []string
 	}{
--- a/internal/gateway/routing/state.go
+++ b/internal/gateway/routing/state.go
@@ -1,12 +1,12 @@
-// Package routing keeps what a host knows of the operator configuration and of
-// the running upstreams. It owns that state and gives readers the current
-// version of both without a lock. The rows come from package watch, by two
-// sinks; a Decoder reads them.
+// Package routing holds a host's copy of the operator configuration and of the running
+// upstreams. It owns that state and gives readers the current version of both without a
+// lock. The rows come from package watch through two sinks; a Decoder decodes them.
 //
-// The state never becomes worse by an update: an operator's row that can't be
-// decoded leaves the last good one in place, an upstream's is not used until its row
-// can be read, an older configuration never replaces a newer one, and an upstream whose entry lapsed while the store was away stays
-// for upstream.LapseGrace.
+// An invalid or outdated update never replaces valid state. If an operator's row can't be
+// decoded, the last valid one stays in force. If an upstream's row can't be decoded, the
+// upstream is not used until its row is valid again. An older configuration never replaces
+// a newer one. An upstream whose entry lapsed while the store was unavailable is kept for
+// upstream.LapseGrace.
 package routing
 
 import (
@@ -21,7 +21,7 @@
 	"cairndock/internal/telemetry"
 )
 
-// The names of the watched tables in logs and metrics.
+// Names of the watched tables in logs and metrics.
 const (
 	// OperatorTable is the operators' table.
 	OperatorTable = "intent"
@@ -29,25 +29,25 @@
 	UpstreamTable = "upstream"
 )
 
-// OperatorRow is one row of the operators' table: a configuration, or a zone to
+// OperatorRow is one row of the operators' table: either a configuration or a zone to
 // evacuate. Exactly one of the two is set.
 type OperatorRow struct {
-	// Table is a whole configuration.
+	// Table is a complete configuration.
 	Table *route.Table
-	// Evacuate is a zone whose upstreams are to receive nothing.
+	// Evacuate is the zone whose upstreams must receive no requests.
 	Evacuate string
 }
 
-// Decoder reads rows of the watched tables.
+// Decoder decodes rows of the watched tables.
 type Decoder interface {
-	// OperatorRow reads a row of the operators' table.
+	// OperatorRow decodes a row of the operators' table.
 	OperatorRow(key string, value []byte) (OperatorRow, error)
-	// Upstream reads a row of the upstreams' table.
+	// Upstream decodes a row of the upstreams' table.
 	Upstream(key string, value []byte) (upstream.Registration, error)
 }
 
-// State is the operator configuration and the upstreams, as far as the host
-// knows them. All methods may be called concurrently.
+// State is the host's copy of the operator configuration and of the upstreams. All methods
+// may be called concurrently.
 type State struct {
 	decoder Decoder
 	log     *eventlog.Log
@@ -55,22 +55,21 @@
 
 	config    atomic.Pointer[route.Table]
 	upstreams atomic.Pointer[upstream.Set]
-	// synced is set once all upstreams were read.
+	// synced is set once a full listing of the upstreams was applied.
 	synced atomic.Bool
 
 	// mu is held by writers; readers use the pointers above.
 	mu       sync.Mutex
 	registry *upstream.Registry
-	// evacuated has the zone of each row that asks for an evacuation, by the
-	// row's key.
+	// evacuated holds the evacuated zones by the keys of their rows.
 	evacuated map[string]string
-	// held has the keys of those that the store lost and that may be written again, until
-	// heldUntil.
+	// held holds the keys of evacuations that a restored store has lost. They stay in
+	// force until heldUntil so that their rows can be written again.
 	held      map[string]bool
 	heldUntil time.Time
 }
 
-// New makes the state of a host that has just started.
+// New returns the state of a host that has just started.
 func New(d Decoder, log *eventlog.Log, m *telemetry.Metrics) *State {
 	s := &State{decoder: d, log: log, metrics: m, evacuated: map[string]string{}, held: map[string]bool{}}
 	s.registry = upstream.NewRegistry(s.warmUp)
@@ -78,7 +77,7 @@
 	return s
 }
 
-// warmUp is how long an upstream of a service is cold after its start.
+// warmUp returns how long an upstream of a service is cold after its start.
 func (s *State) warmUp(service string) time.Duration {
 	t := s.config.Load()
 	if t == nil {
@@ -87,10 +86,10 @@
 	return t.Service(service).WarmUp
 }
 
-// Config is the configuration in force, or nil before the first.
+// Config returns the configuration in force, or nil before the first one.
 func (s *State) Config() *route.Table { return s.config.Load() }
 
-// Limits are the limits on clients in force; zero values are no limits.
+// Limits returns the limits on clients that are in force; a zero value means no limit.
 func (s *State) Limits() route.Limits {
 	t := s.config.Load()
 	if t == nil {
@@ -99,21 +98,21 @@
 	return t.Limits
 }
 
-// Upstreams is the upstreams known.
+// Upstreams returns the known upstreams.
 func (s *State) Upstreams() *upstream.Set { return s.upstreams.Load() }
 
-// Ready reports whether the host knows enough to serve: a configuration, and
-// all upstreams by one full reading. Once ready it stays so, also while the
-// sources are lost.
+// Ready reports whether the host has the data that it needs to serve: a configuration and
+// a full listing of the upstreams. Once ready, the state stays ready, even while the
+// sources are unavailable.
 func (s *State) Ready() bool {
 	return s.config.Load() != nil && s.synced.Load()
 }
 
-// publish gives readers the upstreams as the registry has them; s.mu is held.
+// publish makes the registry's upstreams visible to readers. s.mu must be held.
 func (s *State) publish() { s.upstreams.Store(s.registry.Set()) }
 
-// decode decodes a row by read. It logs a row that can't be decoded, and reports
-// whether it could.
+// decode decodes a row with read. It logs a row that can't be decoded, and reports whether
+// the row was decoded.
 func decode[T any](s *State, table string, row watch.Row, read func(key string, value []byte) (T, error)) (T, bool) {
 	var decoded T
 	value, err := row.Bytes()
@@ -143,18 +142,18 @@
 	s.state.log.Lost(s.table+" source", source, err)
 }
 
-// Regained logs a source of the table that responds again.
+// Regained logs a source of the table that responds again after an outage.
 func (s *sink) Regained(source string, after time.Duration) {
 	s.state.log.Regained(s.table+" source", source, after)
 }
 
-// Refused logs and counts a listing of the table that was older than what is known.
+// Refused logs and counts a listing of the table that is older than the known version.
 func (s *sink) Refused(source string, listed, known watch.Version) {
 	s.state.metrics.Count(`cairndock_listings_refused_total{table="` + s.table + `"}`)
 	s.state.log.ListingRefused(s.table, source, listed, known)
 }
 
-// EraBegan logs that the store was found in another era.
+// EraBegan logs that the store began another era.
 func (s *sink) EraBegan(source string, listed, known watch.Version, u watch.Update) {
 	s.state.log.EraBegan(s.table, source, listed, known, len(u.Rows), len(u.Reverted))
 }
--- a/internal/gateway/routing/upstreams.go
+++ b/internal/gateway/routing/upstreams.go
@@ -7,37 +7,38 @@
 	"cairndock/internal/gateway/watch"
 )
 
-// The states of an upstream in the log.
+// States of an upstream in the log.
 const (
-	// stateReady takes requests.
+	// stateReady means that the upstream accepts requests.
 	stateReady = "ready"
-	// stateDraining takes no new requests.
+	// stateDraining means that the upstream accepts no new requests.
 	stateDraining = "draining"
-	// stateGone has left the table.
+	// stateRemoved means that the upstream was removed from the table.
 	stateGone = "gone"
-	// stateLapsed has left the table just after the store was away, or is missing
-	// from a copy that it came back from, and may come back.
+	// stateLapsed means that the entry disappeared shortly after an outage of the store,
+	// or is missing from the older copy of a restored store, and may be written again.
 	stateLapsed = "entry lapsed"
-	// stateExpired lapsed and did not come back in time.
+	// stateExpired means that the entry lapsed and was not written again in time.
 	stateExpired = "gone, entry did not come back"
-	// stateDiscarded has an entry that can't be read.
+	// stateDiscarded means that the entry can't be decoded.
 	stateDiscarded = "entry can't be read"
-	// stateLate is an entry that an earlier run of the upstream wrote late.
+	// stateLate means that the entry was written late by an earlier run of the upstream.
 	stateLate = "entry of an earlier run, ignored for now"
-	// stateReverted is such an entry, or one of an upstream that was removed, in a store that
-	// came back from an older copy.
+	// stateReverted means that a restored store has the entry of an earlier run, or of an
+	// upstream that was removed.
 	stateReverted = "entry of a restored store, ignored for now"
-	// stateLateUsed is an entry that was ignored and still stands there after a while.
+	// stateLateUsed means that an entry that was ignored is used, because it was not
+	// replaced in the grace period.
 	stateLateUsed = "entry that was ignored, used as it stays"
 )
 
-// UpstreamSink applies changes of the upstreams' table.
+// UpstreamSink returns a sink that applies changes of the upstreams' table.
 func (s *State) UpstreamSink() watch.Sink {
 	return &sink{state: s, table: UpstreamTable, apply: s.applyUpstreamRows}
 }
 
-// applyUpstreamRows applies changed rows. The first full reading makes the
-// upstreams complete: one that appears after it has just started and is cold.
+// applyUpstreamRows applies changed rows. After the first full listing the upstreams are
+// complete: an upstream that appears later has just started and is cold.
 func (s *State) applyUpstreamRows(u watch.Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,19 +62,21 @@
 	}
 	s.publish()
 	if u.Full {
-		// After publish: a host that is ready has its upstreams.
+		// Set synced only after publish, so that a host that is ready has its upstreams.
 		s.synced.Store(true)
 	}
 }
 
-// applyReverted applies rows of a store that came back from an older copy; s.mu is held.
+// applyReverted applies rows of a store that was restored from an older copy. s.mu must be
+// held.
 func (s *State) applyReverted(u watch.Update, now time.Time) {
 	s.registry.StoreRestored(now)
 	for _, row := range u.Reverted {
 		switch {
 		case row.Deleted && row.Known <= u.Shared:
-			// The copy is of after its registration, so it was removed. An upstream that
-			// writes again counts its writes, so that no such row passes for a shared one.
+			// The copy has all changes up to u.Shared but lacks this entry, so the entry
+			// was removed before the copy was made. Each write of an upstream increments a
+			// counter in its row, so a row that was written again never counts as shared.
 			s.removeUpstream(row.Row, now, time.Time{})
 		case row.Deleted:
 			s.logRemoved(row.Row, s.registry.RemoveReverted(row.Key, now))
@@ -85,7 +88,7 @@
 	time.AfterFunc(upstream.RestoreGrace, s.applyLate)
 }
 
-// putCurrent puts a registration of the store's present era, and returns its state in the
+// putCurrent puts a registration of the store's current era, and returns its state for the
 // log.
 func (s *State) putCurrent(r upstream.Registration, now time.Time) string {
 	if s.registry.Put(r, now) {
@@ -95,7 +98,8 @@
 	return stateLate
 }
 
-// putReverted puts a registration that may be older than what was known.
+// putReverted puts a registration that may be older than the known one, and returns its
+// state for the log.
 func (s *State) putReverted(r upstream.Registration, now time.Time) string {
 	if s.registry.PutReverted(r, now) {
 		return s.stateOf(r)
@@ -103,7 +107,7 @@
 	return stateReverted
 }
 
-// stateOf is the state in the log of an upstream that was put.
+// stateOf returns the state for the log of an upstream whose registration was put.
 func (s *State) stateOf(r upstream.Registration) string {
 	if s.registry.Drains(r.ID) {
 		return stateDraining
@@ -111,10 +115,10 @@
 	return stateReady
 }
 
-// putUpstream adds or changes the upstream of a row by put; s.mu is held. A row that
-// can't be decoded names no upstream to use: whoever wrote it, the one that stood
-// there gets no new work until its row can be read again. Those of the first
-// reading are not logged, as nothing changed.
+// putUpstream adds or changes the upstream of a row with put. If the row can't be decoded,
+// whoever wrote it, the upstream with its key gets no new requests until the row is valid
+// again. Upstreams of the first full listing are not logged, because nothing changed. s.mu
+// must be held.
 func (s *State) putUpstream(row watch.Row, now time.Time, put func(upstream.Registration, time.Time) string) {
 	registration, ok := decode(s, UpstreamTable, row, s.decoder.Upstream)
 	if !ok {
@@ -129,9 +133,9 @@
 	}
 }
 
-// removeUpstream removes the upstream of a deleted row; s.mu is held. It
-// reports whether the entry lapsed: then the upstream stays until expire.
-// storeReturned is when the store last came back, or zero.
+// removeUpstream removes the upstream of a deleted row. It reports whether the entry
+// lapsed; a lapsed upstream stays until expire. storeReturned is when the store last
+// became available again, or zero. s.mu must be held.
 func (s *State) removeUpstream(row watch.Row, now, storeReturned time.Time) (lapsed bool) {
 	lapsed = s.registry.Remove(row.Key, now, storeReturned)
 	s.logRemoved(row, lapsed)
@@ -146,8 +150,8 @@
 	s.log.Upstream(row.Key, upstream.Registration{}, state, row.Version)
 }
 
-// MarkLeaving has a run of an upstream that said in a response that it leaves get no new
-// work, whatever its row says.
+// MarkLeaving excludes a run of an upstream from new requests, whatever its row contains,
+// because the run announced in a response that it leaves.
 func (s *State) MarkLeaving(run upstream.Run) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,7 +169,7 @@
 	s.publish()
 }
 
-// expire removes the upstreams whose entries lapsed and did not come back.
+// expire removes the upstreams whose entries lapsed and were not written again in time.
 func (s *State) expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
