--- a/internal/gateway/balance/balance.go
+++ b/internal/gateway/balance/balance.go
@@ -100,14 +100,14 @@
 func (b *Balancer) Choose(q Query) (Choice, Reason) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	list, held := b.preferenceList(q)
+	list, withheld := b.preferenceList(q)
 	pick := pickPreferred
 	if q.NoAffinity {
-		list, held = b.ordered(q)
+		list, withheld = b.ordered(q)
 		pick = pickLeastLoaded
 	}
 	if len(list) == 0 {
-		return Choice{Withheld: held}, held.reason()
+		return Choice{Withheld: withheld}, withheld.reason()
 	}
 	a := admission{policy: b.policy, now: q.Now, threshold: b.policy.rejectThreshold(q.Priority), warmUpRate: q.WarmUpRate, quotas: b.quotas}
 	rank, reason := pick(list, a)
@@ -118,7 +118,7 @@
 		LoadAge:  chosen.state.load.reportAge(q.Now),
 		Rank:     rank,
 		Cold:     chosen.upstream.Cold(q.Now),
-		Withheld: held,
+		Withheld: withheld,
 	}
 	if reason == Chosen {
 		b.notices.Take(chosen.upstream, q.Now)
@@ -156,19 +156,19 @@
 	o := b.order(key, q, sum)
 	ejections := b.honorsEjections(q, sum)
 	list := make([]scored, 0, len(q.Upstreams))
-	var held Withheld
+	var withheld Withheld
 	for _, u := range q.Upstreams {
-		if slices.Contains(q.Tried, u.ID) || !q.allows(u.Region) || held.add(b.notices.Withheld(u, q.Now)) {
+		if slices.Contains(q.Tried, u.ID) || !q.allows(u.Region) || withheld.add(b.notices.Withheld(u, q.Now)) {
 			continue
 		}
-		x := b.scored(u, o.cost(u, key^u.Seed()), q.Now)
-		if b.comesLast(u, &q, ejections) {
-			x.cost += lastCost
+		x := b.score(u, o.cost(u, key^u.Seed()), q.Now)
+		if b.isTriedLast(u, &q, ejections) {
+			x.cost += triedLastCost
 		}
 		list = append(list, x)
 	}
 	slices.SortFunc(list, func(x, y scored) int { return cmp.Compare(x.cost, y.cost) })
-	return list, held
+	return list, withheld
 }
 
 // honorsEjections reports whether ejected upstreams are tried last for a request.
@@ -179,8 +179,8 @@
 // isTriedLast reports whether an upstream is tried after all others. An upstream is tried
 // last if it is ejected or refuses requests of another host, while ejections are honored,
 // or if it is close to upstreams that the request could not reach.
-func (b *Balancer) comesLast(u *upstream.Upstream, q *Query, ejections bool) bool {
-	return ejections && b.avoided(u, q.Now) || q.besideUnreachable(u)
+func (b *Balancer) isTriedLast(u *upstream.Upstream, q *Query, ejections bool) bool {
+	return ejections && b.avoided(u, q.Now) || q.isNearUnreachable(u)
 }
 
 // avoided reports whether an upstream is ejected or refuses requests of another host.
@@ -194,7 +194,7 @@
 }
 
 // score returns an upstream with its cost, state and estimated load.
-func (b *Balancer) scored(u *upstream.Upstream, cost float64, now time.Time) scored {
+func (b *Balancer) score(u *upstream.Upstream, cost float64, now time.Time) scored {
 	s := b.state(u)
 	return scored{upstream: u, state: s, cost: cost, load: s.load.inCapacities(now, u.Capacity, b.policy.ReportLasts)}
 }
--- a/internal/gateway/balance/ejected.go
+++ b/internal/gateway/balance/ejected.go
@@ -3,11 +3,11 @@
 const (
 	// triedLastCost is added to the cost of an upstream that is ejected or is tried last
 	// for another reason. It is above every other cost (at most twice affinitySpread).
-	lastCost = 4 * affinitySpread
+	triedLastCost = 4 * affinitySpread
 	// maxEjectedFraction is the fraction of a request's upstreams above which ejections
 	// are ignored. If most upstreams fail, the fault is more likely elsewhere, such as in
 	// the host's own network.
-	maxEjectedPart = 0.5
+	maxEjectedFraction = 0.5
 	// maxHealthyLoad is the mean load of the other upstreams, in capacities, above which
 	// ejections are ignored. Above this load the other upstreams could not take over the
 	// load of the ejected ones, because their requests for these keys take longer at
@@ -27,7 +27,7 @@
 			healthyLoad += r.healthyLoad
 		}
 	}
-	if float64(ejected) > maxEjectedPart*float64(ejected+healthy) {
+	if float64(ejected) > maxEjectedFraction*float64(ejected+healthy) {
 		return false
 	}
 	return healthyLoad <= maxHealthyLoad*float64(healthy)
--- a/internal/gateway/balance/leastloaded.go
+++ b/internal/gateway/balance/leastloaded.go
@@ -17,7 +17,7 @@
 // preference list of two upstreams, ordered by the request's ID, rejects requests while
 // other upstreams have free capacity (docs/design/platform.md has simulations of both).
 func pickLeastLoaded(list []scored, a admission) (int, Reason) {
-	zone := below(list, zoneStep)
+	zone := below(list, crossZoneCost)
 	region := below(list, affinitySpread)
 	tiers := [...]tier{
 		// A sample of the host's own zone, then of the rest of the key's region.
--- a/internal/gateway/balance/load.go
+++ b/internal/gateway/balance/load.go
@@ -12,9 +12,9 @@
 // (TestReportsCountLongerWhereTheyComeSeldom). In simulations of whole days, five
 // intervals did better than two and a half (docs/design/shifted-work.md).
 const (
-	reportLasts    = 5.0
-	leastReportTTL = time.Second
-	mostReportTTL  = 4 * time.Second
+	reportTTLIntervals = 5.0
+	minReportTTL       = time.Second
+	maxReportTTL       = 4 * time.Second
 	// intervalWeight is the weight of the latest interval in the moving average.
 	intervalWeight = 0.25
 )
@@ -40,13 +40,13 @@
 // observe records an upstream's report of its running and waiting requests.
 func (e *loadEstimate) observe(requests int, now time.Time) {
 	if !e.reportedAt.IsZero() {
-		e.noteInterval(now.Sub(e.reportedAt))
+		e.recordInterval(now.Sub(e.reportedAt))
 	}
 	e.reported, e.outstandingAtReport, e.reportedAt = requests, e.outstanding, now
 }
 
-func (e *loadEstimate) noteInterval(d time.Duration) {
-	d = min(d, mostReportTTL) // a calm hour is no reason to believe old reports for long
+func (e *loadEstimate) recordInterval(d time.Duration) {
+	d = min(d, maxReportTTL) // a long quiet period must not keep old reports valid for long
 	if e.interval == 0 {
 		e.interval = d
 	}
@@ -55,15 +55,15 @@
 
 // reportTTL returns how long the last report is valid: ttlIntervals times the interval,
 // within the bounds.
-func (e *loadEstimate) reportTTL(lasts float64) time.Duration {
-	return max(leastReportTTL, min(time.Duration(lasts*float64(e.interval)), mostReportTTL))
+func (e *loadEstimate) reportTTL(ttlIntervals float64) time.Duration {
+	return max(minReportTTL, min(time.Duration(ttlIntervals*float64(e.interval)), maxReportTTL))
 }
 
 // inCapacities returns the estimated load divided by the upstream's capacity, the number
 // of requests that it processes concurrently.
-func (e *loadEstimate) inCapacities(now time.Time, capacity int, lasts float64) float64 {
+func (e *loadEstimate) inCapacities(now time.Time, capacity int, ttlIntervals float64) float64 {
 	requests := float64(e.outstanding)
-	age, ttl := now.Sub(e.reportedAt), e.reportTTL(lasts)
+	age, ttl := now.Sub(e.reportedAt), e.reportTTL(ttlIntervals)
 	if !e.reportedAt.IsZero() && age < ttl {
 		others := max(0, e.reported-e.outstandingAtReport)
 		requests += float64(others) * (1 - float64(age)/float64(ttl))
--- a/internal/gateway/balance/order.go
+++ b/internal/gateway/balance/order.go
@@ -14,7 +14,7 @@
 	// without affinity. At half the spread, every upstream of the own zone comes before
 	// all others. If the whole region came first instead, more bytes would cross zones
 	// (docs/design/platform.md).
-	zoneStep = affinitySpread / 2
+	crossZoneCost = affinitySpread / 2
 	// crossRegionCost is the cost of a region other than the one that serves the key, for
 	// a request with affinity. The first upstream is always of the serving region
 	// (lowestCost.moveToFront). This cost decides how often the second upstream is, which
@@ -49,19 +49,19 @@
 // other upstreams of its region, then all others. If another region serves the key, the
 // upstreams of that region come first. Each group is in random order.
 func (o order) cost(u *upstream.Upstream, hash uint64) float64 {
-	away := u.Region != o.region
+	otherRegion := u.Region != o.region
 	if !o.noAffinity {
 		cost := unit(mix(hash)) * affinitySpread
-		if away {
+		if otherRegion {
 			cost += o.regionCost
 		}
 		return cost
 	}
-	cost := unit(mix(hash)) * zoneStep
+	cost := unit(mix(hash)) * crossZoneCost
 	if u.Region == o.location.Region && u.Zone != o.location.Zone {
-		cost += zoneStep
+		cost += crossZoneCost
 	}
-	if away {
+	if otherRegion {
 		cost += affinitySpread
 	}
 	return cost
--- a/internal/gateway/balance/policy.go
+++ b/internal/gateway/balance/policy.go
@@ -38,7 +38,7 @@
 	return Policy{
 		PreferenceList: preferenceListSize, SpillAbove: spillAbove, SpillBelow: spillBelow,
 		RejectAbove: rejectAbove, RejectStep: rejectStep, RegionCost: crossRegionCost,
-		RegionFirst: true, SpareFirst: true, LoadReports: true, ReportLasts: reportLasts, Ejections: true,
+		RegionFirst: true, SpareFirst: true, LoadReports: true, ReportLasts: reportTTLIntervals, Ejections: true,
 	}
 }
 
--- a/internal/gateway/balance/preferencelist.go
+++ b/internal/gateway/balance/preferencelist.go
@@ -16,23 +16,23 @@
 
 // lowestCost holds the upstreams of the lowest costs, in ascending order; at most size of
 // them.
-type lowest struct {
+type lowestCost struct {
 	list []ranked
 	size int
 }
 
 // admits reports whether an upstream with this cost would be in the list.
-func (l *lowest) admits(cost float64) bool {
+func (l *lowestCost) admits(cost float64) bool {
 	return len(l.list) < l.size || cost < l.list[len(l.list)-1].cost
 }
 
 // add inserts an upstream that the list admits.
-func (l *lowest) add(u *upstream.Upstream, cost float64) {
-	at := len(l.list)
-	for at > 0 && cost < l.list[at-1].cost {
-		at--
+func (l *lowestCost) add(u *upstream.Upstream, cost float64) {
+	index := len(l.list)
+	for index > 0 && cost < l.list[index-1].cost {
+		index--
 	}
-	l.list = slices.Insert(l.list, at, ranked{u, cost})
+	l.list = slices.Insert(l.list, index, ranked{u, cost})
 	l.list = l.list[:min(len(l.list), l.size)]
 }
 
@@ -47,49 +47,49 @@
 	sum := b.summary(q)
 	o := b.order(key, q, sum)
 	ejections := b.honorsEjections(q, sum)
-	last := func(u *upstream.Upstream) bool { return b.comesLast(u, &q, ejections) }
+	triedLast := func(u *upstream.Upstream) bool { return b.isTriedLast(u, &q, ejections) }
 	// One more, because the region's best upstream may be among them.
-	first := lowest{size: b.policy.PreferenceList + 1}
-	regionBest := lowest{size: 1}
-	var held Withheld
+	first := lowestCost{size: b.policy.PreferenceList + 1}
+	regionBest := lowestCost{size: 1}
+	var withheld Withheld
 	for _, u := range q.Upstreams {
 		cost := o.cost(u, key^u.Seed())
 		inRegion := u.Region == o.region && regionBest.admits(cost)
 		if !inRegion && !first.admits(cost) || !q.allows(u.Region) || slices.Contains(q.Tried, u.ID) {
 			continue
 		}
-		if held.add(b.notices.Withheld(u, q.Now)) {
+		if withheld.add(b.notices.Withheld(u, q.Now)) {
 			continue
 		}
 		if inRegion {
 			regionBest.add(u, cost)
 		}
-		if last(u) {
-			cost += lastCost
+		if triedLast(u) {
+			cost += triedLastCost
 		}
 		if first.admits(cost) {
 			first.add(u, cost)
 		}
 	}
 	if b.policy.RegionFirst && len(regionBest.list) > 0 {
-		first.prefer(regionBest.list[0], last)
+		first.moveToFront(regionBest.list[0], triedLast)
 	}
 	list := make([]scored, 0, b.policy.PreferenceList)
 	for _, r := range first.list[:min(len(first.list), b.policy.PreferenceList)] {
-		list = append(list, b.scored(r.upstream, r.cost, q.Now))
+		list = append(list, b.score(r.upstream, r.cost, q.Now))
 	}
-	return list, held
+	return list, withheld
 }
 
 // moveToFront puts the best upstream of the region that serves the key before all others,
 // whatever their cost, unless this upstream is tried last. Without this rule, a region
 // with few upstreams would have none among the lowest of many random costs. The upstreams
 // after it in the order may be of any region.
-func (l *lowest) prefer(best ranked, last func(*upstream.Upstream) bool) {
+func (l *lowestCost) moveToFront(best ranked, triedLast func(*upstream.Upstream) bool) {
 	l.list = slices.DeleteFunc(l.list, func(r ranked) bool { return r.upstream == best.upstream })
 	cost := best.cost - 2*affinitySpread
-	if last(best.upstream) {
-		cost += lastCost
+	if triedLast(best.upstream) {
+		cost += triedLastCost
 	}
 	if l.admits(cost) {
 		l.add(best.upstream, cost)
--- a/internal/gateway/balance/region.go
+++ b/internal/gateway/balance/region.go
@@ -42,7 +42,7 @@
 // withoutReserved returns the capacities that remain for requests that may be served
 // anywhere. It subtracts the capacity that requests bound to a region need there if all
 // upstreams are equally loaded.
-func (c capacities) without(reserved map[string]float64) capacities {
+func (c capacities) withoutReserved(reserved map[string]float64) capacities {
 	if len(reserved) == 0 {
 		return c
 	}
@@ -60,19 +60,19 @@
 // region with spare capacity for the others.
 func (b *Balancer) servingRegion(key uint64, q Query, sum *summary) string {
 	l := b.location
-	c := sum.capacities(q).without(b.reserved.follow(q, l.Regions))
-	part := ownKeysPart(c.of(l.Region), c.all, l.Regions)
+	c := sum.capacities(q).withoutReserved(b.reserved.update(q, l.Regions))
+	fraction := ownKeysFraction(c.of(l.Region), c.all, l.Regions)
 	if q.Mixed {
-		part = bulkFirst(part, q.Bulk)
+		fraction = bulkFirst(fraction, q.Bulk)
 	}
-	if unit(mix(key+regionSalt)) < part {
+	if unit(mix(key+regionSalt)) < fraction {
 		return l.Region
 	}
-	even := 0 // each takes a part in proportion to its size
+	evenShare := 0 // without SpareFirst, shares are in proportion to the regions' capacities
 	if b.policy.SpareFirst {
-		even = c.all / max(1, l.Regions)
+		evenShare = c.all / max(1, l.Regions)
 	}
-	return overflowRegion(c, l, even, unit(mix(key^overflowSalt)))
+	return overflowRegion(c, l, evenShare, unit(mix(key^overflowSalt)))
 }
 
 // overflowRegion returns the region that serves a key for which its own region has no
@@ -87,19 +87,19 @@
 // (92.5 and 92.1). Simulations of whole days are in docs/studies/decisions-under-load.md.
 //
 // If no other region has more than its even share, the result is the host's own region.
-func overflowRegion(c capacities, l Location, even int, at float64) string {
+func overflowRegion(c capacities, l Location, evenShare int, position float64) string {
 	total := 0
 	for _, r := range c.regions {
 		if r.region != l.Region {
-			total += max(0, r.capacity-even)
+			total += max(0, r.capacity-evenShare)
 		}
 	}
-	left := at * float64(total)
+	left := position * float64(total)
 	for _, r := range c.regions {
 		if r.region == l.Region {
 			continue
 		}
-		spare := float64(max(0, r.capacity-even))
+		spare := float64(max(0, r.capacity-evenShare))
 		if left < spare {
 			return r.region
 		}
@@ -117,7 +117,7 @@
 // distance overloaded a region with 16 of 204 upstreams on a quiet day. Following the
 // demand that hosts measure, at 0.03 a second, cost more first requests for objects than
 // it saved.
-func ownKeysPart(own, all, regions int) float64 {
+func ownKeysFraction(own, all, regions int) float64 {
 	return float64(own) * float64(regions) / float64(max(1, all))
 }
 
@@ -125,10 +125,10 @@
 // with both large and small responses. Large responses are served in the region first,
 // because they cause the most traffic between regions. It assumes equal numbers of large
 // and small responses.
-func bulkFirst(part float64, bulk bool) float64 {
-	large := min(1, 2*part)
+func bulkFirst(fraction float64, bulk bool) float64 {
+	large := min(1, 2*fraction)
 	if bulk {
 		return large
 	}
-	return 2*part - large
+	return 2*fraction - large
 }
--- a/internal/gateway/balance/rules_test.go
+++ b/internal/gateway/balance/rules_test.go
@@ -7,17 +7,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRejectThresholdFallsWithEachRankOfPriority(t *testing.T) {
+func TestRejectThresholdFallsWithEachLowerPriority(t *testing.T) {
 	for priority, want := range map[int]float64{-1: 1.85, 0: 1.85, 1: 1.6, 2: 1.35, 3: 1.1, 9: 1.1} {
 		require.InDelta(t, want, DefaultPolicy().rejectThreshold(priority), 1e-9, priority)
 	}
 }
 
-func TestPartOfTheKeysServedInTheOwnRegion(t *testing.T) {
+func TestFractionOfTheKeysServedInTheOwnRegion(t *testing.T) {
 	for _, c := range []struct {
-		name              string
-		own, all, regions int
-		part, bulk, small float64
+		name                  string
+		own, all, regions     int
+		fraction, bulk, small float64
 	}{
 		{"no upstreams", 0, 0, 3, 0, 0, 0},
 		{"an even share of the capacity", 8, 24, 3, 1, 1, 1},
@@ -26,15 +26,15 @@
 		{"three quarters of it: half of the small ones too", 6, 24, 3, 0.75, 1, 0.5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			part := ownKeysPart(c.own, c.all, c.regions)
-			require.InDelta(t, c.part, part, 1e-9)
-			require.InDelta(t, c.bulk, bulkFirst(part, true), 1e-9)
-			require.InDelta(t, c.small, bulkFirst(part, false), 1e-9)
+			fraction := ownKeysFraction(c.own, c.all, c.regions)
+			require.InDelta(t, c.fraction, fraction, 1e-9)
+			require.InDelta(t, c.bulk, bulkFirst(fraction, true), 1e-9)
+			require.InDelta(t, c.small, bulkFirst(fraction, false), 1e-9)
 		})
 	}
 }
 
-func TestLoadEstimateIsOwnRequestsAndTheFadingReportOfOthers(t *testing.T) {
+func TestLoadEstimateIsOwnRequestsPlusTheDecayingReportOfOthers(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
 		name     string
@@ -43,18 +43,18 @@
 		load     float64
 		age      time.Duration
 	}{
-		{"nothing known", loadEstimate{}, 4, 0, noLoadReport},
+		{"no data", loadEstimate{}, 4, 0, noLoadReport},
 		{"own requests only", loadEstimate{outstanding: 2}, 4, 0.5, noLoadReport},
 		{"fresh report", loadEstimate{outstanding: 2, reported: 6, outstandingAtReport: 2, reportedAt: now}, 4, 1.5, 0},
-		{"half faded", loadEstimate{outstanding: 2, reported: 6, outstandingAtReport: 2, reportedAt: now.Add(-leastReportTTL / 2)}, 4, 1, leastReportTTL / 2},
-		{"faded", loadEstimate{outstanding: 2, reported: 6, reportedAt: now.Add(-leastReportTTL)}, 4, 0.5, leastReportTTL},
-		{"half faded, where one comes in 0.6 s", loadEstimate{outstanding: 2, reported: 6, outstandingAtReport: 2, reportedAt: now.Add(-1500 * time.Millisecond), interval: 600 * time.Millisecond}, 4, 1, 1500 * time.Millisecond},
-		{"faded, where one comes in a minute", loadEstimate{outstanding: 2, reported: 6, reportedAt: now.Add(-mostReportTTL), interval: time.Minute}, 4, 0.5, mostReportTTL},
+		{"half decayed", loadEstimate{outstanding: 2, reported: 6, outstandingAtReport: 2, reportedAt: now.Add(-minReportTTL / 2)}, 4, 1, minReportTTL / 2},
+		{"fully decayed", loadEstimate{outstanding: 2, reported: 6, reportedAt: now.Add(-minReportTTL)}, 4, 0.5, minReportTTL},
+		{"half decayed, with reports every 0.6 s", loadEstimate{outstanding: 2, reported: 6, outstandingAtReport: 2, reportedAt: now.Add(-1500 * time.Millisecond), interval: 600 * time.Millisecond}, 4, 1, 1500 * time.Millisecond},
+		{"fully decayed, with reports every minute", loadEstimate{outstanding: 2, reported: 6, reportedAt: now.Add(-maxReportTTL), interval: time.Minute}, 4, 0.5, maxReportTTL},
 		{"report below the own requests", loadEstimate{outstanding: 2, reported: 1, outstandingAtReport: 3, reportedAt: now}, 4, 0.5, 0},
 		{"unknown capacity counts as one", loadEstimate{outstanding: 2}, 0, 2, noLoadReport},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			require.InDelta(t, c.load, c.estimate.inCapacities(now, c.capacity, reportLasts), 1e-9)
+			require.InDelta(t, c.load, c.estimate.inCapacities(now, c.capacity, reportTTLIntervals), 1e-9)
 			require.Equal(t, c.age, c.estimate.reportAge(now))
 		})
 	}
@@ -62,7 +62,7 @@
 
 // Cases without ejected upstreams are left out, because no request then depends on the
 // result.
-func TestEjectionsAreHonoredWhileMostUpstreamsAreHealthyAndHaveRoom(t *testing.T) {
+func TestEjectionsAreHonoredWhileMostUpstreamsAreHealthyAndHaveCapacity(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		regions []regionSummary
@@ -75,7 +75,7 @@
 		{"all are ejected", []regionSummary{{ejected: 1}}, false},
 		{"the others are at the limit", []regionSummary{{ejected: 1, healthy: 1, healthyLoad: maxHealthyLoad}}, true},
 		{"the others are above it", []regionSummary{{ejected: 1, healthy: 1, healthyLoad: 0.7}}, false},
-		{"most of those that may serve are ejected", []regionSummary{{ejected: 2, healthy: 1}, {region: "closed", healthy: 9}}, false},
+		{"most upstreams of the allowed regions are ejected", []regionSummary{{ejected: 2, healthy: 1}, {region: "closed", healthy: 9}}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := summary{regions: c.regions}
--- a/internal/gateway/balance/summary.go
+++ b/internal/gateway/balance/summary.go
@@ -11,16 +11,16 @@
 const (
 	// summaryTTL is how long a summary of a list is valid. Its content, the capacity of
 	// regions and whether most upstreams fail, changes over seconds.
-	summaryEvery = 50 * time.Millisecond
+	summaryTTL = 50 * time.Millisecond
 	// summaryTTLPerUpstream extends the TTL for each upstream, so that a host spends about
 	// 1 part in 400 of its processor time on summaries, however many upstreams there are.
 	// A summary takes 0.05 us per upstream (BenchmarkSummary).
-	summaryEveryUpstream = 20 * time.Microsecond
+	summaryTTLPerUpstream = 20 * time.Microsecond
 )
 
 // summary aggregates the upstreams of a list for the choice of one of them.
 type summary struct {
-	at time.Time
+	madeAt time.Time
 	// size is the number of upstreams.
 	size    int
 	regions []regionSummary
@@ -45,7 +45,7 @@
 		return &summary{}
 	}
 	s := b.summaries[q.Upstreams[0]]
-	if s == nil || !s.holds(q) {
+	if s == nil || !s.isValid(q) {
 		s = b.summarize(q)
 		b.summaries[q.Upstreams[0]] = s
 	}
@@ -53,13 +53,13 @@
 }
 
 // isValid reports whether the summary is still valid for a query's upstreams.
-func (s *summary) holds(q Query) bool {
-	age := q.Now.Sub(s.at)
-	return s.size == len(q.Upstreams) && age >= 0 && age < summaryEvery+time.Duration(s.size)*summaryEveryUpstream
+func (s *summary) isValid(q Query) bool {
+	age := q.Now.Sub(s.madeAt)
+	return s.size == len(q.Upstreams) && age >= 0 && age < summaryTTL+time.Duration(s.size)*summaryTTLPerUpstream
 }
 
 func (b *Balancer) summarize(q Query) *summary {
-	s := &summary{at: q.Now, size: len(q.Upstreams)}
+	s := &summary{madeAt: q.Now, size: len(q.Upstreams)}
 	for _, u := range q.Upstreams {
 		r := s.region(u.Region)
 		r.capacity += u.Capacity
--- a/internal/gateway/balance/unreachable.go
+++ b/internal/gateway/balance/unreachable.go
@@ -14,15 +14,15 @@
 const (
 	// minRefusedPerZone is how many upstreams of a zone must refuse a request until the
 	// other upstreams of the zone are tried last.
-	refusedPerZone = 2
+	minRefusedPerZone = 2
 	// minRefusedPerRegion is the same for a region: more than one of its zones has then
 	// failed.
-	refusedPerRegion = 3
+	minRefusedPerRegion = 3
 )
 
 // isNearUnreachable reports whether an upstream is tried last because the request could
 // not reach others in its zone or region.
-func (q *Query) besideUnreachable(u *upstream.Upstream) bool {
+func (q *Query) isNearUnreachable(u *upstream.Upstream) bool {
 	sameZone := func(o *upstream.Upstream) bool { return o.Zone == u.Zone && o.Region == u.Region }
 	if slices.ContainsFunc(q.Unanswered, sameZone) {
 		return true
@@ -36,5 +36,5 @@
 			zone++
 		}
 	}
-	return zone >= refusedPerZone || region >= refusedPerRegion
+	return zone >= minRefusedPerZone || region >= minRefusedPerRegion
 }
--- a/internal/gateway/routing/operator.go
+++ b/internal/gateway/routing/operator.go
@@ -32,7 +32,7 @@
 		}
 		decoded, ok := decode(s, OperatorTable, row, s.decoder.OperatorRow)
 		switch {
-		case !ok: // logged; what is in force stays
+		case !ok: // already logged; the state in force does not change
 		case decoded.Table != nil:
 			s.useConfig(decoded.Table)
 		default:
--- a/internal/gateway/routing/upstreams.go
+++ b/internal/gateway/routing/upstreams.go
@@ -14,7 +14,7 @@
 	// stateDraining means that the upstream accepts no new requests.
 	stateDraining = "draining"
 	// stateRemoved means that the upstream was removed from the table.
-	stateGone = "gone"
+	stateRemoved = "gone"
 	// stateLapsed means that the entry disappeared shortly after an outage of the store,
 	// or is missing from the older copy of a restored store, and may be written again.
 	stateLapsed = "entry lapsed"
@@ -143,7 +143,7 @@
 }
 
 func (s *State) logRemoved(row watch.Row, lapsed bool) {
-	state := stateGone
+	state := stateRemoved
 	if lapsed {
 		state = stateLapsed
 	}
