--- a/internal/gateway/balance/admission_test.go
+++ b/internal/gateway/balance/admission_test.go
@@ -78,7 +78,7 @@
 
 // An upstream whose entry disappears and returns within a second is the same run. If its
 // recent requests were dropped in between, it would get its quota twice.
-func TestWhatWasSentLatelyIsRetained(t *testing.T) {
+func TestRecentlySentRequestsAreRetained(t *testing.T) {
 	b, now := newBalancer(1), time.Now()
 	cold := newUpstream("u", "west-1", "west")
 	cold.ColdUntil = now.Add(time.Minute)
@@ -96,7 +96,7 @@
 func TestConnectionsToAnUpstreamStayBelowItsLimit(t *testing.T) {
 	for _, c := range []struct {
 		deployment     string
-		hosts          int // spare ones included
+		hosts          int // including spare hosts
 		capacity       int
 		maxConnections int
 		outstanding    int // per host
--- a/internal/gateway/balance/balance_test.go
+++ b/internal/gateway/balance/balance_test.go
@@ -108,19 +108,19 @@
 	b.ObserveLoad(first.Upstream, 1, 0, now)
 	b.Retain(none, now.Add(warmup.Window))
 	c := choose(t, b, q)
-	require.Equal(t, 0.25, c.Load, "the first request is still counted")
+	require.Equal(t, 0.25, c.Load, "the first request is still outstanding")
 	require.Zero(t, c.LoadAge)
 	b.Done(first)
 	b.Done(c)
 	b.Retain(none, now.Add(warmup.Window))
 	c = choose(t, b, q)
 	require.Zero(t, c.Load)
-	require.Negative(t, c.LoadAge, "no load report is known")
+	require.Negative(t, c.LoadAge, "no load report is retained")
 }
 
 // The outstanding requests and the load reports of a terminated process were counted as
 // load of the process that started again under the same ID.
-func TestARunStartsWithoutTheLoadOfTheOneBefore(t *testing.T) {
+func TestANewRunStartsWithoutTheLoadOfThePreviousOne(t *testing.T) {
 	b, now := newBalancer(1), time.Now()
 	old := newUpstream("u", "west-1", "west")
 	q := balance.Query{Key: "k", Upstreams: []*upstream.Upstream{old}, Now: now}
@@ -134,5 +134,5 @@
 	require.Negative(t, next.LoadAge, "the new run has reported nothing")
 	b.Done(c)
 	b.ObserveLoad(old, 4, 4, now)
-	require.Equal(t, 0.25, choose(t, b, q).Load, "what is late from the old run does not count")
+	require.Equal(t, 0.25, choose(t, b, q).Load, "late reports and ends of the old run are ignored")
 }
--- a/internal/gateway/balance/ejected_test.go
+++ b/internal/gateway/balance/ejected_test.go
@@ -49,7 +49,7 @@
 		reported int // of a capacity of 4, at each of the others
 		last     bool
 	}{
-		{"the others have room", 1, true},
+		{"the others have free capacity", 1, true},
 		{"the others are busy", 3, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/gateway/balance/leastloaded_test.go
+++ b/internal/gateway/balance/leastloaded_test.go
@@ -25,7 +25,7 @@
 
 func TestRequestWithoutAffinityIsRejectedOnlyWhenAllAreFull(t *testing.T) {
 	b, now, all := newBalancer(1), time.Now(), fourZones()
-	placed := 0
+	accepted := 0
 	for request := 0; ; request++ {
 		require.Less(t, request, 1000)
 		_, reason := b.Choose(balance.Query{Key: strconv.Itoa(request), NoAffinity: true, Upstreams: all, Now: now})
@@ -33,13 +33,13 @@
 			require.Equal(t, balance.Overloaded, reason)
 			break
 		}
-		placed++
+		accepted++
 	}
-	room := float64(len(all)*all[0].Capacity) * balance.RejectAbove
-	require.GreaterOrEqual(t, float64(placed), room)
+	capacity := float64(len(all)*all[0].Capacity) * balance.RejectAbove
+	require.GreaterOrEqual(t, float64(accepted), capacity)
 }
 
-func TestRequestWithoutAffinityIsSpreadOverItsZoneWhileThatHasRoom(t *testing.T) {
+func TestRequestWithoutAffinityIsSpreadOverItsZoneWhileTheZoneHasCapacity(t *testing.T) {
 	b, now, all := newBalancer(1), time.Now(), fourZones()
 	used := map[string]int{}
 	const requests = 8 // half of the zone's capacity
--- a/internal/gateway/balance/preferred_test.go
+++ b/internal/gateway/balance/preferred_test.go
@@ -30,14 +30,14 @@
 
 // A busy upstream that still accepts requests spills a request only to an upstream that is
 // not busy. The object is not warm there, and the request takes three times as long.
-func TestBusyUpstreamSpillsOnlyToOneWithRoom(t *testing.T) {
+func TestBusyUpstreamSpillsOnlyToOneWithFreeCapacity(t *testing.T) {
 	for _, c := range []struct {
-		name         string
-		nextReported int
-		rank         int
+		name     string
+		nextLoad int
+		rank     int
 	}{
-		{"the next has room", 2, 1},
-		{"the next is only less busy", 4, 0},
+		{"the next has free capacity", 2, 1},
+		{"the next is less busy, but not below the limit", 4, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b, now, all := newBalancer(1), time.Now(), twoRegions(2)
@@ -48,13 +48,13 @@
 				next = all[1]
 			}
 			b.ObserveLoad(first, 6, 0, now) // of a capacity of 4
-			b.ObserveLoad(next, c.nextReported, 0, now)
+			b.ObserveLoad(next, c.nextLoad, 0, now)
 			require.Equal(t, c.rank, choose(t, b, q).Rank)
 		})
 	}
 }
 
-func TestReportedLoadOfOtherHostsCounts(t *testing.T) {
+func TestReportedLoadOfOtherHostsIsIncluded(t *testing.T) {
 	b, now, all := newBalancer(1), time.Now(), twoRegions(12)
 	q := balance.Query{Key: "k", Upstreams: all, Now: now}
 	c := choose(t, b, q)
--- a/internal/gateway/balance/region_test.go
+++ b/internal/gateway/balance/region_test.go
@@ -49,7 +49,7 @@
 // capacity than it needs itself. In the log of a day of high load, the zones of the second
 // region lost the most, 0.115 and 0.137 of their credit; those of the third lost 0.099 and
 // 0.094.
-func TestARegionShortOfUpstreamsIsServedByThoseWithCapacityToSpare(t *testing.T) {
+func TestARegionShortOfUpstreamsIsServedByRegionsWithSpareCapacity(t *testing.T) {
 	got := shares(t, balance.DefaultPolicy(), threeRegions(8, 10), nil)
 	require.InDelta(t, 0.3, got["west"], 0.03)
 	spareEast, spareNorth := 8-20/3.0, 10-20/3.0
@@ -57,14 +57,14 @@
 	require.InDelta(t, 0.7*spareNorth/(spareEast+spareNorth), got["north"], 0.04)
 }
 
-func TestARegionWithLessThanItsShareTakesNothingOver(t *testing.T) {
+func TestARegionWithLessThanItsShareServesNoKeysOfOthers(t *testing.T) {
 	got := shares(t, balance.DefaultPolicy(), threeRegions(3, 10), nil)
 	require.Zero(t, got["east"])
 	require.InDelta(t, 0.6, got["north"], 0.03)
 }
 
 // Requests without affinity overflow to the same regions.
-func TestOverflowWithoutAffinityGoesWhereCapacityIsSpare(t *testing.T) {
+func TestOverflowWithoutAffinityGoesToRegionsWithSpareCapacity(t *testing.T) {
 	got := shares(t, balance.DefaultPolicy(), threeRegions(3, 10), func(q *balance.Query) { q.NoAffinity = true })
 	require.Zero(t, got["east"])
 	require.Greater(t, got["north"], 0.5)
@@ -72,7 +72,7 @@
 
 // A route that is not allowed in the host's region is served where it is allowed, even if
 // only one region is.
-func TestARouteKeepsToItsRegions(t *testing.T) {
+func TestARouteIsServedInItsAllowedRegionOnly(t *testing.T) {
 	for _, allowed := range []string{"east", "north", "west"} {
 		got := shares(t, balance.DefaultPolicy(), threeRegions(8, 10), func(q *balance.Query) {
 			q.Allows = func(region string) bool { return region == allowed }
--- a/internal/gateway/balance/reserved_test.go
+++ b/internal/gateway/balance/reserved_test.go
@@ -13,17 +13,17 @@
 // One region had 2 of 20 upstreams and a third of the clients, and a tenth of all requests
 // was bound to it. It also served three tenths of its unbound requests. Its upstreams got
 // twice the requests that they can serve, and responded after up to 3 s, all day long.
-func TestFreeRequestsLeaveARegionToThoseThatAreBoundToIt(t *testing.T) {
+func TestUnboundRequestsLeaveCapacityToRequestsBoundToARegion(t *testing.T) {
 	all := threeRegions(8, 10)
 	for _, c := range []struct {
 		name     string
 		reserved map[string]float64
 		west     float64
 	}{
-		{"nothing is bound", nil, 0.3},
-		{"half of what the region can do is bound to it", map[string]float64{"west": 0.05}, 0.16},
-		{"all that it can do", map[string]float64{"west": 0.1}, 0},
-		{"more than it can do", map[string]float64{"west": 0.5}, 0},
+		{"nothing is reserved", nil, 0.3},
+		{"half of the region's capacity is reserved", map[string]float64{"west": 0.05}, 0.16},
+		{"all of its capacity is reserved", map[string]float64{"west": 0.1}, 0},
+		{"more than its capacity is reserved", map[string]float64{"west": 0.5}, 0},
 		{"requests bound to another region", map[string]float64{"north": 0.3}, 0.43},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestBoundRequestsAreServedWhereTheyAreBound(t *testing.T) {
+func TestBoundRequestsAreServedInTheirRegion(t *testing.T) {
 	got := shares(t, balance.DefaultPolicy(), threeRegions(8, 10), func(q *balance.Query) {
 		q.Reserved = map[string]float64{"west": 0.5}
 		q.Allows = func(region string) bool { return region == "west" }
@@ -42,11 +42,11 @@
 }
 
 // Whatever an operator changes, no region's requests move faster than users allow.
-func TestWhatIsReservedChangesSlowly(t *testing.T) {
+func TestReservedFractionsChangeSlowly(t *testing.T) {
 	all := threeRegions(8, 10)
 	b := balance.New(balance.Location{Zone: "west-1", Region: "west", Regions: 3}, fixedQuota(1), noneEjected{}, balance.DefaultPolicy())
 	now := time.Now()
-	kept := func(reserved map[string]float64) float64 {
+	servedInWest := func(reserved map[string]float64) float64 {
 		n := 0.0
 		for key := range 1000 {
 			c := choose(t, b, balance.Query{Key: strconv.Itoa(key), Upstreams: all, Reserved: reserved, Now: now})
@@ -57,11 +57,11 @@
 		}
 		return n
 	}
-	last := kept(map[string]float64{"west": 0.1})
+	last := servedInWest(map[string]float64{"west": 0.1})
 	require.Zero(t, last)
 	for range 10 {
 		now = now.Add(2 * time.Second)
-		next := kept(nil)
+		next := servedInWest(nil)
 		require.LessOrEqual(t, next-last, 0.15)
 		last = next
 	}
--- a/internal/gateway/balance/split_test.go
+++ b/internal/gateway/balance/split_test.go
@@ -31,7 +31,7 @@
 	route     route.Route
 	upstreams map[string][]*upstream.Upstream
 	// serviceTime is how long an upstream works on a request.
-	served time.Duration
+	serviceTime time.Duration
 }
 
 // newSplit makes a split of two to four backends with random weights, zero included, and
@@ -39,8 +39,8 @@
 // 100 requests a second between none and most find no free capacity.
 func newSplit(rng *rand.Rand) split {
 	s := split{
-		upstreams: map[string][]*upstream.Upstream{},
-		served:    time.Duration(100+rng.IntN(1900)) * time.Millisecond,
+		upstreams:   map[string][]*upstream.Upstream{},
+		serviceTime: time.Duration(100+rng.IntN(1900)) * time.Millisecond,
 	}
 	for i := range 2 + rng.IntN(3) {
 		service := fmt.Sprint("s-", i)
@@ -57,18 +57,18 @@
 
 // withCapacity returns the split with enough capacity everywhere that nothing is rejected.
 // Only the service except keeps its upstreams.
-func (s split) withRoom(except string) split {
-	roomy := split{route: s.route, served: s.served, upstreams: map[string][]*upstream.Upstream{}}
+func (s split) withCapacity(except string) split {
+	ample := split{route: s.route, serviceTime: s.serviceTime, upstreams: map[string][]*upstream.Upstream{}}
 	for _, b := range s.route.Backends {
 		if b.Service == except {
-			roomy.upstreams[b.Service] = s.upstreams[b.Service]
+			ample.upstreams[b.Service] = s.upstreams[b.Service]
 			continue
 		}
 		u := newUpstream(b.Service+"-roomy", "west-1", "west")
 		u.Service, u.Capacity = b.Service, splitRequests
-		roomy.upstreams[b.Service] = []*upstream.Upstream{u}
+		ample.upstreams[b.Service] = []*upstream.Upstream{u}
 	}
-	return roomy
+	return ample
 }
 
 // outcome is the result of one request.
@@ -86,11 +86,11 @@
 	t.Helper()
 	b, now := newBalancer(1), time.Now()
 	var out []outcome
-	ends := map[int]balance.Choice{}
-	steps := int(s.served / splitInterval)
+	doneAt := map[int]balance.Choice{}
+	steps := int(s.serviceTime / splitInterval)
 	for i, id := range ids {
-		if ended, ok := ends[i]; ok {
-			b.Done(ended)
+		if choice, ok := doneAt[i]; ok {
+			b.Done(choice)
 		}
 		service := s.route.Pick(id)
 		c, reason := b.Choose(balance.Query{Key: id, NoAffinity: noAffinity, Upstreams: s.upstreams[service], Now: now})
@@ -98,7 +98,7 @@
 		if reason == balance.Chosen {
 			require.Equal(t, service, c.Upstream.Service, "a request goes to the service that its route picked")
 			o.upstream = c.Upstream.ID
-			ends[i+steps] = c
+			doneAt[i+steps] = c
 		}
 		out = append(out, o)
 		now = now.Add(splitInterval)
@@ -140,13 +140,13 @@
 
 // only returns the outcomes of the requests of one service.
 func only(service string, out []outcome) []outcome {
-	var of []outcome
+	var matching []outcome
 	for _, o := range out {
 		if o.service == service {
-			of = append(of, o)
+			matching = append(matching, o)
 		}
 	}
-	return of
+	return matching
 }
 
 // requireSameOutcomes checks that a service's requests had the same outcomes in two runs.
@@ -155,7 +155,7 @@
 	t.Helper()
 	require.Len(t, got, len(want), service)
 	for i := range want {
-		require.Equal(t, want[i], got[i], "request %d of %s, beside backends with room", i, service)
+		require.Equal(t, want[i], got[i], "request %d of %s, beside backends with free capacity", i, service)
 	}
 }
 
@@ -174,7 +174,7 @@
 // rejected there and never sent to another backend. The free capacity of other backends
 // therefore changes nothing at this backend.
 func TestBackendWithoutRoomKeepsItsShareAndTheOthersTheirs(t *testing.T) {
-	rejectedBesideRoom := 0
+	rejectedBesideCapacity := 0
 	for seed := range uint64(splitTrials) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		s, ids, noAffinity := newSplit(rng), randomIDs(rng), seed%2 == 0
@@ -182,14 +182,14 @@
 			out := s.send(t, ids, noAffinity)
 			requireSharesOfWeights(t, s.route, out)
 			for _, b := range s.route.Backends {
-				mine := only(b.Service, out)
-				beside := s.withRoom(b.Service).send(t, ids, noAffinity)
-				requireSameOutcomes(t, mine, only(b.Service, beside), b.Service)
-				require.Equal(t, len(ids)-len(mine), count(beside, balance.Chosen)-count(mine, balance.Chosen),
-					"backends with room serve all of their share and no more")
-				rejectedBesideRoom += len(mine) - count(mine, balance.Chosen)
+				own := only(b.Service, out)
+				beside := s.withCapacity(b.Service).send(t, ids, noAffinity)
+				requireSameOutcomes(t, own, only(b.Service, beside), b.Service)
+				require.Equal(t, len(ids)-len(own), count(beside, balance.Chosen)-count(own, balance.Chosen),
+					"backends with free capacity serve exactly their share")
+				rejectedBesideCapacity += len(own) - count(own, balance.Chosen)
 			}
 		})
 	}
-	require.Greater(t, rejectedBesideRoom, splitTrials*splitRequests/20, "the trials lack room often")
+	require.Greater(t, rejectedBesideCapacity, splitTrials*splitRequests/20, "backends often lack capacity in the trials")
 }
--- a/internal/gateway/balance/unreachable_test.go
+++ b/internal/gateway/balance/unreachable_test.go
@@ -23,7 +23,7 @@
 	return all
 }
 
-func TestUpstreamsBesideUnreachableOnesComeLast(t *testing.T) {
+func TestUpstreamsNearUnreachableOnesAreTriedLast(t *testing.T) {
 	all := upstreamsIn(slices.Repeat([]string{"west-1", "west-2", "east-1"}, 6))
 	for _, c := range []struct {
 		name string
@@ -34,12 +34,12 @@
 		// the order must be the same as without failures.
 		last string
 	}{
-		{"one says nothing of its zone", []string{"west-1"}, nil, ""},
-		{"one of each of two zones says nothing", []string{"west-1", "west-2"}, nil, ""},
-		{"two say it of their zone", []string{"west-1", "west-1"}, nil, "west-1"},
-		{"three say it of their region", []string{"west-1", "west-1", "west-2"}, nil, "west"},
-		{"where all are concerned the order is as before", []string{"west-1", "west-1", "west-2", "east-1", "east-1"}, nil, ""},
-		{"one that does not answer says it of its zone", nil, []string{"west-1"}, "west-1"},
+		{"one refusal in a zone has no effect", []string{"west-1"}, nil, ""},
+		{"one refusal in each of two zones has no effect", []string{"west-1", "west-2"}, nil, ""},
+		{"two refusals demote their zone", []string{"west-1", "west-1"}, nil, "west-1"},
+		{"three refusals demote their region", []string{"west-1", "west-1", "west-2"}, nil, "west"},
+		{"if all zones are demoted, the order is unchanged", []string{"west-1", "west-1", "west-2", "east-1", "east-1"}, nil, ""},
+		{"one time-out demotes its zone", nil, []string{"west-1"}, "west-1"},
 	} {
 		for _, noAffinity := range []bool{false, true} {
 			t.Run(fmt.Sprint(c.name, " without affinity ", noAffinity), func(t *testing.T) {
--- a/internal/gateway/route/route_test.go
+++ b/internal/gateway/route/route_test.go
@@ -51,7 +51,7 @@
 	for i := range requests {
 		id := "request-" + strconv.Itoa(i)
 		picked := r.Pick(id)
-		require.Equal(t, picked, r.Pick(id), "every attempt of a request picks the same")
+		require.Equal(t, picked, r.Pick(id), "every attempt of a request picks the same service")
 		counts[picked]++
 	}
 	require.InDelta(t, 0.7, float64(counts["a"])/requests, 0.02)
@@ -82,15 +82,15 @@
 	require.Equal(t, "a", r.Pick("x"))
 }
 
-func TestRegionsOfAHostNameAreThoseOfItsRoutesUnlessOneIsFree(t *testing.T) {
+func TestRegionsOfAHostNameAreThoseOfItsRoutesUnlessOneIsUnbound(t *testing.T) {
 	bound := newRoute("bound", "a.example", "/x/")
 	bound.Regions = []string{"west", "east"}
-	free := newRoute("free", "a.example", "/y/")
+	unbound := newRoute("unbound", "a.example", "/y/")
 	require.Equal(t, []string{"east", "west"}, newTable(bound).HostRegions("a.example"))
-	require.Empty(t, newTable(bound, free).HostRegions("a.example"))
+	require.Empty(t, newTable(bound, unbound).HostRegions("a.example"))
 	require.True(t, bound.Allows("west"))
 	require.False(t, bound.Allows("south"))
-	require.True(t, free.Allows("south"))
+	require.True(t, unbound.Allows("south"))
 }
 
 func TestServiceIsMixedWhenItIsTheMainBackendOfLargeAndSmallResponses(t *testing.T) {
--- a/internal/gateway/routing/restored_test.go
+++ b/internal/gateway/routing/restored_test.go
@@ -20,7 +20,7 @@
 	return u
 }
 
-func TestAnEvacuationHoldsWhileARestoredStoreLacksIt(t *testing.T) {
+func TestAnEvacuationStaysInForceWhileARestoredStoreLacksIt(t *testing.T) {
 	const second = time.Second
 	for _, c := range []struct {
 		name string
@@ -32,9 +32,9 @@
 	}{
 		{"the operator does nothing", func(host) {}, false, false, true},
 		{"the evacuation is written again", func(h host) { h.operator(row("a", "evacuate z")) }, false, false, false},
-		{"it is written again and taken back", func(h host) { h.operator(row("a", "evacuate z")); h.operator(deleted("a")) }, true, true, true},
-		{"both come in one response", func(h host) { h.operator(deleted("a")) }, true, true, true},
-		{"the store is restored once more", func(h host) { h.state.OperatorSink().Apply(restored()) }, false, false, false},
+		{"it is written again and deleted", func(h host) { h.operator(row("a", "evacuate z")); h.operator(deleted("a")) }, true, true, true},
+		{"the new row and its deletion come in one response", func(h host) { h.operator(deleted("a")) }, true, true, true},
+		{"the store is restored again", func(h host) { h.state.OperatorSink().Apply(restored()) }, false, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -55,7 +55,7 @@
 				synctest.Wait()
 				require.Equal(t, c.after, len(h.serving()) > 0)
 				time.Sleep(2 * second)
-				if c.name == "the store is restored once more" {
+				if c.name == "the store is restored again" {
 					require.NotEmpty(t, h.serving())
 				}
 			})
@@ -71,7 +71,7 @@
 	h.operator(deleted("a"))
 	require.NotEmpty(t, h.serving())
 	h.state.OperatorSink().Apply(restored(row("a", "evacuate z")))
-	require.Empty(t, h.serving(), "its end may be lost, or it was evacuated again")
+	require.Empty(t, h.serving(), "its end may be lost, or the zone was evacuated again")
 	h.operator(deleted("a"))
 	require.NotEmpty(t, h.serving())
 }
@@ -88,14 +88,14 @@
 	require.EqualValues(t, 8, h.state.Config().Version)
 }
 
-func TestUpstreamsOfARestoredStoreAreTakenWithCare(t *testing.T) {
+func TestUpstreamEntriesOfARestoredStoreAreAppliedAfterTheGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHost()
 		h.upstreams(watch.Update{Full: true, Rows: []watch.Row{row("i-1", "upstream z"), row("i-2", "upstream z"), row("i-3", "upstream z")}})
 		h.upstreams(watch.Update{Rows: []watch.Row{deleted("i-1")}})
 		require.Equal(t, []string{"i-2", "i-3"}, h.serving())
 		h.upstreams(restored(row("i-1", "upstream z"), deleted("i-2")))
-		require.Equal(t, []string{"i-2", "i-3"}, h.serving(), "one that is gone is not back, one that is missing not gone")
+		require.Equal(t, []string{"i-2", "i-3"}, h.serving(), "a removed upstream is not added again, a missing one is not removed")
 		h.upstreams(watch.Update{Rows: []watch.Row{deleted("i-1"), row("i-4", "upstream z")}})
 		time.Sleep(upstream.RestoreGrace)
 		synctest.Wait()
@@ -108,7 +108,7 @@
 
 // A host that was cut off for a long time would otherwise send requests to upstreams that
 // left in the meantime.
-func TestAnUpstreamThatWasRemovedBeforeTheCopyIsGoneAtOnce(t *testing.T) {
+func TestAnUpstreamThatWasRemovedBeforeTheCopyIsRemovedAtOnce(t *testing.T) {
 	h := newHost()
 	defer h.log.Close()
 	h.upstreams(watch.Update{Full: true, Rows: []watch.Row{row("i-1", "upstream z"), row("i-2", "upstream z")}})
--- a/internal/gateway/routing/routing_test.go
+++ b/internal/gateway/routing/routing_test.go
@@ -86,7 +86,7 @@
 	return ids
 }
 
-func TestAHostIsReadyWithAConfigurationAndAFullReadingOfUpstreams(t *testing.T) {
+func TestAHostIsReadyWithAConfigurationAndAFullListingOfUpstreams(t *testing.T) {
 	config := func(h host) { h.operator(row("config", "config 1")) }
 	change := func(h host) { h.upstreams(watch.Update{Rows: []watch.Row{row("i-1", "upstream z")}}) }
 	full := func(h host) { h.upstreams(watch.Update{Full: true}) }
@@ -95,11 +95,11 @@
 		steps []func(host)
 		ready bool
 	}{
-		{"nothing known", nil, false},
+		{"no data", nil, false},
 		{"only a configuration", []func(host){config}, false},
 		{"only upstreams", []func(host){full}, false},
-		{"a change is no full reading", []func(host){config, change}, false},
-		{"an empty full reading is one", []func(host){config, full}, true},
+		{"a change is not a full listing", []func(host){config, change}, false},
+		{"an empty full listing is sufficient", []func(host){config, full}, true},
 		{"in the other order", []func(host){full, config}, true},
 	} {
 		t.Run(c.rule, func(t *testing.T) {
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestAnOperatorsRowThatCannotBeDecodedKeepsTheLastGoodOne(t *testing.T) {
+func TestAnOperatorsRowThatCannotBeDecodedKeepsTheLastValidOne(t *testing.T) {
 	h := newHost()
 	h.operator(row("config", "config 1"), row("away", "evacuate y"))
 	h.upstreams(watch.Update{Full: true, Rows: []watch.Row{row("i-1", "upstream z"), row("i-2", "upstream y")}})
@@ -134,11 +134,11 @@
 	h.upstreams(watch.Update{Full: true, Rows: []watch.Row{row("i-1", "upstream z"), row("i-2", "upstream z")}})
 	require.Equal(t, []string{"i-1", "i-2"}, h.serving())
 	h.upstreams(watch.Update{Rows: []watch.Row{row("i-0", "?"), row("i-1", "?"), row("i-3", "upstream z")}})
-	require.Equal(t, []string{"i-2", "i-3"}, h.serving(), "the other rows of the update hold")
+	require.Equal(t, []string{"i-2", "i-3"}, h.serving(), "the other rows of the update are applied")
 	h.upstreams(watch.Update{Rows: []watch.Row{row("i-1", "upstream z")}})
 	require.Equal(t, []string{"i-1", "i-2", "i-3"}, h.serving())
 	u, _ := h.state.Upstreams().Get("i-1")
-	require.False(t, u.Cold(time.Now()), "it has not restarted")
+	require.False(t, u.Cold(time.Now()), "its process has not restarted")
 	require.Equal(t, 2, strings.Count(h.logged(), `"event":"bad-row"`))
 }
 
@@ -165,10 +165,10 @@
 	h.operator(deleted("a"))
 	require.Equal(t, []string{"i-1"}, h.serving())
 	h.operator(row("config", "config 1"))
-	require.Equal(t, []string{"i-1"}, h.serving(), "another row changes no evacuation")
+	require.Equal(t, []string{"i-1"}, h.serving(), "another row does not change the evacuation")
 }
 
-func TestAnUpstreamThatAppearsAfterTheFirstFullReadingIsCold(t *testing.T) {
+func TestAnUpstreamThatAppearsAfterTheFirstFullListingIsCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHost()
 		defer h.log.Close()
@@ -182,17 +182,17 @@
 	})
 }
 
-func TestAnEntryThatLapsesWhileTheStoreWasAwayHasTimeToComeBack(t *testing.T) {
+func TestAnEntryThatLapsesDuringAStoreOutageHasTimeToReturn(t *testing.T) {
 	for _, c := range []struct {
 		rule string
 		// unavailable is whether the store had been unavailable, returns whether the entry
 		// is written again.
-		away, back    bool
-		during, after []string
+		unavailable, returns bool
+		during, after        []string
 	}{
-		{"the store was not away: gone at once", false, false, []string{}, []string{}},
-		{"the entry does not come back: gone after the grace", true, false, []string{"i-1"}, []string{}},
-		{"the entry comes back: stays", true, true, []string{"i-1"}, []string{"i-1"}},
+		{"the store was available: removed at once", false, false, []string{}, []string{}},
+		{"the entry does not return: removed after the grace period", true, false, []string{"i-1"}, []string{}},
+		{"the entry returns: kept", true, true, []string{"i-1"}, []string{"i-1"}},
 	} {
 		t.Run(c.rule, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -200,13 +200,13 @@
 				defer h.log.Close()
 				h.upstreams(watch.Update{Full: true, Rows: []watch.Row{row("i-1", "upstream z")}})
 				lapse := watch.Update{Rows: []watch.Row{deleted("i-1")}}
-				if c.away {
+				if c.unavailable {
 					lapse.StoreReturned = time.Now()
 				}
 				h.upstreams(lapse)
 				time.Sleep(upstream.LapseGrace - time.Millisecond)
 				require.Equal(t, c.during, h.serving())
-				if c.back {
+				if c.returns {
 					h.upstreams(watch.Update{Rows: []watch.Row{row("i-1", "upstream z")}})
 				}
 				time.Sleep(time.Millisecond)
