--- a/internal/gateway/balance/balance.go
+++ b/internal/gateway/balance/balance.go
@@ -196,7 +196,7 @@
 // score returns an upstream with its cost, state and estimated load.
 func (b *Balancer) score(u *upstream.Upstream, cost float64, now time.Time) scored {
 	s := b.state(u)
-	return scored{upstream: u, state: s, cost: cost, load: s.load.inCapacities(now, u.Capacity, b.policy.ReportLasts)}
+	return scored{upstream: u, state: s, cost: cost, load: s.load.inCapacities(now, u.Capacity, b.policy.ReportTTLIntervals)}
 }
 
 func (b *Balancer) state(u *upstream.Upstream) *state {
--- a/internal/gateway/balance/policy.go
+++ b/internal/gateway/balance/policy.go
@@ -25,9 +25,9 @@
 	// LoadReports includes upstreams' reports of their load in the estimates, in addition
 	// to the host's own outstanding requests.
 	LoadReports bool `toml:"load_reports"`
-	// ReportLasts is the validity of an upstream's last load report, in intervals between
+	// ReportTTLIntervals is the validity of an upstream's last load report, in intervals between
 	// its reports. The validity is bounded by minReportTTL and maxReportTTL.
-	ReportLasts float64 `toml:"report_lasts"`
+	ReportTTLIntervals float64 `toml:"report_lasts"`
 	// Ejections tries ejected upstreams last.
 	Ejections bool `toml:"ejections"`
 }
@@ -38,7 +38,7 @@
 	return Policy{
 		PreferenceList: preferenceListSize, SpillAbove: spillAbove, SpillBelow: spillBelow,
 		RejectAbove: rejectAbove, RejectStep: rejectStep, RegionCost: crossRegionCost,
-		RegionFirst: true, SpareFirst: true, LoadReports: true, ReportLasts: reportTTLIntervals, Ejections: true,
+		RegionFirst: true, SpareFirst: true, LoadReports: true, ReportTTLIntervals: reportTTLIntervals, Ejections: true,
 	}
 }
 
--- a/internal/gateway/balance/summary.go
+++ b/internal/gateway/balance/summary.go
@@ -89,7 +89,7 @@
 // no state of it.
 func (b *Balancer) knownLoad(u *upstream.Upstream, now time.Time) float64 {
 	if s := b.states[u.Run()]; s != nil {
-		return s.load.inCapacities(now, u.Capacity, b.policy.ReportLasts)
+		return s.load.inCapacities(now, u.Capacity, b.policy.ReportTTLIntervals)
 	}
 	return 0
 }
--- a/internal/gateway/loadmodel/model_test.go
+++ b/internal/gateway/loadmodel/model_test.go
@@ -212,7 +212,7 @@
 func TestFewHostsKnowMoreOfUpstreamsThanMany(t *testing.T) {
 	t.Parallel()
 	// Of reports that count for a second alone, as they did then.
-	forgetful := with("reports of 1 s", func(p *balance.Policy) { p.ReportLasts = 0 })
+	forgetful := with("reports of 1 s", func(p *balance.Policy) { p.ReportTTLIntervals = 0 })
 	few, many := play(hostsPerZone(t, 3), forgetful), play(hostsPerZone(t, 33), forgetful)
 	require.Greater(t, few.mean(credit), many.mean(credit)+0.02)
 	late := func(r *Result) float64 { return float64(r.Total.Late) / float64(r.Total.Calls) }
@@ -224,7 +224,7 @@
 // the next report comes soon.
 func TestReportsCountLongerWhereTheyComeSeldom(t *testing.T) {
 	t.Parallel()
-	forgetful := with("reports of 1 s", func(p *balance.Policy) { p.ReportLasts = 0 })
+	forgetful := with("reports of 1 s", func(p *balance.Policy) { p.ReportTTLIntervals = 0 })
 	require.Greater(t, play(hostsPerZone(t, 33), DefaultVariant()).mean(credit), play(hostsPerZone(t, 33), forgetful).mean(credit)+0.01)
 	require.Greater(t, play(hostsPerZone(t, 3), DefaultVariant()).mean(credit), play(hostsPerZone(t, 3), forgetful).mean(credit)-0.005)
 }
