--- a/internal/gateway/balance/balance.go
+++ b/internal/gateway/balance/balance.go
@@ -95,7 +95,7 @@
 
 // Choose chooses an upstream and counts the request as outstanding there until Done. If
 // the request is rejected, the choice is the first upstream in order, so that the log can
-// report its load and whether it was cold. With NoUpstream and Withholding the choice has
+// report its load and whether it was cold. With NoUpstream and AllWithheld the choice has
 // no upstream.
 func (b *Balancer) Choose(q Query) (Choice, Reason) {
 	b.mu.Lock()
--- a/internal/gateway/balance/query.go
+++ b/internal/gateway/balance/query.go
@@ -97,7 +97,7 @@
 	// WarmUpLimited means that each upstream considered is overloaded, or is cold and this
 	// host's quota for it is used up; at least one is cold.
 	WarmUpLimited
-	// Withholding means that all upstreams that may serve the request have notices in
+	// AllWithheld means that all upstreams that may serve the request have notices in
 	// force that they accept none now.
-	Withholding
+	AllWithheld
 )
--- a/internal/gateway/balance/withheld.go
+++ b/internal/gateway/balance/withheld.go
@@ -33,7 +33,7 @@
 // reason returns why nothing was chosen from an empty list.
 func (h *Withheld) reason() Reason {
 	if h.Count > 0 {
-		return Withholding
+		return AllWithheld
 	}
 	return NoUpstream
 }
--- a/internal/gateway/proxy/refuse.go
+++ b/internal/gateway/proxy/refuse.go
@@ -48,7 +48,7 @@
 	if reason == balance.NoUpstream {
 		return verdict.New(verdict.NotRun, verdict.NoUpstream, "no upstream of %s is allowed to serve this", service)
 	}
-	if reason == balance.Withholding {
+	if reason == balance.AllWithheld {
 		return withheld(service, first.Withheld)
 	}
 	if reason == balance.WarmUpLimited && first.WarmUp.Quota.Withheld == warmup.Stopping {
