--- a/internal/gateway/balance/admission.go
+++ b/internal/gateway/balance/admission.go
@@ -15,7 +15,7 @@
 	// 91.2 at 3 and 90.4 at 4. docs/design/platform.md has simulations of whole days.
 	rejectAbove = 1.85
 	// rejectStep is how much the limit falls, in capacities, with each lower priority, so
-	// that capacity remains for more urgent requests. With this step, a simulated day with
+	// that capacity remains for more urgent requests. With this step, a day with
 	// faults rejected 43 of 1,000 requests of priority 2 and 21 of priority 1.
 	rejectStep = 0.25
 	// lowestPriority is the priority from which on all requests have the same limit, 1.1
--- a/internal/gateway/balance/load.go
+++ b/internal/gateway/balance/load.go
@@ -4,7 +4,7 @@
 
 // An upstream's load report expires after reportTTLIntervals times the interval between
 // its reports, within the two bounds below. Until then, the weight of the report falls
-// linearly to zero. A host that receives many reports a second from an upstream does not
+// linearly to zero. A host that receives many reports per second from an upstream does not
 // need old ones. A host that is one of many receives a report only every few seconds. When
 // reports were valid for 1 s, such hosts all took a full queue for an empty one between
 // two reports. With 33 hosts in a zone, clients got 0.878 of the credit for responses in
--- a/internal/gateway/balance/order.go
+++ b/internal/gateway/balance/order.go
@@ -16,7 +16,7 @@
 	// (docs/design/platform.md).
 	crossZoneCost = affinitySpread / 2
 	// crossRegionCost is the cost of a region other than the one that serves the key, for
-	// a request with affinity. The first upstream is always of the serving region
+	// a request with affinity. The first upstream is normally of the serving region
 	// (lowestCost.moveToFront). This cost decides how often the second upstream is, which
 	// serves the requests that the first has no capacity for. In a busy region all
 	// upstreams are busy, so the second upstream there seldom has free capacity. Of 100
--- a/internal/gateway/balance/policy.go
+++ b/internal/gateway/balance/policy.go
@@ -25,8 +25,8 @@
 	// LoadReports includes upstreams' reports of their load in the estimates, in addition
 	// to the host's own outstanding requests.
 	LoadReports bool `toml:"load_reports"`
-	// ReportTTLIntervals is the validity of an upstream's last load report, in intervals between
-	// its reports. The validity is bounded by minReportTTL and maxReportTTL.
+	// ReportTTLIntervals is the TTL of an upstream's last load report, in intervals
+	// between its reports. The TTL is bounded by minReportTTL and maxReportTTL.
 	ReportTTLIntervals float64 `toml:"report_lasts"`
 	// Ejections tries ejected upstreams last.
 	Ejections bool `toml:"ejections"`
--- a/internal/gateway/balance/region.go
+++ b/internal/gateway/balance/region.go
@@ -115,7 +115,7 @@
 //
 // Two alternatives did worse (docs/studies/decisions-under-load.md). A constant cost of
 // distance overloaded a region with 16 of 204 upstreams on a quiet day. Following the
-// demand that hosts measure, at 0.03 a second, cost more first requests for objects than
+// demand that hosts measure, at 0.03 per second, cost more first requests for objects than
 // it saved.
 func ownKeysFraction(own, all, regions int) float64 {
 	return float64(own) * float64(regions) / float64(max(1, all))
--- a/internal/gateway/balance/split_test.go
+++ b/internal/gateway/balance/split_test.go
@@ -36,7 +36,7 @@
 
 // newSplit makes a split of two to four backends with random weights, zero included, and
 // up to three upstreams each. The upstreams work for 0.1 to 2 s on a request, so that of
-// 100 requests a second between none and most find no free capacity.
+// 100 requests per second between none and most find no free capacity.
 func newSplit(rng *rand.Rand) split {
 	s := split{
 		upstreams:   map[string][]*upstream.Upstream{},
