--- a/internal/gateway/balance/split_test.go
+++ b/internal/gateway/balance/split_test.go
@@ -14,13 +14,12 @@
 )
 
 const (
-	// splitTrials is how many random splits are tried; each takes a few
-	// milliseconds.
+	// splitTrials is the number of random splits; each takes a few milliseconds.
 	splitTrials = 100
-	// splitRequests is how many requests a trial has: several windows.
+	// splitRequests is the number of requests of a trial, which span several windows.
 	splitRequests = 600
-	// splitWindow and splitTolerance are the platform's bound on the share of
-	// a backend: within 0.2 of its weight in any 200 requests.
+	// splitWindow and splitTolerance are the platform's bound on the share of a backend:
+	// within 0.2 of its weight in any 200 requests.
 	splitWindow    = 200
 	splitTolerance = 0.2
 	// splitInterval is the time between two requests.
@@ -31,17 +30,17 @@
 type split struct {
 	route     route.Route
 	upstreams map[string][]*upstream.Upstream
-	// served is how long an upstream works on a request.
-	served time.Duration
+	// serviceTime is how long an upstream works on a request.
+	serviceTime time.Duration
 }
 
-// newSplit makes a split of two to four backends with random weights, zero
-// included, and up to three upstreams each. They work for 0.1 to 2 s on a
-// request, so that of 100 requests a second from none to most find no room.
+// newSplit makes a split of two to four backends with random weights, zero included, and
+// up to three upstreams each. The upstreams work for 0.1 to 2 s on a request, so that of
+// 100 requests per second between none and most find no free capacity.
 func newSplit(rng *rand.Rand) split {
 	s := split{
-		upstreams: map[string][]*upstream.Upstream{},
-		served:    time.Duration(100+rng.IntN(1900)) * time.Millisecond,
+		upstreams:   map[string][]*upstream.Upstream{},
+		serviceTime: time.Duration(100+rng.IntN(1900)) * time.Millisecond,
 	}
 	for i := range 2 + rng.IntN(3) {
 		service := fmt.Sprint("s-", i)
@@ -56,42 +55,42 @@
 	return s
 }
 
-// withRoom returns the split with so much capacity everywhere that nothing is
-// rejected, but for one service, which keeps what it has.
-func (s split) withRoom(except string) split {
-	roomy := split{route: s.route, served: s.served, upstreams: map[string][]*upstream.Upstream{}}
+// withCapacity returns the split with enough capacity everywhere that nothing is rejected.
+// Only the service except keeps its upstreams.
+func (s split) withCapacity(except string) split {
+	ample := split{route: s.route, serviceTime: s.serviceTime, upstreams: map[string][]*upstream.Upstream{}}
 	for _, b := range s.route.Backends {
 		if b.Service == except {
-			roomy.upstreams[b.Service] = s.upstreams[b.Service]
+			ample.upstreams[b.Service] = s.upstreams[b.Service]
 			continue
 		}
 		u := newUpstream(b.Service+"-roomy", "west-1", "west")
 		u.Service, u.Capacity = b.Service, splitRequests
-		roomy.upstreams[b.Service] = []*upstream.Upstream{u}
+		ample.upstreams[b.Service] = []*upstream.Upstream{u}
 	}
-	return roomy
+	return ample
 }
 
-// outcome is what became of one request.
+// outcome is the result of one request.
 type outcome struct {
-	// service is the one that the route picked.
+	// service is the service that the route picked.
 	service string
-	// upstream has the request; it is empty when it was rejected.
+	// upstream is the ID of the upstream chosen; it is empty if the request was rejected.
 	upstream string
 	reason   balance.Reason
 }
 
-// send sends the requests of the ids to a split through one host: the route
-// picks a service, and the balancer an upstream of it.
+// send sends requests with the given IDs to a split through one host: the route picks a
+// service, and the balancer chooses an upstream of it.
 func (s split) send(t *testing.T, ids []string, noAffinity bool) []outcome {
 	t.Helper()
 	b, now := newBalancer(1), time.Now()
 	var out []outcome
-	ends := map[int]balance.Choice{}
-	steps := int(s.served / splitInterval)
+	doneAt := map[int]balance.Choice{}
+	steps := int(s.serviceTime / splitInterval)
 	for i, id := range ids {
-		if ended, ok := ends[i]; ok {
-			b.Done(ended)
+		if choice, ok := doneAt[i]; ok {
+			b.Done(choice)
 		}
 		service := s.route.Pick(id)
 		c, reason := b.Choose(balance.Query{Key: id, NoAffinity: noAffinity, Upstreams: s.upstreams[service], Now: now})
@@ -99,7 +98,7 @@
 		if reason == balance.Chosen {
 			require.Equal(t, service, c.Upstream.Service, "a request goes to the service that its route picked")
 			o.upstream = c.Upstream.ID
-			ends[i+steps] = c
+			doneAt[i+steps] = c
 		}
 		out = append(out, o)
 		now = now.Add(splitInterval)
@@ -107,7 +106,7 @@
 	return out
 }
 
-// randomIDs returns ids as clients make them.
+// randomIDs returns IDs in the form that clients use.
 func randomIDs(rng *rand.Rand) []string {
 	ids := make([]string, splitRequests)
 	for i := range ids {
@@ -116,7 +115,7 @@
 	return ids
 }
 
-// requireSharesOfWeights checks the shares of all services in each window.
+// requireSharesOfWeights checks that each service gets its share in each window.
 func requireSharesOfWeights(t *testing.T, r route.Route, out []outcome) {
 	t.Helper()
 	total := 0
@@ -141,26 +140,26 @@
 
 // only returns the outcomes of the requests of one service.
 func only(service string, out []outcome) []outcome {
-	var of []outcome
+	var matching []outcome
 	for _, o := range out {
 		if o.service == service {
-			of = append(of, o)
+			matching = append(matching, o)
 		}
 	}
-	return of
+	return matching
 }
 
-// requireSameOutcomes checks that a service's requests went the same way in two
-// runs. It names only the first that differs, as there are hundreds.
+// requireSameOutcomes checks that a service's requests had the same outcomes in two runs.
+// It reports only the first difference, because there may be hundreds.
 func requireSameOutcomes(t *testing.T, want, got []outcome, service string) {
 	t.Helper()
 	require.Len(t, got, len(want), service)
 	for i := range want {
-		require.Equal(t, want[i], got[i], "request %d of %s, beside backends with room", i, service)
+		require.Equal(t, want[i], got[i], "request %d of %s, beside backends with free capacity", i, service)
 	}
 }
 
-// count returns how many of the outcomes have a reason.
+// count returns the number of outcomes with a reason.
 func count(out []outcome, reason balance.Reason) int {
 	n := 0
 	for _, o := range out {
@@ -171,11 +170,11 @@
 	return n
 }
 
-// A backend that lacks room keeps its share of the requests: what has no room
-// there is rejected, and never sent to another backend. So whether the others
-// have room changes nothing at a backend.
+// A backend without free capacity keeps its share of the requests: excess requests are
+// rejected there and never sent to another backend. The free capacity of other backends
+// therefore changes nothing at this backend.
 func TestBackendWithoutRoomKeepsItsShareAndTheOthersTheirs(t *testing.T) {
-	rejectedBesideRoom := 0
+	rejectedBesideCapacity := 0
 	for seed := range uint64(splitTrials) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		s, ids, noAffinity := newSplit(rng), randomIDs(rng), seed%2 == 0
@@ -183,14 +182,14 @@
 			out := s.send(t, ids, noAffinity)
 			requireSharesOfWeights(t, s.route, out)
 			for _, b := range s.route.Backends {
-				mine := only(b.Service, out)
-				beside := s.withRoom(b.Service).send(t, ids, noAffinity)
-				requireSameOutcomes(t, mine, only(b.Service, beside), b.Service)
-				require.Equal(t, len(ids)-len(mine), count(beside, balance.Chosen)-count(mine, balance.Chosen),
-					"backends with room serve all of their share and no more")
-				rejectedBesideRoom += len(mine) - count(mine, balance.Chosen)
+				own := only(b.Service, out)
+				beside := s.withCapacity(b.Service).send(t, ids, noAffinity)
+				requireSameOutcomes(t, own, only(b.Service, beside), b.Service)
+				require.Equal(t, len(ids)-len(own), count(beside, balance.Chosen)-count(own, balance.Chosen),
+					"backends with free capacity serve exactly their share")
+				rejectedBesideCapacity += len(own) - count(own, balance.Chosen)
 			}
 		})
 	}
-	require.Greater(t, rejectedBesideRoom, splitTrials*splitRequests/20, "the trials lack room often")
+	require.Greater(t, rejectedBesideCapacity, splitTrials*splitRequests/20, "backends often lack capacity in the trials")
 }
--- a/internal/gateway/balance/unreachable_test.go
+++ b/internal/gateway/balance/unreachable_test.go
@@ -14,7 +14,7 @@
 	"cairndock/internal/gateway/upstream"
 )
 
-// upstreamsIn makes an upstream in each of some zones, whose names begin with their region's.
+// upstreamsIn makes one upstream per zone. The name of a zone begins with its region.
 func upstreamsIn(zones []string) (all []*upstream.Upstream) {
 	for n, zone := range zones {
 		region, _, _ := strings.Cut(zone, "-")
@@ -23,23 +23,23 @@
 	return all
 }
 
-func TestUpstreamsBesideUnreachableOnesComeLast(t *testing.T) {
+func TestUpstreamsNearUnreachableOnesAreTriedLast(t *testing.T) {
 	all := upstreamsIn(slices.Repeat([]string{"west-1", "west-2", "east-1"}, 6))
 	for _, c := range []struct {
 		name string
-		// refused are the zones of the upstreams that refused the connection, and unanswered
-		// of those that did not answer it.
+		// refused are the zones of the upstreams that refused the connection; unanswered
+		// those of the upstreams to which the connection timed out.
 		refused, unanswered []string
-		// last is what the zone of the next upstream must not begin with; empty if the order
-		// is as without refusals.
+		// last is the prefix that the zone of the chosen upstream must not have; empty if
+		// the order must be the same as without failures.
 		last string
 	}{
-		{"one says nothing of its zone", []string{"west-1"}, nil, ""},
-		{"one of each of two zones says nothing", []string{"west-1", "west-2"}, nil, ""},
-		{"two say it of their zone", []string{"west-1", "west-1"}, nil, "west-1"},
-		{"three say it of their region", []string{"west-1", "west-1", "west-2"}, nil, "west"},
-		{"where all are concerned the order is as before", []string{"west-1", "west-1", "west-2", "east-1", "east-1"}, nil, ""},
-		{"one that does not answer says it of its zone", nil, []string{"west-1"}, "west-1"},
+		{"one refusal in a zone has no effect", []string{"west-1"}, nil, ""},
+		{"one refusal in each of two zones has no effect", []string{"west-1", "west-2"}, nil, ""},
+		{"two refusals demote their zone", []string{"west-1", "west-1"}, nil, "west-1"},
+		{"three refusals demote their region", []string{"west-1", "west-1", "west-2"}, nil, "west"},
+		{"if all zones are demoted, the order is unchanged", []string{"west-1", "west-1", "west-2", "east-1", "east-1"}, nil, ""},
+		{"one time-out demotes its zone", nil, []string{"west-1"}, "west-1"},
 	} {
 		for _, noAffinity := range []bool{false, true} {
 			t.Run(fmt.Sprint(c.name, " without affinity ", noAffinity), func(t *testing.T) {
