--- a/internal/gateway/proxy/account.go
+++ b/internal/gateway/proxy/account.go
@@ -4,8 +4,8 @@
 	"cairndock/internal/verdict"
 )
 
-// authenticate finds the request's client account by its key. Where accounts are
-// configured, only routes that are public serve a request without one.
+// authenticate finds the client account of a request by its API key. If accounts are
+// configured, only public routes serve requests without an account.
 func (f *inflight) authenticate() error {
 	if f.config.Accounts == nil {
 		return nil
@@ -19,43 +19,44 @@
 	return f.checkKeyAge()
 }
 
-// checkKeyAge fails if the host has not heard for too long whether the request's key was
-// taken away.
+// checkKeyAge fails if the configuration is too old to be sure that the request's API key
+// has not been revoked.
 func (f *inflight) checkKeyAge() error {
-	most := f.proxy.MaxKeyAge
-	if most == 0 || f.account == nil {
+	maxAge := f.proxy.MaxKeyAge
+	if maxAge == 0 || f.account == nil {
 		return nil
 	}
-	f.proxy.SuspendWatch.Check() // the age counts the time suspended
-	if age := f.proxy.ConfigAge(); age > most {
+	f.proxy.SuspendWatch.Check() // ConfigAge must include the time suspended
+	if age := f.proxy.ConfigAge(); age > maxAge {
 		return verdict.New(verdict.NotRun, verdict.KeyUnconfirmed, "the configuration was last confirmed %d ms ago", age.Milliseconds())
 	}
 	return nil
 }
 
-// confirmKey is asked before each attempt, as the key may have been taken away since the
-// request came: a retry then would run what is not allowed any more.
+// confirmKey checks the API key again before each attempt. The key may have been revoked
+// since the request arrived, and a retry would then run a request that is no longer
+// allowed.
 func (f *inflight) confirmKey() error {
 	if f.account == nil {
 		return nil
 	}
-	now := f.proxy.State.Config()
-	if now == f.config || now.Accounts == nil {
+	current := f.proxy.State.Config()
+	if current == f.config || current.Accounts == nil {
 		return f.checkKeyAge()
 	}
-	if _, ok := now.Accounts.ByKey(f.info.Credential); !ok && !f.route.Public {
+	if _, ok := current.Accounts.ByKey(f.info.Credential); !ok && !f.route.Public {
 		return errUnknownKey()
 	}
 	return f.checkKeyAge()
 }
 
-// takeToken takes the request's token of its account's limit.
+// takeToken takes a token from the rate limit of the request's account.
 func (f *inflight) takeToken() error {
 	if f.account == nil || !f.account.Limited() {
 		return nil
 	}
-	f.proxy.SuspendWatch.Check() // tokens of other hosts lapse while it is suspended
-	refusal, ok := f.proxy.Quota.Admit(f.client, f.account)
+	f.proxy.SuspendWatch.Check() // tokens from other hosts expire while the machine is suspended
+	refusal, ok := f.proxy.Quota.Admit(f.clientCtx, f.account)
 	if ok {
 		return nil
 	}
@@ -63,12 +64,13 @@
 		refusal.Shards, refusal.Of, refusal.Rate, refusal.Got, refusal.Asked).WithRetryAfter(refusal.RetryAfter)
 }
 
-// errUnknownKey does not say which key, as errors are logged.
+// errUnknownKey returns the error for a request without a valid API key. It does not
+// contain the key, because errors are logged.
 func errUnknownKey() error {
 	return verdict.New(verdict.NotRun, verdict.UnknownKey, "the key is missing, repeated or of no client account")
 }
 
-// accountName is the name of the request's account, or empty.
+// accountName returns the name of the request's account, or an empty string.
 func (f *inflight) accountName() string {
 	if f.account == nil {
 		return ""
@@ -76,7 +78,8 @@
 	return f.account.Name
 }
 
-// priority is the account's, if it has one, or else the route's.
+// priority returns the priority of the account if it has one, otherwise that of the
+// route.
 func (f *inflight) priority() int {
 	if f.account != nil && f.account.Priority != nil {
 		return *f.account.Priority
@@ -84,13 +87,13 @@
 	return f.route.Priority
 }
 
-// hasHome reports whether the request may be served in some regions only.
-func (f *inflight) hasHome() bool {
+// isRegionRestricted reports whether the request may be served only in some regions.
+func (f *inflight) isRegionRestricted() bool {
 	return len(f.route.Regions) > 0 || f.account != nil && len(f.account.Regions) > 0
 }
 
-// allows reports whether the request may be served in a region: the homes of its route
-// and of its account bind both.
+// allows reports whether the request may be served in a region. Both its route and its
+// account must allow the region.
 func (f *inflight) allows(region string) bool {
 	return f.route.Allows(region) && (f.account == nil || f.account.Allows(region))
 }
--- a/internal/gateway/proxy/arrivals.go
+++ b/internal/gateway/proxy/arrivals.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	// arrivalSlot is the length of the slots in which arrivals are counted.
-	arrivalSlot = 500 * time.Millisecond
-	// arrivalSlots is how many whole slots a rate is of: two seconds, long enough that
-	// a few requests more are no change, and no longer than clients keep a response of
-	// the directory.
-	arrivalSlots = 4
+	// arrivalBucketLength is the length of the time buckets in which arrivals are
+	// counted.
+	arrivalBucketLength = 500 * time.Millisecond
+	// arrivalBuckets is the number of complete buckets that a rate is averaged over. They
+	// span two seconds: long enough that a few additional requests do not change the rate
+	// noticeably, and no longer than clients cache a response of the directory.
+	arrivalBuckets = 4
 )
 
-// arrivals counts the requests that clients send. The zero value has none; its
-// methods may be called concurrently.
+// arrivals counts client requests. The zero value is ready to use; its methods are safe
+// for concurrent use.
 type arrivals struct {
 	mu sync.Mutex
-	// counts has the number of each slot in a ring, and current the slot that is
-	// being counted, in slots since the Unix epoch.
-	counts  [arrivalSlots + 1]int
+	// counts is a ring with the number of requests in each bucket. current is the index
+	// of the bucket that is being filled, counted from the Unix epoch.
+	counts  [arrivalBuckets + 1]int
 	current int64
 }
 
@@ -32,7 +33,7 @@
 	a.counts[a.current%int64(len(a.counts))]++
 }
 
-// rate is the requests a second of the last whole slots.
+// rate returns the requests per second over the last complete buckets.
 func (a *arrivals) rate(now time.Time) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -41,19 +42,19 @@
 	for _, n := range a.counts {
 		sum += n
 	}
-	return int(float64(sum) / (arrivalSlots * arrivalSlot).Seconds())
+	return int(float64(sum) / (arrivalBuckets * arrivalBucketLength).Seconds())
 }
 
-// advance begins the slot of a time, and empties those that have passed since the
-// last one; after a step of the clock all of them.
+// advance moves to the bucket of the given time and clears the buckets that were skipped.
+// If the clock jumps, it clears all buckets.
 func (a *arrivals) advance(now time.Time) {
-	slot := now.UnixNano() / int64(arrivalSlot)
-	if slot < a.current || slot-a.current >= int64(len(a.counts)) {
+	bucket := now.UnixNano() / int64(arrivalBucketLength)
+	if bucket < a.current || bucket-a.current >= int64(len(a.counts)) {
 		clear(a.counts[:])
-		a.current = slot
+		a.current = bucket
 		return
 	}
-	for a.current < slot {
+	for a.current < bucket {
 		a.current++
 		a.counts[a.current%int64(len(a.counts))] = 0
 	}
--- a/internal/gateway/proxy/choose.go
+++ b/internal/gateway/proxy/choose.go
@@ -7,8 +7,8 @@
 	"cairndock/internal/gateway/balance"
 )
 
-// choose asks the balancer for the next upstream of the request, where the
-// request counts as outstanding until release. The error says why there is none.
+// choose asks the balancer for the next upstream of the request. The request counts as
+// outstanding at that upstream until release. The error says why no upstream was chosen.
 func (f *inflight) choose() (balance.Choice, error) {
 	if err := f.confirmKey(); err != nil {
 		return balance.Choice{}, err
@@ -20,12 +20,11 @@
 	return choice, nil
 }
 
-// query is everything that a choice depends on beside the load and health of
-// the upstreams: the request's key and priority, and the route's and service's
-// configuration.
+// query returns the input of a choice, apart from the load and health of the upstreams:
+// the key and priority of the request, and the configuration of its route and service.
 //
-// A request without a key is spread by its id, so that such requests do not all
-// prefer the same upstreams.
+// A request without a key uses its ID instead, so that such requests do not all prefer
+// the same upstreams.
 func (f *inflight) query(now time.Time) balance.Query {
 	q := balance.Query{
 		Key:        cmp.Or(f.info.Key, f.info.ID),
@@ -40,7 +39,7 @@
 		WarmUpRate: f.config.Service(f.service).WarmUpRate,
 		Now:        now,
 	}
-	if f.hasHome() {
+	if f.isRegionRestricted() {
 		q.Allows = f.allows
 	} else {
 		q.Reserved = f.config.Accounts.BoundParts()
--- a/internal/gateway/proxy/classify.go
+++ b/internal/gateway/proxy/classify.go
@@ -14,16 +14,16 @@
 	"cairndock/internal/verdict"
 )
 
-// classify decides what a response means: nil when it may be forwarded, or the
-// error of the attempt. Only the upstream's own proof makes an attempt not run,
-// and nothing is forwarded that would promise the client more than is proved: a
-// success needs proof of origin, and a status that promises "not run" needs
-// proof of that. capacity is the upstream's, in requests.
+// classify decides what a response means. It returns nil when the response may be
+// forwarded, otherwise the error of the attempt. Only proof from the upstream makes an
+// attempt "not run". No response is forwarded that promises the client more than is
+// proven: a success needs proof of origin, and a status that promises "not run" needs
+// proof of that. capacity is that of the upstream, in requests.
 func classify(status int, info exchange.ResponseInfo, capacity int) *verdict.Error {
 	switch {
 	case info.Misdirected:
 		return verdict.New(verdict.NotRun, verdict.Misdirected, "another upstream has the address")
-	case info.NotExecuted && hasRoom(info.Load, capacity):
+	case info.NotExecuted && hasFreeCapacity(info.Load, capacity):
 		return verdict.New(verdict.NotRun, verdict.UpstreamDeclined, "upstream refused with status %d, at %d of %d", status, info.Load.Running, capacity)
 	case info.NotExecuted:
 		return verdict.New(verdict.NotRun, verdict.UpstreamShed, "upstream refused with status %d", status)
@@ -36,14 +36,14 @@
 	}
 }
 
-// hasRoom reports whether an upstream that refused said that it has free capacity:
-// then it refused for another reason than load.
-func hasRoom(l exchange.LoadReport, capacity int) bool {
+// hasFreeCapacity reports whether an upstream that refused a request reported free
+// capacity. If so, it refused for a reason other than load.
+func hasFreeCapacity(l exchange.LoadReport, capacity int) bool {
 	return l.Known && l.Waiting == 0 && l.Running < capacity
 }
 
-// promisesNotRun reports whether a status promises the client that its request
-// did not run and never will. The statuses are the platform's.
+// promisesNotRun reports whether a status promises the client that its request did not
+// run and never will. The platform defines these statuses.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -53,19 +53,20 @@
 	}
 }
 
-// errSuperseded cancels an attempt whose request another attempt has answered.
+// errSuperseded is the cancellation cause of an attempt when another attempt of the same
+// request got a response first.
 var errSuperseded = eris.New("another upstream responded first")
 
-// isSuperseded reports whether that is why an attempt's context ended.
+// isSuperseded reports whether the context was canceled with errSuperseded.
 func isSuperseded(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errSuperseded) }
 
-// superseded is the error of such an attempt.
+// superseded returns the error of a superseded attempt.
 func superseded(upstream string, v verdict.Verdict) *verdict.Error {
 	return verdict.New(v, verdict.Superseded, "%v", errSuperseded).WithUpstream(upstream)
 }
 
-// truncated is the error of a response that broke off before it was buffered,
-// or that the gateway itself ended with the attempt's context.
+// truncated returns the error for a response that ended before its prefix was buffered,
+// either at the upstream or because the attempt's context ended.
 func truncated(ctx context.Context, upstream string, err error) *verdict.Error {
 	reason := verdict.AnswerTruncated
 	switch {
@@ -79,9 +80,9 @@
 	return verdict.New(verdict.MayHaveRun, reason, "the response broke off: %v", err).WithUpstream(upstream)
 }
 
-// outcomeOfTruncated gives how such an attempt counts among this host's failures
-// in a row. A body that stalls until the deadline is the upstream's failure; one
-// that nobody waits for any more says nothing of it.
+// outcomeOfTruncated returns the outcome of a truncated response for the count of
+// consecutive failures at this host. A body that stalls until the deadline is a failure
+// of the upstream. A body that nobody waits for any more says nothing about the upstream.
 func outcomeOfTruncated(r verdict.Reason) outlier.Outcome {
 	if r == verdict.Superseded || r == verdict.CallerLeft {
 		return outlier.Canceled
@@ -89,12 +90,12 @@
 	return outlier.Failed
 }
 
-// The outlier detector counts an upstream's failures twice: as evidence that the
-// hosts of a region share (isUpstreamFault, recordHealth), and in a row at this
-// host alone (outcomeOf, outcomeOfForward, release).
+// The outlier detector counts failures of an upstream in two ways: as evidence that the
+// hosts of a region share (isUpstreamFault, recordHealth), and as consecutive failures at
+// this host only (outcomeOf, outcomeOfForward, release).
 
-// isUpstreamFault reports whether a failed attempt is evidence against its
-// upstream. Load shedding and canceled requests are not.
+// isUpstreamFault reports whether a failed attempt is evidence against its upstream. Load
+// shedding and canceled requests are not.
 func isUpstreamFault(r verdict.Reason) bool {
 	switch r {
 	case verdict.UpstreamFailed, verdict.Unreachable, verdict.ConnectionRefused, verdict.AnswerTruncated:
@@ -104,8 +105,8 @@
 	}
 }
 
-// outcomeOf gives how a failed attempt counts among this host's failures in a
-// row.
+// outcomeOf returns the outcome of a failed attempt for the count of consecutive failures
+// at this host.
 func outcomeOf(r verdict.Reason) outlier.Outcome {
 	switch r {
 	case verdict.UpstreamShed, verdict.UpstreamDeclined:
@@ -119,8 +120,9 @@
 	}
 }
 
-// outcomeOfForward gives how a response that was being forwarded counts there.
-// What broke it off, the upstream or the client, is not known.
+// outcomeOfForward returns the outcome of a forwarded response for the same count. When
+// forwarding failed, it is not known whether the upstream or the client caused the
+// failure.
 func outcomeOfForward(err error) outlier.Outcome {
 	if err != nil {
 		return outlier.Canceled
@@ -128,10 +130,10 @@
 	return outlier.Succeeded
 }
 
-// recordHealth gives the outlier detector the end of an attempt that began at a
-// time. An overdue attempt was recorded as a failure when its timer fired; the
-// time that it took still counts in the service's latency, so that the baseline
-// follows a service that has become slow as a whole.
+// recordHealth reports the result of an attempt to the outlier detector. An overdue
+// attempt was recorded as a failure when its timer fired. Its duration is still included
+// in the latency of the service, so that the baseline adapts when the whole service has
+// become slow.
 func (f *inflight) recordHealth(run upstream.Run, inTime bool, resp *exchange.Response, err error, began time.Time) {
 	now := time.Now()
 	took := now.Sub(began)
--- a/internal/gateway/proxy/deadline.go
+++ b/internal/gateway/proxy/deadline.go
@@ -7,39 +7,42 @@
 	"cairndock/internal/gateway/route"
 )
 
-// defaultTimeout bounds a request whose client does not say how long it waits:
-// the platform's clients always say it.
+// defaultTimeout applies when the client does not specify how long it waits. The clients
+// of the platform always specify it.
 const defaultTimeout = 30 * time.Second
 
-// holdTime is how long a request is held: as long as the client waits, but no
-// longer than the route's timeout. Zero stands for a time that is not given.
-func holdTime(client, route time.Duration) time.Duration {
-	hold := defaultTimeout
-	if client > 0 {
-		hold = client
+// effectiveTimeout returns how long a request may take: as long as the client waits, but
+// no longer than the timeout of the route. A zero argument means that the value is not
+// set.
+func effectiveTimeout(clientTimeout, routeTimeout time.Duration) time.Duration {
+	timeout := defaultTimeout
+	if clientTimeout > 0 {
+		timeout = clientTimeout
 	}
-	if route > 0 {
-		hold = min(hold, route)
+	if routeTimeout > 0 {
+		timeout = min(timeout, routeTimeout)
 	}
-	return hold
+	return timeout
 }
 
-// deadline is when the client must have its final response. The client's clock goes on
-// while this machine is suspended, and its own stands still.
+// deadline returns when the client must have its final response. While this machine is
+// suspended its monotonic clock stops, but the client's clock does not. The time
+// suspended is therefore subtracted.
 func (f *inflight) deadline() time.Time {
-	return f.began.Add(holdTime(f.info.Timeout, f.route.Timeout) - f.suspendedFor())
+	return f.began.Add(effectiveTimeout(f.info.Timeout, f.route.Timeout) - f.suspendedTime())
 }
 
-// suspendedFor is for how long the machine was suspended since the request came.
-func (f *inflight) suspendedFor() time.Duration {
-	return f.proxy.SuspendWatch.Total() - f.suspendedBefore
+// suspendedTime returns how long the machine has been suspended since the request
+// arrived.
+func (f *inflight) suspendedTime() time.Duration {
+	return f.proxy.SuspendWatch.Total() - f.suspendedAtStart
 }
 
-// untilDeadline bounds an attempt's context by the deadline. The request's own context
-// ends later where the machine was suspended meanwhile, and the attempt would be given
-// time that the client no longer waits.
-func (f *inflight) untilDeadline(ctx context.Context) context.Context {
-	if f.suspendedFor() == 0 {
+// withDeadline bounds the context of an attempt by the deadline. If the machine was
+// suspended in the meantime, the context of the request ends after the deadline, and the
+// attempt would run longer than the client waits.
+func (f *inflight) withDeadline(ctx context.Context) context.Context {
+	if f.suspendedTime() == 0 {
 		return ctx
 	}
 	ctx, cancel := context.WithDeadline(ctx, f.deadline())
@@ -47,14 +50,14 @@
 	return ctx
 }
 
-// context gives the context of a request's attempts. It ends at the deadline,
-// when the host aborts and, for a request that may run more than once, when its
-// client leaves. A request that may not is left to its end: breaking it off
+// context returns the context of the attempts of a request. It ends at the deadline, when
+// the host aborts its requests and, for a request that may run more than once, when the
+// client disconnects. A request that may run only once continues, because canceling it
 // would only make it unknown whether it ran.
 func (f *inflight) context() (context.Context, context.CancelFunc) {
-	parent := f.client
+	parent := f.clientCtx
 	if !f.repeatable() {
-		parent = context.WithoutCancel(f.client)
+		parent = context.WithoutCancel(f.clientCtx)
 	}
 	ctx, cancel := context.WithDeadline(parent, f.deadline())
 	stop := context.AfterFunc(f.proxy.aborted, cancel)
--- a/internal/gateway/proxy/deadline_test.go
+++ b/internal/gateway/proxy/deadline_test.go
@@ -21,7 +21,7 @@
 		{"no longer than the default when the client gives none", 0, time.Minute, 30 * time.Second},
 	} {
 		t.Run(c.rule, func(t *testing.T) {
-			require.Equal(t, c.want, holdTime(c.client, c.route))
+			require.Equal(t, c.want, effectiveTimeout(c.client, c.route))
 		})
 	}
 }
--- a/internal/gateway/proxy/decisionlog.go
+++ b/internal/gateway/proxy/decisionlog.go
@@ -9,9 +9,9 @@
 	"cairndock/internal/verdict"
 )
 
-// logAttempt writes why an attempt went to its upstream and how it ended. e is
-// nil when its response is forwarded. status is zero when there was no response
-// or classify rejected it; its reason then says which.
+// logAttempt logs why an attempt used its upstream and how it ended. e is nil when the
+// response is forwarded. status is zero when there was no response or classify rejected
+// it; the reason in e tells these cases apart.
 func (f *inflight) logAttempt(a *attempt, status int, e *verdict.Error) {
 	c := a.choice
 	ev := eventlog.Attempt{
@@ -24,13 +24,14 @@
 		f.proxy.Metrics.Count(`cairndock_attempt_failures_total{reason="` + string(e.Reason) + `"}`)
 	}
 	if e != nil && e.Reason == verdict.UpstreamFailed && status == 0 {
-		// Only these are compared: a digest of each request would cost all of them.
+		// Fingerprints are only needed to compare failed attempts. Computing one for each
+		// attempt would mean hashing every request.
 		ev.Caller, ev.Fingerprint = f.address, f.fingerprint().String()
 	}
 	f.proxy.Log.Attempt(ev)
 }
 
-// logWarmUp writes that the request was sent to a cold upstream.
+// logWarmUp logs that the request was sent to a cold upstream.
 func (a *attempt) logWarmUp() {
 	f, c := a.inflight, a.choice
 	f.proxy.Log.WarmUp(eventlog.WarmUp{
@@ -39,25 +40,25 @@
 	})
 }
 
-// clientEnd says whether a request's client can still get a response.
-func clientEnd(client context.Context) eventlog.ClientEnd {
+// clientEnd returns whether the client of a request can still receive a response.
+func clientEnd(ctx context.Context) eventlog.ClientEnd {
 	switch {
-	case httpserver.ClosedHere(client):
+	case httpserver.ClosedHere(ctx):
 		return eventlog.ClientCut
-	case client.Err() != nil:
+	case ctx.Err() != nil:
 		return eventlog.ClientLeft
 	default:
 		return eventlog.ClientConnected
 	}
 }
 
-// logFinal writes the response that the client got. e is nil for an upstream's
-// whole response.
+// logFinal logs the response that the client got. e is nil for a complete response of an
+// upstream.
 func (f *inflight) logFinal(status int, e *verdict.Error) {
 	ev := eventlog.Final{
-		Request: f.info.ID, Service: f.service, Attempts: f.started, Status: status, Verdict: verdict.Ran.String(),
+		Request: f.info.ID, Service: f.service, Attempts: f.startedAttempts, Status: status, Verdict: verdict.Ran.String(),
 		ConfigAge: f.proxy.ConfigAge(), UpstreamsAge: f.proxy.UpstreamsAge(), Took: time.Since(f.began),
-		Client: clientEnd(f.client),
+		Client: clientEnd(f.clientCtx),
 	}
 	if f.config != nil {
 		ev.Config = f.config.Version
@@ -73,8 +74,8 @@
 	f.proxy.Log.Final(ev)
 }
 
-// retryDeniedDetail says how much of the retry budget was used when it denied the request
-// another attempt; nothing if it did not.
+// retryDeniedDetail describes the usage of the retry budget when it denied the request
+// another attempt. It is empty if no attempt was denied.
 func (f *inflight) retryDeniedDetail() string {
 	if f.retryDenied == nil {
 		return ""
--- a/internal/gateway/proxy/doc.go
+++ b/internal/gateway/proxy/doc.go
@@ -1,20 +1,20 @@
-// Package proxy serves clients by routes: it reads a request, sends it to an
-// upstream, and forwards that upstream's response or writes an error of its
-// own that says whether the request may have run. It owns the requests in
-// flight and the clients' connections. The configuration and the upstreams
-// come from a routing.State; which upstream takes a request is up to a
-// balance.Balancer, and one attempt on the wire to an exchange.Client.
+// Package proxy serves client requests. It reads a request, matches it to a route, sends
+// it to an upstream, and forwards the upstream's response. When there is no response to
+// forward, it writes an error response that says whether the request may have run. The
+// package owns the requests in flight and the client connections. The configuration and
+// the upstreams come from a routing.State. A balance.Balancer chooses the upstream, and
+// an exchange.Client makes each attempt on the wire.
 //
-// Each decision about a request stands in one file:
+// Where each decision about a request is made:
 //
-//	why was it refused?       request.go before it was sent, refuse.go after;
-//	                          package retry for when to return
-//	why was it sent there?    choose.go, then package balance
-//	why was it sent twice?    package retry the rules; retry.go and hedge.go
-//	                          the attempts
-//	what did a response mean? classify.go; without a response, proof.go of
-//	                          package exchange
-//	how long was it held?     deadline.go
-//	what does the log say?    decisionlog.go, and package eventlog for each field
-//	what did a stop do to it? stop.go
+//	why the request was refused     request.go before an attempt, refuse.go after it;
+//	                                package retry for the Retry-After delay
+//	why this upstream was chosen    choose.go, then package balance
+//	why the request was sent twice  package retry for the rules, retry.go and
+//	                                hedge.go for the attempts
+//	what a response means           classify.go; without a response, proof.go of
+//	                                package exchange
+//	how long the request may take   deadline.go
+//	what is logged                  decisionlog.go, and package eventlog for each field
+//	what a stop does to it          stop.go
 package proxy
--- a/internal/gateway/proxy/hedge.go
+++ b/internal/gateway/proxy/hedge.go
@@ -14,104 +14,107 @@
 	"cairndock/internal/verdict"
 )
 
-// attempts are a request's attempts. Only the goroutine that serves the request
-// uses them; an attempt's own goroutine tells it of its end by ends, and its
-// timer by overdue.
+// attempts manages the attempts of a request. Only the goroutine that serves the request
+// uses it. The goroutine of an attempt reports its result through results, and its timer
+// reports through overdue.
 type attempts struct {
 	inflight *inflight
 	ctx      context.Context
 	running  []*attempt
-	ends     chan attemptEnd
+	results  chan attemptResult
 	overdue  chan *attempt
-	// redialAt is when upstreams that did not answer are dialed again, in place of ending
-	// the request with redialFor; nil if they are not.
-	redialAt  <-chan time.Time
-	redialFor error
-	// done is closed when the request has its response or is given up.
+	// redialTimer fires when the upstreams that did not answer are dialed again; nil
+	// while no redial is scheduled. If there is no redial after all, the request ends
+	// with redialErr.
+	redialTimer <-chan time.Time
+	redialErr   error
+	// done is closed when the request has its response or has failed.
 	done chan struct{}
 }
 
-// attemptEnd is how an attempt ended: with a response or an error.
-type attemptEnd struct {
+// attemptResult is the result of an attempt: a response or an error.
+type attemptResult struct {
 	attempt *attempt
 	resp    *response
 	err     error
 }
 
-// newAttempts has room for the end of each attempt that the route allows; one that is
-// left waits for abandon.
+// newAttempts returns the attempts of a request before the first one. The results channel
+// has capacity for each attempt that the route allows. Any further attempt blocks with its
+// result until abandon receives it.
 func (f *inflight) newAttempts(ctx context.Context) *attempts {
-	ends := make(chan attemptEnd, max(1, f.route.Attempts))
-	return &attempts{inflight: f, ctx: ctx, ends: ends, overdue: make(chan *attempt), done: make(chan struct{})}
+	results := make(chan attemptResult, max(1, f.route.Attempts))
+	return &attempts{inflight: f, ctx: ctx, results: results, overdue: make(chan *attempt), done: make(chan struct{})}
 }
 
-// start begins an attempt at an upstream that choose has chosen.
+// start begins an attempt at an upstream that choose returned.
 func (s *attempts) start(c balance.Choice) {
 	f := s.inflight
-	repeat := f.retryState().IsRepeat()
+	usesBudget := f.retryState().IsRepeat()
 	f.tried = append(f.tried, c.Upstream.ID)
-	f.started++
-	f.attempts++
+	f.startedAttempts++
+	f.countedAttempts++
 	ctx, cancel := context.WithCancelCause(s.ctx)
-	a := &attempt{inflight: f, choice: c, number: f.started, repeat: repeat, began: time.Now(), cancel: cancel}
+	a := &attempt{inflight: f, choice: c, number: f.startedAttempts, usesBudget: usesBudget, began: time.Now(), cancel: cancel}
 	a.overdueAfter = f.proxy.Detector.OverdueAfter(f.service, c.Load)
 	if a.overdueAfter > 0 {
-		a.timer = time.AfterFunc(a.overdueAfter, func() { s.tellOverdue(a) })
+		a.timer = time.AfterFunc(a.overdueAfter, func() { s.notifyOverdue(a) })
 	}
 	s.running = append(s.running, a)
-	s.redialAt = nil // there was another upstream
-	go s.do(f.untilDeadline(ctx), a)
+	s.redialTimer = nil // another upstream was available
+	go s.do(f.withDeadline(ctx), a)
 }
 
-// do makes an attempt. One that panics has failed, with a line in the log: in
-// this goroutine the panic would end the process and every request on it.
+// do makes an attempt. A panic is logged and counts as a failure of the attempt. Without
+// the recover it would terminate the process and every request in it.
 func (s *attempts) do(ctx context.Context, a *attempt) {
-	end := attemptEnd{attempt: a}
+	result := attemptResult{attempt: a}
 	defer func() {
 		if v := recover(); v != nil {
 			p, id := s.inflight.proxy, a.choice.Upstream.ID
 			p.Log.Process("panic", fmt.Sprintf("attempt at %s: %v\n%s", id, v, debug.Stack()))
 			a.cancel(nil)
 			p.release(a.choice, outlier.Canceled)
-			end.resp, end.err = nil, verdict.New(verdict.MayHaveRun, verdict.UpstreamFailed, "the attempt panicked").WithUpstream(id)
+			result.resp, result.err = nil, verdict.New(verdict.MayHaveRun, verdict.UpstreamFailed, "the attempt panicked").WithUpstream(id)
 		}
-		s.ends <- end
+		s.results <- result
 	}()
-	end.resp, end.err = a.do(ctx)
+	result.resp, result.err = a.do(ctx)
 }
 
-// tellOverdue says that an attempt's response is overdue, unless nobody waits for it.
-func (s *attempts) tellOverdue(a *attempt) {
+// notifyOverdue reports that the response of an attempt is overdue, unless the request is
+// done.
+func (s *attempts) notifyOverdue(a *attempt) {
 	select {
 	case s.overdue <- a:
 	case <-s.done:
 	}
 }
 
-// forget takes an attempt that has ended off those that run.
-func (s *attempts) forget(a *attempt) {
+// remove removes an attempt that has ended from the running ones.
+func (s *attempts) remove(a *attempt) {
 	s.running = slices.DeleteFunc(s.running, func(r *attempt) bool { return r == a })
 }
 
-// take takes the end of an attempt. done is set when the request has its
-// response or the error that ends it; otherwise other attempts go on, or the
-// next one has begun.
-func (s *attempts) take(end attemptEnd) (resp *response, done bool, err error) {
+// handleResult handles the result of an attempt. done is set when the request has its
+// response or the error that ends it. Otherwise other attempts are still running, the
+// next one has been started, or a redial is scheduled.
+func (s *attempts) handleResult(result attemptResult) (resp *response, done bool, err error) {
 	f := s.inflight
-	s.forget(end.attempt)
-	if end.err == nil {
-		return end.resp, true, nil
+	s.remove(result.attempt)
+	if result.err == nil {
+		return result.resp, true, nil
 	}
-	f.noteFailed(end)
-	if s.onTime() {
+	f.recordFailed(result)
+	if s.hasOnTimeAttempt() {
 		return nil, false, nil
 	}
-	c, err := s.next(end)
+	c, err := s.chooseAfter(result)
 	switch {
 	case err == nil:
 		s.start(c)
 		return nil, false, nil
-	case s.redialSoon(err):
+	case s.scheduleRedial(err):
 		return nil, false, nil
 	case len(s.running) > 0:
 		return nil, false, nil
@@ -120,53 +123,54 @@
 	}
 }
 
-// next chooses the upstream of the attempt after one that failed. Otherwise it gives the
-// error to end the request with.
-func (s *attempts) next(end attemptEnd) (balance.Choice, error) {
+// chooseAfter chooses the upstream for the attempt after a failed one. If there is none,
+// it returns the error to end the request with.
+func (s *attempts) chooseAfter(failed attemptResult) (balance.Choice, error) {
 	f := s.inflight
-	if !isUnsent(verdict.From(end.err).Reason) {
-		return f.retry(s.ctx, end.err)
+	if !isUnsent(verdict.From(failed.err).Reason) {
+		return f.retry(s.ctx, failed.err)
 	}
 	state := f.retryState()
-	if !state.MayRetry(f.ended(s.ctx)) {
-		return balance.Choice{}, end.err
+	if !state.MayRetry(f.isDone(s.ctx)) {
+		return balance.Choice{}, failed.err
 	}
 	c, err := f.chooseNext()
 	switch {
 	case eris.Is(err, errNoBudget):
-		return c, end.err
+		return c, failed.err
 	case err == nil && !state.MayGoTo(c.Load):
-		f.unchoose(c)
-		return balance.Choice{}, end.err
+		f.returnChoice(c)
+		return balance.Choice{}, failed.err
 	}
 	return c, err
 }
 
-// onTime reports whether an attempt runs that is not overdue.
-func (s *attempts) onTime() bool {
+// hasOnTimeAttempt reports whether an attempt is running that is not overdue.
+func (s *attempts) hasOnTimeAttempt() bool {
 	return slices.ContainsFunc(s.running, func(a *attempt) bool { return !a.isOverdue() })
 }
 
-// hedge sends a request whose response is overdue, which is a failure of the
-// upstream, to another one beside it. The response may be lost, or only be late:
-// the attempt goes on until one of the two has responded, as the other upstream
-// may have no room, refuse or fail.
+// hedge handles an overdue response, which is a failure of the upstream: it sends the
+// request to another upstream as well. The overdue attempt continues until one of the two
+// has responded, because its response may only be late, and the other upstream may have
+// no free capacity, refuse or fail.
 func (s *attempts) hedge(a *attempt) {
 	if !a.markOverdue() {
 		return
 	}
 	f, now := s.inflight, time.Now()
-	// On a connection that was used before, the connection may have gone silent:
-	// when all of them do, three hosts would eject an upstream that works. The
-	// next request there has a new one, and counts.
+	// If the request was sent on a reused connection, the connection may have gone silent
+	// instead of the upstream. If all reused connections did, three hosts would eject an
+	// upstream that works. The next request to it uses a new connection, and its failure
+	// is recorded.
 	if !a.progress.SilentOnReused() {
 		f.proxy.Detector.RecordFailure(a.choice.Upstream.Run(), now)
 	}
-	if f.ended(s.ctx) || !f.retryState().MayHedge(f.deadline().Sub(now), a.overdueAfter) {
+	if f.isDone(s.ctx) || !f.retryState().MayHedge(f.deadline().Sub(now), a.overdueAfter) {
 		return
 	}
 	c, err := f.chooseRetry(now)
-	if isNoUpstream(err) && f.forgetUnanswered() {
+	if isNoUpstream(err) && f.resetUnanswered() {
 		c, err = f.chooseRetry(now)
 	}
 	if err == nil {
@@ -174,21 +178,21 @@
 	}
 }
 
-// abandon cancels the attempts that still run when the request has its response
-// or is given up, and drops what they bring.
+// abandon cancels the running attempts when the request has its response or has failed,
+// and discards their responses.
 func (s *attempts) abandon() {
 	close(s.done)
-	left := len(s.running)
-	if left == 0 {
+	remaining := len(s.running)
+	if remaining == 0 {
 		return
 	}
 	for _, a := range s.running {
 		a.cancel(errSuperseded)
 	}
 	go func() {
-		for range left {
-			if end := <-s.ends; end.err == nil {
-				s.inflight.proxy.discard(end.resp)
+		for range remaining {
+			if result := <-s.results; result.err == nil {
+				s.inflight.proxy.discard(result.resp)
 			}
 		}
 	}()
--- a/internal/gateway/proxy/hedgerule_test.go
+++ b/internal/gateway/proxy/hedgerule_test.go
@@ -47,7 +47,7 @@
 			f := &inflight{
 				proxy: New(Options{Detector: detector, Suspicions: poison.NewTable("h", time.Now(), nil), SuspendWatch: suspend.NewWatch(suspend.Machine{}), SlackPart: func() float64 { return 1 }, Metrics: telemetry.NewMetrics(), Budget: retry.NewBudget(retry.Limits{Window: time.Second, Slack: c.retries}, time.Now().Add(-time.Second), 0)}),
 				route: &route.Route{Repeat: c.repeat, Attempts: 2, Timeout: time.Minute},
-				tried: []string{"i-1"}, began: time.Now(), client: t.Context(),
+				tried: []string{"i-1"}, began: time.Now(), clientCtx: t.Context(),
 			}
 			canceled := false
 			a := &attempt{
@@ -57,7 +57,7 @@
 			s := f.newAttempts(t.Context())
 			s.running = []*attempt{a}
 			if c.ended {
-				require.True(t, a.settle())
+				require.True(t, a.endWait())
 			}
 			s.hedge(a)
 			s.hedge(a) // once is enough
@@ -69,7 +69,7 @@
 				failures += o.Failures
 			}
 			require.Equal(t, c.failures, failures)
-			require.False(t, a.settle(), "its wait has ended")
+			require.False(t, a.endWait(), "its wait has ended")
 		})
 	}
 }
@@ -95,7 +95,7 @@
 	s.running = []*attempt{a}
 	closed := make(chan struct{})
 	body := closer{strings.NewReader(""), func() { close(closed) }}
-	s.ends <- attemptEnd{attempt: a, resp: &response{Response: &exchange.Response{Body: body}, choice: c}}
+	s.results <- attemptResult{attempt: a, resp: &response{Response: &exchange.Response{Body: body}, choice: c}}
 	s.abandon()
 	require.True(t, isSuperseded(ctx))
 	<-closed
--- a/internal/gateway/proxy/inflight.go
+++ b/internal/gateway/proxy/inflight.go
@@ -14,19 +14,19 @@
 	"cairndock/internal/verdict"
 )
 
-// inflight is one client's request on its way through its attempts. Only the
-// goroutine that serves the request changes it.
+// inflight is one client request with the state of its attempts. Only the goroutine that
+// serves the request changes it.
 type inflight struct {
 	proxy *Proxy
 	info  RequestInfo
 	began time.Time
-	// suspendedBefore is for how long the machine had been suspended when the request
-	// came.
-	suspendedBefore time.Duration
-	// client ends when the client leaves.
-	client context.Context
+	// suspendedAtStart is the total time that the machine had been suspended when the
+	// request arrived.
+	suspendedAtStart time.Duration
+	// clientCtx is canceled when the client disconnects.
+	clientCtx context.Context
 
-	// Set by prepare, as far as it got.
+	// The following fields are set by prepare, which may fail before all of them are set.
 	config *route.Table
 	route  *route.Route
 	// account is the client account; nil if there is none.
@@ -35,27 +35,27 @@
 	request *exchange.Request
 	// address is the client's IP address.
 	address string
-	// digest is the request's fingerprint once digestOnce has made it, for which the
-	// goroutines of the attempts ask too.
+	// digest is the fingerprint of the request. It is computed under digestOnce, because
+	// the goroutines of the attempts need it too.
 	digest     poison.Fingerprint
 	digestOnce sync.Once
 
-	// tried has the ids of the upstreams that are not chosen for it again.
+	// tried has the IDs of the upstreams that are not chosen again for this request.
 	tried []string
-	// started is how many attempts were begun, and attempts how many of them are looked
-	// at by the rules of package retry.
-	started, attempts int
-	// refused are the upstreams that refused the connection, and unanswered those that could
-	// not be connected to in time.
+	// startedAttempts is the number of attempts that were started. countedAttempts is the
+	// number that the rules of package retry take into account.
+	startedAttempts, countedAttempts int
+	// refused are the upstreams that refused the connection. unanswered are those to
+	// which no connection could be made in time.
 	refused, unanswered []*upstream.Upstream
 	// mayHaveRun is the last error after which the request may have run, or nil.
 	mayHaveRun *verdict.Error
-	// retryDenied is what was used of the retry budget when it last denied another attempt,
+	// retryDenied is the usage of the retry budget when it last denied another attempt,
 	// or nil.
 	retryDenied *retry.Usage
 }
 
-// run sends the request until it has a response to forward or is given up.
+// run sends the request until there is a response to forward or the request has failed.
 func (f *inflight) run(ctx context.Context) (*response, error) {
 	f.proxy.SuspendWatch.Check()
 	f.proxy.Budget.RecordRequest(f.service, f.began)
@@ -73,11 +73,11 @@
 		select {
 		case a := <-s.overdue:
 			s.hedge(a)
-		case end := <-s.ends:
-			if resp, done, err := s.take(end); done {
+		case result := <-s.results:
+			if resp, done, err := s.handleResult(result); done {
 				return resp, err
 			}
-		case <-s.redialAt:
+		case <-s.redialTimer:
 			if err := s.redial(); err != nil && len(s.running) == 0 {
 				return nil, f.finalVerdict(err)
 			}
@@ -85,8 +85,8 @@
 	}
 }
 
-// finalVerdict is the verdict on a request that was given up after an error.
+// finalVerdict returns the final error of a request that failed with err.
 func (f *inflight) finalVerdict(err error) error {
-	hostAborted := f.client.Err() == nil && f.proxy.aborted.Err() != nil
+	hostAborted := f.clientCtx.Err() == nil && f.proxy.aborted.Err() != nil
 	return finalVerdict(verdict.From(err), f.mayHaveRun, hostAborted)
 }
--- a/internal/gateway/proxy/proxy.go
+++ b/internal/gateway/proxy/proxy.go
@@ -24,107 +24,110 @@
 	"cairndock/internal/verdict"
 )
 
-// RequestInfo is what a request's header says in the product's terms.
+// RequestInfo is the request metadata that a Codec reads from the headers.
 type RequestInfo struct {
-	// ID is the client's id of the request.
+	// ID is the request ID that the client chose.
 	ID string
-	// Key names the object that the request is about; it may be empty.
+	// Key identifies the object that the request concerns, for affinity. It may be empty.
 	Key string
-	// Credential tells who sends the request; empty when it carries none.
+	// Credential identifies the client account. It is empty when the request carries
+	// none.
 	Credential string
-	// Credentials is how many the request carries: with several it is not clear who
-	// sends it.
+	// Credentials is the number of credentials in the request. With more than one, the
+	// client account is ambiguous.
 	Credentials int
-	// Timeout is how long the client waits; zero when it does not say.
+	// Timeout is how long the client waits; zero when the client does not specify it.
 	Timeout time.Duration
 }
 
 // Codec reads and writes the headers that clients and the gateway exchange.
 type Codec interface {
-	// ParseRequest reads a request's header.
+	// ParseRequest reads the metadata of a request from its headers.
 	ParseRequest(h http.Header) RequestInfo
-	// SetAccount replaces the credential in the header of a request to an upstream by
-	// the name of the client account; by nothing if that is empty.
+	// SetAccount replaces the credential in the headers of a request to an upstream with
+	// the name of the client account. An empty name removes the credential only.
 	SetAccount(h http.Header, name string)
-	// WriteError writes a whole error response of the gateway's own, and
-	// returns its status.
+	// WriteError writes a complete error response that the gateway generates, and returns
+	// its status.
 	WriteError(w http.ResponseWriter, info RequestInfo, e *verdict.Error) int
 }
 
-// Options are the parts of a Proxy. All are required.
+// Options are the dependencies of a Proxy. All are required.
 type Options struct {
-	// State has the configuration and the upstreams.
+	// State holds the configuration and the upstreams.
 	State *routing.State
 	// Balancer chooses an upstream for each attempt.
 	Balancer *balance.Balancer
-	// Detector judges upstreams by how attempts end.
+	// Detector ejects upstreams based on the outcomes of attempts.
 	Detector *outlier.Detector
-	// Budget bounds the requests sent more than once.
+	// Budget limits how many requests are sent more than once.
 	Budget *retry.Budget
-	// Suspicions find requests that end the upstreams that run them.
+	// Suspicions finds requests that terminate the upstreams that run them.
 	Suspicions *poison.Table
-	// SuspendWatch finds that the machine was suspended.
+	// SuspendWatch detects that the machine was suspended.
 	SuspendWatch *suspend.Watch
-	// Notices are what upstreams say of themselves.
+	// Notices holds the notices that upstreams send in their responses.
 	Notices *notice.Table
 	// Client sends attempts to upstreams.
 	Client *exchange.Client
-	// Codec reads requests' headers and writes error responses.
+	// Codec reads request headers and writes error responses.
 	Codec Codec
-	// KnowsQuarantines reports whether the host has heard which requests are quarantined: it
-	// serves none before.
+	// KnowsQuarantines reports whether the host has received the list of quarantined
+	// requests. The host serves no request before.
 	KnowsQuarantines func() bool
-	// SlackPart gives this host's part of the retry budget's slack, from 0 to 1; zero
-	// while it does not know who shares that.
+	// SlackPart returns this host's share of the retry budget's slack, from 0 to 1. It is
+	// zero while the host does not know which hosts share the slack.
 	SlackPart func() float64
-	// Quota keeps the limits of client accounts.
+	// Quota enforces the limits of client accounts.
 	Quota *quota.Limiter
-	// MaxKeyAge is the age of the operator configuration up to which keys are accepted;
-	// zero is any, so that a host which hears nothing serves on by the keys it knows.
+	// MaxKeyAge is the maximum age of the operator configuration for which API keys are
+	// accepted. Zero means no maximum, so that a host without a source for the
+	// configuration keeps serving with the last known keys.
 	MaxKeyAge time.Duration
-	// ConfigAge gives how long ago a source last confirmed the operator
-	// configuration, and UpstreamsAge the upstreams. Both are logged.
+	// ConfigAge and UpstreamsAge return how long ago a source last confirmed the operator
+	// configuration and the upstreams. Both are logged.
 	ConfigAge, UpstreamsAge func() time.Duration
 	// Log is the decision log.
 	Log *eventlog.Log
-	// Metrics counts refusals and failures, and the time of requests.
+	// Metrics counts refusals and failures, and measures the duration of requests.
 	Metrics *telemetry.Metrics
-	// Tracer makes a span for each request and each attempt.
+	// Tracer creates a span for each request and each attempt.
 	Tracer trace.Tracer
 }
 
-// Proxy is an http.Handler that serves clients' requests.
+// Proxy is an http.Handler that serves client requests.
 type Proxy struct {
 	Options
 
 	inFlight atomic.Int64
 	arrivals arrivals
 	leaving  atomic.Bool
-	// starved is set while no client's connection can be accepted.
-	starved atomic.Bool
-	// aborted ends when the requests in flight are given up. Each client then
+	// acceptFailing is set while accepting client connections fails.
+	acceptFailing atomic.Bool
+	// aborted is canceled when the host aborts the requests in flight. Each client then
 	// gets an error response that says whether its request may have run.
 	aborted context.Context
 	abort   context.CancelFunc
 }
 
-// New makes a proxy.
+// New returns a Proxy with the given options.
 func New(o Options) *Proxy {
 	p := &Proxy{Options: o}
 	p.aborted, p.abort = context.WithCancel(context.Background())
 	return p
 }
 
-// Ready reports whether clients should use this host: it is not stopping, can
-// accept connections and knows a configuration.
-func (p *Proxy) Ready() bool { return !p.leaving.Load() && !p.starved.Load() && p.serves() }
+// Ready reports whether clients should use this host: it is not stopping, can accept
+// connections and has a configuration.
+func (p *Proxy) Ready() bool { return !p.leaving.Load() && !p.acceptFailing.Load() && p.canServe() }
 
-// serves reports whether the host knows what it must know to serve a request.
-func (p *Proxy) serves() bool { return p.State.Ready() && p.KnowsQuarantines() }
+// canServe reports whether the host has all the state that it needs to serve a request.
+func (p *Proxy) canServe() bool { return p.State.Ready() && p.KnowsQuarantines() }
 
-// noteAccepting follows whether clients' connections can be accepted.
-func (p *Proxy) noteAccepting(err error) {
-	p.starved.Store(err != nil)
+// recordAccepting records whether accepting client connections succeeds. err is nil when
+// it does.
+func (p *Proxy) recordAccepting(err error) {
+	p.acceptFailing.Store(err != nil)
 	if err == nil {
 		p.Log.Regained("listener", "clients", 0)
 		return
@@ -132,15 +135,14 @@
 	p.Log.Lost("listener", "clients", err)
 }
 
-// Leave makes the host unready and closes each client's connection after its
-// next response, so that clients turn to other hosts. Requests are still
-// served.
+// Leave makes the host unready and closes each client connection after its next response,
+// so that clients switch to other hosts. Requests are still served.
 func (p *Proxy) Leave() { p.leaving.Store(true) }
 
-// Rate is the requests a second that clients lately sent to this host.
+// Rate returns the recent rate of client requests to this host, in requests per second.
 func (p *Proxy) Rate(now time.Time) int { return p.arrivals.rate(now) }
 
-// InFlight is the number of requests in flight.
+// InFlight returns the number of requests in flight.
 func (p *Proxy) InFlight() int64 { return p.inFlight.Load() }
 
 // ServeHTTP serves one request.
@@ -150,8 +152,8 @@
 	p.inFlight.Add(1)
 	defer p.inFlight.Add(-1)
 	info := p.Codec.ParseRequest(r.Header)
-	client, span := p.startRequest(r, info.ID)
-	f := &inflight{proxy: p, info: info, began: began, suspendedBefore: p.SuspendWatch.Total(), client: client, address: hostname(r.RemoteAddr)}
+	clientCtx, span := p.startRequest(r, info.ID)
+	f := &inflight{proxy: p, info: info, began: began, suspendedAtStart: p.SuspendWatch.Total(), clientCtx: clientCtx, address: hostname(r.RemoteAddr)}
 	var err error
 	defer func() { endSpan(span, err) }()
 	if err = f.prepare(w, r); err != nil {
@@ -168,32 +170,31 @@
 	f.forward(w, resp)
 }
 
-// closeIfLeaving is asked right before a response is written: the stop may have
-// begun while the request was served, and a client that is not told to leave
-// sends its next request on a connection that is about to end.
+// closeIfLeaving is called right before a response is written, because the stop may have
+// begun while the request was served. Without the Connection header the client would send
+// its next request on a connection that is about to close.
 func (p *Proxy) closeIfLeaving(w http.ResponseWriter) {
 	if p.leaving.Load() {
 		closeAfterResponse(w)
 	}
 }
 
-// closeAfterResponse makes the server close the client's connection after the
-// response.
+// closeAfterResponse makes the server close the client connection after the response.
 func closeAfterResponse(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
 
-// cleanUpEvery is how often CleanUp drops state. It bounds memory only.
-const cleanUpEvery = 2 * time.Second
+// cleanUpInterval is how often CleanUp drops state. It only limits memory use.
+const cleanUpInterval = 2 * time.Second
 
-// CleanUp drops the load, health and connections of runs of upstreams
-// that are not registered any more, and old suspicions, until the context ends.
+// CleanUp periodically drops the load, health and connections of runs of upstreams that
+// are no longer registered, and old suspicions, until the context ends.
 func (p *Proxy) CleanUp(ctx context.Context) {
-	for pause.For(ctx, cleanUpEvery) {
+	for pause.For(ctx, cleanUpInterval) {
 		runs := p.State.Upstreams().Runs()
-		known := func(run upstream.Run) bool { return runs[run] }
-		p.Balancer.Retain(known, time.Now())
-		p.Detector.Retain(known)
-		p.Notices.Retain(known, time.Now())
-		p.Client.Retain(known)
+		registered := func(run upstream.Run) bool { return runs[run] }
+		p.Balancer.Retain(registered, time.Now())
+		p.Detector.Retain(registered)
+		p.Notices.Retain(registered, time.Now())
+		p.Client.Retain(registered)
 		p.Suspicions.CleanUp(time.Now())
 		p.Quota.CleanUp(time.Now())
 	}
--- a/internal/gateway/proxy/request.go
+++ b/internal/gateway/proxy/request.go
@@ -11,21 +11,21 @@
 	"cairndock/internal/verdict"
 )
 
-// noBodyLimit stands for no limit on a request's body, 1 TiB; one more byte
-// than it must still fit an int64.
+// noBodyLimit stands for no limit on the request body: 1 TiB. The limit plus one byte
+// must still fit in an int64.
 const noBodyLimit = 1 << 40
 
-// headerLineOverhead is what a header line takes beside its name and value:
-// colon, space and line break, in bytes.
+// headerLineOverhead is the size of a header line without name and value, in bytes:
+// colon, space and line break.
 const headerLineOverhead = 4
 
-// prepare finds the request's route and account, checks its size and reads its body.
-// The request has not been sent anywhere when it fails.
+// prepare finds the route and the client account of a request, checks its size and reads
+// its body. When prepare fails, the request has not been sent to any upstream.
 //
-// The order decides which error a request with several faults gets: first those that
-// cost the least and that coming back does not help, 404, 401 and 431; then the
-// account's limit, 429, so that a refused request is not read; then its body, 413 or
-// 408.
+// The order of the checks decides which error is returned when several apply. The first
+// checks are the cheapest, and a retry would not help with their errors: 404, 401 and
+// 431. Next is the account's limit, 429, so that a refused request is not read. The body
+// comes last: 413 or 408.
 func (f *inflight) prepare(w http.ResponseWriter, r *http.Request) error {
 	if err := f.matchRoute(r); err != nil {
 		return err
@@ -51,10 +51,10 @@
 	return nil
 }
 
-// matchRoute finds the route by host and path, and by the request's id the
-// service that takes it where a route is divided among several.
+// matchRoute finds the route by host and path. If the route is split among several
+// services, the request ID selects the service.
 func (f *inflight) matchRoute(r *http.Request) error {
-	if !f.proxy.serves() {
+	if !f.proxy.canServe() {
 		return verdict.New(verdict.NotRun, verdict.NotReady, "the configuration, the upstreams or the quarantines are not known yet")
 	}
 	f.config = f.proxy.State.Config()
@@ -66,23 +66,23 @@
 	return nil
 }
 
-// upstreamRequest is what upstreams receive: the request as the client sent it,
-// without the headers that concern the client's connection only.
+// upstreamRequest returns the request that upstreams receive: the client's request
+// without its hop-by-hop headers.
 func upstreamRequest(id string, r *http.Request, body []byte) *exchange.Request {
 	header := httpheader.EndToEnd(r.Header)
-	header.Del("Content-Length") // set anew for each attempt, by the body
+	header.Del("Content-Length") // set for each attempt from the body
 	return &exchange.Request{ID: id, Method: r.Method, Target: r.URL.RequestURI(), Host: r.Host, Header: header, Body: body}
 }
 
-// hostname is a Host header's value without its port.
+// hostname returns the host of a host:port pair, such as the value of a Host header.
 func hostname(hostport string) string {
 	if host, _, err := net.SplitHostPort(hostport); err == nil {
 		return host
 	}
-	return hostport // it has no port
+	return hostport // there is no port
 }
 
-// headerSize is the size of a request's target and header lines, in bytes.
+// headerSize returns the size of the request target and the header lines, in bytes.
 func headerSize(r *http.Request) int {
 	n := len(r.RequestURI)
 	for name, values := range r.Header {
@@ -93,9 +93,9 @@
 	return n
 }
 
-// readBody reads a request's whole body until the deadline. limit is in bytes;
-// zero is no limit. What is left unread of a body would stand before the next
-// request, so the connection is closed then.
+// readBody reads the whole request body before the deadline. limit is in bytes; zero
+// means no limit. When part of the body is left unread, the connection is closed, because
+// that part would precede the next request.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64, deadline time.Time) ([]byte, error) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, nil
@@ -103,9 +103,9 @@
 	if limit <= 0 {
 		limit = noBodyLimit
 	}
-	conn := http.NewResponseController(w)
-	// An error means that the connection is closed, which the read reports.
-	_ = conn.SetReadDeadline(deadline)
+	controller := http.NewResponseController(w)
+	// An error means that the connection is closed, which the read below reports.
+	_ = controller.SetReadDeadline(deadline)
 	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
 		closeAfterResponse(w)
@@ -115,8 +115,8 @@
 		closeAfterResponse(w)
 		return nil, verdict.New(verdict.NotRun, verdict.BodyTooLarge, "body is above %d bytes", limit)
 	}
-	// An error means that the connection is closed: there is no next request
-	// that the old deadline could break off.
-	_ = conn.SetReadDeadline(time.Time{})
+	// An error means that the connection is closed. Then there is no next request that
+	// the old deadline could interrupt.
+	_ = controller.SetReadDeadline(time.Time{})
 	return body, nil
 }
--- a/internal/gateway/proxy/response.go
+++ b/internal/gateway/proxy/response.go
@@ -15,43 +15,42 @@
 )
 
 const (
-	// prefixBytes is how much of a response is buffered before any of it is
-	// forwarded, in bytes. One that breaks off within it is a failed attempt,
-	// and the request may be sent again. selector/entry/dispatch has its own,
-	// which forwards longer ones from their first bytes.
+	// prefixBytes is how much of a response is buffered before forwarding begins. A
+	// response that breaks off within the prefix is a failed attempt, and the request may
+	// be sent again. selector/entry/dispatch has its own constant and forwards longer
+	// responses from their first bytes.
 	prefixBytes = 32 << 10
-	// writeMargin is how long after its deadline a client may still take its
-	// response: what was sent in time may lie in buffers, and a host may be held
-	// up for seconds while it writes.
-	writeMargin = 5 * time.Second
-	// copyBuffer is the size of the buffers that forward what is longer, in
-	// bytes.
-	copyBuffer = 16 << 10
+	// writeGrace is how long after its deadline a client may still receive its response.
+	// Data that was sent in time may still be in buffers, and a host may be delayed by
+	// seconds while it writes.
+	writeGrace = 5 * time.Second
+	// copyBufferBytes is the size of the buffers for forwarding the rest of a body.
+	copyBufferBytes = 16 << 10
 )
 
-// response is an upstream's response whose beginning was buffered.
+// response is an upstream's response with the beginning of its body buffered.
 type response struct {
 	*exchange.Response
-	// choice is that of the upstream that sent it.
+	// choice is the balancer's choice of the upstream that sent the response.
 	choice balance.Choice
 	// prefix is the beginning of the body; Body has the rest.
 	prefix []byte
 }
 
-// whole reports whether the prefix is the whole body.
-func (r *response) whole() bool { return len(r.prefix) < prefixBytes }
+// isComplete reports whether the prefix is the whole body.
+func (r *response) isComplete() bool { return len(r.prefix) < prefixBytes }
 
-// forward writes an upstream's response to the client, and then releases the
-// upstream and its connection. One that breaks off breaks the client's
-// connection, so that it can't look whole.
+// forward writes an upstream's response to the client, and then releases the upstream and
+// its connection. If the response breaks off, the client connection is closed as well, so
+// that the client cannot take the response for a complete one.
 func (f *inflight) forward(w http.ResponseWriter, resp *response) {
 	var err error
 	defer func() {
-		_ = resp.Body.Close() // err says whether the body was read whole
+		_ = resp.Body.Close() // err already says whether the body was read completely
 		f.proxy.release(resp.choice, outcomeOfForward(err))
 	}()
 	f.proxy.closeIfLeaving(w)
-	f.boundWrites(w)
+	f.setWriteDeadline(w)
 	resp.writeHeader(w, f.request.Method)
 	err = resp.copyTo(w)
 	metrics := f.proxy.Metrics
@@ -61,27 +60,28 @@
 		f.logFinal(resp.Status, verdict.New(verdict.MayHaveRun, verdict.AnswerTruncated, "%v", err))
 		panic(http.ErrAbortHandler)
 	}
-	f.noteResponse(resp.Status)
+	f.recordResponse(resp.Status)
 	f.logFinal(resp.Status, nil)
 }
 
-// boundWrites ends the writing of a response to a client that does not take it,
-// or whose connection went silent, some time after its deadline. Without it the
-// write would hold the upstream and its connection until the kernel gives up. The
-// time counts from now where the deadline has passed: a host that was held up has
-// the response only then, and the client may still wait.
-func (f *inflight) boundWrites(w http.ResponseWriter) {
-	end := f.deadline()
-	if now := time.Now(); now.After(end) {
-		end = now
+// setWriteDeadline limits how long after the deadline of the request the response may be
+// written to a client that does not read it, or whose connection has gone silent. Without
+// a write deadline the write would occupy the upstream and its connection until the
+// kernel times out. If the deadline has already passed, the grace starts now, because a
+// delayed host may have only just received the response, and the client may still be
+// waiting.
+func (f *inflight) setWriteDeadline(w http.ResponseWriter) {
+	deadline := f.deadline()
+	if now := time.Now(); now.After(deadline) {
+		deadline = now
 	}
-	// An error means that the connection is closed, which the write reports; the
-	// http.Server takes the deadline back after the response.
-	_ = http.NewResponseController(w).SetWriteDeadline(end.Add(writeMargin))
+	// An error means that the connection is closed, which the write reports. The
+	// http.Server resets the write deadline after the response.
+	_ = http.NewResponseController(w).SetWriteDeadline(deadline.Add(writeGrace))
 }
 
-// writeHeader writes the status and the end-to-end headers. A Connection header
-// that the gateway set stays.
+// writeHeader writes the status and the end-to-end headers. A Connection header that the
+// gateway set is kept.
 func (r *response) writeHeader(w http.ResponseWriter, method string) {
 	h := w.Header()
 	connection := h.Get("Connection")
@@ -98,23 +98,24 @@
 		}
 	}
 	if h.Get("Content-Type") == "" {
-		h["Content-Type"] = nil // keeps net/http from guessing it
+		h["Content-Type"] = nil // prevents net/http from sniffing the content type
 	}
 	w.WriteHeader(r.Status)
 }
 
-var buffers = sync.Pool{New: func() any { return new([copyBuffer]byte) }}
+var buffers = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
 
 // copyTo writes the body to the client.
 func (r *response) copyTo(w http.ResponseWriter) error {
-	if _, err := w.Write(r.prefix); err != nil || r.whole() {
+	if _, err := w.Write(r.prefix); err != nil || r.isComplete() {
 		return err
 	}
-	buf := buffers.Get().(*[copyBuffer]byte)
+	buf := buffers.Get().(*[copyBufferBytes]byte)
 	defer buffers.Put(buf)
 	_, err := io.CopyBuffer(onlyWriter{w}, r.Body, buf[:])
 	return err
 }
 
-// onlyWriter hides the writer's own ReadFrom, which would take a larger buffer.
+// onlyWriter hides the ReadFrom method of the writer, which would allocate a larger
+// buffer.
 type onlyWriter struct{ io.Writer }
--- a/internal/gateway/proxy/retry.go
+++ b/internal/gateway/proxy/retry.go
@@ -11,19 +11,19 @@
 	"cairndock/internal/verdict"
 )
 
-// retryState is what the rules of package retry look at.
+// retryState returns the input of the rules of package retry.
 func (f *inflight) retryState() retry.State {
 	return retry.State{
-		Attempts: f.attempts, MaxAttempts: f.route.Attempts, Refused: len(f.refused), Unanswered: len(f.unanswered),
+		Attempts: f.countedAttempts, MaxAttempts: f.route.Attempts, Refused: len(f.refused), Unanswered: len(f.unanswered),
 		Repeatable: f.repeatable(), MayHaveRun: f.mayHaveRun != nil,
 		Suspected: f.suspected(), Quarantined: f.quarantined(),
 	}
 }
 
-// retry chooses the upstream of the next attempt after one failed. Otherwise it
-// gives the error to end the request with.
+// retry chooses the upstream for the next attempt after a failed one. If there is none,
+// it returns the error to end the request with.
 func (f *inflight) retry(ctx context.Context, failed error) (balance.Choice, error) {
-	if !f.retryState().MayRetry(f.ended(ctx)) {
+	if !f.retryState().MayRetry(f.isDone(ctx)) {
 		return balance.Choice{}, failed
 	}
 	c, err := f.chooseRetry(time.Now())
@@ -33,30 +33,30 @@
 	return c, err
 }
 
-// ended reports whether there is nobody to serve.
-func (f *inflight) ended(ctx context.Context) bool {
+// isDone reports whether nobody waits for the response any more.
+func (f *inflight) isDone(ctx context.Context) bool {
 	f.proxy.SuspendWatch.Check()
-	return ctx.Err() != nil || f.client.Err() != nil || !time.Now().Before(f.deadline())
+	return ctx.Err() != nil || f.clientCtx.Err() != nil || !time.Now().Before(f.deadline())
 }
 
-// noteFailed remembers what a failed attempt says of the request: that it may have run,
-// or was not sent.
-func (f *inflight) noteFailed(end attemptEnd) {
+// recordFailed records the consequences of a failed attempt: that the request may have
+// run, or that it was not sent.
+func (f *inflight) recordFailed(end attemptResult) {
 	e := verdict.From(end.err)
 	if e.Verdict != verdict.NotRun {
 		f.mayHaveRun = e
 	}
 	if isUnsent(e.Reason) {
-		f.noteUnsent(e.Reason, end.attempt)
+		f.recordUnsent(e.Reason, end.attempt)
 	}
 }
 
-// errNoBudget is the error of a retry that the budget does not grant.
+// errNoBudget is the error when the retry budget denies a retry.
 var errNoBudget = eris.New("the retry budget is used up")
 
-// chooseRetry takes a retry from the service's budget, which all known hosts
-// share, and chooses an upstream for it. Without an upstream the retry goes
-// back: only requests that are sent count.
+// chooseRetry takes a retry from the budget of the service, which all known hosts share,
+// and chooses an upstream for it. If there is no upstream, the retry is returned, because
+// only requests that are sent count.
 func (f *inflight) chooseRetry(now time.Time) (balance.Choice, error) {
 	if !f.takeRetry(now) {
 		return balance.Choice{}, errNoBudget
@@ -68,15 +68,15 @@
 	return c, err
 }
 
-// takeRetry takes a retry from the service's budget. One that is denied is counted, and
-// remembered for the request's final line.
+// takeRetry takes a retry from the budget of the service. A denied retry is counted in a
+// metric and recorded for the final log line of the request.
 func (f *inflight) takeRetry(now time.Time) bool {
-	part := f.proxy.SlackPart()
-	if f.proxy.Budget.TryRetry(f.service, part, now) {
+	share := f.proxy.SlackPart()
+	if f.proxy.Budget.TryRetry(f.service, share, now) {
 		return true
 	}
 	f.proxy.Metrics.Count(`cairndock_retries_denied_total{service="` + f.service + `"}`)
-	usage := f.proxy.Budget.Usage(f.service, part, now)
+	usage := f.proxy.Budget.Usage(f.service, share, now)
 	f.retryDenied = &usage
 	return false
 }
--- a/internal/gateway/proxy/server.go
+++ b/internal/gateway/proxy/server.go
@@ -12,42 +12,42 @@
 )
 
 const (
-	// maxHeader bounds the header that the server reads at all, in bytes. The
-	// configuration's own limit is checked after it.
-	maxHeader = 64 << 10
-	// maxListeners is how many listeners can fail without anybody reading
-	// Failed; a host has four.
+	// maxHeaderBytes limits the request header that the HTTP server reads at all. The
+	// limit of the configuration is checked afterwards.
+	maxHeaderBytes = 64 << 10
+	// maxListeners is how many listeners can fail while nobody reads Failed. A host has
+	// four listeners.
 	maxListeners = 8
 )
 
-// Server owns a host's listeners: the one for clients and those for the
-// platform and operators.
+// Server owns the listeners of a host: the one for clients and those for the platform and
+// operators.
 type Server struct {
-	proxy   *Proxy
-	clients *httpserver.Server
-	others  []*httpserver.Server
-	failed  chan error
+	proxy        *Proxy
+	clients      *httpserver.Server
+	otherServers []*httpserver.Server
+	failed       chan error
 }
 
-// NewServer makes a server without listeners.
+// NewServer returns a server without listeners.
 func NewServer(p *Proxy) *Server {
 	return &Server{
 		proxy: p,
 		clients: httpserver.New(httpserver.Options{
-			HTTP: &http.Server{Handler: p, MaxHeaderBytes: maxHeader}, Limits: p.clientLimits, Cut: p.Log.Cut, Accepting: p.noteAccepting,
+			HTTP: &http.Server{Handler: p, MaxHeaderBytes: maxHeaderBytes}, Limits: p.clientLimits, Cut: p.Log.Cut, Accepting: p.recordAccepting,
 		}),
 		failed: make(chan error, maxListeners),
 	}
 }
 
-// clientLimits are the configuration's limits of clients' connections.
+// clientLimits returns the configured limits of client connections.
 func (p *Proxy) clientLimits() httpserver.Limits {
 	limits := p.State.Limits()
 	return httpserver.Limits{Header: limits.HeaderTimeout, Idle: limits.IdleTimeout}
 }
 
-// ListenClients accepts clients at an address. It returns the address with the
-// port chosen for port 0.
+// ListenClients accepts client connections at an address. It returns the address with the
+// actual port, which matters for port 0.
 func (s *Server) ListenClients(address string) (net.Addr, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -69,7 +69,7 @@
 
 func (s *Server) serveOther(l net.Listener, h http.Handler) {
 	server := httpserver.New(httpserver.Options{HTTP: &http.Server{Handler: h}})
-	s.others = append(s.others, server)
+	s.otherServers = append(s.otherServers, server)
 	s.serve(server, l)
 }
 
@@ -81,23 +81,23 @@
 	}()
 }
 
-// Failed gives the errors of listeners that ended by themselves.
+// Failed returns the channel of errors from listeners that failed.
 func (s *Server) Failed() <-chan error { return s.failed }
 
-// drainOthers finishes what the listeners other than the clients' have read, as
-// far as the context allows; Close ends the rest.
-func (s *Server) drainOthers(ctx context.Context) {
-	var wait sync.WaitGroup
-	for _, other := range s.others {
-		wait.Go(func() { _ = other.Drain(ctx) })
+// drainOtherServers waits for the requests that the servers other than the client server
+// have read, until the context ends. Close aborts the rest.
+func (s *Server) drainOtherServers(ctx context.Context) {
+	var wg sync.WaitGroup
+	for _, server := range s.otherServers {
+		wg.Go(func() { _ = server.Drain(ctx) })
 	}
-	wait.Wait()
+	wg.Wait()
 }
 
-// Close closes all listeners and connections at once.
+// Close closes all listeners and connections immediately.
 func (s *Server) Close() {
 	s.clients.Close()
-	for _, other := range s.others {
-		other.Close()
+	for _, server := range s.otherServers {
+		server.Close()
 	}
 }
--- a/internal/gateway/proxy/span.go
+++ b/internal/gateway/proxy/span.go
@@ -13,14 +13,14 @@
 	"cairndock/internal/verdict"
 )
 
-// startRequest begins the span of a request with an id. It continues the
+// startRequest starts the span of the request with the given ID. It continues the
 // client's trace if the request carries one.
 func (p *Proxy) startRequest(r *http.Request, id string) (context.Context, trace.Span) {
 	ctx := otel.GetTextMapPropagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	return p.Tracer.Start(ctx, "request", trace.WithSpanKind(trace.SpanKindServer), trace.WithAttributes(attribute.String("request", id)))
 }
 
-// startAttempt begins the span of an attempt.
+// startAttempt starts the span of an attempt.
 func (f *inflight) startAttempt(ctx context.Context, a *attempt) (context.Context, trace.Span) {
 	ctx, span := f.proxy.Tracer.Start(ctx, "attempt", trace.WithSpanKind(trace.SpanKindClient))
 	if span.SpanContext().IsSampled() {
@@ -32,9 +32,10 @@
 	return ctx, span
 }
 
-// tracedRequest is the request of one attempt. The upstream receives the
-// attempt's span only when the trace is sampled, in a header of its own, as two
-// attempts may be sent at a time; otherwise the header is forwarded as it came.
+// tracedRequest returns the request to send in an attempt. If the trace is sampled, the
+// upstream receives the span of the attempt. Its headers are a copy then, because two
+// attempts may be in progress at the same time. Otherwise the headers are forwarded
+// unchanged.
 func (f *inflight) tracedRequest(ctx context.Context, span trace.Span) *exchange.Request {
 	if !span.SpanContext().IsSampled() {
 		return f.request
@@ -45,7 +46,7 @@
 	return &r
 }
 
-// endSpan ends a span with the verdict on an error, if there is one.
+// endSpan ends a span. If err is not nil, the span gets its verdict and reason.
 func endSpan(span trace.Span, err error) {
 	if err != nil && span.IsRecording() {
 		e := verdict.From(err)
--- a/internal/gateway/proxy/suspicion.go
+++ b/internal/gateway/proxy/suspicion.go
@@ -10,14 +10,15 @@
 	"cairndock/internal/verdict"
 )
 
-// A request may end each upstream that runs it, and its client sends it again with a new
-// id, to any host. What is known of such requests is in a poison.Table, which hosts
-// share; here is what counts as an upstream's end, and what suspicion means for a
-// request.
+// A request may terminate each upstream that runs it, and its client may send it again
+// with a new ID to any host. A poison.Table, which hosts share, holds the known facts
+// about such requests. This file decides when an upstream counts as terminated by a
+// request, and how a suspected request is handled.
 
-// fingerprint identifies the request by its content. The credential is a part of it, so
-// that no account's request is taken for another's. The client's address is not: one
-// caller has many, and with it each address had to end three upstreams.
+// fingerprint identifies the request by its content. It includes the credential, so that
+// requests of different accounts are never confused. It excludes the client's address:
+// one client has many addresses, and if they were included, each address would have to
+// terminate three upstreams before the request is quarantined.
 func (f *inflight) fingerprint() poison.Fingerprint {
 	f.digestOnce.Do(func() {
 		r := f.request
@@ -27,8 +28,9 @@
 	return f.digest
 }
 
-// suspected reports whether upstreams ended under the same request. While no request
-// is suspected none is digested, so that calm times cost nothing.
+// suspected reports whether upstreams terminated while they ran the same request. While
+// no request at all is suspected, no fingerprint is computed, so that there is no cost in
+// normal operation.
 func (f *inflight) suspected() bool {
 	return !f.proxy.Suspicions.Empty() && f.proxy.Suspicions.Suspected(f.fingerprint())
 }
@@ -37,48 +39,50 @@
 	return !f.proxy.Suspicions.Empty() && f.proxy.Suspicions.Quarantined(f.fingerprint(), time.Now())
 }
 
-// errQuarantined is the error of a request that is sent to no upstream.
+// errQuarantined returns the error of a quarantined request, which is sent to no
+// upstream.
 func errQuarantined() error {
 	return verdict.New(verdict.NotRun, verdict.Quarantined, "upstreams ended when they ran this request")
 }
 
-// noteConnectionEnd looks whether an upstream has ended whose connection did after the
-// request was sent. A request that is suspected already waits for that, up to the time
-// of a new connection, as it must not go to the next upstream meanwhile; for others
-// the next attempt does not wait.
-func (a *attempt) noteConnectionEnd(ctx context.Context) {
+// checkTermination checks whether an upstream has terminated, after its connection ended
+// when the request had been sent. If the request is already suspected, the attempt waits
+// for the check, for up to the time of a new connection, because the request must not be
+// sent to the next upstream in the meantime. For other requests, the next attempt does
+// not wait.
+func (a *attempt) checkTermination(ctx context.Context) {
 	began, ended := a.began, time.Now()
-	look := func() {
-		a.recordIfEnded(ctx, poison.Attempt{Run: string(a.choice.Upstream.Run()), Began: began, Ended: ended})
+	check := func() {
+		a.recordIfTerminated(ctx, poison.Attempt{Run: string(a.choice.Upstream.Run()), Began: began, Ended: ended})
 	}
 	if a.inflight.suspected() {
-		look()
+		check()
 		return
 	}
-	go look()
+	go check()
 }
 
-// recordIfEnded records the end of the attempt's upstream if it has ended.
-func (a *attempt) recordIfEnded(ctx context.Context, end poison.Attempt) {
+// recordIfTerminated records a termination if the upstream of the attempt has terminated.
+func (a *attempt) recordIfTerminated(ctx context.Context, observed poison.Attempt) {
 	f, u := a.inflight, a.choice.Upstream
-	if !f.proxy.expectsToRun(a) || !f.proxy.Client.HasEnded(ctx, exchange.Target{Upstream: u.ID, Run: u.Run(), Address: u.Address}) {
+	if !f.proxy.isExpectedToRun(a) || !f.proxy.Client.HasEnded(ctx, exchange.Target{Upstream: u.ID, Run: u.Run(), Address: u.Address}) {
 		return
 	}
 	fingerprint := f.fingerprint()
 	f.proxy.Log.UpstreamEnded(u.ID, fingerprint.String(), f.route.Name, f.request.Target, f.address)
-	f.proxy.Suspicions.RecordEnd(fingerprint, end)
+	f.proxy.Suspicions.RecordEnd(fingerprint, observed)
 }
 
-// expectsToRun reports whether an attempt's upstream is still registered as the run
-// that it was, and is not draining: a planned end is nobody's fault.
-func (p *Proxy) expectsToRun(a *attempt) bool {
-	now, ok := p.State.Upstreams().Get(a.choice.Upstream.ID)
-	return ok && now.Run() == a.choice.Upstream.Run() && !now.Draining
+// isExpectedToRun reports whether the upstream of an attempt is still registered with the
+// same run and is not draining. A planned end is not a failure of the request.
+func (p *Proxy) isExpectedToRun(a *attempt) bool {
+	current, ok := p.State.Upstreams().Get(a.choice.Upstream.ID)
+	return ok && current.Run() == a.choice.Upstream.Run() && !current.Draining
 }
 
-// noteResponse clears the request of suspicion once it has a whole response, other than
-// the upstream's own failure.
-func (f *inflight) noteResponse(status int) {
+// recordResponse clears the suspicion of a request after a complete response, unless that
+// reports a failure of the upstream itself.
+func (f *inflight) recordResponse(status int) {
 	if status < http.StatusInternalServerError && f.suspected() {
 		f.proxy.Suspicions.RecordResponse(f.fingerprint())
 	}
--- a/internal/gateway/proxy/unsent.go
+++ b/internal/gateway/proxy/unsent.go
@@ -10,17 +10,18 @@
 	"cairndock/internal/verdict"
 )
 
-// An attempt that was not sent left nothing at an upstream: the request may go to
-// another one as if it had not been made. What differs is what it says of the upstream
-// that was chosen. One that takes no requests now, or whose machine refused the
-// connection, is known not to serve; one that could not be connected to in time may be
-// cut off from this host, or the host was short of processor time.
+// An attempt that was not sent has no effect at an upstream, so the request may be sent
+// to another one as if that attempt had not been made. The reason says different things
+// about the upstream. An upstream that accepts no requests at present, or whose machine
+// refused the connection, certainly does not serve. If no connection could be made in
+// time, the upstream may be unreachable from this host only, or this host may be short of
+// CPU time.
 
-// redialPause is how long a request waits before upstreams are dialed again that did not
-// answer, so that a host that is short of processor time does not spend it on dials.
-const redialPause = 100 * time.Millisecond
+// redialDelay is how long a request waits before it redials upstreams that did not
+// answer, so that a host that is short of CPU time does not spend it on dialing.
+const redialDelay = 100 * time.Millisecond
 
-// isUnsent reports whether an attempt that failed for a reason was not sent.
+// isUnsent reports whether an attempt that failed for this reason was not sent.
 func isUnsent(r verdict.Reason) bool {
 	switch r {
 	case verdict.Withheld, verdict.ConnectionRefused, verdict.Unreachable:
@@ -30,22 +31,23 @@
 	}
 }
 
-// isNoUpstream reports whether an error of a choice means that no upstream is left.
+// isNoUpstream reports whether the error of a choice means that no upstream is left.
 func isNoUpstream(err error) bool {
 	return err != nil && verdict.From(err).Reason == verdict.NoUpstream
 }
 
-// noteUnsent remembers an attempt that was not sent, for a reason, and gives back the retry
-// that it took. An upstream that withheld it is passed over by the balancer while it does.
-func (f *inflight) noteUnsent(r verdict.Reason, a *attempt) {
-	if a.repeat {
+// recordUnsent records an attempt that was not sent and returns the retry that it took.
+// An upstream that withheld the request remains eligible, because the balancer passes it
+// over as long as it accepts no requests.
+func (f *inflight) recordUnsent(r verdict.Reason, a *attempt) {
+	if a.usesBudget {
 		f.proxy.Budget.Return(f.service, time.Now())
 	}
 	u := a.choice.Upstream
 	switch r {
 	case verdict.Withheld:
-		f.attempts--
-		f.untry(u.ID)
+		f.countedAttempts--
+		f.removeTried(u.ID)
 	case verdict.ConnectionRefused:
 		f.refused = append(f.refused, u)
 	case verdict.Unreachable:
@@ -53,54 +55,55 @@
 	}
 }
 
-// untry lets an upstream be chosen again.
-func (f *inflight) untry(upstream string) {
+// removeTried allows an upstream to be chosen again.
+func (f *inflight) removeTried(upstream string) {
 	f.tried = slices.DeleteFunc(f.tried, func(id string) bool { return id == upstream })
 }
 
-// redialSoon reports whether a request that got err in place of another attempt waits to
-// dial again the upstreams that did not answer: those are all that is left, or an overdue
-// attempt is, or it waits already.
-func (s *attempts) redialSoon(err error) bool {
-	if s.redialAt == nil && (!isNoUpstream(err) && len(s.running) == 0 || !s.inflight.mayRedial(redialPause)) {
+// scheduleRedial reports whether a request waits to redial the upstreams that did not
+// answer. err is the error that the request got instead of another attempt. The request
+// waits if only these upstreams are left, if an overdue attempt is still running, or if
+// it waits already.
+func (s *attempts) scheduleRedial(err error) bool {
+	if s.redialTimer == nil && (!isNoUpstream(err) && len(s.running) == 0 || !s.inflight.mayRedial(redialDelay)) {
 		return false
 	}
-	if s.redialAt == nil {
-		s.redialAt = time.After(redialPause)
+	if s.redialTimer == nil {
+		s.redialTimer = time.After(redialDelay)
 	}
-	s.redialFor = err
+	s.redialErr = err
 	return true
 }
 
-// mayRedial is the rule for a request that waits for a time to dial again.
-func (f *inflight) mayRedial(wait time.Duration) bool {
-	return f.retryState().MayRedial(time.Since(f.began)+wait, f.deadline().Sub(f.began))
+// mayRedial reports whether the request may redial after waiting for the given time.
+func (f *inflight) mayRedial(delay time.Duration) bool {
+	return f.retryState().MayRedial(time.Since(f.began)+delay, f.deadline().Sub(f.began))
 }
 
-// redial begins an attempt at one of the upstreams that did not answer. Otherwise it
-// gives the error to end the request with.
+// redial starts an attempt at one of the upstreams that did not answer. Otherwise it
+// returns the error to end the request with.
 func (s *attempts) redial() error {
-	s.redialAt = nil
+	s.redialTimer = nil
 	f := s.inflight
-	if f.ended(s.ctx) {
+	if f.isDone(s.ctx) {
 		return verdict.New(verdict.NotRun, verdict.CallerLeft, "client left before the request was sent")
 	}
 	if !f.mayRedial(0) {
-		return s.redialFor
+		return s.redialErr
 	}
-	f.forgetUnanswered()
+	f.resetUnanswered()
 	c, err := f.chooseNext()
 	switch {
 	case err == nil:
 		s.start(c)
 	case eris.Is(err, errNoBudget):
-		return s.redialFor
+		return s.redialErr
 	}
 	return err
 }
 
-// chooseNext chooses the upstream of another attempt, within the budget if it repeats one
-// that was sent.
+// chooseNext chooses the upstream for another attempt. If the attempt repeats one that
+// was sent, it needs a retry from the budget.
 func (f *inflight) chooseNext() (balance.Choice, error) {
 	if f.retryState().IsRepeat() {
 		return f.chooseRetry(time.Now())
@@ -108,22 +111,22 @@
 	return f.choose()
 }
 
-// unchoose gives back a choice that no attempt is made for.
-func (f *inflight) unchoose(c balance.Choice) {
+// returnChoice returns a choice for which no attempt is made.
+func (f *inflight) returnChoice(c balance.Choice) {
 	f.proxy.Balancer.Done(c)
 	if f.retryState().IsRepeat() {
 		f.proxy.Budget.Return(f.service, time.Now())
 	}
 }
 
-// forgetUnanswered lets the upstreams be chosen again that did not answer, as if they
-// had not been dialed, and reports whether there are any.
-func (f *inflight) forgetUnanswered() bool {
+// resetUnanswered allows the upstreams that did not answer to be chosen again, as if they
+// had not been dialed. It reports whether there are any.
+func (f *inflight) resetUnanswered() bool {
 	for _, u := range f.unanswered {
-		f.untry(u.ID)
+		f.removeTried(u.ID)
 	}
-	forgotten := len(f.unanswered)
-	f.attempts -= forgotten
+	count := len(f.unanswered)
+	f.countedAttempts -= count
 	f.unanswered = nil
-	return forgotten > 0
+	return count > 0
 }
--- a/internal/gateway/proxy/writebound_test.go
+++ b/internal/gateway/proxy/writebound_test.go
@@ -32,8 +32,8 @@
 		t.Run(name, func(t *testing.T) {
 			f := &inflight{proxy: &Proxy{Options: Options{SuspendWatch: suspend.NewWatch(suspend.Machine{})}}, route: &route.Route{Timeout: 1500 * time.Millisecond}, began: time.Now().Add(-held)}
 			w := &deadlineWriter{ResponseWriter: httptest.NewRecorder()}
-			f.boundWrites(w)
-			require.Greater(t, time.Until(w.end), writeMargin-time.Second)
+			f.setWriteDeadline(w)
+			require.Greater(t, time.Until(w.end), writeGrace-time.Second)
 		})
 	}
 }
