--- a/internal/gateway/retry/after.go
+++ b/internal/gateway/retry/after.go
@@ -7,47 +7,48 @@
 	"cairndock/internal/verdict"
 )
 
-// selector/caller has its own rule: HTTP's whole seconds. The platform's clients
-// also read fractions of a second.
+// selector/caller has its own rule, because HTTP's Retry-After has whole seconds. The
+// clients of the platform also read fractions of a second.
 
 const (
-	// overloadPause is the least time after which a client that was refused for
-	// load should return: an upstream that is full needs about as long to work
-	// its queue off.
-	overloadPause = 350 * time.Millisecond
-	// overloadJitter is the most that is added to overloadPause at random, so
-	// that clients refused together do not return together.
-	overloadJitter = 400 * time.Millisecond
-	// failurePause is when a client should return whose request did not run for
-	// another reason than load, such as an upstream that was gone. No queue has
-	// to shorten and another upstream can serve it at once, so it is shorter.
-	failurePause = 150 * time.Millisecond
-	// declinedPause is the least time after which a client should return whose
-	// request an upstream refused though it had free capacity: there is no queue to
-	// wait for, and one more try is likely to be served in time.
-	declinedPause = 20 * time.Millisecond
-	// declinedJitter is the most that is added to declinedPause at random.
-	declinedJitter = 60 * time.Millisecond
-	// quarantinePause is when a client should return whose request is quarantined: not
-	// while people have not looked at what it does.
-	quarantinePause = time.Minute
-	// startPause is when a client should return to a host that has no
-	// configuration yet: it is reading it, which ends by itself.
-	startPause = 200 * time.Millisecond
+	// minOverloadDelay is the minimum delay before a client returns whose request was
+	// refused because of load. A full upstream needs about this time to work off its
+	// queue.
+	minOverloadDelay = 350 * time.Millisecond
+	// maxOverloadJitter is the maximum random addition to minOverloadDelay, so that
+	// clients that were refused together do not return together.
+	maxOverloadJitter = 400 * time.Millisecond
+	// failureDelay is the delay for a request that did not run for a reason other than
+	// load, such as an upstream that terminated. It is shorter than minOverloadDelay
+	// because there is no queue to work off, and another upstream can serve the request
+	// immediately.
+	failureDelay = 150 * time.Millisecond
+	// minDeclinedDelay is the minimum delay for a request that an upstream refused
+	// although it had free capacity. There is no queue to wait for, and another attempt
+	// is likely to be served in time.
+	minDeclinedDelay = 20 * time.Millisecond
+	// maxDeclinedJitter is the maximum random addition to minDeclinedDelay.
+	maxDeclinedJitter = 60 * time.Millisecond
+	// quarantineDelay is the delay for a quarantined request. Its client should not
+	// return until somebody has investigated what the request does.
+	quarantineDelay = time.Minute
+	// startDelay is the delay for a request to a host that has no configuration yet. The
+	// host is reading the configuration, so this condition ends without intervention.
+	startDelay = 200 * time.Millisecond
 )
 
-// Pause is a time to wait: Least, and up to Jitter more at random.
+// Pause is a range of delays: Least, and up to Jitter more at random.
 type Pause struct {
 	Least  time.Duration
 	Jitter time.Duration
 }
 
-// After is the rule for the Retry-After of an error response, by the final
-// verdict and its reason. Only a request that did not run has one: the client is
-// not asked to repeat what may have run. A request that breaks a limit of size, has
-// no route or no account, or was not received whole has none either: returning as it is, it would
-// be refused again. The platform's clients wait as asked, but no longer than a
-// third of the time that they have left.
+// After returns the Retry-After delay of an error response for the final verdict and its
+// reason. Only a request that did not run has a delay: a client is not asked to repeat a
+// request that may have run. A request has none either if it exceeds a size limit, has no
+// route or no account, or was not received completely, because it would be refused again
+// unchanged. The clients of the platform wait as requested, but no longer than a third of
+// their remaining time.
 func After(v verdict.Verdict, r verdict.Reason) Pause {
 	if v != verdict.NotRun {
 		return Pause{}
@@ -56,23 +57,23 @@
 	case verdict.UnknownRoute, verdict.UnknownKey, verdict.HeaderTooLarge, verdict.BodyTooLarge, verdict.BodyStalled, verdict.BadRequest:
 		return Pause{}
 	case verdict.Full, verdict.Warming, verdict.Withheld, verdict.NoUpstream, verdict.UpstreamShed:
-		return Pause{Least: overloadPause, Jitter: overloadJitter}
+		return Pause{Least: minOverloadDelay, Jitter: maxOverloadJitter}
 	case verdict.UpstreamDeclined:
-		return Pause{Least: declinedPause, Jitter: declinedJitter}
+		return Pause{Least: minDeclinedDelay, Jitter: maxDeclinedJitter}
 	case verdict.Quarantined:
-		return Pause{Least: quarantinePause}
+		return Pause{Least: quarantineDelay}
 	case verdict.NotReady:
-		return Pause{Least: startPause}
+		return Pause{Least: startDelay}
 	default:
-		return Pause{Least: failurePause}
+		return Pause{Least: failureDelay}
 	}
 }
 
-// AfterWithheld is the rule where all upstreams take no request for a time: clients return
-// after it, and not together.
-func AfterWithheld(d time.Duration) Pause { return Pause{Least: d, Jitter: overloadJitter} }
+// AfterWithheld returns the Retry-After delay when all upstreams accept no requests for
+// the time d. The jitter prevents clients from returning together.
+func AfterWithheld(d time.Duration) Pause { return Pause{Least: d, Jitter: maxOverloadJitter} }
 
-// Draw picks a time of the range at random.
+// Draw returns a random delay of the range.
 func (p Pause) Draw() time.Duration {
 	if p.Jitter == 0 {
 		return p.Least
--- a/internal/gateway/retry/after_test.go
+++ b/internal/gateway/retry/after_test.go
@@ -20,21 +20,21 @@
 		want    Pause
 	}{
 		{
-			"overload: later, and not together", verdict.NotRun,
+			"overload: long delay with jitter", verdict.NotRun,
 			[]verdict.Reason{verdict.Full, verdict.Warming, verdict.NoUpstream, verdict.UpstreamShed}, overload,
 		},
 		{
-			"a failure that did not run: soon", verdict.NotRun,
+			"other failure that did not run: short delay", verdict.NotRun,
 			[]verdict.Reason{verdict.Unreachable, verdict.ConnectionRefused, verdict.Misdirected, verdict.DeadlineLapsed, verdict.CallerLeft, verdict.UpstreamFailed, verdict.Stopping}, failure,
 		},
-		{"an upstream with free capacity: at once, and not together", verdict.NotRun, []verdict.Reason{verdict.UpstreamDeclined}, Pause{Least: 20 * time.Millisecond, Jitter: 60 * time.Millisecond}},
-		{"a host that starts", verdict.NotRun, []verdict.Reason{verdict.NotReady}, start},
+		{"refused by an upstream with free capacity: shortest delay with jitter", verdict.NotRun, []verdict.Reason{verdict.UpstreamDeclined}, Pause{Least: 20 * time.Millisecond, Jitter: 60 * time.Millisecond}},
+		{"starting host: short delay", verdict.NotRun, []verdict.Reason{verdict.NotReady}, start},
 		{
-			"what would be refused again: never", verdict.NotRun,
+			"would be refused again: no delay", verdict.NotRun,
 			[]verdict.Reason{verdict.UnknownRoute, verdict.HeaderTooLarge, verdict.BodyTooLarge, verdict.BodyStalled, verdict.BadRequest}, Pause{},
 		},
 		{
-			"what may have run: never", verdict.MayHaveRun,
+			"may have run: no delay", verdict.MayHaveRun,
 			[]verdict.Reason{verdict.UpstreamFailed, verdict.AnswerTruncated, verdict.DeadlineLapsed, verdict.CallerLeft, verdict.Interrupted}, Pause{},
 		},
 	} {
--- a/internal/gateway/retry/budget.go
+++ b/internal/gateway/retry/budget.go
@@ -1,12 +1,13 @@
-// Package retry decides whether a request is sent to a second upstream (rule.go),
-// when a client whose request was refused should return (after.go), and bounds
-// how often requests are sent again, so that failures do not multiply the load on
-// the upstreams that are left (budget.go).
+// Package retry decides whether a request is sent to a second upstream (rule.go) and when
+// the client of a refused request should return (after.go). It also limits how often
+// requests are sent again, so that failures do not multiply the load on the remaining
+// upstreams (budget.go).
 //
-// A Budget owns one host's counts of requests and retries. The limit holds for
-// all hosts together without any message between them: each host uses the
-// part that its own requests give it, and a part of the constant slack once it
-// knows who shares that and what was spent. It relies on its caller for that part.
+// A Budget holds the request and retry counts of one host. The limit applies to all hosts
+// together, but the hosts exchange no messages to enforce it. Each host uses the share
+// that follows from its own requests. In addition it uses a share of the constant slack,
+// once it knows which hosts share the slack and how much was spent. The code that calls
+// the Budget provides the share of the slack.
 package retry
 
 import (
@@ -16,63 +17,65 @@
 )
 
 const (
-	// buckets is how many parts a window is counted in: more make it slide
-	// more evenly and cost more to sum up.
+	// buckets is the number of buckets in a window. More buckets make the window slide
+	// more evenly, but cost more to sum up.
 	buckets = 10
-	// safetyMargin is the part of the limit that is used. The platform counts
-	// retries when they arrive and in windows that begin at any moment, which
-	// are not aligned with this host's buckets.
-	safetyMargin = 0.75
+	// usedFraction is the fraction of the limit that is used. The platform counts retries
+	// on arrival and in windows that begin at any time, which are not aligned with the
+	// buckets of this host.
+	usedFraction = 0.75
 )
 
-// Limits bound the retries of one service in any window, over all hosts
-// together: Ratio x requests + Slack.
+// Limits bound the retries of one service in any window, over all hosts together: Ratio *
+// requests + Slack.
 type Limits struct {
-	// Ratio is how many retries each request allows.
+	// Ratio is the number of retries that each request allows.
 	Ratio float64
 	// Window is the length of the sliding window.
 	Window time.Duration
-	// Slack is how many retries are allowed in a window besides.
+	// Slack is the number of additional retries in a window.
 	Slack float64
 }
 
-// allowed returns how many retries this host may send in a window in which it
-// had a number of requests, with a part of the slack.
+// allowed returns how many retries this host may send in a window with the given number
+// of requests and the host's share of the slack.
 func (l Limits) allowed(requests int, slack float64) float64 {
-	return safetyMargin * (l.Ratio*float64(requests) + slack)
+	return usedFraction * (l.Ratio*float64(requests) + slack)
 }
 
-// slackFor is what a host may use of the slack whose part of it is given, from 0 to
-// 1. It has none before its process has run for a window, as the one before it may
-// have spent the part. The part that requests give needs no knowledge.
-func (l Limits) slackFor(part float64, uptime time.Duration) float64 {
+// hostSlack returns the slack that a host may use, in retries per window. share is the
+// host's share of the slack, from 0 to 1. The slack is zero until the process has run for
+// a window, because the previous process may have spent it. The retries that requests
+// allow need no such delay.
+func (l Limits) hostSlack(share float64, uptime time.Duration) float64 {
 	if uptime < l.Window {
 		return 0
 	}
-	return l.Slack * part
+	return l.Slack * share
 }
 
-// Budget counts one host's requests and retries of each service. It is safe
-// for concurrent use. It is not selector/steer's: this limit is the platform's
-// and shared by all hosts in a window of time; that one is the service's own
-// setting, which each host counts for itself without a clock.
+// Budget counts the requests and retries of one host for each service. It is safe for
+// concurrent use. It differs from the budget of selector/steer: this limit is set by the
+// platform and applies to all hosts in a time window. The other limit is a setting of the
+// service, which each host enforces for itself without a clock.
 type Budget struct {
 	limits Limits
-	// rounding is added to what is allowed before that is rounded down, from 0 to below 1.
-	// Where each of many hosts has few requests, each would be allowed less than one retry,
-	// and all of them together none. Drawn at random by each process, the allowances of all
-	// hosts add up to the limit's on average, and safetyMargin leaves room for the draw.
+	// rounding is added to the allowed retries before they are rounded down, from 0 to
+	// below 1. When many hosts have few requests each, every host would be allowed less
+	// than one retry, and all hosts together none. Each process draws its rounding at
+	// random, so that the retries allowed to all hosts add up to the limit on average.
+	// usedFraction leaves a margin for the variation.
 	rounding float64
-	// started is when the process started, and the first bucket. Buckets are
-	// numbered by the monotonic time since then, as the time of day may jump.
+	// started is when the process started, and the start of the first bucket. Buckets are
+	// numbered by the monotonic time since then, because the wall clock may jump.
 	started time.Time
 
 	mu       sync.Mutex
 	services map[string]*window
 }
 
-// NewBudget makes a budget that has seen no requests, for a process that started at
-// a time. rounding is drawn at random by each process, from 0 to below 1.
+// NewBudget returns a budget without requests for a process that started at the given
+// time. Each process draws rounding at random, from 0 to below 1.
 func NewBudget(l Limits, started time.Time, rounding float64) *Budget {
 	return &Budget{limits: l, started: started, rounding: rounding, services: map[string]*window{}}
 }
@@ -84,61 +87,62 @@
 	b.window(service, now).current().requests++
 }
 
-// TryRetry counts a retry and returns true, unless this host has used up its
-// part of the service's limit. slackPart is its part of the slack, from 0 to 1. The
-// parts of all hosts must not add up to more than 1, whomever they see alive.
-func (b *Budget) TryRetry(service string, slackPart float64, now time.Time) bool {
+// TryRetry counts a retry and returns true, unless this host has used up its share of the
+// service's limit. slackShare is its share of the slack, from 0 to 1. The shares of all
+// hosts must not add up to more than 1, even if the hosts have different views of which
+// hosts are alive.
+func (b *Budget) TryRetry(service string, slackShare float64, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.usage(service, slackPart, now).leavesOne() {
+	if !b.usage(service, slackShare, now).allowsRetry() {
 		return false
 	}
 	b.window(service, now).current().retries++
 	return true
 }
 
-// Usage is what a host has used of its part of a service's limit, in the window that ends
-// now.
+// Usage is how much of its share of a service's limit a host has used, in the window that
+// ends now.
 type Usage struct {
-	// Requests and Retries are the host's own.
+	// Requests and Retries are the counts of this host.
 	Requests, Retries int
-	// Slack is the host's part of Limits.Slack, and Allowed how many retries Requests and
-	// Slack allow it, with its rounding.
+	// Slack is the host's share of Limits.Slack, in retries. Allowed is the number of
+	// retries that Requests and Slack allow the host, including its rounding.
 	Slack, Allowed float64
 }
 
-// leavesOne reports whether one more retry is allowed.
-func (u Usage) leavesOne() bool { return float64(u.Retries+1) <= u.Allowed }
+// allowsRetry reports whether one more retry is allowed.
+func (u Usage) allowsRetry() bool { return float64(u.Retries+1) <= u.Allowed }
 
-// String says how much is used of how much, and where that comes from.
+// String describes the usage and how the allowed number is made up.
 func (u Usage) String() string {
 	return fmt.Sprintf("%d of %.2f retries used, for %d requests and a slack of %.2f", u.Retries, u.Allowed, u.Requests, u.Slack)
 }
 
-// Usage returns what this host has used of its part of a service's limit. slackPart is
-// that of TryRetry.
-func (b *Budget) Usage(service string, slackPart float64, now time.Time) Usage {
+// Usage returns how much of its share of a service's limit this host has used. slackShare
+// is the same as for TryRetry.
+func (b *Budget) Usage(service string, slackShare float64, now time.Time) Usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.usage(service, slackPart, now)
+	return b.usage(service, slackShare, now)
 }
 
-// usage is Usage; b.mu is held.
-func (b *Budget) usage(service string, slackPart float64, now time.Time) Usage {
+// usage implements Usage; b.mu must be held.
+func (b *Budget) usage(service string, slackShare float64, now time.Time) Usage {
 	total := b.window(service, now).total()
-	slack := b.limits.slackFor(slackPart, now.Sub(b.started))
+	slack := b.limits.hostSlack(slackShare, now.Sub(b.started))
 	return Usage{Requests: total.requests, Retries: total.retries, Slack: slack, Allowed: b.rounding + b.limits.allowed(total.requests, slack)}
 }
 
-// Return gives a retry back that was taken at the same moment and not sent.
+// Return undoes a retry that was taken at the same moment and not sent.
 func (b *Budget) Return(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c := b.window(service, now).current()
-	c.retries = max(0, c.retries-1)
+	current := b.window(service, now).current()
+	current.retries = max(0, current.retries-1)
 }
 
-// window returns a service's window, advanced to now.
+// window returns the window of a service, advanced to now.
 func (b *Budget) window(service string, now time.Time) *window {
 	w := b.services[service]
 	if w == nil {
@@ -149,14 +153,13 @@
 	return w
 }
 
-// counts are the requests and retries of a span of time.
+// counts are the requests and retries in a bucket or window.
 type counts struct {
 	requests int
 	retries  int
 }
 
-// window is a ring of the last buckets; newest is the number of the current
-// one.
+// window is a ring of the latest buckets. newest is the number of the current bucket.
 type window struct {
 	newest int64
 	ring   [buckets]counts
@@ -164,7 +167,7 @@
 
 func (w *window) current() *counts { return &w.ring[w.newest%buckets] }
 
-// advance moves the window to a bucket and clears those that it passes.
+// advance moves the window to a bucket and clears the buckets that it passes.
 func (w *window) advance(bucket int64) {
 	if bucket-w.newest > buckets {
 		w.newest = bucket - buckets
--- a/internal/gateway/retry/budget_test.go
+++ b/internal/gateway/retry/budget_test.go
@@ -14,13 +14,13 @@
 
 var limits = retry.Limits{Ratio: 0.2, Window: 10 * time.Second, Slack: 58}
 
-// mostRounding is the most that a process can draw.
-var mostRounding = math.Nextafter(1, 0)
+// maxRounding is the largest rounding that a process can draw.
+var maxRounding = math.Nextafter(1, 0)
 
-// All hosts together stay within the limit in every window, however many
-// retries they are asked for.
+// All hosts together stay within the limit in every window, however many retries they
+// request.
 func TestRetriesOfAllHostsStayWithinTheLimitInEveryWindow(t *testing.T) {
-	for _, rounding := range []float64{0, mostRounding} {
+	for _, rounding := range []float64{0, maxRounding} {
 		t.Run(fmt.Sprint(rounding), func(t *testing.T) { testRetriesOfAllHosts(t, rounding) })
 	}
 }
@@ -58,12 +58,12 @@
 	require.NotEmpty(t, taken)
 }
 
-// Found beside the flooding of cold upstreams after a restart of all hosts: the part
-// of the slack is kept by the same two beliefs, of which a process that has just
-// started has neither. Nine hosts with a request a second each sent more retries
-// within a window than the limit, by spending their parts of the slack again.
+// After a restart of all hosts, a new process does not know which hosts share the slack,
+// nor how much of its share the previous process spent. Nine hosts with one request per
+// second each sent more retries within a window than the limit, because the new processes
+// spent their shares of the slack again.
 func TestRetriesStayWithinTheLimitOverARestartOfAllHosts(t *testing.T) {
-	for _, rounding := range []float64{0, mostRounding} {
+	for _, rounding := range []float64{0, maxRounding} {
 		t.Run(fmt.Sprint(rounding), func(t *testing.T) { testRetriesOverARestart(t, rounding) })
 	}
 }
@@ -87,7 +87,7 @@
 		}
 	}
 	allowed := limits.Ratio*hosts*limits.Window.Seconds() + limits.Slack
-	most := 0
+	maxRetries := 0
 	for _, first := range taken {
 		n := 0
 		for _, at := range taken {
@@ -95,13 +95,13 @@
 				n++
 			}
 		}
-		most = max(most, n)
+		maxRetries = max(maxRetries, n)
 	}
-	require.LessOrEqual(t, float64(most), allowed)
-	require.Greater(t, float64(most), allowed/2)
+	require.LessOrEqual(t, float64(maxRetries), allowed)
+	require.Greater(t, float64(maxRetries), allowed/2)
 }
 
-func TestBudgetRecoversWithTheWindowAndForEachServiceAlone(t *testing.T) {
+func TestBudgetRecoversWithTheWindowForEachService(t *testing.T) {
 	now := time.Now()
 	b := retry.NewBudget(limits, now.Add(-limits.Window), 0)
 	for b.TryRetry("a", 1.0/9, now) {
@@ -112,19 +112,19 @@
 	require.True(t, b.TryRetry("a", 1.0/9, now.Add(time.Hour)), "after many windows without requests")
 }
 
-func TestHostUsesItsPartOfTheLimit(t *testing.T) {
+func TestHostUsesItsShareOfTheLimit(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		requests int
-		part     float64
+		share    float64
 		retries  int
 	}{
-		{"no requests: an even part of the slack", 0, 1.0 / 9, 4}, // 0.75 x 58/9 = 4.8
-		{"alone: the whole slack", 0, 1, 43},                      // 0.75 x 58 = 43.5
-		{"the hosts are not known: none of the slack", 0, 0, 0},
-		{"nor then, but what requests give", 100, 0, 15},              // 0.75 x 20
-		{"each request adds the ratio", 100, 1.0 / 9, 19},             // 0.75 x (20 + 58/9) = 19.8
-		{"many hosts: a part of the slack below one", 0, 1.0 / 80, 0}, // 0.75 x 58/80 = 0.5
+		{"no requests: an equal share of the slack", 0, 1.0 / 9, 4}, // 0.75 x 58/9 = 4.8
+		{"only host: the whole slack", 0, 1, 43},                    // 0.75 x 58 = 43.5
+		{"hosts unknown: no slack", 0, 0, 0},
+		{"hosts unknown: only the retries that requests allow", 100, 0, 15},  // 0.75 x 20
+		{"each request adds the ratio", 100, 1.0 / 9, 19},                    // 0.75 x (20 + 58/9) = 19.8
+		{"many hosts: a share of the slack below one retry", 0, 1.0 / 80, 0}, // 0.75 x 58/80 = 0.5
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Now()
@@ -133,7 +133,7 @@
 				b.RecordRequest("s", now)
 			}
 			retries := 0
-			for b.TryRetry("s", c.part, now) {
+			for b.TryRetry("s", c.share, now) {
 				retries++
 			}
 			require.Equal(t, c.retries, retries)
@@ -141,9 +141,9 @@
 	}
 }
 
-// What the process before this one spent is out of the window once this one has run
-// for as long.
-func TestAStartingHostHasNoPartOfTheSlackForAWindow(t *testing.T) {
+// A new process gets its share of the slack only after a full window. By then the retries
+// of the previous process are outside the window.
+func TestStartingHostHasNoSlackForAWindow(t *testing.T) {
 	now := time.Now()
 	b := retry.NewBudget(limits, now, 0)
 	require.False(t, b.TryRetry("s", 1.0/9, now))
@@ -151,7 +151,7 @@
 	require.True(t, b.TryRetry("s", 1.0/9, now.Add(limits.Window)))
 }
 
-func TestARetryThatWasNotSentGoesBack(t *testing.T) {
+func TestReturnUndoesARetry(t *testing.T) {
 	now := time.Now()
 	b := retry.NewBudget(retry.Limits{Window: 10 * time.Second, Slack: 2}, now.Add(-10*time.Second), 0)
 	require.True(t, b.TryRetry("a", 1.0, now))
@@ -161,9 +161,10 @@
 	require.False(t, b.TryRetry("a", 1.0, now))
 }
 
-// retriesOf gives how many retries hosts take in a window, in which each wants one for each
-// of its requests. Their requests differ: some have many, most have few.
-func retriesOf(hosts, requests int, random *rand.Rand) (sent, retries int) {
+// retriesInWindow returns how many requests and retries the hosts send in a window in
+// which each host attempts a retry for each of its requests. The number of requests
+// differs between hosts: some have many, most have few.
+func retriesInWindow(hosts, requests int, random *rand.Rand) (sent, retries int) {
 	now := time.Now()
 	for range hosts {
 		b := retry.NewBudget(limits, now.Add(-limits.Window), random.Float64())
@@ -181,35 +182,36 @@
 	return sent, retries
 }
 
-// Each of many hosts had few requests, and so none was allowed a retry, though all of them
+// When many hosts had few requests each, no host was allowed a retry, although all hosts
 // together were allowed hundreds.
 func TestHostsWithFewRequestsEachUseTheLimitTogether(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, c := range []struct {
 		hosts, requests int
-		// least is the part of the limit that must be used.
-		least float64
+		// minFraction is the fraction of the limit that must be used.
+		minFraction float64
 	}{
 		{9, 80, 0.5},
 		{67, 200, 0.5},
 		{295, 1000, 0.5},
 		{5900, 6000, 0.5},
-		{5900, 80, 0}, // more is not asked for
+		{5900, 80, 0}, // the hosts request no more retries
 	} {
 		t.Run(fmt.Sprint(c.hosts, " hosts, ", c.requests, " requests"), func(t *testing.T) {
 			for range 20 {
-				sent, retries := retriesOf(c.hosts, c.requests, random)
+				sent, retries := retriesInWindow(c.hosts, c.requests, random)
 				limit := limits.Ratio*float64(sent) + limits.Slack
 				require.LessOrEqual(t, float64(retries), limit)
-				require.GreaterOrEqual(t, float64(retries), c.least*limit)
+				require.GreaterOrEqual(t, float64(retries), c.minFraction*limit)
 			}
 		})
 	}
 }
 
-// Requests that came first to a host that had just started were not sent again when their
-// upstream ended: a part of so few is less than one retry.
-func TestTheFirstRequestsOfAHostMayBeSentAgain(t *testing.T) {
+// The first requests to a host that had just started were not sent again when their
+// upstream terminated, because the share that so few requests allow is less than one
+// retry.
+func TestFirstRequestsOfAHostMayBeRetried(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	const hosts, requests = 1000, 6
 	now, retries := time.Now(), 0
--- a/internal/gateway/retry/rule.go
+++ b/internal/gateway/retry/rule.go
@@ -2,81 +2,89 @@
 
 import "time"
 
-// A request is sent to another upstream in two cases: its attempt failed
-// (MayRetry), or its response is overdue (MayHedge). Either way the Budget of its
-// service must grant it, unless it takes the place of an attempt that was not sent, and
-// what may have run is only sent again when it may run more than once.
+// A request is sent to another upstream in two cases: its attempt failed (MayRetry), or
+// its response is overdue (MayHedge). In both cases the Budget of its service must grant
+// a retry, unless the new attempt replaces one that was not sent. A request that may have
+// run is only sent again if it may run more than once.
 
-// State is what both rules look at.
+// State is the state of a request that the rules depend on.
 type State struct {
-	// Attempts is how many attempts were made, and MaxAttempts the route's bound on them.
+	// Attempts is the number of attempts so far, and MaxAttempts the limit of the route.
 	Attempts, MaxAttempts int
-	// Refused and Unanswered are how many of Attempts got no connection: the upstream's
-	// machine refused it, or did not answer in time.
+	// Refused and Unanswered are the numbers of Attempts without a connection: the
+	// machine of the upstream refused it, or did not answer in time.
 	Refused, Unanswered int
 	// Repeatable is set when the request may run more than once.
 	Repeatable bool
-	// MayHaveRun is set when an attempt that failed may have run.
+	// MayHaveRun is set when a failed attempt may have run the request.
 	MayHaveRun bool
-	// Suspected is set when upstreams ended that ran the same request, and none has
-	// responded to it since. Quarantined is set when it is sent to none any more.
+	// Suspected is set when upstreams terminated while they ran the same request, and
+	// none has responded to it since. Quarantined is set when the request is no longer
+	// sent to any upstream.
 	Suspected, Quarantined bool
 }
 
-// maxRefused is how many refused connections leave a request its attempts. Each takes a
-// round trip, and several upstreams may have ended side by side.
-const maxRefused = 4
+// maxUncountedRefusals is the number of refused connections that do not count as
+// attempts. Each takes only a round trip, and several upstreams may have terminated at
+// the same time.
+const maxUncountedRefusals = 4
 
-// attempted is how many attempts count against the route's bound. Of a refused connection
-// no upstream has got anything, so that only those above maxRefused count.
-func (s State) attempted() int { return s.Attempts - min(s.Refused, maxRefused) }
+// countedAttempts is the number of attempts that count towards the limit of the route. No
+// upstream received anything over a refused connection, so only those above
+// maxUncountedRefusals count.
+func (s State) countedAttempts() int { return s.Attempts - min(s.Refused, maxUncountedRefusals) }
 
-// sent is how many attempts did not fail for want of a connection.
-func (s State) sent() int { return s.Attempts - s.Refused - s.Unanswered }
+// sentAttempts is the number of attempts that got a connection.
+func (s State) sentAttempts() int { return s.Attempts - s.Refused - s.Unanswered }
 
-// IsRepeat reports whether the next attempt repeats one that was sent, which needs the
-// budget.
-func (s State) IsRepeat() bool { return s.sent() > 0 }
+// IsRepeat reports whether the next attempt repeats one that was sent. Such an attempt
+// needs a retry from the budget.
+func (s State) IsRepeat() bool { return s.sentAttempts() > 0 }
 
-// bound is the route's bound on attempts. A route without one has one attempt.
-func (s State) bound() int { return max(1, s.MaxAttempts) }
+// attemptLimit is the limit of the route on attempts. A route without a limit has one
+// attempt.
+func (s State) attemptLimit() int { return max(1, s.MaxAttempts) }
 
-// roomyLoad is the load, in its capacities, below which an upstream takes a request whose
-// refused connections are above its route's attempts. Such an upstream mostly does not know
-// the request's object: where many have ended and the rest is busy, its work would cost
-// more requests than the one that is served.
-const roomyLoad = 0.5
+// maxExtraAttemptLoad is the load, as a fraction of an upstream's capacity, below which
+// the upstream accepts an attempt beyond the route's limit after refused connections.
+// Such an upstream usually does not have the object of the request. When many upstreams
+// have terminated and the others are busy, the additional work would cost more requests
+// than the one that is served.
+const maxExtraAttemptLoad = 0.5
 
-// MayGoTo is the rule for a request that MayRetry lets go to another upstream, by that
-// one's load.
-func (s State) MayGoTo(load float64) bool { return s.Attempts < s.bound() || load < roomyLoad }
+// MayGoTo reports whether a request that MayRetry allows may be sent to an upstream with
+// the given load.
+func (s State) MayGoTo(load float64) bool {
+	return s.Attempts < s.attemptLimit() || load < maxExtraAttemptLoad
+}
 
-// MayRetry is the rule for a request of which an attempt failed and none is left
-// that is on time. ended is set when there is nobody to serve: the deadline
-// passed, the host aborts or the client left. A connection that was not made in time is
-// an attempt: where a zone is dark, what its upstreams would serve comes late elsewhere
-// and adds to the load there.
-func (s State) MayRetry(ended bool) bool {
-	return !ended && s.attempted() < s.bound() && s.maySend()
+// MayRetry is the rule for a request with a failed attempt and no attempt left that is on
+// time. done is set when nobody waits for the response any more: the deadline has passed,
+// the host aborts or the client disconnected. An attempt whose connection could not be
+// made in time counts. When a whole zone is unreachable, requests for its upstreams reach
+// others late and add to the load there.
+func (s State) MayRetry(done bool) bool {
+	return !done && s.countedAttempts() < s.attemptLimit() && s.maySend()
 }
 
-// maySend reports whether the request may be sent after what its attempts did.
+// maySend reports whether the request may be sent again after its previous attempts.
 func (s State) maySend() bool { return !s.Quarantined && (s.Repeatable || !s.MayHaveRun) }
 
-// MayHedge is the rule for a request whose response is overdue: the response
-// may be lost, so a request that may run more than once is sent to another
-// upstream if timeLeft, the time until its deadline, is enough for a response
-// from there, which normally takes overdueAfter at most. A suspected request could end
-// two upstreams at a time.
-// An upstream that did not answer a dial leaves it the attempt: the one that is overdue
-// may never respond.
+// MayHedge is the rule for a request whose response is overdue. The response may be lost,
+// so a request that may run more than once is sent to another upstream if there is enough
+// time for a response from there. timeLeft is the time until the deadline, and
+// overdueAfter the longest time that a response normally takes. A suspected request is
+// not hedged, because it could terminate two upstreams at a time. An upstream that did
+// not answer a dial does not use up an attempt here, because the overdue response may
+// never come.
 func (s State) MayHedge(timeLeft, overdueAfter time.Duration) bool {
-	return s.Repeatable && !s.Suspected && s.sent() < s.bound() && timeLeft >= overdueAfter
+	return s.Repeatable && !s.Suspected && s.sentAttempts() < s.attemptLimit() && timeLeft >= overdueAfter
 }
 
-// MayRedial is the rule for a request that is left with the upstreams that did not answer
-// a dial: whether these can be reached is not known. It waits for them for half the time
-// for which it may be held, which leaves its client time to turn to another host.
-func (s State) MayRedial(held, mayHold time.Duration) bool {
-	return s.Unanswered > 0 && held < mayHold/2 && s.sent() < s.bound() && s.maySend()
+// MayRedial is the rule for a request for which only upstreams are left that did not
+// answer a dial. Whether they are reachable is unknown. The request waits for them for up
+// to half of its total time, so that its client has time left for another host. elapsed
+// is the time since the request arrived, and total the time that the request may take.
+func (s State) MayRedial(elapsed, total time.Duration) bool {
+	return s.Unanswered > 0 && elapsed < total/2 && s.sentAttempts() < s.attemptLimit() && s.maySend()
 }
