--- a/internal/gateway/proxy/response.go
+++ b/internal/gateway/proxy/response.go
@@ -71,13 +71,13 @@
 // delayed host may have only just received the response, and the client may still be
 // waiting.
 func (f *inflight) setWriteDeadline(w http.ResponseWriter) {
-	deadline := f.deadline()
-	if now := time.Now(); now.After(deadline) {
-		deadline = now
+	graceStart := f.deadline()
+	if now := time.Now(); now.After(graceStart) {
+		graceStart = now
 	}
 	// An error means that the connection is closed, which the write reports. The
 	// http.Server resets the write deadline after the response.
-	_ = http.NewResponseController(w).SetWriteDeadline(deadline.Add(writeGrace))
+	_ = http.NewResponseController(w).SetWriteDeadline(graceStart.Add(writeGrace))
 }
 
 // writeHeader writes the status and the end-to-end headers. A Connection header that the
--- a/internal/gateway/proxy/retry.go
+++ b/internal/gateway/proxy/retry.go
@@ -41,13 +41,13 @@
 
 // recordFailed records the consequences of a failed attempt: that the request may have
 // run, or that it was not sent.
-func (f *inflight) recordFailed(end attemptResult) {
-	e := verdict.From(end.err)
+func (f *inflight) recordFailed(result attemptResult) {
+	e := verdict.From(result.err)
 	if e.Verdict != verdict.NotRun {
 		f.mayHaveRun = e
 	}
 	if isUnsent(e.Reason) {
-		f.recordUnsent(e.Reason, end.attempt)
+		f.recordUnsent(e.Reason, result.attempt)
 	}
 }
 
--- a/internal/gateway/retry/budget.go
+++ b/internal/gateway/retry/budget.go
@@ -138,8 +138,8 @@
 func (b *Budget) Return(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	current := b.window(service, now).current()
-	current.retries = max(0, current.retries-1)
+	bucket := b.window(service, now).current()
+	bucket.retries = max(0, bucket.retries-1)
 }
 
 // window returns the window of a service, advanced to now.
