--- a/internal/gateway/proxy/account.go
+++ b/internal/gateway/proxy/account.go
@@ -60,14 +60,14 @@
 	if ok {
 		return nil
 	}
-	return verdict.New(verdict.NotRun, verdict.OverLimit, "this host holds %d of %d parts of %.1f requests a second, and got %.1f of %.1f that it asked others for",
+	return verdict.New(verdict.NotRun, verdict.OverLimit, "this host holds %d of %d shards of %.1f requests per second and received tokens for %.1f of %.1f requests from other hosts",
 		refusal.Shards, refusal.Of, refusal.Rate, refusal.Got, refusal.Asked).WithRetryAfter(refusal.RetryAfter)
 }
 
 // errUnknownKey returns the error for a request without a valid API key. It does not
 // contain the key, because errors are logged.
 func errUnknownKey() error {
-	return verdict.New(verdict.NotRun, verdict.UnknownKey, "the key is missing, repeated or of no client account")
+	return verdict.New(verdict.NotRun, verdict.UnknownKey, "the API key is missing, repeated or belongs to no client account")
 }
 
 // accountName returns the name of the request's account, or an empty string.
--- a/internal/gateway/proxy/classify.go
+++ b/internal/gateway/proxy/classify.go
@@ -24,13 +24,13 @@
 	case info.Misdirected:
 		return verdict.New(verdict.NotRun, verdict.Misdirected, "another upstream has the address")
 	case info.NotExecuted && hasFreeCapacity(info.Load, capacity):
-		return verdict.New(verdict.NotRun, verdict.UpstreamDeclined, "upstream refused with status %d, at %d of %d", status, info.Load.Running, capacity)
+		return verdict.New(verdict.NotRun, verdict.UpstreamDeclined, "upstream refused with status %d while running %d of at most %d requests", status, info.Load.Running, capacity)
 	case info.NotExecuted:
 		return verdict.New(verdict.NotRun, verdict.UpstreamShed, "upstream refused with status %d", status)
 	case status < http.StatusMultipleChoices && !info.Signed:
 		return verdict.New(verdict.MayHaveRun, verdict.UpstreamFailed, "success without proof of origin")
 	case promisesNotRun(status):
-		return verdict.New(verdict.MayHaveRun, verdict.UpstreamFailed, "status %d without proof that it did not run", status)
+		return verdict.New(verdict.MayHaveRun, verdict.UpstreamFailed, "status %d without proof that the request did not run", status)
 	default:
 		return nil
 	}
--- a/internal/gateway/proxy/refuse.go
+++ b/internal/gateway/proxy/refuse.go
@@ -46,13 +46,13 @@
 // upstream that the balancer would have preferred; it is only used in the error message.
 func notChosen(reason balance.Reason, service string, preferred balance.Choice) error {
 	if reason == balance.NoUpstream {
-		return verdict.New(verdict.NotRun, verdict.NoUpstream, "no upstream of %s is allowed to serve this", service)
+		return verdict.New(verdict.NotRun, verdict.NoUpstream, "no upstream of %s may serve the request", service)
 	}
 	if reason == balance.Withholding {
 		return withheld(service, preferred.Withheld)
 	}
 	if reason == balance.WarmUpLimited && preferred.WarmUp.Quota.Withheld == warmup.Stopping {
-		return verdict.New(verdict.NotRun, verdict.Stopping, "the host is stopping and has no part of the rate of %s", preferred.Upstream.ID)
+		return verdict.New(verdict.NotRun, verdict.Stopping, "the host is stopping and has no share of the rate of %s", preferred.Upstream.ID)
 	}
 	verdictReason := verdict.Full
 	if reason == balance.WarmUpLimited {
@@ -78,11 +78,11 @@
 	case w.Count == 0:
 		return ""
 	case w.Last.Leaving:
-		return w.Last.Upstream + " leaves"
+		return w.Last.Upstream + " is leaving"
 	case w.Last.Resting:
-		return fmt.Sprintf("%s wants none of this host for %d ms", w.Last.Upstream, w.Last.For.Milliseconds())
+		return fmt.Sprintf("%s accepts no requests from this host for %d ms", w.Last.Upstream, w.Last.For.Milliseconds())
 	}
-	return fmt.Sprintf("%s takes %g a second of all hosts, %d of %d tokens are this host's", w.Last.Upstream, w.Last.PerSecond, w.Last.Share, w.Last.Tokens)
+	return fmt.Sprintf("%s accepts %g requests per second from all hosts, this host has %d of %d tokens", w.Last.Upstream, w.Last.PerSecond, w.Last.Share, w.Last.Tokens)
 }
 
 // quotaDetail describes how much of the host's warm-up quota at a cold upstream is used.
@@ -91,9 +91,9 @@
 		return ""
 	}
 	q := c.WarmUp.Quota
-	text := fmt.Sprintf(", %d of %d sent in the last second, %d hosts share", c.WarmUp.Sent+c.WarmUp.SentWarm, q.Requests, q.Hosts)
+	text := fmt.Sprintf(", %d of %d requests sent in the last second, shared by %d hosts", c.WarmUp.Sent+c.WarmUp.SentWarm, q.Requests, q.Hosts)
 	if q.Withheld != warmup.NotWithheld {
-		text += ", none yet: " + string(q.Withheld)
+		text += ", no quota: " + string(q.Withheld)
 	}
 	return text
 }
--- a/internal/gateway/proxy/request.go
+++ b/internal/gateway/proxy/request.go
@@ -35,7 +35,7 @@
 	}
 	limits := f.config.Limits
 	if limits.HeaderBytes > 0 && headerSize(r) > limits.HeaderBytes {
-		return verdict.New(verdict.NotRun, verdict.HeaderTooLarge, "header is above %d bytes", limits.HeaderBytes)
+		return verdict.New(verdict.NotRun, verdict.HeaderTooLarge, "header exceeds %d bytes", limits.HeaderBytes)
 	}
 	if err := f.takeToken(); err != nil {
 		return err
@@ -55,7 +55,7 @@
 // services, the request ID selects the service.
 func (f *inflight) matchRoute(r *http.Request) error {
 	if !f.proxy.canServe() {
-		return verdict.New(verdict.NotRun, verdict.NotReady, "the configuration, the upstreams or the quarantines are not known yet")
+		return verdict.New(verdict.NotRun, verdict.NotReady, "the configuration, the upstreams or the quarantined requests are not available yet")
 	}
 	f.config = f.proxy.State.Config()
 	route, ok := f.config.Match(hostname(r.Host), r.URL.Path)
@@ -113,7 +113,7 @@
 	}
 	if int64(len(body)) > limit {
 		closeAfterResponse(w)
-		return nil, verdict.New(verdict.NotRun, verdict.BodyTooLarge, "body is above %d bytes", limit)
+		return nil, verdict.New(verdict.NotRun, verdict.BodyTooLarge, "body exceeds %d bytes", limit)
 	}
 	// An error means that the connection is closed. Then there is no next request that
 	// the old deadline could interrupt.
--- a/internal/gateway/proxy/suspicion.go
+++ b/internal/gateway/proxy/suspicion.go
@@ -42,7 +42,7 @@
 // errQuarantined returns the error of a quarantined request, which is sent to no
 // upstream.
 func errQuarantined() error {
-	return verdict.New(verdict.NotRun, verdict.Quarantined, "upstreams ended when they ran this request")
+	return verdict.New(verdict.NotRun, verdict.Quarantined, "upstreams terminated while they ran this request")
 }
 
 // checkTermination checks whether an upstream has terminated, after its connection ended
