--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -186,7 +186,7 @@
 		Client:           exchange.NewClient(g.dial, protocol{}),
 		Quota:            quota.NewLimiter(quota.Options{Zone: "z", Region: "r", Bound: quota.Bound{Window: time.Second}, Hosts: aloneHost{}, Metrics: m}),
 		KnowsQuarantines: func() bool { return !g.quarantinesUnknown.Load() },
-		Codec:            codec{}, SlackPart: func() float64 { return 1 }, ConfigAge: age, UpstreamsAge: age, Log: log, Metrics: m,
+		Codec:            codec{}, SlackShare: func() float64 { return 1 }, ConfigAge: age, UpstreamsAge: age, Log: log, Metrics: m,
 		Tracer: telemetry.Tracer(traces),
 	})
 	g.server = httptest.NewServer(g.proxy)
--- a/internal/gateway/proxy/proxy.go
+++ b/internal/gateway/proxy/proxy.go
@@ -75,9 +75,9 @@
 	// KnowsQuarantines reports whether the host has received the list of quarantined
 	// requests. The host serves no request before.
 	KnowsQuarantines func() bool
-	// SlackPart returns this host's share of the retry budget's slack, from 0 to 1. It is
+	// SlackShare returns this host's share of the retry budget's slack, from 0 to 1. It is
 	// zero while the host does not know which hosts share the slack.
-	SlackPart func() float64
+	SlackShare func() float64
 	// Quota enforces the limits of client accounts.
 	Quota *quota.Limiter
 	// MaxKeyAge is the maximum age of the operator configuration for which API keys are
--- a/internal/gateway/proxy/retry.go
+++ b/internal/gateway/proxy/retry.go
@@ -71,7 +71,7 @@
 // takeRetry takes a retry from the budget of the service. A denied retry is counted in a
 // metric and recorded for the final log line of the request.
 func (f *inflight) takeRetry(now time.Time) bool {
-	share := f.proxy.SlackPart()
+	share := f.proxy.SlackShare()
 	if f.proxy.Budget.TryRetry(f.service, share, now) {
 		return true
 	}
