--- a/internal/gateway/proxy/hedge.go
+++ b/internal/gateway/proxy/hedge.go
@@ -50,7 +50,7 @@
 // start begins an attempt at an upstream that choose returned.
 func (s *attempts) start(c balance.Choice) {
 	f := s.inflight
-	usesBudget := f.retryState().IsRepeat()
+	usesBudget := f.retryState().NeedsBudget()
 	f.tried = append(f.tried, c.Upstream.ID)
 	f.startedAttempts++
 	f.countedAttempts++
--- a/internal/gateway/proxy/unsent.go
+++ b/internal/gateway/proxy/unsent.go
@@ -105,7 +105,7 @@
 // chooseNext chooses the upstream for another attempt. If the attempt repeats one that
 // was sent, it needs a retry from the budget.
 func (f *inflight) chooseNext() (balance.Choice, error) {
-	if f.retryState().IsRepeat() {
+	if f.retryState().NeedsBudget() {
 		return f.chooseRetry(time.Now())
 	}
 	return f.choose()
@@ -114,7 +114,7 @@
 // returnChoice returns a choice for which no attempt is made.
 func (f *inflight) returnChoice(c balance.Choice) {
 	f.proxy.Balancer.Done(c)
-	if f.retryState().IsRepeat() {
+	if f.retryState().NeedsBudget() {
 		f.proxy.Budget.Return(f.service, time.Now())
 	}
 }
--- a/internal/gateway/retry/rule.go
+++ b/internal/gateway/retry/rule.go
@@ -37,9 +37,9 @@
 // sentAttempts is the number of attempts that got a connection.
 func (s State) sentAttempts() int { return s.Attempts - s.Refused - s.Unanswered }
 
-// IsRepeat reports whether the next attempt repeats one that was sent. Such an attempt
+// NeedsBudget reports whether the next attempt repeats one that was sent. Such an attempt
 // needs a retry from the budget.
-func (s State) IsRepeat() bool { return s.sentAttempts() > 0 }
+func (s State) NeedsBudget() bool { return s.sentAttempts() > 0 }
 
 // attemptLimit is the limit of the route on attempts. A route without a limit has one
 // attempt.
