--- a/internal/gateway/loadmodel/pass.go
+++ b/internal/gateway/loadmodel/pass.go
@@ -91,7 +91,7 @@
 	if why != balance.Chosen {
 		return c, false
 	}
-	if !p.state().MayGoTo(c.Load) {
+	if !p.state().MayUseUpstream(c.Load) {
 		p.host.balancer.Done(c)
 		return c, false
 	}
--- a/internal/gateway/proxy/hedge.go
+++ b/internal/gateway/proxy/hedge.go
@@ -138,7 +138,7 @@
 	switch {
 	case eris.Is(err, errNoBudget):
 		return c, failed.err
-	case err == nil && !state.MayGoTo(c.Load):
+	case err == nil && !state.MayUseUpstream(c.Load):
 		f.returnChoice(c)
 		return balance.Choice{}, failed.err
 	}
--- a/internal/gateway/retry/rule.go
+++ b/internal/gateway/retry/rule.go
@@ -52,9 +52,9 @@
 // than the one that is served.
 const maxExtraAttemptLoad = 0.5
 
-// MayGoTo reports whether a request that MayRetry allows may be sent to an upstream with
+// MayUseUpstream reports whether a request that MayRetry allows may be sent to an upstream with
 // the given load.
-func (s State) MayGoTo(load float64) bool {
+func (s State) MayUseUpstream(load float64) bool {
 	return s.Attempts < s.attemptLimit() || load < maxExtraAttemptLoad
 }
 
--- a/internal/gateway/retry/rule_test.go
+++ b/internal/gateway/retry/rule_test.go
@@ -41,9 +41,9 @@
 func TestExtraAttemptsNeedAnUpstreamWithFreeCapacity(t *testing.T) {
 	within := State{Attempts: 1, MaxAttempts: 2, Refused: 1}
 	above := with(within, func(s *State) { s.Attempts, s.Refused = 2, 2 })
-	require.True(t, within.MayGoTo(5))
-	require.True(t, above.MayGoTo(maxExtraAttemptLoad/2))
-	require.False(t, above.MayGoTo(maxExtraAttemptLoad))
+	require.True(t, within.MayUseUpstream(5))
+	require.True(t, above.MayUseUpstream(maxExtraAttemptLoad/2))
+	require.False(t, above.MayUseUpstream(maxExtraAttemptLoad))
 }
 
 func TestMayRedial(t *testing.T) {
