--- a/internal/gateway/loadmodel/host.go
+++ b/internal/gateway/loadmodel/host.go
@@ -76,9 +76,9 @@
 func (h *host) pause(reason verdict.Reason) time.Duration {
 	pause := retry.After(verdict.NotRun, reason)
 	if h.variant.PauseLeast > 0 {
-		pause = retry.Pause{Least: time.Duration(h.variant.PauseLeast), Jitter: time.Duration(h.variant.PauseJitter)}
+		pause = retry.Pause{Min: time.Duration(h.variant.PauseLeast), Jitter: time.Duration(h.variant.PauseJitter)}
 	}
-	return pause.Least + time.Duration(h.model.random.Float64()*float64(pause.Jitter))
+	return pause.Min + time.Duration(h.model.random.Float64()*float64(pause.Jitter))
 }
 
 // reasonOf is the reason of a call that no upstream was chosen for.
--- a/internal/gateway/retry/after.go
+++ b/internal/gateway/retry/after.go
@@ -37,9 +37,9 @@
 	startDelay = 200 * time.Millisecond
 )
 
-// Pause is a range of delays: Least, and up to Jitter more at random.
+// Pause is a range of delays: Min, and up to Jitter more at random.
 type Pause struct {
-	Least  time.Duration
+	Min  time.Duration
 	Jitter time.Duration
 }
 
@@ -57,26 +57,26 @@
 	case verdict.UnknownRoute, verdict.UnknownKey, verdict.HeaderTooLarge, verdict.BodyTooLarge, verdict.BodyStalled, verdict.BadRequest:
 		return Pause{}
 	case verdict.Full, verdict.Warming, verdict.Withheld, verdict.NoUpstream, verdict.UpstreamShed:
-		return Pause{Least: minOverloadDelay, Jitter: maxOverloadJitter}
+		return Pause{Min: minOverloadDelay, Jitter: maxOverloadJitter}
 	case verdict.UpstreamDeclined:
-		return Pause{Least: minDeclinedDelay, Jitter: maxDeclinedJitter}
+		return Pause{Min: minDeclinedDelay, Jitter: maxDeclinedJitter}
 	case verdict.Quarantined:
-		return Pause{Least: quarantineDelay}
+		return Pause{Min: quarantineDelay}
 	case verdict.NotReady:
-		return Pause{Least: startDelay}
+		return Pause{Min: startDelay}
 	default:
-		return Pause{Least: failureDelay}
+		return Pause{Min: failureDelay}
 	}
 }
 
 // AfterWithheld returns the Retry-After delay when all upstreams accept no requests for
 // the time d. The jitter prevents clients from returning together.
-func AfterWithheld(d time.Duration) Pause { return Pause{Least: d, Jitter: maxOverloadJitter} }
+func AfterWithheld(d time.Duration) Pause { return Pause{Min: d, Jitter: maxOverloadJitter} }
 
 // Draw returns a random delay of the range.
 func (p Pause) Draw() time.Duration {
 	if p.Jitter == 0 {
-		return p.Least
+		return p.Min
 	}
-	return p.Least + rand.N(p.Jitter)
+	return p.Min + rand.N(p.Jitter)
 }
--- a/internal/gateway/retry/after_test.go
+++ b/internal/gateway/retry/after_test.go
@@ -10,9 +10,9 @@
 )
 
 func TestAfter(t *testing.T) {
-	overload := Pause{Least: 350 * time.Millisecond, Jitter: 400 * time.Millisecond}
-	failure := Pause{Least: 150 * time.Millisecond}
-	start := Pause{Least: 200 * time.Millisecond}
+	overload := Pause{Min: 350 * time.Millisecond, Jitter: 400 * time.Millisecond}
+	failure := Pause{Min: 150 * time.Millisecond}
+	start := Pause{Min: 200 * time.Millisecond}
 	for _, c := range []struct {
 		rule    string
 		verdict verdict.Verdict
@@ -27,7 +27,7 @@
 			"other failure that did not run: short delay", verdict.NotRun,
 			[]verdict.Reason{verdict.Unreachable, verdict.ConnectionRefused, verdict.Misdirected, verdict.DeadlineLapsed, verdict.CallerLeft, verdict.UpstreamFailed, verdict.Stopping}, failure,
 		},
-		{"refused by an upstream with free capacity: shortest delay with jitter", verdict.NotRun, []verdict.Reason{verdict.UpstreamDeclined}, Pause{Least: 20 * time.Millisecond, Jitter: 60 * time.Millisecond}},
+		{"refused by an upstream with free capacity: shortest delay with jitter", verdict.NotRun, []verdict.Reason{verdict.UpstreamDeclined}, Pause{Min: 20 * time.Millisecond, Jitter: 60 * time.Millisecond}},
 		{"starting host: short delay", verdict.NotRun, []verdict.Reason{verdict.NotReady}, start},
 		{
 			"would be refused again: no delay", verdict.NotRun,
@@ -42,8 +42,8 @@
 			t.Run(c.rule+"/"+string(reason), func(t *testing.T) {
 				require.Equal(t, c.want, After(c.verdict, reason))
 				got := After(c.verdict, reason).Draw()
-				require.GreaterOrEqual(t, got, c.want.Least)
-				require.LessOrEqual(t, got, c.want.Least+c.want.Jitter)
+				require.GreaterOrEqual(t, got, c.want.Min)
+				require.LessOrEqual(t, got, c.want.Min+c.want.Jitter)
 			})
 		}
 	}
