--- a/internal/gateway/loadmodel/host.go
+++ b/internal/gateway/loadmodel/host.go
@@ -76,7 +76,7 @@
 func (h *host) pause(reason verdict.Reason) time.Duration {
 	pause := retry.After(verdict.NotRun, reason)
 	if h.variant.PauseLeast > 0 {
-		pause = retry.Pause{Min: time.Duration(h.variant.PauseLeast), Jitter: time.Duration(h.variant.PauseJitter)}
+		pause = retry.Delay{Min: time.Duration(h.variant.PauseLeast), Jitter: time.Duration(h.variant.PauseJitter)}
 	}
 	return pause.Min + time.Duration(h.model.random.Float64()*float64(pause.Jitter))
 }
--- a/internal/gateway/retry/after.go
+++ b/internal/gateway/retry/after.go
@@ -37,8 +37,8 @@
 	startDelay = 200 * time.Millisecond
 )
 
-// Pause is a range of delays: Min, and up to Jitter more at random.
-type Pause struct {
+// Delay is a range of delays: Min, and up to Jitter more at random.
+type Delay struct {
 	Min  time.Duration
 	Jitter time.Duration
 }
@@ -49,32 +49,32 @@
 // route or no account, or was not received completely, because it would be refused again
 // unchanged. The clients of the platform wait as requested, but no longer than a third of
 // their remaining time.
-func After(v verdict.Verdict, r verdict.Reason) Pause {
+func After(v verdict.Verdict, r verdict.Reason) Delay {
 	if v != verdict.NotRun {
-		return Pause{}
+		return Delay{}
 	}
 	switch r {
 	case verdict.UnknownRoute, verdict.UnknownKey, verdict.HeaderTooLarge, verdict.BodyTooLarge, verdict.BodyStalled, verdict.BadRequest:
-		return Pause{}
+		return Delay{}
 	case verdict.Full, verdict.Warming, verdict.Withheld, verdict.NoUpstream, verdict.UpstreamShed:
-		return Pause{Min: minOverloadDelay, Jitter: maxOverloadJitter}
+		return Delay{Min: minOverloadDelay, Jitter: maxOverloadJitter}
 	case verdict.UpstreamDeclined:
-		return Pause{Min: minDeclinedDelay, Jitter: maxDeclinedJitter}
+		return Delay{Min: minDeclinedDelay, Jitter: maxDeclinedJitter}
 	case verdict.Quarantined:
-		return Pause{Min: quarantineDelay}
+		return Delay{Min: quarantineDelay}
 	case verdict.NotReady:
-		return Pause{Min: startDelay}
+		return Delay{Min: startDelay}
 	default:
-		return Pause{Min: failureDelay}
+		return Delay{Min: failureDelay}
 	}
 }
 
 // AfterWithheld returns the Retry-After delay when all upstreams accept no requests for
 // the time d. The jitter prevents clients from returning together.
-func AfterWithheld(d time.Duration) Pause { return Pause{Min: d, Jitter: maxOverloadJitter} }
+func AfterWithheld(d time.Duration) Delay { return Delay{Min: d, Jitter: maxOverloadJitter} }
 
 // Draw returns a random delay of the range.
-func (p Pause) Draw() time.Duration {
+func (p Delay) Draw() time.Duration {
 	if p.Jitter == 0 {
 		return p.Min
 	}
--- a/internal/gateway/retry/after_test.go
+++ b/internal/gateway/retry/after_test.go
@@ -10,14 +10,14 @@
 )
 
 func TestAfter(t *testing.T) {
-	overload := Pause{Min: 350 * time.Millisecond, Jitter: 400 * time.Millisecond}
-	failure := Pause{Min: 150 * time.Millisecond}
-	start := Pause{Min: 200 * time.Millisecond}
+	overload := Delay{Min: 350 * time.Millisecond, Jitter: 400 * time.Millisecond}
+	failure := Delay{Min: 150 * time.Millisecond}
+	start := Delay{Min: 200 * time.Millisecond}
 	for _, c := range []struct {
 		rule    string
 		verdict verdict.Verdict
 		reasons []verdict.Reason
-		want    Pause
+		want    Delay
 	}{
 		{
 			"overload: long delay with jitter", verdict.NotRun,
@@ -27,15 +27,15 @@
 			"other failure that did not run: short delay", verdict.NotRun,
 			[]verdict.Reason{verdict.Unreachable, verdict.ConnectionRefused, verdict.Misdirected, verdict.DeadlineLapsed, verdict.CallerLeft, verdict.UpstreamFailed, verdict.Stopping}, failure,
 		},
-		{"refused by an upstream with free capacity: shortest delay with jitter", verdict.NotRun, []verdict.Reason{verdict.UpstreamDeclined}, Pause{Min: 20 * time.Millisecond, Jitter: 60 * time.Millisecond}},
+		{"refused by an upstream with free capacity: shortest delay with jitter", verdict.NotRun, []verdict.Reason{verdict.UpstreamDeclined}, Delay{Min: 20 * time.Millisecond, Jitter: 60 * time.Millisecond}},
 		{"starting host: short delay", verdict.NotRun, []verdict.Reason{verdict.NotReady}, start},
 		{
 			"would be refused again: no delay", verdict.NotRun,
-			[]verdict.Reason{verdict.UnknownRoute, verdict.HeaderTooLarge, verdict.BodyTooLarge, verdict.BodyStalled, verdict.BadRequest}, Pause{},
+			[]verdict.Reason{verdict.UnknownRoute, verdict.HeaderTooLarge, verdict.BodyTooLarge, verdict.BodyStalled, verdict.BadRequest}, Delay{},
 		},
 		{
 			"may have run: no delay", verdict.MayHaveRun,
-			[]verdict.Reason{verdict.UpstreamFailed, verdict.AnswerTruncated, verdict.DeadlineLapsed, verdict.CallerLeft, verdict.Interrupted}, Pause{},
+			[]verdict.Reason{verdict.UpstreamFailed, verdict.AnswerTruncated, verdict.DeadlineLapsed, verdict.CallerLeft, verdict.Interrupted}, Delay{},
 		},
 	} {
 		for _, reason := range c.reasons {
