--- a/internal/gateway/proxy/proxy.go
+++ b/internal/gateway/proxy/proxy.go
@@ -73,7 +73,7 @@
 	// Codec reads request headers and writes error responses.
 	Codec Codec
 	// KnowsQuarantines reports whether the host has received the list of quarantined
-	// requests. The host serves no request before.
+	// requests. Until then the host serves no requests.
 	KnowsQuarantines func() bool
 	// SlackShare returns this host's share of the retry budget's slack, from 0 to 1. It is
 	// zero while the host does not know which hosts share the slack.
--- a/internal/gateway/retry/after.go
+++ b/internal/gateway/retry/after.go
@@ -39,7 +39,7 @@
 
 // Delay is a range of delays: Min, and up to Jitter more at random.
 type Delay struct {
-	Min  time.Duration
+	Min    time.Duration
 	Jitter time.Duration
 }
 
@@ -74,9 +74,9 @@
 func AfterWithheld(d time.Duration) Delay { return Delay{Min: d, Jitter: maxOverloadJitter} }
 
 // Draw returns a random delay of the range.
-func (p Delay) Draw() time.Duration {
-	if p.Jitter == 0 {
-		return p.Min
+func (d Delay) Draw() time.Duration {
+	if d.Jitter == 0 {
+		return d.Min
 	}
-	return p.Min + rand.N(p.Jitter)
+	return d.Min + rand.N(d.Jitter)
 }
