--- a/internal/gateway/fleet/bench_test.go
+++ b/internal/gateway/fleet/bench_test.go
@@ -44,7 +44,7 @@
 	}{
 		{"own region", "region-0", now},
 		{"other region, alive", "region-3", now},
-		{"other region, dead", "region-3", now.Add(deadAfter)},
+		{"other region, dead", "region-3", now.Add(deadTimeout)},
 	} {
 		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
--- a/internal/gateway/fleet/capacity.go
+++ b/internal/gateway/fleet/capacity.go
@@ -16,9 +16,9 @@
 	bytesPerRequest = 16 << 10
 	// bytesPerMegabit converts a link's rate.
 	bytesPerMegabit = 1_000_000 / 8
-	// largeRatio is the part of the largest host's capacity from which on a host
+	// minLargeFraction is the part of the largest host's capacity from which on a host
 	// counts as large: hosts that differ by less than two times share alike.
-	largeRatio = 0.5
+	minLargeFraction = 0.5
 )
 
 // Resources are what a host may use. A zero is not known.
@@ -43,5 +43,5 @@
 // isLarge reports whether a host counts as large beside one of the highest capacity.
 // One whose capacity is not known does so only where none is.
 func isLarge(capacity, highest int) bool {
-	return float64(capacity) >= largeRatio*float64(highest)
+	return float64(capacity) >= minLargeFraction*float64(highest)
 }
--- a/internal/gateway/fleet/directory.go
+++ b/internal/gateway/fleet/directory.go
@@ -18,19 +18,19 @@
 func (m *members) clientAddresses(zone, region string, self Status, allowed []string, now time.Time) []string {
 	x := m.indexed()
 	if found := m.acceptingClients(x.byZone[zone], m.self.Zone == zone, self, now); len(found) > 0 {
-		return named(found)
+		return advertised(found)
 	}
 	if found := m.acceptingClients(x.byRegion[region], m.self.Region == region, self, now); len(found) > 0 {
-		return named(found)
+		return advertised(found)
 	}
 	var found []entryHost
 	for _, r := range allowed {
 		found = append(found, m.acceptingClients(x.byRegion[r], m.self.Region == r, self, now)...)
 	}
 	if len(found) > 0 {
-		return named(found)
+		return advertised(found)
 	}
-	return named(m.acceptingClients(x.names, true, self, now))
+	return advertised(m.acceptingClients(x.names, true, self, now))
 }
 
 // entryHost is a host that accepts clients.
@@ -57,23 +57,23 @@
 }
 
 const (
-	// minNamed is how many hosts clients are given at the least: with one, all
+	// minAdvertised is how many hosts clients are given at the least: with one, all
 	// clients of a zone would wait for its death to be noticed.
-	minNamed = 2
-	// maxUse is the part of their capacity that named hosts may be used to by the
+	minAdvertised = 2
+	// maxUsedFraction is the part of their capacity that named hosts may be used to by the
 	// requests of all hosts. Rates are known a second or two late, and clients keep
 	// a response for as long again, so that the load may double before the other
 	// hosts are named.
-	maxUse = 0.5
+	maxUsedFraction = 0.5
 )
 
 // named returns the addresses of the hosts that clients are given: the large ones
-// while these are minNamed or more, and carry what all hosts get; else all.
+// while these are minAdvertised or more, and carry what all hosts get; else all.
 //
 // Fewer hosts know more. Each host learns by its own requests which upstreams are
 // loaded, failing or connected, and its part of an upstream's warm-up rate is of use
 // only where requests come; the small hosts' links also delay large responses.
-func named(hosts []entryHost) []string {
+func advertised(hosts []entryHost) []string {
 	highest, rate := 0, 0
 	for _, h := range hosts {
 		highest = max(highest, h.capacity)
@@ -88,7 +88,7 @@
 			capacity += h.capacity
 		}
 	}
-	if len(large) < minNamed || float64(rate) > maxUse*float64(capacity) {
+	if len(large) < minAdvertised || float64(rate) > maxUsedFraction*float64(capacity) {
 		return all
 	}
 	return large
--- a/internal/gateway/fleet/directory_test.go
+++ b/internal/gateway/fleet/directory_test.go
@@ -26,8 +26,8 @@
 		{"hosts of another zone", "west-1", "west", nil, readyStatus, readyStatus, 0, []string{"west2:80"}},
 		{"hosts of the region when the zone has none", "west-1", "west", nil, readyStatus, leaving, 0, []string{"west0:80", "west1:80"}},
 		{"hosts of the allowed regions when the region has none", "north-0", "north", []string{"south"}, readyStatus, readyStatus, 0, []string{"south0:80", "south1:80", "south2:80"}},
-		{"no dead host", "east-0", "east", nil, readyStatus, leaving, deadAfter, []string{"west0:80"}},
-		{"none when no live host is ready", "east-0", "east", nil, Status{}, leaving, deadAfter, nil},
+		{"no dead host", "east-0", "east", nil, readyStatus, leaving, deadTimeout, []string{"west0:80"}},
+		{"none when no live host is ready", "east-0", "east", nil, Status{}, leaving, deadTimeout, nil},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -73,7 +73,7 @@
 		{"some do not say", slices.Concat(hosts(2, large, 10), hosts(5, 0, 10)), 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			require.Len(t, named(c.hosts), c.want)
+			require.Len(t, advertised(c.hosts), c.want)
 		})
 	}
 }
@@ -88,7 +88,7 @@
 	require.Equal(t, []string{"west0:80", "west1:80", "west2:80"}, m.clientAddresses("west-0", "west", self, nil, now))
 	m.recordHeartbeat(all[0], Status{Ready: true, Leaving: true}, now)
 	require.Equal(t, []string{"west1:80", "west2:80"}, m.clientAddresses("west-0", "west", self, nil, now))
-	later := now.Add(deadAfter)
+	later := now.Add(deadTimeout)
 	for _, h := range all[2:6] {
 		m.recordHeartbeat(h, readyStatus, later)
 	}
--- a/internal/gateway/fleet/discovery.go
+++ b/internal/gateway/fleet/discovery.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// regionQueryEvery is how often a host asks a peer of each other region which hosts
-// live there, as it gets heartbeats only of some: a quarter of passOnFor, so that
+// regionQueryInterval is how often a host asks a peer of each other region which hosts
+// live there, as it gets heartbeats only of some: a quarter of advertisePeriod, so that
 // three queries may fail.
-const regionQueryEvery = 15 * time.Second
+const regionQueryInterval = 15 * time.Second
 
 // hostQuery is what a heartbeat asks about other hosts. It is on the wire.
 type hostQuery uint8
@@ -27,13 +27,13 @@
 	selfRegion string
 	// complete is set once a peer has responded to queryAll.
 	complete bool
-	// askedAt is when each other region was last asked; queryAll has the key
+	// queriedAt is when each other region was last asked; queryAll has the key
 	// "".
-	askedAt map[string]time.Time
+	queriedAt map[string]time.Time
 }
 
 func newDiscovery(selfRegion string) discovery {
-	return discovery{selfRegion: selfRegion, askedAt: map[string]time.Time{}}
+	return discovery{selfRegion: selfRegion, queriedAt: map[string]time.Time{}}
 }
 
 // next returns the query for a heartbeat to a peer of a region ("" if it is
@@ -42,17 +42,17 @@
 // asking all at once transfers the whole list as often as there are peers.
 // Later it asks one peer of each other region at a time.
 func (d *discovery) next(region string, now time.Time) hostQuery {
-	query, every := queryRegion, regionQueryEvery
+	query, interval := queryRegion, regionQueryInterval
 	switch {
 	case !d.complete:
-		region, query, every = "", queryAll, heartbeatTimeout
+		region, query, interval = "", queryAll, heartbeatTimeout
 	case region == "" || region == d.selfRegion:
 		return queryNone
 	}
-	if now.Sub(d.askedAt[region]) < every {
+	if now.Sub(d.queriedAt[region]) < interval {
 		return queryNone
 	}
-	d.askedAt[region] = now
+	d.queriedAt[region] = now
 	return query
 }
 
@@ -85,5 +85,5 @@
 	if q == queryRegion {
 		return f.members.aliveInRegion(time.Now())
 	}
-	return f.members.heardOf(time.Now())
+	return f.members.seenRecently(time.Now())
 }
--- a/internal/gateway/fleet/discovery_test.go
+++ b/internal/gateway/fleet/discovery_test.go
@@ -19,5 +19,5 @@
 	require.Equal(t, queryNone, d.next("east", now.Add(time.Second)))
 	require.Equal(t, queryRegion, d.next("south", now.Add(time.Second)))
 	require.Equal(t, queryNone, d.next("west", now))
-	require.Equal(t, queryRegion, d.next("east", now.Add(regionQueryEvery)))
+	require.Equal(t, queryRegion, d.next("east", now.Add(regionQueryInterval)))
 }
--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -115,23 +115,23 @@
 	mesh    *peer.Mesh
 	// limitPlace is this host's place in the limits of client accounts.
 	limitPlace atomic.Pointer[quota.Place]
-	// heardOfQuarantines is set once this host has heard of the requests that are
+	// quarantinesLearned is set once this host has heard of the requests that are
 	// quarantined.
-	heardOfQuarantines atomic.Bool
-	// quarantinesAwaited is since when nothing else keeps this host from serving; nil
+	quarantinesLearned atomic.Bool
+	// quarantineWaitStart is since when nothing else keeps this host from serving; nil
 	// before.
-	quarantinesAwaited atomic.Pointer[time.Time]
+	quarantineWaitStart atomic.Pointer[time.Time]
 
 	// mu guards what follows.
 	mu      sync.Mutex
 	members *members
 	// nextHeartbeat is when each peer, by name, is due a heartbeat.
 	nextHeartbeat map[string]time.Time
-	// sentSoonAt is when SendSoon last took effect.
-	sentSoonAt time.Time
-	// sentToAllAt is when SendSoonToAll last took effect.
-	sentToAllAt time.Time
-	discovery   discovery
+	// triggeredAt is when SendSoon last took effect.
+	triggeredAt time.Time
+	// triggeredAllAt is when SendSoonToAll last took effect.
+	triggeredAllAt time.Time
+	discovery      discovery
 	// newest is the newest version seen of each table.
 	newest []versionSeen
 	// announcedEra is the store's era in which this host was announced last.
@@ -174,7 +174,7 @@
 	f.heartbeatAll(ctx)
 	// The error is dropped: the host is stopping and does not retry. An entry
 	// that stays costs a starting host a few failed heartbeats, until it
-	// forgets the host after forgetAfter.
+	// forgets the host after peerTTL.
 	_ = f.options.Registry.Withdraw(ctx, f.options.Self)
 }
 
@@ -201,7 +201,7 @@
 func (f *Fleet) CommonPart() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.members.commonPart(time.Now())
+	return f.members.commonShare(time.Now())
 }
 
 // UnreadLists is the number of regions of which no whole list of hosts was read.
--- a/internal/gateway/fleet/heartbeat.go
+++ b/internal/gateway/fleet/heartbeat.go
@@ -119,7 +119,7 @@
 	regained := f.members.recordHeartbeat(b.Host, b.Status, now)
 	f.recordVersions(b.Status, now)
 	if regained {
-		f.nextHeartbeat[b.Host.Name] = now.Add(heartbeatEvery)
+		f.nextHeartbeat[b.Host.Name] = now.Add(heartbeatInterval)
 	}
 	f.mu.Unlock()
 	if regained {
@@ -127,7 +127,7 @@
 	}
 	f.mergeSuspicions(b, now)
 	if b.Status.Ready {
-		f.heardOfQuarantines.Store(true) // a host is ready once it has
+		f.quarantinesLearned.Store(true) // a host is ready once it has
 	}
 	if f.options.Notices != nil {
 		f.options.Notices.Merge(b.Status.Notices, now)
--- a/internal/gateway/fleet/host.go
+++ b/internal/gateway/fleet/host.go
@@ -74,27 +74,27 @@
 func (s Status) acceptsClients() bool { return s.Ready && !s.Leaving }
 
 const (
-	// deadAfter is the time since a peer's last heartbeat from which on it
-	// counts as dead. It must exceed heartbeatEvery + schedulerTick +
+	// deadTimeout is the time since a peer's last heartbeat from which on it
+	// counts as dead. It must exceed heartbeatInterval + schedulerTick +
 	// heartbeatTimeout, so that a peer that only responds to heartbeats is
 	// not taken for dead. It is not selector/member's: here heartbeats have a
 	// fixed pace; there they keep to a byte budget, and the silence allowed
 	// grows with their interval.
-	deadAfter = 2500 * time.Millisecond
-	// forgetAfter is the time without a heartbeat from a peer, and without its
+	deadTimeout = 2500 * time.Millisecond
+	// peerTTL is the time without a heartbeat from a peer, and without its
 	// name in a list, after which it is forgotten. Until then limits are still
 	// split with it, as it may only be cut off: when cut-off hosts forgot each
 	// other after a minute, nine of them sent 87 of 26 requests to a cold
 	// upstream: twice the hour for which regions may lose each other.
-	forgetAfter = 2 * time.Hour
-	// forgetLeftAfter is that time for a peer that has said it leaves: it ends
+	peerTTL = 2 * time.Hour
+	// leavingPeerTTL is that time for a peer that has said it leaves: it ends
 	// within its grace.
-	forgetLeftAfter = time.Minute
-	// passOnFor is how long after it last heard of a peer a host names it to
+	leavingPeerTTL = time.Minute
+	// advertisePeriod is how long after it last heard of a peer a host names it to
 	// others. They keep the name as if it were heard of just now, so that with
-	// forgetAfter hosts that are gone would be named from start to start for ever:
-	// four times regionQueryEvery.
-	passOnFor = time.Minute
+	// peerTTL hosts that are gone would be named from start to start for ever:
+	// four times regionQueryInterval.
+	advertisePeriod = time.Minute
 )
 
 // peerState is what this host knows of one peer.
@@ -118,17 +118,17 @@
 	suspicions poison.Marks
 }
 
-// alive reports whether a heartbeat arrived within deadAfter. A peer that is
+// alive reports whether a heartbeat arrived within deadTimeout. A peer that is
 // only known by name is not alive.
 func (p *peerState) alive(now time.Time) bool {
-	return !p.lastHeartbeat.IsZero() && now.Sub(p.lastHeartbeat) < deadAfter
+	return !p.lastHeartbeat.IsZero() && now.Sub(p.lastHeartbeat) < deadTimeout
 }
 
 // expired reports whether the peer is to be forgotten.
 func (p *peerState) expired(now time.Time) bool {
-	after := forgetAfter
+	after := peerTTL
 	if p.status.Leaving {
-		after = forgetLeftAfter
+		after = leavingPeerTTL
 	}
 	return now.Sub(p.lastReported) > after
 }
--- a/internal/gateway/fleet/index.go
+++ b/internal/gateway/fleet/index.go
@@ -84,7 +84,7 @@
 }
 
 // named returns the peers of the given names.
-func (m *members) named(names []string) []*peerState {
+func (m *members) peersByName(names []string) []*peerState {
 	peers := make([]*peerState, 0, len(names))
 	for _, name := range names {
 		peers = append(peers, m.peers[name])
--- a/internal/gateway/fleet/limitshare.go
+++ b/internal/gateway/fleet/limitshare.go
@@ -10,10 +10,10 @@
 	"cairndock/internal/gateway/rendezvous"
 )
 
-// ownLimitPart is the part of an upstream's limit that the hosts of its own region share:
+// ownRegionLimitFraction is the part of an upstream's limit that the hosts of its own region share:
 // nearly all requests to it come from there, and what is held by hosts without requests is
 // lost. The others share the rest.
-const ownLimitPart = 0.75
+const ownRegionLimitFraction = 0.75
 
 // limitShare is how many of a number of tokens of an upstream's limit are this host's. As
 // with warmUpQuota they are split without messages, over all known hosts, dead ones
@@ -21,7 +21,7 @@
 // Unlike there a process that has just started has its share at once: it starts without
 // tokens. It has none while it does not know who shares them.
 func (m *members) limitShare(id, region string, tokens int, now time.Time) int {
-	if m.withdrawn || !m.knows(m.self.Region, now) {
+	if m.withdrawn || !m.hostsKnown(m.self.Region, now) {
 		return 0
 	}
 	number := m.regionTokens(id, region, tokens)
@@ -31,7 +31,7 @@
 	s := m.sharers(m.self.Region)
 	part, hosts := s.split(number, isLarge(m.self.Capacity, s.highest))
 	share := part / hosts
-	if m.before(id, m.self.Region, s.highest, hosts) < part%hosts {
+	if m.preceding(id, m.self.Region, s.highest, hosts) < part%hosts {
 		share++
 	}
 	return share
@@ -39,7 +39,7 @@
 
 // regionTokens is how many tokens the hosts of this host's region share.
 func (m *members) regionTokens(id, region string, tokens int) int {
-	own := int(math.Ceil(ownLimitPart * float64(tokens)))
+	own := int(math.Ceil(ownRegionLimitFraction * float64(tokens)))
 	others := make([]string, 0, len(m.lists))
 	for r := range m.lists {
 		if r != region {
--- a/internal/gateway/fleet/limitshare_test.go
+++ b/internal/gateway/fleet/limitshare_test.go
@@ -35,7 +35,7 @@
 					}
 				}
 				require.Equal(t, tokens, sum, "%s, %d tokens", name, tokens)
-				require.GreaterOrEqual(t, float64(own), ownLimitPart*float64(tokens), "%s, %d tokens", name, tokens)
+				require.GreaterOrEqual(t, float64(own), ownRegionLimitFraction*float64(tokens), "%s, %d tokens", name, tokens)
 			}
 		}
 	}
--- a/internal/gateway/fleet/lists.go
+++ b/internal/gateway/fleet/lists.go
@@ -48,16 +48,16 @@
 // limit with it. It waits for a window after it read their list: they learn of this
 // host by its first heartbeats, within schedulerTick and the way there, and what a
 // host had sent that withdrew itself just before is out of any second then.
-func (m *members) knows(region string, now time.Time) bool {
+func (m *members) hostsKnown(region string, now time.Time) bool {
 	read := m.lists[region]
 	return !read.IsZero() && now.Sub(read) >= warmup.Window
 }
 
-// knowsOthersThan reports whether it knows the hosts of all regions but one; of all
+// hostsKnownOutside reports whether it knows the hosts of all regions but one; of all
 // if that is "".
-func (m *members) knowsOthersThan(region string, now time.Time) bool {
+func (m *members) hostsKnownOutside(region string, now time.Time) bool {
 	for other := range m.lists {
-		if other != region && !m.knows(other, now) {
+		if other != region && !m.hostsKnown(other, now) {
 			return false
 		}
 	}
@@ -65,12 +65,12 @@
 }
 
 // gone returns the hosts of the own region that the registry lists, were silent for
-// forgetAfter, and whose last announcement was first read as long ago.
-func (m *members) gone(now time.Time) []Host {
+// peerTTL, and whose last announcement was first read as long ago.
+func (m *members) staleListings(now time.Time) []Host {
 	var hosts []Host
-	for _, p := range m.named(m.indexed().byRegion[m.self.Region]) {
+	for _, p := range m.peersByName(m.indexed().byRegion[m.self.Region]) {
 		silent, unrenewed := now.Sub(p.lastHeartbeat), now.Sub(p.announcedAt)
-		if !p.announcedAt.IsZero() && silent >= forgetAfter && unrenewed >= forgetAfter {
+		if !p.announcedAt.IsZero() && silent >= peerTTL && unrenewed >= peerTTL {
 			hosts = append(hosts, p.host)
 		}
 	}
--- a/internal/gateway/fleet/members.go
+++ b/internal/gateway/fleet/members.go
@@ -24,7 +24,7 @@
 	// index is nil after the set of hosts has changed.
 	index *index
 	// chosen names the peers that were chosen for heartbeats last.
-	chosen []string
+	heartbeatTargets []string
 }
 
 // newMembers returns the view of a host whose process started at a time, and which
@@ -110,12 +110,12 @@
 	m.index = nil
 }
 
-// heardOf returns the peers that were heard of within passOnFor, in the order
+// seenRecently returns the peers that were heard of within advertisePeriod, in the order
 // of their names.
-func (m *members) heardOf(now time.Time) []Host {
+func (m *members) seenRecently(now time.Time) []Host {
 	var hosts []Host
-	for _, p := range m.named(m.indexed().names) {
-		if now.Sub(p.lastReported) < passOnFor {
+	for _, p := range m.peersByName(m.indexed().names) {
+		if now.Sub(p.lastReported) < advertisePeriod {
 			hosts = append(hosts, p.host)
 		}
 	}
@@ -125,7 +125,7 @@
 // aliveInRegion returns the live hosts of this host's region, itself included.
 func (m *members) aliveInRegion(now time.Time) []Host {
 	hosts := []Host{m.self}
-	for _, p := range m.named(m.indexed().byRegion[m.self.Region]) {
+	for _, p := range m.peersByName(m.indexed().byRegion[m.self.Region]) {
 		if p.alive(now) {
 			hosts = append(hosts, p.host)
 		}
--- a/internal/gateway/fleet/members_test.go
+++ b/internal/gateway/fleet/members_test.go
@@ -11,11 +11,11 @@
 	now := time.Now()
 	m := nineHosts("west0", now)
 	m.heartbeatPeers(now)
-	dead := m.expire(now, now.Add(deadAfter))
+	dead := m.expire(now, now.Add(deadTimeout))
 	require.Len(t, dead, 2+2*remoteFanout, "those that get heartbeats")
-	require.Empty(t, m.expire(now.Add(deadAfter), now.Add(deadAfter+time.Second)))
+	require.Empty(t, m.expire(now.Add(deadTimeout), now.Add(deadTimeout+time.Second)))
 	require.Equal(t, 9, m.size(), "limits stay split over hosts that may only be cut off")
-	m.expire(now, now.Add(2*forgetAfter))
+	m.expire(now, now.Add(2*peerTTL))
 	require.Equal(t, 1, m.size())
 }
 
@@ -24,9 +24,9 @@
 	now := time.Now()
 	m := nineHosts("west0", now)
 	m.recordHeartbeat(host("west1", "west-0", "west"), Status{Ready: true, Leaving: true}, now)
-	m.expire(now, now.Add(forgetLeftAfter))
+	m.expire(now, now.Add(leavingPeerTTL))
 	require.Equal(t, 9, m.size())
-	m.expire(now, now.Add(forgetLeftAfter+1))
+	m.expire(now, now.Add(leavingPeerTTL+1))
 	require.Equal(t, 8, m.size())
 }
 
@@ -34,17 +34,17 @@
 func TestOnlyPeersHeardOfLatelyAreNamedToOthers(t *testing.T) {
 	now := time.Now()
 	m := nineHosts("west0", now)
-	require.Len(t, m.heardOf(now.Add(passOnFor-1)), 8)
+	require.Len(t, m.seenRecently(now.Add(advertisePeriod-1)), 8)
 	m.addKnown(host("east0", "east-0", "east"), now.Add(time.Second))
-	require.Len(t, m.heardOf(now.Add(passOnFor)), 1)
+	require.Len(t, m.seenRecently(now.Add(advertisePeriod)), 1)
 }
 
 // Limits are split over all hosts, of which a host gets heartbeats only of some.
 func TestAPeerThatOthersNameIsNotForgotten(t *testing.T) {
 	now := time.Now()
 	m := nineHosts("west0", now)
-	later := now.Add(forgetAfter + time.Second)
-	m.addKnown(host("east0", "east-0", "east"), later.Add(-regionQueryEvery))
+	later := now.Add(peerTTL + time.Second)
+	m.addKnown(host("east0", "east-0", "east"), later.Add(-regionQueryInterval))
 	m.expire(later, later)
 	require.Equal(t, 2, m.size())
 }
--- a/internal/gateway/fleet/place.go
+++ b/internal/gateway/fleet/place.go
@@ -13,15 +13,15 @@
 // A limit's shards must not have two holders (package quota). Hosts of a zone agree on
 // whose a shard is as soon as they know each other. Two cases are left: a host that is new
 // to the zone, and one that is cut off from it and does not hear of that. The first takes
-// its shards once it has heard all known hosts of the zone, or newcomerPause after its
+// its shards once it has heard all known hosts of the zone, or newHostDelay after its
 // start; the second has given up its own by then.
 const (
-	// isolatedAfter is how long a host hears nobody of its zone, where others are known,
-	// until it gives up its shards. It exceeds deadAfter by a heartbeat.
-	isolatedAfter = 4 * time.Second
-	// newcomerPause is how long a host that no earlier process has announced holds no
-	// shards. It exceeds isolatedAfter by the time in which it makes itself known.
-	newcomerPause = 6 * time.Second
+	// isolationTimeout is how long a host hears nobody of its zone, where others are known,
+	// until it gives up its shards. It exceeds deadTimeout by a heartbeat.
+	isolationTimeout = 4 * time.Second
+	// newHostDelay is how long a host that no earlier process has announced holds no
+	// shards. It exceeds isolationTimeout by the time in which it makes itself known.
+	newHostDelay = 6 * time.Second
 )
 
 // limitPlace gives this host's place in the limits; the last one while nothing changed.
@@ -80,7 +80,7 @@
 		hosts = append(hosts, m.self)
 	}
 	highest := 0
-	for _, p := range m.named(m.indexed().byZone[name]) {
+	for _, p := range m.peersByName(m.indexed().byZone[name]) {
 		// Whoever stops has given up its shards before it says so: the others of its zone
 		// take them, so that hosts that are restarted in turn leave none unused.
 		if !p.status.Withdrawn {
@@ -113,29 +113,29 @@
 	switch {
 	case m.announcedBefore:
 		return true
-	case m.firstStart || m.heardZone():
+	case m.firstStart || m.seenWholeZone():
 		return now.Sub(read) >= warmup.Window
 	default:
-		return now.Sub(read) >= newcomerPause
+		return now.Sub(read) >= newHostDelay
 	}
 }
 
-// heardZone reports whether this process has heard all known hosts of its zone, which
+// seenWholeZone reports whether this process has heard all known hosts of its zone, which
 // know it then and have given up what is its own. Those that have stopped need not.
-func (m *members) heardZone() bool {
-	return !slices.ContainsFunc(m.named(m.indexed().byZone[m.self.Zone]), func(p *peerState) bool {
+func (m *members) seenWholeZone() bool {
+	return !slices.ContainsFunc(m.peersByName(m.indexed().byZone[m.self.Zone]), func(p *peerState) bool {
 		return p.lastHeartbeat.IsZero() && !p.status.Withdrawn
 	})
 }
 
 // isolated reports whether hosts of the zone are known and none was heard for
-// isolatedAfter.
+// isolationTimeout.
 func (m *members) isolated(now time.Time) bool {
-	peers := m.named(m.indexed().byZone[m.self.Zone])
-	if len(peers) == 0 || now.Sub(m.started) < isolatedAfter {
+	peers := m.peersByName(m.indexed().byZone[m.self.Zone])
+	if len(peers) == 0 || now.Sub(m.started) < isolationTimeout {
 		return false
 	}
-	return !slices.ContainsFunc(peers, func(p *peerState) bool { return now.Sub(p.lastHeartbeat) < isolatedAfter })
+	return !slices.ContainsFunc(peers, func(p *peerState) bool { return now.Sub(p.lastHeartbeat) < isolationTimeout })
 }
 
 // Place gives this host's place in the limits of client accounts, at most schedulerTick
--- a/internal/gateway/fleet/place_test.go
+++ b/internal/gateway/fleet/place_test.go
@@ -106,7 +106,7 @@
 		return func() *members {
 			m := startedMembers(host("west9", "west-0", "west"), nineHostsList(), now)
 			for _, name := range names {
-				m.recordHeartbeat(host(name, "west-0", "west"), readyStatus, now.Add(newcomerPause))
+				m.recordHeartbeat(host(name, "west-0", "west"), readyStatus, now.Add(newHostDelay))
 			}
 			return m
 		}
@@ -119,10 +119,10 @@
 	}{
 		{"one that runs", func() *members { return nineHosts("west0", now) }, 0, true},
 		{"one that stops", func() *members { m := nineHosts("west0", now); m.withdrawn = true; return m }, 0, false},
-		{"one that hears nobody of its zone", func() *members { return nineHosts("west0", now) }, isolatedAfter + time.Second, false},
+		{"one that hears nobody of its zone", func() *members { return nineHosts("west0", now) }, isolationTimeout + time.Second, false},
 		{"one that is alone in its zone", func() *members { return nineHosts("west2", now) }, time.Hour, true},
-		{"a new one that does not hear all of its zone", newcomerHearing("west0"), newcomerPause - time.Second, false},
-		{"the same later", newcomerHearing("west0"), newcomerPause, true},
+		{"a new one that does not hear all of its zone", newcomerHearing("west0"), newHostDelay - time.Second, false},
+		{"the same later", newcomerHearing("west0"), newHostDelay, true},
 		{"a new one that hears all of its zone", newcomerHearing("west0", "west1"), 2 * time.Second, true},
 		{"a new one that is alone in its zone", func() *members { return startedMembers(host("west9", "west-9", "west"), nineHostsList(), now) }, 2 * time.Second, true},
 		{"one of a first start", func() *members {
--- a/internal/gateway/fleet/quarantine.go
+++ b/internal/gateway/fleet/quarantine.go
@@ -36,32 +36,32 @@
 }
 
 const (
-	// quarantineWait is how long a host that knows all else waits to hear of quarantines:
+	// quarantineTimeout is how long a host that knows all else waits to hear of quarantines:
 	// above what it takes to read a list, and short beside what it is missed by while no
 	// list can be read and no other host runs.
-	quarantineWait = time.Second
-	// quarantineWrites is how often a host tries to store a quarantine. The other hosts
+	quarantineTimeout = time.Second
+	// maxQuarantineWrites is how often a host tries to store a quarantine. The other hosts
 	// have it meanwhile.
-	quarantineWrites = 5
-	// quarantineRetry is the pause between two of them.
-	quarantineRetry = 2 * time.Second
+	maxQuarantineWrites = 5
+	// quarantineRetryDelay is the pause between two of them.
+	quarantineRetryDelay = 2 * time.Second
 )
 
 // StoreQuarantine stores a quarantine that this host decided, with each region, the own
-// one first. It returns once that is done or was tried quarantineWrites times. Errors are
+// one first. It returns once that is done or was tried maxQuarantineWrites times. Errors are
 // dropped: the tables' watchers log that the store is away.
 func (f *Fleet) StoreQuarantine(ctx context.Context, r poison.Report) {
 	f.storeQuarantine(ctx, r, f.regions())
 }
 
 // storeQuarantine is StoreQuarantine with some regions.
-func (f *Fleet) storeQuarantine(ctx context.Context, r poison.Report, left []string) {
+func (f *Fleet) storeQuarantine(ctx context.Context, r poison.Report, remaining []string) {
 	q := StoredQuarantine{Report: r, StoredAt: time.Now().UnixMilli()}
-	for range quarantineWrites {
-		left = slices.DeleteFunc(left, func(region string) bool {
+	for range maxQuarantineWrites {
+		remaining = slices.DeleteFunc(remaining, func(region string) bool {
 			return f.options.Registry.Quarantine(ctx, region, q) == nil
 		})
-		if len(left) == 0 || !pause.For(ctx, quarantineRetry) {
+		if len(remaining) == 0 || !pause.For(ctx, quarantineRetryDelay) {
 			return
 		}
 	}
@@ -81,18 +81,18 @@
 // the host knows all else that it needs to serve, and the wait begins with the first time:
 // a store that was away at its start has the list by then.
 func (f *Fleet) KnowsQuarantines() bool {
-	if f.heardOfQuarantines.Load() {
+	if f.quarantinesLearned.Load() {
 		return true
 	}
 	now := time.Now()
-	f.quarantinesAwaited.CompareAndSwap(nil, &now)
-	return now.Sub(*f.quarantinesAwaited.Load()) >= quarantineWait
+	f.quarantineWaitStart.CompareAndSwap(nil, &now)
+	return now.Sub(*f.quarantineWaitStart.Load()) >= quarantineTimeout
 }
 
 // mergeStored adds the quarantines that the registry has, and removes those that count
 // no more.
 func (f *Fleet) mergeStored(ctx context.Context, region string, stored []StoredQuarantine) {
-	defer f.heardOfQuarantines.Store(true)
+	defer f.quarantinesLearned.Store(true)
 	if f.options.Suspicions == nil {
 		return
 	}
--- a/internal/gateway/fleet/quota.go
+++ b/internal/gateway/fleet/quota.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// ownRegionPart is the part of a cold upstream's rate that the hosts of
-	// its own region share: with otherRegionsPart it must stay at or below
+	// ownRegionRateFraction is the part of a cold upstream's rate that the hosts of
+	// its own region share: with otherRegionsRateFraction it must stay at or below
 	// 1.
-	ownRegionPart = 0.6
-	// otherRegionsPart is the part that the hosts of all other regions share.
+	ownRegionRateFraction = 0.6
+	// otherRegionsRateFraction is the part that the hosts of all other regions share.
 	// They use it only while they see no live host in the upstream's region.
 	// Hosts may differ in whom they see, so both parts may be in use at once.
-	otherRegionsPart = 0.3
+	otherRegionsRateFraction = 0.3
 )
 
 // warmUpQuota is this host's share of a cold (warming-up) upstream's rate.
@@ -36,31 +36,31 @@
 		return q
 	}
 	large := isLarge(m.self.Capacity, s.highest)
-	number, hosts := s.split(int(s.part*total), large)
+	number, hosts := s.split(int(s.fraction*total), large)
 	if number == 0 && !large {
 		return q
 	}
 	before := 0
 	if hosts > number {
-		before = m.before(upstream, region, s.highest, max(1, number))
+		before = m.preceding(upstream, region, s.highest, max(1, number))
 	}
 	q.Requests = share(number, hosts, before)
 	return q
 }
 
-// largeHostsPart is the part of a cold upstream's rate that the large hosts share,
+// largeHostsFraction is the part of a cold upstream's rate that the large hosts share,
 // where hosts differ in capacity. Clients are given these alone while they suffice
 // (named), and a part that is held by a host without requests is of no use: with a
 // rate of 8 split by number over 98 hosts, of which 9 got all requests, less than one
 // of the 8 was used. What is left is for the time when the large hosts are gone.
-const largeHostsPart = 0.8
+const largeHostsFraction = 0.8
 
-// commonPart is this host's part of a limit of all hosts, from 0 to 1. Each region has
+// commonShare is this host's part of a limit of all hosts, from 0 to 1. Each region has
 // the same part, so that a host need not know those of others, and the large hosts of
-// a region have largeHostsPart of that. As with warmUpQuota, the parts of all hosts,
+// a region have largeHostsFraction of that. As with warmUpQuota, the parts of all hosts,
 // dead ones included, add up to 1 at most.
-func (m *members) commonPart(now time.Time) float64 {
-	if m.withdrawn || !m.knows(m.self.Region, now) {
+func (m *members) commonShare(now time.Time) float64 {
+	if m.withdrawn || !m.hostsKnown(m.self.Region, now) {
 		return 0
 	}
 	s := m.sharers(m.self.Region)
@@ -69,9 +69,9 @@
 	case s.small == 0:
 		return forRegion / float64(s.large)
 	case isLarge(m.self.Capacity, s.highest):
-		return forRegion * largeHostsPart / float64(s.large)
+		return forRegion * largeHostsFraction / float64(s.large)
 	default:
-		return forRegion * (1 - largeHostsPart) / float64(s.small)
+		return forRegion * (1 - largeHostsFraction) / float64(s.small)
 	}
 }
 
@@ -82,7 +82,7 @@
 	// large and small are how many of them are large beside it, and how many not.
 	large, small int
 	// part is the part of the rate that they share.
-	part float64
+	fraction float64
 }
 
 // split returns how much of a number of requests the large hosts share, or the small
@@ -90,7 +90,7 @@
 func (s sharers) split(number int, large bool) (part, hosts int) {
 	forLarge := number
 	if s.small > 0 {
-		forLarge = max(1, int(math.Ceil(largeHostsPart*float64(number))))
+		forLarge = max(1, int(math.Ceil(largeHostsFraction*float64(number))))
 	}
 	if large {
 		return forLarge, s.large
@@ -108,7 +108,7 @@
 		return warmup.Stopping
 	case now.Sub(m.started) < warmup.Window:
 		return warmup.Starting
-	case inRegion && !m.knows(region, now), !inRegion && !m.knowsOthersThan(region, now):
+	case inRegion && !m.hostsKnown(region, now), !inRegion && !m.hostsKnownOutside(region, now):
 		return warmup.HostsUnknown
 	default:
 		return warmup.NotWithheld
@@ -122,7 +122,7 @@
 	x := m.indexed()
 	key := region
 	if m.self.Region != region {
-		key = otherThan + region
+		key = otherThanPrefix + region
 	}
 	if s, ok := x.sharers[key]; ok {
 		return s
@@ -132,18 +132,18 @@
 	return s
 }
 
-// otherThan precedes a region in the key of the hosts of all others. No region's name
+// otherThanPrefix precedes a region in the key of the hosts of all others. No region's name
 // begins with a space.
-const otherThan = " "
+const otherThanPrefix = " "
 
 func (m *members) countSharers(region string) sharers {
-	s := sharers{highest: m.self.Capacity, part: otherRegionsPart}
+	s := sharers{highest: m.self.Capacity, fraction: otherRegionsRateFraction}
 	if m.self.Region == region {
-		s.part = ownRegionPart
+		s.fraction = ownRegionRateFraction
 	}
 	hosts := []Host{m.self}
-	for _, p := range m.named(m.sharing(region)) {
-		if m.shares(p.host, region) {
+	for _, p := range m.peersByName(m.candidates(region)) {
+		if m.sharesRate(p.host, region) {
 			hosts = append(hosts, p.host)
 			s.highest = max(s.highest, p.host.Capacity)
 		}
@@ -160,7 +160,7 @@
 
 // sharing returns names that have those of all peers which share the rate of a
 // region's upstreams with this host.
-func (m *members) sharing(region string) []string {
+func (m *members) candidates(region string) []string {
 	if m.self.Region == region {
 		return m.indexed().byRegion[region]
 	}
@@ -169,7 +169,7 @@
 
 // shares reports whether a peer shares the rate of a region's upstreams with this
 // host: the hosts of that region do with each other, and so do all others.
-func (m *members) shares(h Host, region string) bool {
+func (m *members) sharesRate(h Host, region string) bool {
 	return (h.Region == region) == (m.self.Region == region)
 }
 
@@ -177,12 +177,12 @@
 // is or small as it is, precede it in an upstream's order of hosts. It counts no
 // further than enough: with 5,900 hosts it took 233 us in the upstream's region to
 // count them all, for each choice.
-func (m *members) before(upstream, region string, highest, enough int) int {
+func (m *members) preceding(upstream, region string, highest, enough int) int {
 	own, before := rendezvous.Rank(m.self.Name, upstream), 0
 	large := isLarge(m.self.Capacity, highest)
-	for _, name := range m.sharing(region) {
+	for _, name := range m.candidates(region) {
 		h := m.peers[name].host
-		if m.shares(h, region) && isLarge(h.Capacity, highest) == large && rendezvous.Rank(name, upstream) < own {
+		if m.sharesRate(h, region) && isLarge(h.Capacity, highest) == large && rendezvous.Rank(name, upstream) < own {
 			before++
 		}
 		if before == enough {
--- a/internal/gateway/fleet/quota_test.go
+++ b/internal/gateway/fleet/quota_test.go
@@ -44,7 +44,7 @@
 			m := nineHosts(name, now)
 			at := now
 			if views>>(i%3)&1 == 1 { // this one gets no heartbeats
-				at = now.Add(deadAfter + time.Second)
+				at = now.Add(deadTimeout + time.Second)
 			}
 			sum += m.warmUpQuota("i-1", "west", total, at).Requests
 		}
@@ -166,7 +166,7 @@
 	now := time.Now()
 	m := nineHosts("east0", now)
 	require.Equal(t, warmup.OwnRegion, m.warmUpQuota("i-1", "west", 26, now).Withheld)
-	require.Positive(t, m.warmUpQuota("i-1", "west", 26, now.Add(deadAfter)).Requests)
+	require.Positive(t, m.warmUpQuota("i-1", "west", 26, now.Add(deadTimeout)).Requests)
 }
 
 // The users' record fits hosts that were killed and started again within the second
@@ -198,8 +198,8 @@
 	sum := 0
 	for _, self := range nineHostsList() {
 		m := nineHosts(self.Name, start)
-		for at := start; at.Before(start.Add(cut)); at = at.Add(regionQueryEvery) {
-			m.expire(at.Add(-regionQueryEvery), at)
+		for at := start; at.Before(start.Add(cut)); at = at.Add(regionQueryInterval) {
+			m.expire(at.Add(-regionQueryInterval), at)
 		}
 		sum += m.warmUpQuota("i-1", "west", total, start.Add(cut)).Requests
 	}
@@ -272,7 +272,7 @@
 	for u := range 40 {
 		sum := 0
 		for _, self := range all {
-			sum += membersOf(self, all, now).warmUpQuota(fmt.Sprint("i-", u), "west", total, now.Add(deadAfter)).Requests
+			sum += membersOf(self, all, now).warmUpQuota(fmt.Sprint("i-", u), "west", total, now.Add(deadTimeout)).Requests
 		}
 		require.LessOrEqual(t, sum, total)
 		require.Positive(t, sum)
--- a/internal/gateway/fleet/registration.go
+++ b/internal/gateway/fleet/registration.go
@@ -10,40 +10,40 @@
 )
 
 const (
-	// registryRetry is the pause between attempts to register while a list was not
+	// registryRetryDelay is the pause between attempts to register while a list was not
 	// read.
-	registryRetry = 500 * time.Millisecond
-	// renewalRetry is that pause once all were: nobody waits, and a store that is
+	registryRetryDelay = 500 * time.Millisecond
+	// renewalRetryDelay is that pause once all were: nobody waits, and a store that is
 	// down for long is not asked twice a second by each host.
-	renewalRetry = 30 * time.Second
-	// listPause is the pause after the list of a region was read, for each host
+	renewalRetryDelay = 30 * time.Second
+	// listDelayPerHost is the pause after the list of a region was read, for each host
 	// of the own region, so that hosts which start together do not read the lists
 	// of other regions faster than the store serves them: 5,900 hosts in 23
 	// regions read 4,600 a second. The own region's comes first, so that nobody
 	// waits for it.
-	listPause = 5 * time.Millisecond
-	// listEvery is how often a host registers again and reads all lists: a quarter
-	// of forgetAfter, so that three may fail; 5,900 hosts in 23 regions read 76
+	listDelayPerHost = 5 * time.Millisecond
+	// listInterval is how often a host registers again and reads all lists: a quarter
+	// of peerTTL, so that three may fail; 5,900 hosts in 23 regions read 76
 	// lists a second.
-	listEvery = 30 * time.Minute
-	// listJitter is the most that is added to listEvery at random, so that hosts
+	listInterval = 30 * time.Minute
+	// maxListJitter is the most that is added to listInterval at random, so that hosts
 	// which started together do not read the lists together.
-	listJitter = 3 * time.Minute
+	maxListJitter = 3 * time.Minute
 )
 
 // keepRegistered registers this host and reads the lists of hosts, its own region's
-// first, by which it knows its place. It does so again each listEvery until the context
+// first, by which it knows its place. It does so again each listInterval until the context
 // ends: hosts that forgot each other while they were cut off find each other again.
 func (f *Fleet) keepRegistered(ctx context.Context) {
 	regions := f.regions()
 	f.register(ctx, regions[:1])
-	if !pause.For(ctx, f.untilOtherLists()) {
+	if !pause.For(ctx, f.otherListsDelay()) {
 		return
 	}
 	f.readAllLists(ctx, regions[1:], true)
-	for pause.For(ctx, listEvery+rand.N(listJitter)) {
+	for pause.For(ctx, listInterval+rand.N(maxListJitter)) {
 		f.register(ctx, regions)
-		f.withdrawGone(ctx)
+		f.withdrawStale(ctx)
 	}
 }
 
@@ -97,9 +97,9 @@
 
 func (f *Fleet) retryPause() time.Duration {
 	if f.UnreadLists() > 0 {
-		return registryRetry
+		return registryRetryDelay
 	}
-	return renewalRetry
+	return renewalRetryDelay
 }
 
 // readLists reads the lists of some regions and returns those that are left after
@@ -123,16 +123,16 @@
 	return nil, listed
 }
 
-// withdrawGone removes the hosts of the own region from the registry that have been
-// silent for forgetAfter and did not announce themselves again in that time, in which
+// withdrawStale removes the hosts of the own region from the registry that have been
+// silent for peerTTL and did not announce themselves again in that time, in which
 // they would have done so four times: what is gone for good would take a part of each
 // limit for ever. One host of the region does so. An error is dropped, as the next
 // time tries again.
-func (f *Fleet) withdrawGone(ctx context.Context) {
+func (f *Fleet) withdrawStale(ctx context.Context) {
 	f.mu.Lock()
 	now := time.Now()
 	_, root := f.members.relayParent(true, now)
-	gone := f.members.gone(now)
+	gone := f.members.staleListings(now)
 	f.mu.Unlock()
 	if !root {
 		return
@@ -157,5 +157,5 @@
 	defer f.mu.Unlock()
 	f.members.addList(region, hosts, whole, time.Now())
 	ownRegion := f.members.indexed().byRegion[f.options.Self.Region]
-	return listPause * time.Duration(1+len(ownRegion))
+	return listDelayPerHost * time.Duration(1+len(ownRegion))
 }
--- a/internal/gateway/fleet/registration_test.go
+++ b/internal/gateway/fleet/registration_test.go
@@ -98,7 +98,7 @@
 		all := slices.Concat(largeAndSmall("west", c.large, c.small), largeAndSmall("east", c.large, c.small))
 		sum, large := 0.0, 0.0
 		for _, self := range all {
-			part := membersOf(self, all, now).commonPart(now)
+			part := membersOf(self, all, now).commonShare(now)
 			sum += part
 			if isLarge(self.Capacity, 800) {
 				large += part
@@ -121,7 +121,7 @@
 		synctest.Wait()
 		require.NoError(t, r.announce(ctx, host("w1", "west-0", "west")))
 		r.setReads(true)
-		time.Sleep(2 * registryRetry)
+		time.Sleep(2 * registryRetryDelay)
 		require.Equal(t, 2, f.Hosts())
 		r.setReads(false) // what was read stays
 		f.mu.Lock()
@@ -139,7 +139,7 @@
 		defer stop()
 		require.NoError(t, r.announce(t.Context(), host("w1", "west-0", "west")))
 		require.Equal(t, 1, f.Hosts())
-		time.Sleep(listEvery + listJitter + time.Second)
+		time.Sleep(listInterval + maxListJitter + time.Second)
 		require.Equal(t, 2, f.Hosts())
 	})
 }
@@ -156,13 +156,13 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go func() { // cut off from this host, but not from the registry
-			for pause.For(ctx, listEvery) {
+			for pause.For(ctx, listInterval) {
 				_ = r.announce(ctx, host("cut", "west-0", "west")) // it never fails
 			}
 		}()
-		time.Sleep(forgetAfter - time.Minute)
+		time.Sleep(peerTTL - time.Minute)
 		require.Len(t, r.list(), 4, "they may only be cut off")
-		time.Sleep(2 * (listEvery + listJitter))
+		time.Sleep(2 * (listInterval + maxListJitter))
 		require.Equal(t, []string{"cut", "other", "w0"}, r.list(), "those of other regions are left to their hosts")
 	})
 }
@@ -174,7 +174,7 @@
 		defer stop()
 		require.Equal(t, []string{"w0"}, r.list())
 		f.Withdraw(t.Context())
-		time.Sleep(2 * listEvery)
+		time.Sleep(2 * listInterval)
 		require.Empty(t, r.list())
 	})
 }
@@ -184,9 +184,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newFakeRegistry()
 		f := newFleet(r, host("w0", "west-0", "west"), []string{"west"})
-		require.Equal(t, registryRetry, f.retryPause())
+		require.Equal(t, registryRetryDelay, f.retryPause())
 		f.register(t.Context(), f.regions())
-		require.Equal(t, renewalRetry, f.retryPause())
+		require.Equal(t, renewalRetryDelay, f.retryPause())
 	})
 }
 
@@ -197,6 +197,6 @@
 	m := newMembers(host("w0", "west-0", "west"), []string{"west"}, now)
 	rows := []Listing{{Host: host("w1", "west-0", "west"), Version: watch.Version{Number: 7}}, {Host: host("w1", "west-0", "west"), Version: watch.Version{Number: 3}}}
 	m.addList("west", rows, true, now)
-	m.addList("west", rows, true, now.Add(forgetAfter))
-	require.Len(t, m.gone(now.Add(forgetAfter)), 1)
+	m.addList("west", rows, true, now.Add(peerTTL))
+	require.Len(t, m.staleListings(now.Add(peerTTL)), 1)
 }
--- a/internal/gateway/fleet/relay.go
+++ b/internal/gateway/fleet/relay.go
@@ -99,7 +99,7 @@
 // Sources returns the sources of a table, the best first. The root of the
 // region's relay tree polls the store and falls back to peers. Any other host
 // polls its parent, falls back to the store, and then to other peers. At its
-// start it may have no source for a moment, or peers only (startsAtPeers).
+// start it may have no source for a moment, or peers only (startsFromPeers).
 func (f *Fleet) Sources(table int) []watch.NamedSource {
 	selfReady := f.options.Status().Ready
 	f.mu.Lock()
@@ -110,8 +110,8 @@
 	if !root {
 		sources = append(sources, f.relay(table, parent))
 	}
-	if selfReady || !f.members.startsAtPeers(f.options.FirstStart, f.discovery.complete, now) {
-		sources = append(sources, watch.NamedSource{Name: "store", Source: f.options.Tables[table].Store, Fallback: !root, ListAfter: f.members.listAfter(root)})
+	if selfReady || !f.members.startsFromPeers(f.options.FirstStart, f.discovery.complete, now) {
+		sources = append(sources, watch.NamedSource{Name: "store", Source: f.options.Tables[table].Store, Fallback: !root, ListAfter: f.members.listDelay(root)})
 	}
 	others := slices.DeleteFunc(f.members.freshPeers(now), func(h Host) bool { return h.Name == parent.Name })
 	for _, h := range others[:min(len(others), backupRelays)] {
--- a/internal/gateway/fleet/relaytree_test.go
+++ b/internal/gateway/fleet/relaytree_test.go
@@ -27,7 +27,7 @@
 			continue
 		}
 		m := nineHosts(name, now)
-		later := now.Add(deadAfter)
+		later := now.Add(deadTimeout)
 		m.recordHeartbeat(host("west0", "west-0", "west"), readyStatus, later)
 		m.recordHeartbeat(host("west1", "west-0", "west"), readyStatus, later)
 		m.recordHeartbeat(host("west2", "west-1", "west"), readyStatus, later)
@@ -98,7 +98,7 @@
 	polling := 0
 	for _, name := range []string{"west0", "west1", "west2"} {
 		m := nineHosts(name, now)
-		for _, p := range m.named(m.indexed().names) {
+		for _, p := range m.peersByName(m.indexed().names) {
 			m.recordHeartbeat(p.host, Status{}, now)
 		}
 		if _, root := m.relayParent(false, now); root {
--- a/internal/gateway/fleet/rewrite.go
+++ b/internal/gateway/fleet/rewrite.go
@@ -18,12 +18,12 @@
 const (
 	// notAnnounced is the era of an announcement that was not made yet.
 	notAnnounced = -1
-	// rewriteWithin is within which time after they found a store restored hosts write
+	// maxRewriteDelay is within which time after they found a store restored hosts write
 	// again, each at a moment of its own: 256 hosts of a region write 85 a second, of the
 	// 300 that the store takes for a partition.
-	rewriteWithin = 3 * time.Second
-	// rewriteRetry is the pause before it is tried again.
-	rewriteRetry = 2 * time.Second
+	maxRewriteDelay = 3 * time.Second
+	// rewriteRetryDelay is the pause before it is tried again.
+	rewriteRetryDelay = 2 * time.Second
 )
 
 // announce announces this host and reports whether that was done. An error is not logged:
@@ -69,11 +69,11 @@
 // rewrite announces this host and, if it is the one of its region that polls the store,
 // stores the quarantines known.
 func (f *Fleet) rewrite(ctx context.Context) {
-	if !pause.For(ctx, rand.N(rewriteWithin)) {
+	if !pause.For(ctx, rand.N(maxRewriteDelay)) {
 		return
 	}
 	for !f.isWithdrawn() && !f.announce(ctx) {
-		if !pause.For(ctx, rewriteRetry) {
+		if !pause.For(ctx, rewriteRetryDelay) {
 			return
 		}
 	}
--- a/internal/gateway/fleet/rewrite_test.go
+++ b/internal/gateway/fleet/rewrite_test.go
@@ -97,7 +97,7 @@
 		for drill := range 2 {
 			h.restore()
 			require.Empty(t, h.registry.list())
-			time.Sleep(rewriteWithin + 2*time.Second)
+			time.Sleep(maxRewriteDelay + 2*time.Second)
 			require.Equal(t, []string{"w0"}, h.registry.list())
 			require.Equal(t, 1, h.registry.quarantined())
 			require.Equal(t, int64(2+drill), h.announcements(), "once each")
@@ -119,7 +119,7 @@
 		h.registry.mu.Lock()
 		h.registry.down = false
 		h.registry.mu.Unlock()
-		time.Sleep(rewriteRetry)
+		time.Sleep(rewriteRetryDelay)
 		require.Equal(t, []string{"w0"}, h.registry.list())
 	})
 }
@@ -185,6 +185,6 @@
 		return []Listing{{Host: host("w1", "west-0", "west"), Version: watch.Version{Era: era, Number: number}}}
 	}
 	m.addList("west", listing(1, 70), true, now)
-	m.addList("west", listing(2, 7), true, now.Add(forgetAfter-time.Minute))
-	require.Empty(t, m.gone(now.Add(forgetAfter)))
+	m.addList("west", listing(2, 7), true, now.Add(peerTTL-time.Minute))
+	require.Empty(t, m.staleListings(now.Add(peerTTL)))
 }
--- a/internal/gateway/fleet/schedule.go
+++ b/internal/gateway/fleet/schedule.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// heartbeatEvery is the time between heartbeats to a peer that is alive:
-	// three fit into deadAfter.
-	heartbeatEvery = 800 * time.Millisecond
-	// heartbeatRetry is the time between heartbeats to a peer that is dead.
-	heartbeatRetry = 2 * time.Second
+	// heartbeatInterval is the time between heartbeats to a peer that is alive:
+	// three fit into deadTimeout.
+	heartbeatInterval = 800 * time.Millisecond
+	// deadHeartbeatInterval is the time between heartbeats to a peer that is dead.
+	deadHeartbeatInterval = 2 * time.Second
 	// schedulerTick is how often the host looks which peers are due a
 	// heartbeat and which have died.
 	schedulerTick = 200 * time.Millisecond
-	// heartbeatTimeout bounds one exchange. It is below heartbeatEvery, so
+	// heartbeatTimeout bounds one exchange. It is below heartbeatInterval, so
 	// that exchanges with a peer do not pile up.
 	heartbeatTimeout = 700 * time.Millisecond
 	// remoteFanout is how many live hosts of each other region get heartbeats.
@@ -25,20 +25,20 @@
 	// each of 98 hosts of a region sent and received 30 KB a second, five sixths of it
 	// about hosts that it has nothing to do with. Enough that any few may die at once.
 	firstHostCount = 12
-	// introduceFor is how long a host exchanges heartbeats with all of its region after
+	// introductionPeriod is how long a host exchanges heartbeats with all of its region after
 	// its start. It covers the list of them, which it may read up to a second later.
-	introduceFor = 4 * time.Second
-	// maxDeadTried is how many dead hosts of another region get a heartbeat at a
+	introductionPeriod = 4 * time.Second
+	// maxDeadProbes is how many dead hosts of another region get a heartbeat at a
 	// time. While that region is cut off none of its hosts lives, and each host of
-	// this one would try all of them every heartbeatRetry: 128 connections a second
+	// this one would try all of them every deadHeartbeatInterval: 128 connections a second
 	// with 257 hosts, for as long as the cut lasts.
-	maxDeadTried = 8
-	// sendSoonEvery bounds how often status is sent out of turn, for each
-	// sendSoonHosts hosts of the region.
-	sendSoonEvery = 250 * time.Millisecond
-	// sendSoonHosts is the number of hosts in the region from which on
-	// sendSoonEvery is doubled, and so on, to keep the cost a host bounded.
-	sendSoonHosts = 30
+	maxDeadProbes = 8
+	// minTriggerInterval bounds how often status is sent out of turn, for each
+	// triggerHostStep hosts of the region.
+	minTriggerInterval = 250 * time.Millisecond
+	// triggerHostStep is the number of hosts in the region from which on
+	// minTriggerInterval is doubled, and so on, to keep the cost a host bounded.
+	triggerHostStep = 30
 )
 
 // heartbeatPeers returns the peers that get heartbeats: those of the own region
@@ -47,16 +47,16 @@
 // tried as well, so that they are found when they return.
 func (m *members) heartbeatPeers(now time.Time) []*peerState {
 	x := m.indexed()
-	for _, name := range m.chosen {
+	for _, name := range m.heartbeatTargets {
 		if p := m.peers[name]; p != nil {
 			p.getsHeartbeats = false
 		}
 	}
-	m.chosen = append(m.chosen[:0], m.regionPeers(now)...)
+	m.heartbeatTargets = append(m.heartbeatTargets[:0], m.regionPeers(now)...)
 	for _, names := range x.remote {
-		m.chosen = append(m.chosen, m.firstAlive(names, now)...)
+		m.heartbeatTargets = append(m.heartbeatTargets, m.firstAlive(names, now)...)
 	}
-	chosen := m.named(m.chosen)
+	chosen := m.peersByName(m.heartbeatTargets)
 	for _, p := range chosen {
 		p.getsHeartbeats = true
 	}
@@ -68,7 +68,7 @@
 // must know of it.
 func (m *members) regionPeers(now time.Time) []string {
 	names := m.indexed().byRegion[m.self.Region]
-	if now.Sub(m.started) < introduceFor {
+	if now.Sub(m.started) < introductionPeriod {
 		return names
 	}
 	first := m.firstHosts(now)
@@ -109,7 +109,7 @@
 }
 
 // firstAlive returns the first remoteFanout of some peers that are alive, and of the
-// dead ones before them maxDeadTried, others each heartbeatRetry.
+// dead ones before them maxDeadProbes, others each deadHeartbeatInterval.
 func (m *members) firstAlive(names []string, now time.Time) []string {
 	var alive, dead []string
 	for _, name := range names {
@@ -122,26 +122,26 @@
 			break
 		}
 	}
-	if n := len(dead); n > maxDeadTried {
-		turn := int(now.UnixNano() / int64(heartbeatRetry))
-		first := turn * maxDeadTried % n
-		dead = append(dead[first:], dead[:first]...)[:maxDeadTried]
+	if n := len(dead); n > maxDeadProbes {
+		turn := int(now.UnixNano() / int64(deadHeartbeatInterval))
+		first := turn * maxDeadProbes % n
+		dead = append(dead[first:], dead[:first]...)[:maxDeadProbes]
 	}
 	return append(dead, alive...)
 }
 
-// heartbeatPause is the time from one heartbeat to a peer to the next.
-func heartbeatPause(alive bool) time.Duration {
+// heartbeatDelay is the time from one heartbeat to a peer to the next.
+func heartbeatDelay(alive bool) time.Duration {
 	if alive {
-		return heartbeatEvery
+		return heartbeatInterval
 	}
-	return heartbeatRetry
+	return deadHeartbeatInterval
 }
 
-// sendSoonPause is the least time between two heartbeats out of turn to a
+// triggerInterval is the least time between two heartbeats out of turn to a
 // region of some hosts, this one included.
-func sendSoonPause(hosts int) time.Duration {
-	return sendSoonEvery * time.Duration(1+hosts/sendSoonHosts)
+func triggerInterval(hosts int) time.Duration {
+	return minTriggerInterval * time.Duration(1+hosts/triggerHostStep)
 }
 
 // due returns the peers that are due a heartbeat, and schedules the next ones.
@@ -154,7 +154,7 @@
 		if now.Before(f.nextHeartbeat[name]) {
 			continue
 		}
-		f.nextHeartbeat[name] = now.Add(heartbeatPause(p.alive(now)))
+		f.nextHeartbeat[name] = now.Add(heartbeatDelay(p.alive(now)))
 		due = append(due, p)
 	}
 	return due
@@ -165,22 +165,22 @@
 func (f *Fleet) postpone(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.nextHeartbeat[name] = time.Now().Add(heartbeatEvery)
+	f.nextHeartbeat[name] = time.Now().Add(heartbeatInterval)
 }
 
 // SendSoon makes heartbeats to the live hosts of the own region due now, so
 // that they learn of a change of the status, such as an upstream's failure. It
-// does nothing if it took effect less than sendSoonPause ago.
-func (f *Fleet) SendSoon() { f.sendSoon(time.Now()) }
+// does nothing if it took effect less than triggerInterval ago.
+func (f *Fleet) SendSoon() { f.triggerHeartbeats(time.Now()) }
 
-func (f *Fleet) sendSoon(now time.Time) {
+func (f *Fleet) triggerHeartbeats(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	region := f.members.aliveInRegion(now)
-	if now.Sub(f.sentSoonAt) < sendSoonPause(len(region)) {
+	if now.Sub(f.triggeredAt) < triggerInterval(len(region)) {
 		return
 	}
-	f.sentSoonAt = now
+	f.triggeredAt = now
 	for _, h := range region {
 		f.nextHeartbeat[h.Name] = now
 	}
--- a/internal/gateway/fleet/schedule_test.go
+++ b/internal/gateway/fleet/schedule_test.go
@@ -41,8 +41,8 @@
 		}
 	}
 	require.Len(t, chosen, remoteFanout)
-	later := now.Add(deadAfter)
-	for _, p := range m.named(m.indexed().names) {
+	later := now.Add(deadTimeout)
+	for _, p := range m.peersByName(m.indexed().names) {
 		if p.host.Name != chosen[0] {
 			m.recordHeartbeat(p.host, readyStatus, later)
 		}
@@ -64,9 +64,9 @@
 	f.members.recordHeartbeat(other, readyStatus, now)
 	f.nextHeartbeat[other.Name] = now
 	f.postpone(other.Name)
-	require.Empty(t, f.due(now.Add(heartbeatEvery/2)))
-	require.Len(t, f.due(now.Add(2*heartbeatEvery)), 1)
-	require.Less(t, heartbeatEvery+schedulerTick+heartbeatTimeout, deadAfter, "a host that only answers is not taken for dead")
+	require.Empty(t, f.due(now.Add(heartbeatInterval/2)))
+	require.Len(t, f.due(now.Add(2*heartbeatInterval)), 1)
+	require.Less(t, heartbeatInterval+schedulerTick+heartbeatTimeout, deadTimeout, "a host that only answers is not taken for dead")
 }
 
 func TestStatusIsSentOutOfTurnOnceAPause(t *testing.T) {
@@ -75,15 +75,15 @@
 	other := host("west1", "west-0", "west")
 	f.members.recordHeartbeat(other, readyStatus, now)
 	f.nextHeartbeat[other.Name] = now.Add(time.Hour)
-	f.sendSoon(now)
+	f.triggerHeartbeats(now)
 	require.Len(t, f.due(now), 1)
-	soon := now.Add(sendSoonEvery - 1)
-	f.sendSoon(soon)
+	soon := now.Add(minTriggerInterval - 1)
+	f.triggerHeartbeats(soon)
 	require.Empty(t, f.due(soon), "too soon")
-	f.sendSoon(now.Add(sendSoonEvery))
-	require.Len(t, f.due(now.Add(sendSoonEvery)), 1)
-	require.Equal(t, sendSoonEvery, sendSoonPause(sendSoonHosts-1))
-	require.Equal(t, 2*sendSoonEvery, sendSoonPause(sendSoonHosts), "heartbeats to a large region are rarer")
+	f.triggerHeartbeats(now.Add(minTriggerInterval))
+	require.Len(t, f.due(now.Add(minTriggerInterval)), 1)
+	require.Equal(t, minTriggerInterval, triggerInterval(triggerHostStep-1))
+	require.Equal(t, 2*minTriggerInterval, triggerInterval(triggerHostStep), "heartbeats to a large region are rarer")
 }
 
 // While a region is cut off, a few of its hosts are tried at a time, and all of them
@@ -94,9 +94,9 @@
 	all := append(regionHosts("west", 1), regionHosts("east", hosts)...)
 	m := membersOf(all[0], all, start)
 	tried := map[string]bool{}
-	for at := start.Add(deadAfter); at.Before(start.Add(deadAfter + hosts*heartbeatRetry)); at = at.Add(heartbeatRetry) {
+	for at := start.Add(deadTimeout); at.Before(start.Add(deadTimeout + hosts*deadHeartbeatInterval)); at = at.Add(deadHeartbeatInterval) {
 		peers := m.heartbeatPeers(at)
-		require.Len(t, peers, maxDeadTried)
+		require.Len(t, peers, maxDeadProbes)
 		for _, p := range peers {
 			tried[p.host.Name] = true
 		}
@@ -166,8 +166,8 @@
 	all := zonesOf(3, 30)
 	m := startedMembers(all[40], all, now)
 	require.Len(t, m.heartbeatPeers(now), len(all)-1)
-	require.Less(t, len(m.heartbeatPeers(now.Add(introduceFor))), 50)
-	require.Greater(t, introduceFor, warmup.Window)
+	require.Less(t, len(m.heartbeatPeers(now.Add(introductionPeriod))), 50)
+	require.Greater(t, introductionPeriod, warmup.Window)
 }
 
 // When the large hosts die, others take their place, and those that come back are found.
@@ -177,7 +177,7 @@
 	m := membersOf(all[40], all, now)
 	before := m.firstHosts(now)
 	require.Len(t, before, firstHostCount)
-	later := now.Add(deadAfter)
+	later := now.Add(deadTimeout)
 	for _, h := range all {
 		if !isLarge(h.Capacity, 800) {
 			m.recordHeartbeat(h, readyStatus, later)
@@ -199,7 +199,7 @@
 		m.recordHeartbeat(h, readyStatus, start)
 	}
 	m.heartbeatPeers(start)
-	now := start.Add(introduceFor)
+	now := start.Add(introductionPeriod)
 	exchanged := map[string]bool{}
 	for _, p := range m.heartbeatPeers(now) {
 		exchanged[p.host.Name] = true
--- a/internal/gateway/fleet/start_test.go
+++ b/internal/gateway/fleet/start_test.go
@@ -20,14 +20,14 @@
 	atStore, large := 0, 0
 	for _, self := range all {
 		m := startedMembers(self, all, now)
-		if !m.startsAtPeers(false, false, now) {
+		if !m.startsFromPeers(false, false, now) {
 			atStore++
 			if isLarge(self.Capacity, 800) {
 				large++
 			}
 		}
 	}
-	require.Equal(t, startAtStore, atStore)
+	require.Equal(t, storeReaderCount, atStore)
 	require.Equal(t, 9, large, "those that clients are given first do not wait")
 }
 
@@ -37,12 +37,12 @@
 	atOnce := 0
 	for _, self := range all {
 		m := startedMembers(self, all, now)
-		require.Zero(t, m.listAfter(true))
-		if m.listAfter(false) == 0 {
+		require.Zero(t, m.listDelay(true))
+		if m.listDelay(false) == 0 {
 			atOnce++
 		}
 	}
-	require.Equal(t, startAtStore, atOnce)
+	require.Equal(t, storeReaderCount, atOnce)
 }
 
 func TestWhereAHostThatStartsReadsTheTables(t *testing.T) {
@@ -55,18 +55,18 @@
 		}
 	}
 	for _, c := range []struct {
-		name                             string
-		known                            []Host
-		listRead, firstStart, heardOfAll bool
-		age                              time.Duration
-		peers                            bool
+		name                                    string
+		known                                   []Host
+		listRead, firstStart, discoveryComplete bool
+		age                                     time.Duration
+		peers                                   bool
 	}{
 		{"nothing is known at the first start", nil, false, true, false, 0, true},
 		{"nothing is known at a restart", nil, false, false, false, 0, false},
 		{"a host of few", all[:9], true, true, false, 0, false},
 		{"a host of many, by the list", all, true, false, false, 0, true},
 		{"a host of many, by a peer", all, false, false, true, 0, true},
-		{"no peer had them in time", all, true, true, true, startAtPeersFor, false},
+		{"no peer had them in time", all, true, true, true, peerStartTimeout, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := newMembers(last, []string{"west"}, now)
@@ -76,7 +76,7 @@
 			if c.listRead {
 				m.addList("west", nil, true, now)
 			}
-			require.Equal(t, c.peers, m.startsAtPeers(c.firstStart, c.heardOfAll, now.Add(c.age)))
+			require.Equal(t, c.peers, m.startsFromPeers(c.firstStart, c.discoveryComplete, now.Add(c.age)))
 		})
 	}
 }
@@ -122,7 +122,7 @@
 				require.Equal(t, 1, own)
 				other, _ := r.counts("east", "")
 				require.Equal(t, c.atOnce, other == 1)
-				time.Sleep(otherListsWithin)
+				time.Sleep(maxOtherListsDelay)
 				other, announced := r.counts("east", f.options.Self.Name)
 				require.Equal(t, 1, other)
 				require.Equal(t, 1, announced, "announced once")
@@ -154,6 +154,6 @@
 	status = readyStatus
 	require.Equal(t, "store", f.Sources(0)[0].Name)
 	status = Status{}
-	f.members.started = time.Now().Add(-startAtPeersFor)
+	f.members.started = time.Now().Add(-peerStartTimeout)
 	require.Equal(t, "store", f.Sources(0)[0].Name)
 }
--- a/internal/gateway/fleet/suspicions.go
+++ b/internal/gateway/fleet/suspicions.go
@@ -38,17 +38,17 @@
 }
 
 // SendSoonToAll makes the next heartbeats to all peers that get them due now, so that
-// they learn of a suspicion. It does nothing if it took effect less than sendSoonPause
+// they learn of a suspicion. It does nothing if it took effect less than triggerInterval
 // ago.
 func (f *Fleet) SendSoonToAll() {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if now.Sub(f.sentToAllAt) < sendSoonPause(len(f.members.chosen)) {
+	if now.Sub(f.triggeredAllAt) < triggerInterval(len(f.members.heartbeatTargets)) {
 		return
 	}
-	f.sentToAllAt = now
-	for _, name := range f.members.chosen {
+	f.triggeredAllAt = now
+	for _, name := range f.members.heartbeatTargets {
 		f.nextHeartbeat[name] = now
 	}
 }
--- a/internal/gateway/fleet/suspicions_test.go
+++ b/internal/gateway/fleet/suspicions_test.go
@@ -218,9 +218,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newFakeRegistry()
 		f := newFleet(r, host("a", "west-0", "west"), []string{"west"})
-		time.Sleep(3 * quarantineWait) // the store is away
+		time.Sleep(3 * quarantineTimeout) // the store is away
 		require.False(t, f.KnowsQuarantines(), "the tables have come, the list has not")
-		time.Sleep(quarantineWait)
+		time.Sleep(quarantineTimeout)
 		require.True(t, f.KnowsQuarantines(), "the list can't be read")
 	})
 }
--- a/internal/gateway/fleet/tokens.go
+++ b/internal/gateway/fleet/tokens.go
@@ -18,7 +18,7 @@
 // AskTokens asks another host for tokens of a client account's limit. One that is known
 // to be dead is not asked, as a request may wait for the answer.
 func (f *Fleet) AskTokens(ctx context.Context, host string, ask quota.Ask) (quota.Answer, error) {
-	address, err := f.addressToAsk(host)
+	address, err := f.liveAddress(host)
 	if err != nil {
 		return quota.Answer{}, err
 	}
@@ -26,7 +26,7 @@
 	return answer, eris.Wrap(err, "ask for tokens")
 }
 
-func (f *Fleet) addressToAsk(host string) (string, error) {
+func (f *Fleet) liveAddress(host string) (string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := f.members.peers[host]
