--- a/internal/gateway/fleet/directory.go
+++ b/internal/gateway/fleet/directory.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// clientAddresses is the directory's choice: the addresses of the hosts that
-// clients of a zone and region should use. It names the live hosts that accept
-// clients
+// clientAddresses returns the addresses of the hosts that clients of a zone and region
+// should use. It selects from the live hosts that accept clients, and takes the first of
+// these groups that is not empty:
 //
-//  1. in the client's zone,
-//  2. else in its region,
-//  3. else in the regions that the client's name allows, in their order,
-//  4. else anywhere,
+//  1. hosts in the client's zone,
+//  2. hosts in its region,
+//  3. hosts in the regions that the client's name allows, in their order,
+//  4. all hosts.
 //
-// the first of these that has any, this host first and then by name. A client
-// therefore leaves its zone only when no host there can serve it. Of these hosts
-// it names the large ones alone while they suffice (named). self is this host's
-// own status. The result is empty when no host is ready.
+// This host comes first, the others are sorted by name. A client therefore leaves its
+// zone only when no host there can serve it. If the large hosts of the group suffice,
+// only these are returned (advertised). self is this host's own status. The result is
+// empty when no host is ready.
 func (m *members) clientAddresses(zone, region string, self Status, allowed []string, now time.Time) []string {
 	x := m.indexed()
 	if found := m.acceptingClients(x.byZone[zone], m.self.Zone == zone, self, now); len(found) > 0 {
@@ -37,12 +37,12 @@
 type entryHost struct {
 	address  string
 	capacity int
-	// rate is the requests a second that clients send to it.
+	// rate is the number of requests a second that clients send to the host.
 	rate int
 }
 
-// acceptingClients returns those of the named peers that are alive and accept
-// clients, preceded by this host, whose status is self, if withSelf.
+// acceptingClients returns those of the given peers that are alive and accept clients.
+// If withSelf is set, this host, whose status is self, precedes them.
 func (m *members) acceptingClients(names []string, withSelf bool, self Status, now time.Time) []entryHost {
 	var hosts []entryHost
 	if withSelf && self.acceptsClients() {
@@ -57,22 +57,24 @@
 }
 
 const (
-	// minAdvertised is how many hosts clients are given at the least: with one, all
-	// clients of a zone would wait for its death to be noticed.
+	// minAdvertised is the minimum number of hosts that clients are given. With a single
+	// host, all clients of a zone would wait until its death is noticed.
 	minAdvertised = 2
-	// maxUsedFraction is the part of their capacity that named hosts may be used to by the
-	// requests of all hosts. Rates are known a second or two late, and clients keep
-	// a response for as long again, so that the load may double before the other
-	// hosts are named.
+	// maxUsedFraction is the fraction of the advertised hosts' capacity that the
+	// requests of all hosts may use. Rates are known with a delay of one or two seconds,
+	// and clients cache a response for as long again, so the load may double before the
+	// other hosts are advertised.
 	maxUsedFraction = 0.5
 )
 
-// named returns the addresses of the hosts that clients are given: the large ones
-// while these are minAdvertised or more, and carry what all hosts get; else all.
+// advertised returns the addresses of the hosts that clients are given: only the large
+// hosts if there are at least minAdvertised of them and they can handle the requests of
+// all hosts; otherwise all hosts.
 //
-// Fewer hosts know more. Each host learns by its own requests which upstreams are
-// loaded, failing or connected, and its part of an upstream's warm-up rate is of use
-// only where requests come; the small hosts' links also delay large responses.
+// With fewer hosts, each host has more data. A host learns from its own requests which
+// upstreams are loaded, failing or connected, and its share of an upstream's warm-up
+// rate is useful only if it gets requests. The links of small hosts also delay large
+// responses.
 func advertised(hosts []entryHost) []string {
 	highest, rate := 0, 0
 	for _, h := range hosts {
@@ -94,9 +96,8 @@
 	return large
 }
 
-// ClientAddresses returns the addresses that clients of a zone and region
-// should use, as HOST:PORT. allowed are the regions that the client's name may
-// be served from.
+// ClientAddresses returns the addresses that clients of a zone and region should use, as
+// HOST:PORT. allowed are the regions that the client's name may be served from.
 func (f *Fleet) ClientAddresses(zone, region string, allowed []string) []string {
 	status := f.options.Status()
 	f.mu.Lock()
--- a/internal/gateway/fleet/discovery.go
+++ b/internal/gateway/fleet/discovery.go
@@ -5,30 +5,29 @@
 	"time"
 )
 
-// regionQueryInterval is how often a host asks a peer of each other region which hosts
-// live there, as it gets heartbeats only of some: a quarter of advertisePeriod, so that
-// three queries may fail.
+// regionQueryInterval is how often a host queries a peer of each other region for the
+// hosts of that region, because it gets heartbeats only from some of them. It is a
+// quarter of advertisePeriod, so that three queries may fail.
 const regionQueryInterval = 15 * time.Second
 
-// hostQuery is what a heartbeat asks about other hosts. It is on the wire.
+// hostQuery is the query for other hosts in a heartbeat. It is sent to peers.
 type hostQuery uint8
 
 const (
-	// queryNone asks nothing.
+	// queryNone requests no hosts.
 	queryNone hostQuery = iota
-	// queryRegion asks for the live hosts of the peer's region.
+	// queryRegion requests the live hosts of the peer's region.
 	queryRegion
-	// queryAll asks for all hosts of which the peer has heard lately.
+	// queryAll requests all hosts that were recently reported to the peer.
 	queryAll
 )
 
-// discovery decides which heartbeats ask the peer about other hosts.
+// discovery decides which heartbeats query the peer for other hosts.
 type discovery struct {
 	selfRegion string
 	// complete is set once a peer has responded to queryAll.
 	complete bool
-	// queriedAt is when each other region was last asked; queryAll has the key
-	// "".
+	// queriedAt is when each other region was last queried. queryAll has the key "".
 	queriedAt map[string]time.Time
 }
 
@@ -36,11 +35,11 @@
 	return discovery{selfRegion: selfRegion, queriedAt: map[string]time.Time{}}
 }
 
-// next returns the query for a heartbeat to a peer of a region ("" if it is
-// only known by its address) and records that it is asked now. A host that has
-// just started asks one peer at a time for all hosts until one has responded:
-// asking all at once transfers the whole list as often as there are peers.
-// Later it asks one peer of each other region at a time.
+// next returns the query for a heartbeat to a peer of a region ("" if only the peer's
+// address is known) and records when the query was made. A host that has just started
+// queries one peer at a time for all hosts until a peer has responded, because queries
+// to all peers at once would transfer the whole list once for each peer. After that, it
+// queries one peer of each other region at a time.
 func (d *discovery) next(region string, now time.Time) hostQuery {
 	query, interval := queryRegion, regionQueryInterval
 	switch {
@@ -56,8 +55,7 @@
 	return query
 }
 
-// querySeeds sends heartbeats to the seeds, whose identities their
-// responses have.
+// querySeeds sends heartbeats to the seeds. Their responses contain their identities.
 func (f *Fleet) querySeeds(ctx context.Context) {
 	for _, address := range f.options.Seeds {
 		if address != f.options.Self.PeerAddress {
@@ -75,7 +73,7 @@
 	}
 }
 
-// hosts returns the hosts that a query asks for.
+// hosts returns the hosts that a query requests.
 func (f *Fleet) hosts(q hostQuery) []Host {
 	if q == queryNone {
 		return nil
--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -14,79 +14,79 @@
 	"cairndock/internal/poison"
 )
 
-// Registry is the stored list of hosts, and of the requests that they quarantined.
+// Registry is the stored list of hosts and of the requests that they quarantined.
 type Registry interface {
-	// Announce adds a host, and returns the era of the store in which it did; Withdraw
-	// removes it.
+	// Announce adds a host and returns the era of the store in which the host was added.
+	// Withdraw removes the host.
 	Announce(ctx context.Context, h Host) (era int64, err error)
 	Withdraw(ctx context.Context, h Host) error
-	// Read returns what stands there of a region.
+	// Read returns what the registry has for a region.
 	Read(ctx context.Context, region string) (RegionList, error)
-	// Quarantine stores a quarantined request with a region, and Release removes it.
+	// Quarantine stores a quarantined request under a region, and Release removes it.
 	Quarantine(ctx context.Context, region string, q StoredQuarantine) error
 	Release(ctx context.Context, region string, f poison.Fingerprint) error
 }
 
-// RegionList is what the registry has of a region.
+// RegionList is what the registry has for a region.
 type RegionList struct {
-	// Hosts are all hosts of the region; some may be gone.
+	// Hosts are all hosts of the region. Some may not run any more.
 	Hosts []Listing
-	// Quarantines are the quarantined requests; all regions have them.
+	// Quarantines are the quarantined requests. Every region has all of them.
 	Quarantines []StoredQuarantine
 }
 
-// Listing is a host in the registry.
+// Listing is the entry of a host in the registry.
 type Listing struct {
 	Host Host
-	// Version is that of its last announcement.
+	// Version is the version of the host's last announcement.
 	Version watch.Version
 }
 
-// Reporter logs when peers die and come back.
+// Reporter logs when peers are lost and when they are available again.
 type Reporter interface {
 	Lost(kind, name string, err error)
 	Regained(kind, name string, after time.Duration)
-	// Stalled is told for how long the process had no processor time.
+	// Stalled reports for how long the process had no processor time.
 	Stalled(d time.Duration)
 }
 
-// ObservationSink receives what the hosts of this host's region observed of
-// upstreams.
+// ObservationSink receives the failures and successes that other hosts of this host's
+// region observed at upstreams.
 type ObservationSink interface {
 	Merge(host string, observations []outlier.Observation, now time.Time)
 }
 
-// NoticeSink receives what other hosts heard upstreams say.
+// NoticeSink receives the notices that other hosts received from upstreams.
 type NoticeSink interface {
 	Merge(reports []notice.Report, now time.Time)
 }
 
-// Suspicions are what hosts know of requests that end upstreams. All hosts share them,
-// as such a request may come to any.
+// Suspicions are the requests that are suspected of terminating upstreams. All hosts
+// share them, because such a request may reach any host.
 type Suspicions interface {
 	// News returns what another host does not have yet, and Take merges what it sent.
 	News(m poison.Marks, now time.Time) poison.News
 	Take(n poison.News, now time.Time) poison.Marks
-	// Merge adds what the registry has.
+	// Merge adds reports that were read from the registry.
 	Merge(reports []poison.Report, now time.Time)
-	// Quarantines returns what is known of the quarantined requests.
+	// Quarantines returns the reports of the quarantined requests.
 	Quarantines(now time.Time) []poison.Report
 }
 
 // Table is a table of the store that hosts relay to each other.
 type Table struct {
-	// Replica is this host's copy, which it serves to its peers.
+	// Replica is this host's copy of the table. The host serves it to its peers.
 	Replica *watch.Replica
-	// Store reads the table from the store itself.
+	// Store reads the table directly from the store.
 	Store watch.Source
 }
 
 // Options are the dependencies and settings of a Fleet.
 type Options struct {
 	Self Host
-	// Regions are the regions of the deployment, the host's own included.
+	// Regions are the regions of the deployment, including the host's own.
 	Regions []string
-	// Zones has the region of each availability zone of the settings.
+	// Zones maps each availability zone of the settings to its region.
 	Zones        map[string]string
 	Registry     Registry
 	Report       Reporter
@@ -94,51 +94,51 @@
 	Notices      NoticeSink
 	Suspicions   Suspicions
 	Tokens       TokenGiver
-	// Status returns this host's current status.
+	// Status returns the current status of this host.
 	Status func() Status
 	// Seeds are peer addresses that a starting host queries for other hosts.
 	Seeds     []string
 	Transport peer.Transport
-	// FirstStart is set while the deployment starts for the first time: no clients
-	// are there yet.
+	// FirstStart is set while the deployment starts for the first time and has no
+	// clients yet.
 	FirstStart bool
-	// Tables are relayed between hosts, which name them by their index.
+	// Tables are relayed between hosts. Messages identify a table by its index.
 	Tables []Table
-	// MaxAge is the age up to which a relayed table is of use.
+	// MaxAge is the maximum age at which a relayed table is still used.
 	MaxAge time.Duration
 }
 
-// Fleet exchanges heartbeats with the other hosts and serves their requests.
-// Its methods may be used concurrently.
+// Fleet exchanges heartbeats with the other hosts and serves their requests. Its methods
+// are safe for concurrent use.
 type Fleet struct {
 	options Options
 	mesh    *peer.Mesh
-	// limitPlace is this host's place in the limits of client accounts.
+	// limitPlace is this host's position in the limits of client accounts.
 	limitPlace atomic.Pointer[quota.Place]
-	// quarantinesLearned is set once this host has heard of the requests that are
+	// quarantinesLearned is set once this host has learned which requests are
 	// quarantined.
 	quarantinesLearned atomic.Bool
-	// quarantineWaitStart is since when nothing else keeps this host from serving; nil
-	// before.
+	// quarantineWaitStart is when this host first had all other data that it needs to
+	// serve; nil before that.
 	quarantineWaitStart atomic.Pointer[time.Time]
 
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu      sync.Mutex
 	members *members
-	// nextHeartbeat is when each peer, by name, is due a heartbeat.
+	// nextHeartbeat is when the next heartbeat to each peer is due, by the peer's name.
 	nextHeartbeat map[string]time.Time
-	// triggeredAt is when SendSoon last took effect.
+	// triggeredAt is when SendSoon last made heartbeats due.
 	triggeredAt time.Time
-	// triggeredAllAt is when SendSoonToAll last took effect.
+	// triggeredAllAt is when SendSoonToAll last made heartbeats due.
 	triggeredAllAt time.Time
 	discovery      discovery
 	// newest is the newest version seen of each table.
 	newest []versionSeen
-	// announcedEra is the store's era in which this host was announced last.
+	// announcedEra is the era of the store in which this host was last announced.
 	announcedEra int64
 }
 
-// New returns a fleet that does not run yet.
+// New returns a fleet that is not running yet.
 func New(o Options) *Fleet {
 	f := &Fleet{
 		options: o, members: newMembers(o.Self, o.Regions, time.Now()), nextHeartbeat: map[string]time.Time{},
@@ -151,9 +151,9 @@
 	return f
 }
 
-// Start listens for peers, and registers this host and sends heartbeats until
-// the context ends. Peers are served until the process ends, so that a host
-// which drains still relays and reports that it is leaving.
+// Start listens for peers, registers this host and sends heartbeats until the context
+// ends. Peers are served until the process ends, so that a draining host still relays
+// tables and reports that it is leaving.
 func (f *Fleet) Start(ctx context.Context) error {
 	if _, err := f.mesh.Listen(f.options.Self.PeerAddress); err != nil {
 		return err
@@ -163,30 +163,31 @@
 	return nil
 }
 
-// Withdraw sends all peers a heartbeat with the status of a host that leaves,
-// and removes this host from the registry. From now on it has no part of a limit
-// that hosts share: those that start do not know of it.
+// Withdraw sends all peers a heartbeat with the status of a leaving host and removes
+// this host from the registry. From then on the host has no share of limits that hosts
+// share, because hosts that start do not learn of it.
 func (f *Fleet) Withdraw(ctx context.Context) {
 	f.mu.Lock()
 	f.members.withdrawn = true
 	f.mu.Unlock()
 	f.updatePlace(time.Now())
 	f.heartbeatAll(ctx)
-	// The error is dropped: the host is stopping and does not retry. An entry
-	// that stays costs a starting host a few failed heartbeats, until it
-	// forgets the host after peerTTL.
+	// The error is dropped: the host is stopping and does not retry. If the entry
+	// remains, a starting host sends a few heartbeats in vain until it forgets this host
+	// after peerTTL.
 	_ = f.options.Registry.Withdraw(ctx, f.options.Self)
 }
 
-// Hosts is the number of known hosts, dead ones and this host included.
+// Hosts is the number of known hosts, including dead ones and this host.
 func (f *Fleet) Hosts() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.members.size()
 }
 
-// Suspended has what this host knows of others be older by the time for which the
-// machine was suspended: hosts that it heard before do not count as alive after it.
+// Suspended ages all state received from other hosts by the time for which the machine
+// was suspended, so that a host last seen before the suspension does not count as alive
+// after it.
 func (f *Fleet) Suspended(gap time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -196,22 +197,22 @@
 	}
 }
 
-// CommonPart is this host's part of a limit of all hosts, from 0 to 1; zero while it
-// does not know who shares the limit, or stops.
+// CommonPart is this host's share of a limit of all hosts, from 0 to 1; zero while the
+// host does not know all hosts that share the limit.
 func (f *Fleet) CommonPart() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.members.commonShare(time.Now())
 }
 
-// UnreadLists is the number of regions of which no whole list of hosts was read.
+// UnreadLists is the number of regions whose list of hosts was not read completely yet.
 func (f *Fleet) UnreadLists() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.members.unread())
 }
 
-// ServePeer serves a request of a peer.
+// ServePeer serves a request from a peer.
 func (f *Fleet) ServePeer(ctx context.Context, _ peer.Hello, kind peer.Kind, payload []byte, w *peer.Responder) {
 	switch kind {
 	case peer.KindHeartbeat:
@@ -225,11 +226,11 @@
 	}
 }
 
-// fail ends a request without a response. A write error is dropped: it means
-// that the connection is lost, which the peer sees as well.
+// fail ends a request without a response. A write error is dropped because it means that
+// the connection is lost, which the peer notices as well.
 func fail(w *peer.Responder) { _ = w.Fail() }
 
-// respond sends a response. An error is dropped: either the connection is
-// lost, or the response is larger than a frame; the peer's deadline ends its
-// request then, and it goes to another host or to the store.
+// respond sends a response. An error is dropped: either the connection is lost, or the
+// response is larger than a frame. In the second case the request ends at the peer's
+// deadline, and the peer turns to another host or to the store.
 func respond(w *peer.Responder, response any) { _ = w.Send(response) }
--- a/internal/gateway/fleet/heartbeat.go
+++ b/internal/gateway/fleet/heartbeat.go
@@ -13,15 +13,15 @@
 type heartbeat struct {
 	Host   Host   `msgpack:"h"`
 	Status Status `msgpack:"s"`
-	// Query asks the peer about other hosts, which its response has in Hosts.
+	// Query requests other hosts from the peer. The response has them in Hosts.
 	Query hostQuery `msgpack:"a,omitempty"`
 	Hosts []Host    `msgpack:"l,omitempty"`
-	// Suspicions are the sender's that the receiver does not have yet.
+	// Suspicions are the sender's suspicions that the receiver does not have yet.
 	Suspicions poison.News `msgpack:"p,omitempty"`
 }
 
-// heartbeatLoop sends the heartbeats that are due and reports dead peers until
-// the context ends.
+// heartbeatLoop sends the heartbeats that are due and reports dead peers until the
+// context ends.
 func (f *Fleet) heartbeatLoop(ctx context.Context) {
 	f.querySeeds(ctx)
 	ticker := time.NewTicker(schedulerTick)
@@ -45,19 +45,19 @@
 	}
 }
 
-// minStall is how late a tick must be to be reported: a host with a part of a core may wait
-// for a tenth of a second while its part is used up.
+// minStall is the minimum delay of a tick that is reported. A host with a fraction of a
+// core may wait for a tenth of a second when that fraction is used up.
 const minStall = 200 * time.Millisecond
 
-// reportStall reports that a tick came much later than the one before: meanwhile the process
-// had no processor time, and its requests waited as well.
+// reportStall reports a tick that came much later than expected. During the delay the
+// process had no processor time, so its requests were delayed as well.
 func (f *Fleet) reportStall(sinceLast time.Duration) {
 	if late := sinceLast - schedulerTick; late >= minStall {
 		f.options.Report.Stalled(late)
 	}
 }
 
-// reportDead forgets expired peers and logs those that died since a moment.
+// reportDead forgets expired peers and logs the peers that died between since and now.
 func (f *Fleet) reportDead(since, now time.Time) {
 	f.mu.Lock()
 	dead := f.members.expire(since, now)
@@ -67,8 +67,8 @@
 	}
 }
 
-// heartbeatAll exchanges heartbeats with all known peers at once and waits for
-// them.
+// heartbeatAll exchanges heartbeats with all known peers concurrently and waits for the
+// exchanges to end.
 func (f *Fleet) heartbeatAll(ctx context.Context) {
 	var wait sync.WaitGroup
 	for _, h := range f.hosts(queryAll) {
@@ -77,9 +77,9 @@
 	wait.Wait()
 }
 
-// exchangeHeartbeat sends a heartbeat to a peer and records its response. Of a
-// seed only the address is known. A failure is not logged here: the peer is
-// reported as lost once it counts as dead.
+// exchangeHeartbeat sends a heartbeat to a peer and records the response. Of a seed only
+// the address is known. A failure is not logged here, because the peer is reported as
+// lost once it counts as dead.
 func (f *Fleet) exchangeHeartbeat(ctx context.Context, to Host) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
@@ -89,8 +89,8 @@
 	request := f.withSuspicions(heartbeat{Host: f.options.Self, Status: f.status(), Query: query}, to.Name)
 	response, err := peer.Call[heartbeat](ctx, f.mesh, to.PeerAddress, peer.KindHeartbeat, request)
 	if err != nil {
-		// A new connection is made for the next heartbeat, so that it does
-		// not wait behind data that a partition holds up.
+		// The next heartbeat uses a new connection, so that it does not wait behind data
+		// that a network partition holds up.
 		f.mesh.Drop(to.PeerAddress)
 		return
 	}
@@ -103,7 +103,7 @@
 	}
 }
 
-// status is this host's status for heartbeats.
+// status returns the status of this host for heartbeats.
 func (f *Fleet) status() Status {
 	s := f.options.Status()
 	f.mu.Lock()
@@ -127,7 +127,7 @@
 	}
 	f.mergeSuspicions(b, now)
 	if b.Status.Ready {
-		f.quarantinesLearned.Store(true) // a host is ready once it has
+		f.quarantinesLearned.Store(true) // a host is ready only after it has learned of them
 	}
 	if f.options.Notices != nil {
 		f.options.Notices.Merge(b.Status.Notices, now)
@@ -137,10 +137,9 @@
 	}
 }
 
-// serveHeartbeat records a peer's heartbeat and responds with this host's. One
-// that cannot be decoded is not logged, as it would be several times a second:
-// the peer gets no response, and is reported as lost here once it counts as
-// dead.
+// serveHeartbeat records a peer's heartbeat and responds with this host's. A heartbeat
+// that cannot be decoded is not logged, because that would happen several times a
+// second. The peer gets no response and is reported as lost here once it counts as dead.
 func (f *Fleet) serveHeartbeat(payload []byte, w *peer.Responder) {
 	b, err := peer.Decode[heartbeat](payload)
 	if err != nil {
--- a/internal/gateway/fleet/index.go
+++ b/internal/gateway/fleet/index.go
@@ -8,28 +8,29 @@
 	"cairndock/internal/gateway/rendezvous"
 )
 
-// index has the names of the known peers in order, so that frequent look-ups
-// need not sort them. It is rebuilt after a host was added, forgotten or changed. At
-// 5,900 hosts it took a directory look-up from 2,273 to 6.2 us, and a look for
+// index has the names of the known peers in sorted order, so that frequent look-ups do
+// not sort them. It is rebuilt after a host was added, forgotten or changed. At 5,900
+// hosts the index reduced a directory look-up from 2,273 to 6.2 us, and the selection of
 // peers that are due a heartbeat from 7,712 to 33 us (docs/CAPACITY.md).
 type index struct {
-	// names are all peers, by name.
+	// names are the names of all peers, sorted.
 	names []string
-	// byZone has the peers of each zone, by name.
+	// byZone has the peers of each zone, sorted by name.
 	byZone map[string][]string
-	// byRegion has the peers of each region, by name.
+	// byRegion has the peers of each region, sorted by name.
 	byRegion map[string][]string
-	// byRank has the hosts of the own region, this one included, by rank.
+	// byRank has the hosts of the own region, including this one, sorted by rank.
 	byRank []string
-	// remote has the peers of each other region in this host's own order.
+	// remote has the peers of each other region, in the order that is specific to this
+	// host.
 	remote map[string][]string
-	// sharers has those that were asked for; see members.sharers.
+	// sharers caches the results of members.sharers.
 	sharers map[string]sharers
-	// layout is nil until it is asked for; see members.layout.
+	// layout caches the result of members.layout; nil before its first use.
 	layout *quota.Layout
 }
 
-// indexed returns the index of the peers known now.
+// indexed returns the index of the currently known peers.
 func (m *members) indexed() *index {
 	if m.index == nil {
 		m.index = m.newIndex()
@@ -57,7 +58,7 @@
 	return x
 }
 
-// byRank sorts this host and some peers by rank.
+// byRank returns the names of this host and of the given peers, sorted by rank.
 func (m *members) byRank(names []string) []string {
 	hosts := []Host{m.self}
 	for _, name := range names {
@@ -71,8 +72,8 @@
 	return ranked
 }
 
-// ranked sorts peers by rendezvous hashing with this host, so that the hosts of
-// a region choose different peers of another region.
+// ranked sorts peers by rendezvous hashing with this host, so that the hosts of a region
+// choose different peers of another region.
 func (m *members) ranked(names []string) []string {
 	ranks := make(map[string]uint64, len(names))
 	for _, name := range names {
@@ -83,7 +84,7 @@
 	return ranked
 }
 
-// named returns the peers of the given names.
+// peersByName returns the peers of the given names.
 func (m *members) peersByName(names []string) []*peerState {
 	peers := make([]*peerState, 0, len(names))
 	for _, name := range names {
--- a/internal/gateway/fleet/limitshare.go
+++ b/internal/gateway/fleet/limitshare.go
@@ -10,16 +10,18 @@
 	"cairndock/internal/gateway/rendezvous"
 )
 
-// ownRegionLimitFraction is the part of an upstream's limit that the hosts of its own region share:
-// nearly all requests to it come from there, and what is held by hosts without requests is
-// lost. The others share the rest.
+// ownRegionLimitFraction is the fraction of an upstream's limit that the hosts of its
+// own region share. Nearly all requests to the upstream come from these hosts, and
+// tokens of hosts without requests are not used. The hosts of other regions share the
+// remaining tokens.
 const ownRegionLimitFraction = 0.75
 
-// limitShare is how many of a number of tokens of an upstream's limit are this host's. As
-// with warmUpQuota they are split without messages, over all known hosts, dead ones
-// included, so that shares add up to the number at most whomever each host sees alive.
-// Unlike there a process that has just started has its share at once: it starts without
-// tokens. It has none while it does not know who shares them.
+// limitShare returns how many tokens of an upstream's limit belong to this host. tokens
+// is the number for all hosts. As in warmUpQuota, the tokens are split without messages
+// over all known hosts, including dead ones, so that the shares add up to at most tokens
+// whichever hosts each host sees alive. Unlike in warmUpQuota, a process that has just
+// started has its share at once, because it starts without tokens. A host has no share
+// while it does not know which hosts share the limit.
 func (m *members) limitShare(id, region string, tokens int, now time.Time) int {
 	if m.withdrawn || !m.hostsKnown(m.self.Region, now) {
 		return 0
@@ -29,15 +31,15 @@
 		return 0
 	}
 	s := m.sharers(m.self.Region)
-	part, hosts := s.split(number, isLarge(m.self.Capacity, s.highest))
-	share := part / hosts
-	if m.preceding(id, m.self.Region, s.highest, hosts) < part%hosts {
+	portion, hosts := s.split(number, isLarge(m.self.Capacity, s.highest))
+	share := portion / hosts
+	if m.preceding(id, m.self.Region, s.highest, hosts) < portion%hosts {
 		share++
 	}
 	return share
 }
 
-// regionTokens is how many tokens the hosts of this host's region share.
+// regionTokens returns how many of the tokens the hosts of this host's region share.
 func (m *members) regionTokens(id, region string, tokens int) int {
 	own := int(math.Ceil(ownRegionLimitFraction * float64(tokens)))
 	others := make([]string, 0, len(m.lists))
@@ -55,15 +57,15 @@
 	slices.SortFunc(others, func(a, b string) int {
 		return cmp.Or(cmp.Compare(rendezvous.Rank(a, id), rendezvous.Rank(b, id)), cmp.Compare(a, b))
 	})
-	rest, place := tokens-own, slices.Index(others, m.self.Region)
+	rest, position := tokens-own, slices.Index(others, m.self.Region)
 	number := rest / len(others)
-	if place < rest%len(others) {
+	if position < rest%len(others) {
 		number++
 	}
 	return number
 }
 
-// LimitShare returns this host's share of a number of tokens of an upstream's limit.
+// LimitShare returns this host's share of the tokens of an upstream's limit.
 func (f *Fleet) LimitShare(id, region string, tokens int) notice.Share {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/fleet/members.go
+++ b/internal/gateway/fleet/members.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// members is a host's view of all hosts. It has no lock and no clock: Fleet
-// guards it, and each method is given the time.
+// members is a host's view of all hosts. It has no lock and no clock: Fleet guards it
+// and passes the time to each method.
 type members struct {
 	self Host
-	// started is when this host's process started.
+	// started is when the process of this host started.
 	started time.Time
 	peers   map[string]*peerState
-	// withdrawn is set once the host stops: hosts that start then do not find it
+	// withdrawn is set once the host stops. Hosts that start after that do not find it
 	// in the registry.
 	withdrawn bool
-	// firstStart is set while the deployment starts for the first time, and
-	// announcedBefore once it is known that an earlier process of this host has
-	// announced it.
+	// firstStart is set while the deployment starts for the first time. announcedBefore
+	// is set once it is known that an earlier process of this host has announced it.
 	firstStart, announcedBefore bool
 	// heldShards is set once this process has held shards of limits.
 	heldShards bool
-	// lists has, for each region, when the list of its hosts was read whole from
-	// the registry; zero is not yet.
+	// lists has the time at which the list of hosts of each region was read completely
+	// from the registry; zero if it was not read yet.
 	lists map[string]time.Time
 	// index is nil after the set of hosts has changed.
 	index *index
-	// chosen names the peers that were chosen for heartbeats last.
+	// heartbeatTargets are the names of the peers that were last selected for
+	// heartbeats.
 	heartbeatTargets []string
 }
 
-// newMembers returns the view of a host whose process started at a time, and which
-// knows only itself. regions are those of the deployment.
+// newMembers returns the view of a host that knows only itself. started is when its
+// process started, and regions are the regions of the deployment.
 func newMembers(self Host, regions []string, started time.Time) *members {
 	m := &members{self: self, started: started, peers: map[string]*peerState{}, lists: map[string]time.Time{}}
 	for _, region := range regions {
@@ -37,8 +37,8 @@
 	return m
 }
 
-// addKnown adds a host that the registry or a peer has named. It does not make
-// the host alive.
+// addKnown adds a host that the registry or a peer has named. The host does not count as
+// alive because of that.
 func (m *members) addKnown(h Host, now time.Time) {
 	if h.Name == m.self.Name || h.Name == "" {
 		return
@@ -52,9 +52,9 @@
 	p.lastReported = now
 }
 
-// recordHeartbeat records a peer's identity and status. It reports whether the
-// peer is one that gets heartbeats and was dead, unknown or another
-// incarnation, as its process has been restarted since.
+// recordHeartbeat records a peer's identity and status. It reports whether the peer is
+// among those that get heartbeats and was dead, unknown or of another incarnation, which
+// means that its process was restarted.
 func (m *members) recordHeartbeat(h Host, s Status, now time.Time) (regained bool) {
 	if h.Name == m.self.Name || h.Name == "" {
 		return false
@@ -79,8 +79,8 @@
 	return p.getsHeartbeats
 }
 
-// expire forgets the peers that have expired. It returns those that get
-// heartbeats and have died since the last call, at the time since.
+// expire forgets the peers that have expired. It returns the peers that get heartbeats
+// and died between since, the time of the last call, and now.
 func (m *members) expire(since, now time.Time) []Host {
 	var dead []Host
 	for name, p := range m.peers {
@@ -94,8 +94,7 @@
 	return dead
 }
 
-// suspended has all that was heard be older by the time for which the machine was
-// suspended.
+// suspended ages all received data by the time for which the machine was suspended.
 func (m *members) suspended(gap time.Duration) {
 	for _, p := range m.peers {
 		p.lastReported = p.lastReported.Add(-gap)
@@ -110,8 +109,8 @@
 	m.index = nil
 }
 
-// seenRecently returns the peers that were heard of within advertisePeriod, in the order
-// of their names.
+// seenRecently returns the peers that were reported within advertisePeriod, sorted by
+// name.
 func (m *members) seenRecently(now time.Time) []Host {
 	var hosts []Host
 	for _, p := range m.peersByName(m.indexed().names) {
@@ -122,7 +121,7 @@
 	return hosts
 }
 
-// aliveInRegion returns the live hosts of this host's region, itself included.
+// aliveInRegion returns the live hosts of this host's region, including this host.
 func (m *members) aliveInRegion(now time.Time) []Host {
 	hosts := []Host{m.self}
 	for _, p := range m.peersByName(m.indexed().byRegion[m.self.Region]) {
@@ -133,7 +132,7 @@
 	return hosts
 }
 
-// size is the number of known hosts, dead ones and this host included.
+// size is the number of known hosts, including dead ones and this host.
 func (m *members) size() int { return 1 + len(m.peers) }
 
 // anyAlive reports whether a peer in a region is alive.
--- a/internal/gateway/fleet/place.go
+++ b/internal/gateway/fleet/place.go
@@ -10,21 +10,25 @@
 	"cairndock/internal/gateway/warmup"
 )
 
-// A limit's shards must not have two holders (package quota). Hosts of a zone agree on
-// whose a shard is as soon as they know each other. Two cases are left: a host that is new
-// to the zone, and one that is cut off from it and does not hear of that. The first takes
-// its shards once it has heard all known hosts of the zone, or newHostDelay after its
-// start; the second has given up its own by then.
+// A shard of a limit must not have two holders (package quota). The hosts of a zone
+// agree on the holder of each shard as soon as they know each other. Two cases remain: a
+// host that is new to the zone, and a host that is cut off from the zone and does not
+// learn of the new one. The new host takes its shards once it has received heartbeats
+// from all known hosts of the zone, or newHostDelay after it has read their list. The
+// host that is cut off has given up its shards by then.
 const (
-	// isolationTimeout is how long a host hears nobody of its zone, where others are known,
-	// until it gives up its shards. It exceeds deadTimeout by a heartbeat.
+	// isolationTimeout is how long a host may receive no heartbeat from its zone, if
+	// other hosts of the zone are known, before it gives up its shards. It exceeds
+	// deadTimeout by more than a heartbeat interval.
 	isolationTimeout = 4 * time.Second
 	// newHostDelay is how long a host that no earlier process has announced holds no
-	// shards. It exceeds isolationTimeout by the time in which it makes itself known.
+	// shards. It exceeds isolationTimeout by the time that the other hosts take to learn
+	// of the new host.
 	newHostDelay = 6 * time.Second
 )
 
-// limitPlace gives this host's place in the limits; the last one while nothing changed.
+// limitPlace returns this host's position in the limits. It returns last if nothing has
+// changed.
 func (m *members) limitPlace(zones map[string]string, last *quota.Place, now time.Time) *quota.Place {
 	next := &quota.Place{Layout: m.layout(zones), Holds: m.holdsShards(now)}
 	if last != nil && last.Holds == next.Holds && (last.Layout == next.Layout || reflect.DeepEqual(last.Layout, next.Layout)) {
@@ -35,7 +39,8 @@
 	return next
 }
 
-// heldSince is from when on this host has held the shards of a new place.
+// heldSince returns the time since which this host has held the shards of a new
+// position.
 func (m *members) heldSince(last, next *quota.Place, now time.Time) time.Time {
 	switch {
 	case last != nil && last.Holds && slices.EqualFunc(last.Layout.Zones, next.Layout.Zones, func(a, b quota.Zone) bool {
@@ -43,18 +48,20 @@
 	}):
 		return last.Since // only other zones have changed
 	case m.announcedBefore && !m.heldShards:
-		// They have been this host's since before its process started, and filled while
-		// it read the lists. Counted from when it had read them, 3,718 tries were refused
-		// by limits in 44 s with a restart of all 67 hosts, and 2,029 so: clients come
-		// back together.
+		// An earlier process of this host held these shards, and they filled while this
+		// one read the lists. Counted from the time at which the lists were read, 3,718
+		// attempts were refused by limits in 44 s with a restart of all 67 hosts,
+		// because clients reconnect at the same time. Counted from the process start,
+		// 2,029 were refused.
 		return m.started
 	default:
 		return now
 	}
 }
 
-// layout gives the known hosts by zone. Zones are those of the settings and this host's.
-// It is kept until the hosts known change, as it is asked for several times a second.
+// layout returns the known hosts by zone, for the zones of the settings and this host's
+// zone. The result is cached until the known hosts change, because it is used several
+// times a second.
 func (m *members) layout(zones map[string]string) *quota.Layout {
 	x := m.indexed()
 	if x.layout == nil {
@@ -81,8 +88,9 @@
 	}
 	highest := 0
 	for _, p := range m.peersByName(m.indexed().byZone[name]) {
-		// Whoever stops has given up its shards before it says so: the others of its zone
-		// take them, so that hosts that are restarted in turn leave none unused.
+		// A stopping host gives up its shards before it reports that it has withdrawn.
+		// The other hosts of its zone take them, so that no shard stays unused while
+		// hosts are restarted one after another.
 		if !p.status.Withdrawn {
 			hosts = append(hosts, p.host)
 		}
@@ -103,8 +111,8 @@
 	return z
 }
 
-// holdsShards reports whether this host holds the shards that are its own by the layout:
-// it knows the hosts of its zone, and they know it.
+// holdsShards reports whether this host holds the shards that the layout assigns to it.
+// It does if it knows the hosts of its zone and they know it.
 func (m *members) holdsShards(now time.Time) bool {
 	read := m.lists[m.self.Region]
 	if m.withdrawn || read.IsZero() || m.isolated(now) {
@@ -120,16 +128,17 @@
 	}
 }
 
-// seenWholeZone reports whether this process has heard all known hosts of its zone, which
-// know it then and have given up what is its own. Those that have stopped need not.
+// seenWholeZone reports whether this process has received heartbeats from all known
+// hosts of its zone. These hosts then know this one and have given up its shards. Hosts
+// that have withdrawn are not needed.
 func (m *members) seenWholeZone() bool {
 	return !slices.ContainsFunc(m.peersByName(m.indexed().byZone[m.self.Zone]), func(p *peerState) bool {
 		return p.lastHeartbeat.IsZero() && !p.status.Withdrawn
 	})
 }
 
-// isolated reports whether hosts of the zone are known and none was heard for
-// isolationTimeout.
+// isolated reports whether other hosts of the zone are known and no heartbeat of any of
+// them was received within isolationTimeout.
 func (m *members) isolated(now time.Time) bool {
 	peers := m.peersByName(m.indexed().byZone[m.self.Zone])
 	if len(peers) == 0 || now.Sub(m.started) < isolationTimeout {
@@ -138,11 +147,11 @@
 	return !slices.ContainsFunc(peers, func(p *peerState) bool { return now.Sub(p.lastHeartbeat) < isolationTimeout })
 }
 
-// Place gives this host's place in the limits of client accounts, at most schedulerTick
-// old.
+// Place returns this host's position in the limits of client accounts, which is at most
+// schedulerTick old.
 func (f *Fleet) Place() *quota.Place { return f.limitPlace.Load() }
 
-// updatePlace works out the place anew.
+// updatePlace recomputes the position.
 func (f *Fleet) updatePlace(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/fleet/quarantine.go
+++ b/internal/gateway/fleet/quarantine.go
@@ -9,22 +9,24 @@
 	"cairndock/internal/poison"
 )
 
-// Quarantines are also in the registry, so that they outlast the end of all hosts at
-// once. They stand beside the hosts of every region, as a starting host reads its own
-// region's first, and those of others up to a second after it serves; so they cost it no
-// call of its own. Hosts in operation learn of them by heartbeats. A starting host serves
-// once it has heard of them, whichever way: the requests come on while it starts.
+// Quarantines are also stored in the registry, so that they survive when all hosts stop
+// at the same time. They are stored with the hosts of every region, because a starting
+// host reads the list of its own region first and those of other regions up to a second
+// after it starts to serve. Reading them thus takes no additional call. Running hosts
+// learn of quarantines from heartbeats. A starting host serves only once it has learned
+// of them from either source, because the quarantined requests keep coming during its
+// start.
 
 // StoredQuarantine is a quarantined request in the registry (JSON).
 type StoredQuarantine struct {
 	Report poison.Report `json:"report"`
-	// StoredAt is the time of day at which the report was made, in Unix milliseconds.
-	// Hosts' times of day may differ by seconds, which matters little for what counts
-	// an hour.
+	// StoredAt is the wall-clock time at which the report was made, in Unix
+	// milliseconds. The clocks of hosts may differ by seconds, which matters little for
+	// a report that is valid for an hour.
 	StoredAt int64 `json:"stored_at"`
 }
 
-// aged returns the report as of now, by this host's time of day.
+// aged returns the report as of now, according to this host's wall clock.
 func (q StoredQuarantine) aged(now time.Time) poison.Report {
 	older := max(0, now.UnixMilli()-q.StoredAt)
 	r := poison.Report{Fingerprint: q.Report.Fingerprint}
@@ -36,25 +38,26 @@
 }
 
 const (
-	// quarantineTimeout is how long a host that knows all else waits to hear of quarantines:
-	// above what it takes to read a list, and short beside what it is missed by while no
-	// list can be read and no other host runs.
+	// quarantineTimeout is how long a host that has all other data waits for
+	// quarantines. It is longer than reading a list takes, and adds little to the time
+	// for which a host is missing while no list can be read and no other host runs.
 	quarantineTimeout = time.Second
-	// maxQuarantineWrites is how often a host tries to store a quarantine. The other hosts
-	// have it meanwhile.
+	// maxQuarantineWrites is how many times a host tries to store a quarantine. The
+	// other hosts learn of it from heartbeats in the meantime.
 	maxQuarantineWrites = 5
-	// quarantineRetryDelay is the pause between two of them.
+	// quarantineRetryDelay is the pause between two of these attempts.
 	quarantineRetryDelay = 2 * time.Second
 )
 
-// StoreQuarantine stores a quarantine that this host decided, with each region, the own
-// one first. It returns once that is done or was tried maxQuarantineWrites times. Errors are
-// dropped: the tables' watchers log that the store is away.
+// StoreQuarantine stores a quarantine that this host decided under every region, the own
+// region first. It returns once this has succeeded or was tried maxQuarantineWrites
+// times. Errors are dropped because the watchers of the tables log that the store is
+// unavailable.
 func (f *Fleet) StoreQuarantine(ctx context.Context, r poison.Report) {
 	f.storeQuarantine(ctx, r, f.regions())
 }
 
-// storeQuarantine is StoreQuarantine with some regions.
+// storeQuarantine stores a quarantine under the remaining regions; see StoreQuarantine.
 func (f *Fleet) storeQuarantine(ctx context.Context, r poison.Report, remaining []string) {
 	q := StoredQuarantine{Report: r, StoredAt: time.Now().UnixMilli()}
 	for range maxQuarantineWrites {
@@ -67,19 +70,20 @@
 	}
 }
 
-// RemoveQuarantine removes a quarantine that this host released. What stays after an
-// error counts for an hour at most, and only for hosts that start while no other host
-// runs.
+// RemoveQuarantine removes a quarantine that this host released. An entry that remains
+// after an error is valid for an hour at most, and only for hosts that start while no
+// other host runs.
 func (f *Fleet) RemoveQuarantine(ctx context.Context, fingerprint poison.Fingerprint) {
 	for _, region := range f.regions() {
 		_ = f.options.Registry.Release(ctx, region, fingerprint)
 	}
 }
 
-// KnowsQuarantines reports whether this host has heard of the requests that are quarantined,
-// from the registry or from a host that serves, or has waited long enough. It is asked once
-// the host knows all else that it needs to serve, and the wait begins with the first time:
-// a store that was away at its start has the list by then.
+// KnowsQuarantines reports whether this host has learned which requests are quarantined,
+// from the registry or from a host that serves, or has waited for quarantineTimeout. It
+// is called once the host has all other data that it needs to serve. The wait begins
+// with the first call, so that a store that was unavailable at the host's start has time
+// to return the list.
 func (f *Fleet) KnowsQuarantines() bool {
 	if f.quarantinesLearned.Load() {
 		return true
@@ -89,8 +93,8 @@
 	return now.Sub(*f.quarantineWaitStart.Load()) >= quarantineTimeout
 }
 
-// mergeStored adds the quarantines that the registry has, and removes those that count
-// no more.
+// mergeStored adds the quarantines that were read from the registry, and removes those
+// that are no longer valid.
 func (f *Fleet) mergeStored(ctx context.Context, region string, stored []StoredQuarantine) {
 	defer f.quarantinesLearned.Store(true)
 	if f.options.Suspicions == nil {
@@ -100,7 +104,7 @@
 	for _, q := range stored {
 		r := q.aged(now)
 		if !r.Counts() {
-			_ = f.options.Registry.Release(ctx, region, r.Fingerprint) // the next reader tries again
+			_ = f.options.Registry.Release(ctx, region, r.Fingerprint) // the next host that reads the list retries
 			continue
 		}
 		f.options.Suspicions.Merge([]poison.Report{r}, now)
--- a/internal/gateway/fleet/quota.go
+++ b/internal/gateway/fleet/quota.go
@@ -9,26 +9,27 @@
 )
 
 const (
-	// ownRegionRateFraction is the part of a cold upstream's rate that the hosts of
-	// its own region share: with otherRegionsRateFraction it must stay at or below
-	// 1.
+	// ownRegionRateFraction is the fraction of a cold upstream's rate that the hosts of
+	// its own region share. Its sum with otherRegionsRateFraction must not exceed 1.
 	ownRegionRateFraction = 0.6
-	// otherRegionsRateFraction is the part that the hosts of all other regions share.
-	// They use it only while they see no live host in the upstream's region.
-	// Hosts may differ in whom they see, so both parts may be in use at once.
+	// otherRegionsRateFraction is the fraction that the hosts of all other regions
+	// share. They use it only while they see no live host in the upstream's region. Both
+	// fractions may be in use at the same time, because hosts may differ in which hosts
+	// they see alive.
 	otherRegionsRateFraction = 0.3
 )
 
-// warmUpQuota is this host's share of a cold (warming-up) upstream's rate.
-// total is what all hosts together may send it, in requests a second; the
-// result is in the same unit.
+// warmUpQuota returns this host's share of the rate of a cold (warming-up) upstream.
+// total is the number of requests a second that all hosts together may send to the
+// upstream. The result has the same unit.
 //
-// The rate is split without messages: over all known hosts, dead ones included,
-// so that the shares add up to at most total whomever each host sees alive. That
-// rests on two beliefs, who shares the rate and what was sent lately, which a
-// process that has just started lacks: it has no share until it has both. With a
-// share of what it knew and nothing sent, a restart of all nine hosts sent 30 of
-// 26 requests, and nine hosts that know nobody would send 87.
+// The rate is split without messages over all known hosts, including dead ones, so that
+// the shares add up to at most total whichever hosts each host sees alive. The split
+// depends on two facts: which hosts share the rate, and which requests were sent
+// recently. A process that has just started knows neither, and has no share until it
+// knows both. When starting hosts took shares that were based on the hosts they knew and
+// on no requests sent, a restart of all nine hosts sent 30 requests where 26 were
+// allowed; nine hosts that know no other host would send 87.
 func (m *members) warmUpQuota(upstream, region string, total float64, now time.Time) warmup.Quota {
 	s := m.sharers(region)
 	q := warmup.Quota{Hosts: s.large + s.small, Withheld: m.withheld(region, now)}
@@ -48,17 +49,17 @@
 	return q
 }
 
-// largeHostsFraction is the part of a cold upstream's rate that the large hosts share,
-// where hosts differ in capacity. Clients are given these alone while they suffice
-// (named), and a part that is held by a host without requests is of no use: with a
-// rate of 8 split by number over 98 hosts, of which 9 got all requests, less than one
-// of the 8 was used. What is left is for the time when the large hosts are gone.
+// largeHostsFraction is the fraction of a cold upstream's rate that the large hosts
+// share if hosts differ in capacity. Clients are given only the large hosts while these
+// suffice (advertised), and the share of a host without requests is not used. When a
+// rate of 8 was split evenly over 98 hosts, of which 9 got all requests, less than one
+// of the 8 was used. The remaining fraction is for the case that all large hosts fail.
 const largeHostsFraction = 0.8
 
-// commonShare is this host's part of a limit of all hosts, from 0 to 1. Each region has
-// the same part, so that a host need not know those of others, and the large hosts of
-// a region have largeHostsFraction of that. As with warmUpQuota, the parts of all hosts,
-// dead ones included, add up to 1 at most.
+// commonShare returns this host's share of a limit of all hosts, from 0 to 1. Each
+// region has the same share, so that a host need not know the hosts of other regions,
+// and the large hosts of a region have largeHostsFraction of its share. As in
+// warmUpQuota, the shares of all hosts, including dead ones, add up to at most 1.
 func (m *members) commonShare(now time.Time) float64 {
 	if m.withdrawn || !m.hostsKnown(m.self.Region, now) {
 		return 0
@@ -75,19 +76,19 @@
 	}
 }
 
-// sharers are the hosts that share a part of an upstream's rate.
+// sharers are the hosts that share a fraction of an upstream's rate.
 type sharers struct {
-	// highest is the capacity of the largest of them.
+	// highest is the capacity of the largest host.
 	highest int
-	// large and small are how many of them are large beside it, and how many not.
+	// large and small are the numbers of large hosts and of other hosts, see isLarge.
 	large, small int
-	// part is the part of the rate that they share.
+	// fraction is the fraction of the rate that the hosts share.
 	fraction float64
 }
 
-// split returns how much of a number of requests the large hosts share, or the small
-// ones, and how many hosts these are. At least one is for the large ones.
-func (s sharers) split(number int, large bool) (part, hosts int) {
+// split returns how many of a number of requests either the large or the small hosts
+// share, and how many such hosts there are. At least one request is for the large hosts.
+func (s sharers) split(number int, large bool) (portion, hosts int) {
 	forLarge := number
 	if s.small > 0 {
 		forLarge = max(1, int(math.Ceil(largeHostsFraction*float64(number))))
@@ -98,7 +99,8 @@
 	return max(0, number-forLarge), s.small
 }
 
-// withheld says why this host has no share of the rate of a region's upstreams.
+// withheld returns the reason why this host has no share of the rate of a region's
+// upstreams.
 func (m *members) withheld(region string, now time.Time) warmup.Withheld {
 	inRegion := m.self.Region == region
 	switch {
@@ -115,9 +117,9 @@
 	}
 }
 
-// sharers returns the known hosts that share a part of the rate of a region's
-// upstreams with this one, itself included. It is asked for each choice, so that the
-// hosts are counted once for each change of them.
+// sharers returns the known hosts that share a fraction of the rate of a region's
+// upstreams with this host, including this host. Each choice of an upstream uses the
+// result, so the hosts are counted only once after each change of the known hosts.
 func (m *members) sharers(region string) sharers {
 	x := m.indexed()
 	key := region
@@ -132,8 +134,8 @@
 	return s
 }
 
-// otherThanPrefix precedes a region in the key of the hosts of all others. No region's name
-// begins with a space.
+// otherThanPrefix precedes a region in the key for the hosts of all other regions. No
+// region's name begins with a space.
 const otherThanPrefix = " "
 
 func (m *members) countSharers(region string) sharers {
@@ -158,7 +160,7 @@
 	return s
 }
 
-// sharing returns names that have those of all peers which share the rate of a
+// candidates returns a list of names that includes all peers that share the rate of a
 // region's upstreams with this host.
 func (m *members) candidates(region string) []string {
 	if m.self.Region == region {
@@ -167,16 +169,16 @@
 	return m.indexed().names
 }
 
-// shares reports whether a peer shares the rate of a region's upstreams with this
-// host: the hosts of that region do with each other, and so do all others.
+// sharesRate reports whether a peer shares the rate of a region's upstreams with this
+// host. The hosts of that region share one fraction, and all other hosts share another.
 func (m *members) sharesRate(h Host, region string) bool {
 	return (h.Region == region) == (m.self.Region == region)
 }
 
-// before returns how many of the hosts that share with this one, and are large as it
-// is or small as it is, precede it in an upstream's order of hosts. It counts no
-// further than enough: with 5,900 hosts it took 233 us in the upstream's region to
-// count them all, for each choice.
+// preceding returns how many of the hosts that share the rate with this one and are of
+// the same size class, large or small, precede it in the upstream's order of hosts. It
+// stops counting at enough: with 5,900 hosts, counting all hosts of the upstream's
+// region took 233 us for each choice.
 func (m *members) preceding(upstream, region string, highest, enough int) int {
 	own, before := rendezvous.Rank(m.self.Name, upstream), 0
 	large := isLarge(m.self.Capacity, highest)
@@ -192,12 +194,13 @@
 	return before
 }
 
-// share is the part of a number for one of some hosts; before is how many of
-// them precede it in the upstream's order of hosts. With at least as many as
-// hosts, each gets the same and the rest is unused. With fewer, the first of
-// the order get one each, and always at least one host does: else an upstream
-// with a low rate would never warm up. With one each for all, 27 hosts exceeded
-// the rate (a day of faults with 80 hosts, docs/findings.md).
+// share returns the portion of a number for one of several hosts. before is how many of
+// the hosts precede it in the upstream's order of hosts. If there are at most as many
+// hosts as the number, each host gets the same portion and the remainder is unused. If
+// there are more hosts, the first hosts of the order get one each. At least one host
+// gets one, because an upstream with a low rate would otherwise never warm up. When
+// every host got one, 27 hosts exceeded the rate in a test with faults and 80 hosts
+// (docs/findings.md).
 func share(number, hosts, before int) int {
 	if hosts <= number {
 		return number / hosts
@@ -208,8 +211,8 @@
 	return 0
 }
 
-// WarmUpQuota returns this host's share, in requests a second, of the total
-// that all hosts together may send a cold upstream of a region.
+// WarmUpQuota returns this host's share, in requests a second, of the total that all
+// hosts together may send to a cold upstream of a region.
 func (f *Fleet) WarmUpQuota(upstream, region string, total float64) warmup.Quota {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/fleet/relay.go
+++ b/internal/gateway/fleet/relay.go
@@ -13,12 +13,11 @@
 )
 
 const (
-	// maxRelayWait bounds how long a host holds a peer's long poll: a
-	// watcher's long poll of a relay stays below it for bounds on staleness up
-	// to 3.3 s.
+	// maxRelayWait bounds how long a host holds the long poll of a peer. With bounds on
+	// staleness of up to 3.3 s, the long poll that a watcher sends to a relay is
+	// shorter.
 	maxRelayWait = 2 * time.Second
-	// backupRelays is how many more peers are polled when the parent and the
-	// store fail.
+	// backupRelays is how many more peers are polled when the parent and the store fail.
 	backupRelays = 2
 )
 
@@ -26,25 +25,25 @@
 type relayRequest struct {
 	// Table is the index in Options.Tables.
 	Table int `msgpack:"t"`
-	// Full asks for all rows instead of the changes after a version.
+	// Full requests all rows instead of the changes after a version.
 	Full  bool  `msgpack:"w,omitempty"`
 	After int64 `msgpack:"a,omitempty"`
-	// AfterEra is the era of After; hosts before eras leave it out.
+	// AfterEra is the era of After. Hosts of versions without eras omit it.
 	AfterEra int64 `msgpack:"e,omitempty"`
 	// Wait is how long the peer may wait for changes.
 	Wait time.Duration `msgpack:"d,omitempty"`
-	// MaxAge is the replica's age from which on the peer does not wait.
+	// MaxAge is the age of the replica from which on the peer does not wait.
 	MaxAge time.Duration `msgpack:"m,omitempty"`
 }
 
 // relayResponse is the response to a relayRequest.
 type relayResponse struct {
 	Page watch.Page `msgpack:"p"`
-	// HistoryGone reports that the peer no longer has the changes asked for.
+	// HistoryGone reports that the peer no longer has the requested changes.
 	HistoryGone bool `msgpack:"g,omitempty"`
 }
 
-// relay is a peer's replica of a table, as a source.
+// relay is a source that reads a peer's replica of a table.
 type relay struct {
 	fleet   *Fleet
 	address string
@@ -56,8 +55,8 @@
 	return r.poll(ctx, relayRequest{Table: r.table, Full: true})
 }
 
-// Changes waits until the peer's replica has changes after a version or is
-// confirmed by the store.
+// Changes waits until the peer's replica has changes after a version or the store has
+// confirmed the replica.
 func (r relay) Changes(ctx context.Context, after watch.Version, wait time.Duration) (watch.Page, error) {
 	return r.poll(ctx, relayRequest{Table: r.table, After: after.Number, AfterEra: after.Era, Wait: wait, MaxAge: r.fleet.options.MaxAge})
 }
@@ -65,7 +64,7 @@
 func (r relay) poll(ctx context.Context, request relayRequest) (watch.Page, error) {
 	response, err := peer.Call[relayResponse](ctx, r.fleet.mesh, r.address, peer.KindChanges, request)
 	if err != nil {
-		return watch.Page{}, eris.Wrap(err, "ask relay")
+		return watch.Page{}, eris.Wrap(err, "poll relay")
 	}
 	if response.HistoryGone {
 		return response.Page, watch.ErrHistoryGone
@@ -73,8 +72,8 @@
 	return response.Page, nil
 }
 
-// serveRelay serves a peer's poll. A request that cannot be decoded or names no
-// table fails without a log line here: the peer logs that the source is lost.
+// serveRelay serves a peer's poll. A request that cannot be decoded or that has no valid
+// table fails without a log line here, because the peer logs that the source is lost.
 func (f *Fleet) serveRelay(ctx context.Context, payload []byte, w *peer.Responder) {
 	request, err := peer.Decode[relayRequest](payload)
 	if err != nil || request.Table < 0 || request.Table >= len(f.options.Tables) {
@@ -83,7 +82,7 @@
 	}
 	page, err := request.read(ctx, f.options.Tables[request.Table].Replica)
 	if err != nil && !errors.Is(err, watch.ErrHistoryGone) {
-		fail(w) // the peer is gone, or the host is stopping
+		fail(w) // the peer has disconnected, or this host is stopping
 		return
 	}
 	respond(w, relayResponse{Page: page, HistoryGone: err != nil})
@@ -96,10 +95,10 @@
 	return replica.ChangesWithin(ctx, watch.Version{Era: r.AfterEra, Number: r.After}, min(r.Wait, maxRelayWait), r.MaxAge)
 }
 
-// Sources returns the sources of a table, the best first. The root of the
-// region's relay tree polls the store and falls back to peers. Any other host
-// polls its parent, falls back to the store, and then to other peers. At its
-// start it may have no source for a moment, or peers only (startsFromPeers).
+// Sources returns the sources of a table, in order of preference. The root of the
+// region's relay tree polls the store and falls back to peers. Any other host polls its
+// parent, and falls back to the store and then to other peers. A starting host may for a
+// short time have no source, or only peers (startsFromPeers).
 func (f *Fleet) Sources(table int) []watch.NamedSource {
 	selfReady := f.options.Status().Ready
 	f.mu.Lock()
@@ -127,11 +126,12 @@
 // versionSeen is the newest version of a table that any peer has.
 type versionSeen struct {
 	version watch.Version
-	// at is when a heartbeat first named it.
+	// at is when a heartbeat first reported the version.
 	at time.Time
 }
 
-// recordVersions records the tables' versions in a peer's status; f.mu is held.
+// recordVersions records the versions of tables in a peer's status. The caller holds
+// f.mu.
 func (f *Fleet) recordVersions(s Status, now time.Time) {
 	for table, version := range s.lastChanges() {
 		if table < len(f.newest) && version.Newer(f.newest[table].version) {
@@ -140,8 +140,8 @@
 	}
 }
 
-// NewestKnown returns the newest version of a table's last change that a peer
-// has reported, and how long ago that was; the version is zero if none has.
+// NewestKnown returns the newest version of a table's last change that a peer has
+// reported, and how long ago that was. The version is zero if no peer has reported one.
 func (f *Fleet) NewestKnown(table int) (watch.Version, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/fleet/relaytree.go
+++ b/internal/gateway/fleet/relaytree.go
@@ -8,25 +8,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// relayFanout is how many hosts of a region poll the same peer, so that none
-// sends each change to all hosts of a large region. At 300 hosts, 100 in a
-// region, one relay for all sent 3,953 KB a second and a configuration took
-// 4,036 ms to be in force; with a tree of 6 it was 339 KB and 20 ms. Other
-// figures than 6 were not measured.
+// relayFanout is how many hosts of a region poll the same peer, so that no host sends
+// each change to all hosts of a large region. At 300 hosts, 100 in a region, a single
+// relay sent 3,953 KB a second and a configuration took 4,036 ms to take effect; with a
+// tree of fan-out 6 the figures were 339 KB and 20 ms.
 const relayFanout = 6
 
-// relayParent returns the peer whose replicas this host polls, or this host
-// itself if it is the root, which polls the store. The live hosts of a region
-// form a tree: in the order of rank the first polls the store, the next
-// relayFanout poll the first, and so on. Thus the load of the store grows with
-// regions and not with hosts. Each host polls only hosts before it in an order
-// that depends on what they announced alone, so that there is no cycle however much the
-// hosts differ in whom they see alive.
+// relayParent returns the peer whose replicas this host polls, or this host itself if it
+// is the root, which polls the store. The live hosts of a region form a tree: in the
+// order of rank, the first host polls the store, the next relayFanout hosts poll the
+// first, and so on. The load on the store thus grows with the number of regions and not
+// with the number of hosts. Each host polls only hosts that precede it. The order
+// depends only on announced properties of the hosts, so that there is no cycle even if
+// the hosts differ in which hosts they see alive.
 //
-// Hosts that are leaving are passed over, and once this host is ready
-// (selfReady) so are those that are not: they may have nothing to relay. Before
-// that they count, or each of the hosts that start together would poll the
-// store.
+// Leaving hosts are skipped. Once this host is ready (selfReady), so are hosts that are
+// not ready, because they may have nothing to relay. Before that they are included,
+// because otherwise each of the hosts that start together would poll the store.
 func (m *members) relayParent(selfReady bool, now time.Time) (parent Host, root bool) {
 	var before []Host
 	for _, p := range m.peers {
@@ -44,8 +42,8 @@
 	return before[(len(before)-1)/relayFanout], false
 }
 
-// freshPeers returns the live peers whose replicas the store has confirmed
-// lately, the nearest first.
+// freshPeers returns the live peers whose replicas the store has recently confirmed,
+// sorted by distance.
 func (m *members) freshPeers(now time.Time) []Host {
 	var hosts []Host
 	for _, p := range m.peers {
@@ -59,8 +57,8 @@
 	return hosts
 }
 
-// distance is 0 for a host in this host's zone, 1 for one in its region and 2
-// for any other.
+// distance is 0 for a host in this host's zone, 1 for a host in its region and 2 for any
+// other host.
 func (m *members) distance(h Host) int {
 	switch {
 	case h.Zone == m.self.Zone:
@@ -72,8 +70,9 @@
 	}
 }
 
-// byRank orders hosts by what they announced of themselves alone: the larger ones
-// first, as the first hosts send each change to others, and then by name.
+// byRank compares hosts by announced properties only: hosts of higher capacity come
+// first, because the first hosts relay each change to others, then hosts are ordered by
+// the hash of their names.
 func byRank(a, b Host) int {
 	if c := cmp.Compare(b.Capacity, a.Capacity); c != 0 {
 		return c
--- a/internal/gateway/fleet/rewrite.go
+++ b/internal/gateway/fleet/rewrite.go
@@ -9,25 +9,27 @@
 	"cairndock/internal/pause"
 )
 
-// A store that comes back from an older copy has lost what hosts wrote there meanwhile, and
-// nobody else writes it again: hosts that start would not find this one, and take larger
-// parts of limits than they have. Rows that such a store has again, of hosts that withdrew
-// and of quarantines that were released, make parts smaller, and count no longer than a
-// withdrawal or release that failed.
+// A store that is restored from an older copy has lost what hosts wrote after the copy
+// was made, and no other process writes this data again. Starting hosts would not find
+// this host, and would take larger shares of limits than they should. A restored store
+// may also contain rows of hosts that withdrew and of quarantines that were released.
+// These rows make shares smaller, and are valid no longer than rows that remain after a
+// failed withdrawal or release.
 
 const (
-	// notAnnounced is the era of an announcement that was not made yet.
+	// notAnnounced is the value of announcedEra before the first announcement.
 	notAnnounced = -1
-	// maxRewriteDelay is within which time after they found a store restored hosts write
-	// again, each at a moment of its own: 256 hosts of a region write 85 a second, of the
-	// 300 that the store takes for a partition.
+	// maxRewriteDelay bounds the random delay after which a host writes its data again
+	// once it has found that the store was restored. 256 hosts of a region write 85 a
+	// second, of the 300 that the store accepts for a partition.
 	maxRewriteDelay = 3 * time.Second
-	// rewriteRetryDelay is the pause before it is tried again.
+	// rewriteRetryDelay is the pause before the next attempt.
 	rewriteRetryDelay = 2 * time.Second
 )
 
-// announce announces this host and reports whether that was done. An error is not logged:
-// the registry is in the store, whose failures the tables' watchers log.
+// announce announces this host and reports whether that succeeded. An error is not
+// logged, because the registry is in the store, whose failures the watchers of the
+// tables log.
 func (f *Fleet) announce(ctx context.Context) bool {
 	era, err := f.options.Registry.Announce(ctx, f.options.Self)
 	if err != nil {
@@ -42,7 +44,7 @@
 	return true
 }
 
-// storeEra is the latest era of the store that a table was read in.
+// storeEra returns the latest era of the store in which a table was read.
 func (f *Fleet) storeEra() int64 {
 	era := int64(0)
 	for _, t := range f.options.Tables {
@@ -51,7 +53,7 @@
 	return era
 }
 
-// rewriteLost writes again what this host stored if the store is in a later era than the
+// rewriteLost writes this host's data again if the store is in a later era than the
 // host's announcement.
 func (f *Fleet) rewriteLost(ctx context.Context) {
 	era := f.storeEra()
@@ -66,8 +68,8 @@
 	}
 }
 
-// rewrite announces this host and, if it is the one of its region that polls the store,
-// stores the quarantines known.
+// rewrite announces this host. If the host is the one that polls the store for its
+// region, rewrite also stores the known quarantines.
 func (f *Fleet) rewrite(ctx context.Context) {
 	if !pause.For(ctx, rand.N(maxRewriteDelay)) {
 		return
--- a/internal/gateway/fleet/schedule.go
+++ b/internal/gateway/fleet/schedule.go
@@ -3,48 +3,51 @@
 import "time"
 
 const (
-	// heartbeatInterval is the time between heartbeats to a peer that is alive:
-	// three fit into deadTimeout.
+	// heartbeatInterval is the time between heartbeats to a peer that is alive. Three
+	// intervals fit into deadTimeout.
 	heartbeatInterval = 800 * time.Millisecond
 	// deadHeartbeatInterval is the time between heartbeats to a peer that is dead.
 	deadHeartbeatInterval = 2 * time.Second
-	// schedulerTick is how often the host looks which peers are due a
-	// heartbeat and which have died.
+	// schedulerTick is how often the host checks which peers are due a heartbeat and
+	// which have died.
 	schedulerTick = 200 * time.Millisecond
-	// heartbeatTimeout bounds one exchange. It is below heartbeatInterval, so
-	// that exchanges with a peer do not pile up.
+	// heartbeatTimeout bounds one exchange. It is shorter than heartbeatInterval, so
+	// that exchanges with a peer do not accumulate.
 	heartbeatTimeout = 700 * time.Millisecond
-	// remoteFanout is how many live hosts of each other region get heartbeats.
-	// About as many of each region choose this host, so that traffic between
-	// regions grows with hosts and not with their square: 0.136 to 0.073 GB on
-	// a calm day with 80 hosts, against heartbeats to all. Two, so that one
-	// may die; other figures were not measured.
+	// remoteFanout is how many live hosts of each other region get heartbeats. About as
+	// many hosts of each region choose this host, so that traffic between regions grows
+	// with the number of hosts and not with its square. Compared with heartbeats to all
+	// hosts, this traffic fell from 0.136 to 0.073 GB on a day without faults with 80
+	// hosts. With two hosts, one of them may die.
 	remoteFanout = 2
-	// firstHostCount is how many hosts of a region exchange heartbeats with all others
-	// of it. The others do so with these and with those of their own zone: with all,
-	// each of 98 hosts of a region sent and received 30 KB a second, five sixths of it
-	// about hosts that it has nothing to do with. Enough that any few may die at once.
+	// firstHostCount is how many hosts of a region exchange heartbeats with all other
+	// hosts of the region. The other hosts do so with these and with the hosts of their
+	// own zone. When all exchanged heartbeats with all, each of 98 hosts of a region
+	// sent and received 30 KB a second, five sixths of it about hosts that it does not
+	// interact with. The number is high enough that a few hosts may die at the same
+	// time.
 	firstHostCount = 12
-	// introductionPeriod is how long a host exchanges heartbeats with all of its region after
-	// its start. It covers the list of them, which it may read up to a second later.
+	// introductionPeriod is how long a host exchanges heartbeats with all hosts of its
+	// region after its start. It includes the time until the list of these hosts is
+	// read, which may be up to a second after the start.
 	introductionPeriod = 4 * time.Second
-	// maxDeadProbes is how many dead hosts of another region get a heartbeat at a
-	// time. While that region is cut off none of its hosts lives, and each host of
-	// this one would try all of them every deadHeartbeatInterval: 128 connections a second
-	// with 257 hosts, for as long as the cut lasts.
+	// maxDeadProbes is how many dead hosts of another region get a heartbeat at a time.
+	// While that region is cut off, none of its hosts is alive, and without the bound
+	// each host of this region would try all of them every deadHeartbeatInterval: 128
+	// connections a second with 257 hosts, for as long as the region is cut off.
 	maxDeadProbes = 8
-	// minTriggerInterval bounds how often status is sent out of turn, for each
-	// triggerHostStep hosts of the region.
+	// minTriggerInterval is the minimum time between status updates that are sent ahead
+	// of schedule, for each triggerHostStep hosts of the region.
 	minTriggerInterval = 250 * time.Millisecond
-	// triggerHostStep is the number of hosts in the region from which on
-	// minTriggerInterval is doubled, and so on, to keep the cost a host bounded.
+	// triggerHostStep is the number of hosts after which triggerInterval grows by
+	// another minTriggerInterval, which bounds the cost for each host.
 	triggerHostStep = 30
 )
 
-// heartbeatPeers returns the peers that get heartbeats: those of the own region
-// that this host exchanges them with; and of each other region the first in this
-// host's own order until remoteFanout of them live. The dead ones before those are
-// tried as well, so that they are found when they return.
+// heartbeatPeers returns the peers that get heartbeats: the peers of the own region with
+// which this host exchanges them, and peers of each other region in this host's own
+// order until remoteFanout of them are alive. Dead peers that precede those are tried as
+// well, so that they are found when they return.
 func (m *members) heartbeatPeers(now time.Time) []*peerState {
 	x := m.indexed()
 	for _, name := range m.heartbeatTargets {
@@ -56,16 +59,16 @@
 	for _, names := range x.remote {
 		m.heartbeatTargets = append(m.heartbeatTargets, m.firstAlive(names, now)...)
 	}
-	chosen := m.peersByName(m.heartbeatTargets)
-	for _, p := range chosen {
+	targets := m.peersByName(m.heartbeatTargets)
+	for _, p := range targets {
 		p.getsHeartbeats = true
 	}
-	return chosen
+	return targets
 }
 
-// regionPeers returns the peers of the own region that this host exchanges heartbeats
-// with. A host that starts exchanges them with all, as those share limits with it and
-// must know of it.
+// regionPeers returns the peers of the own region with which this host exchanges
+// heartbeats. A starting host exchanges heartbeats with all of them, because they share
+// limits with it and must learn of it.
 func (m *members) regionPeers(now time.Time) []string {
 	names := m.indexed().byRegion[m.self.Region]
 	if now.Sub(m.started) < introductionPeriod {
@@ -82,12 +85,12 @@
 }
 
 // firstHosts are the names of the hosts of a region that exchange heartbeats with all
-// others of it.
+// other hosts of the region.
 type firstHosts map[string]bool
 
-// firstHosts returns those of the own region: by rank, until firstHostCount of them are
-// not known to be dead. They are the hosts that clients are given first, and those that
-// others poll.
+// firstHosts returns the first hosts of the own region: the hosts in the order of rank
+// until firstHostCount of them are not known to be dead. Clients are given these hosts
+// first, and other hosts poll them.
 func (m *members) firstHosts(now time.Time) firstHosts {
 	first, left := firstHosts{}, firstHostCount
 	for _, name := range m.indexed().byRank {
@@ -102,14 +105,15 @@
 	return first
 }
 
-// exchanges reports whether two hosts of a region exchange heartbeats: they are of one
-// zone, or one of them is among the first.
+// exchanges reports whether two hosts of a region exchange heartbeats: they are in the
+// same zone, or at least one of them is among the first hosts.
 func (f firstHosts) exchanges(a, b Host) bool {
 	return a.Zone == b.Zone || f[a.Name] || f[b.Name]
 }
 
-// firstAlive returns the first remoteFanout of some peers that are alive, and of the
-// dead ones before them maxDeadProbes, others each deadHeartbeatInterval.
+// firstAlive returns the first remoteFanout of the given peers that are alive, and up to
+// maxDeadProbes of the dead peers that precede them. If there are more dead peers, each
+// deadHeartbeatInterval selects others of them.
 func (m *members) firstAlive(names []string, now time.Time) []string {
 	var alive, dead []string
 	for _, name := range names {
@@ -123,14 +127,14 @@
 		}
 	}
 	if n := len(dead); n > maxDeadProbes {
-		turn := int(now.UnixNano() / int64(deadHeartbeatInterval))
-		first := turn * maxDeadProbes % n
+		round := int(now.UnixNano() / int64(deadHeartbeatInterval))
+		first := round * maxDeadProbes % n
 		dead = append(dead[first:], dead[:first]...)[:maxDeadProbes]
 	}
 	return append(dead, alive...)
 }
 
-// heartbeatDelay is the time from one heartbeat to a peer to the next.
+// heartbeatDelay returns the time from one heartbeat to a peer to the next.
 func heartbeatDelay(alive bool) time.Duration {
 	if alive {
 		return heartbeatInterval
@@ -138,13 +142,13 @@
 	return deadHeartbeatInterval
 }
 
-// triggerInterval is the least time between two heartbeats out of turn to a
-// region of some hosts, this one included.
+// triggerInterval returns the minimum time between two heartbeats ahead of schedule for
+// a number of hosts, including this one.
 func triggerInterval(hosts int) time.Duration {
 	return minTriggerInterval * time.Duration(1+hosts/triggerHostStep)
 }
 
-// due returns the peers that are due a heartbeat, and schedules the next ones.
+// due returns the peers that are due a heartbeat, and schedules their next ones.
 func (f *Fleet) due(now time.Time) []*peerState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -160,17 +164,17 @@
 	return due
 }
 
-// postpone schedules the next heartbeat to a peer that has just sent one. The
-// response to it has all that a heartbeat would have.
+// postpone schedules the next heartbeat to a peer that has just sent one. The response
+// to the peer's heartbeat has the same content as a heartbeat.
 func (f *Fleet) postpone(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.nextHeartbeat[name] = time.Now().Add(heartbeatInterval)
 }
 
-// SendSoon makes heartbeats to the live hosts of the own region due now, so
-// that they learn of a change of the status, such as an upstream's failure. It
-// does nothing if it took effect less than triggerInterval ago.
+// SendSoon makes heartbeats to the live hosts of the own region due now, so that they
+// learn of a change of the status, such as an upstream's failure. It does nothing if it
+// took effect less than triggerInterval ago.
 func (f *Fleet) SendSoon() { f.triggerHeartbeats(time.Now()) }
 
 func (f *Fleet) triggerHeartbeats(now time.Time) {
--- a/internal/gateway/fleet/suspicions.go
+++ b/internal/gateway/fleet/suspicions.go
@@ -6,10 +6,10 @@
 	"cairndock/internal/poison"
 )
 
-// Suspicions travel in heartbeats, which connect all hosts of all regions within a few
-// steps: each host passes on what is news to it.
+// Suspicions are sent in heartbeats, which connect all hosts of all regions within a few
+// steps, because each host passes on what is new to it.
 
-// withSuspicions adds to a heartbeat what its receiver does not have yet.
+// withSuspicions adds to a heartbeat the suspicions that its receiver does not have yet.
 func (f *Fleet) withSuspicions(b heartbeat, to string) heartbeat {
 	if f.options.Suspicions == nil {
 		return b
@@ -24,7 +24,7 @@
 	return b
 }
 
-// mergeSuspicions merges what a heartbeat brought.
+// mergeSuspicions merges the suspicions of a received heartbeat.
 func (f *Fleet) mergeSuspicions(b heartbeat, now time.Time) {
 	if f.options.Suspicions == nil {
 		return
@@ -37,9 +37,9 @@
 	}
 }
 
-// SendSoonToAll makes the next heartbeats to all peers that get them due now, so that
-// they learn of a suspicion. It does nothing if it took effect less than triggerInterval
-// ago.
+// SendSoonToAll makes the next heartbeats to all heartbeatTargets due now, so that these
+// peers learn of a suspicion. It does nothing if it took effect less than
+// triggerInterval ago.
 func (f *Fleet) SendSoonToAll() {
 	now := time.Now()
 	f.mu.Lock()
--- a/internal/gateway/fleet/tokens.go
+++ b/internal/gateway/fleet/tokens.go
@@ -10,20 +10,21 @@
 	"cairndock/internal/peer"
 )
 
-// TokenGiver gives tokens of client accounts' limits to other hosts.
+// TokenGiver grants tokens of client accounts' limits to other hosts.
 type TokenGiver interface {
 	GiveTokens(ask quota.Ask) quota.Answer
 }
 
-// AskTokens asks another host for tokens of a client account's limit. One that is known
-// to be dead is not asked, as a request may wait for the answer.
+// AskTokens requests tokens of a client account's limit from another host. It fails at
+// once if the host is known to be dead, because a client's request may wait for the
+// result.
 func (f *Fleet) AskTokens(ctx context.Context, host string, ask quota.Ask) (quota.Answer, error) {
 	address, err := f.liveAddress(host)
 	if err != nil {
 		return quota.Answer{}, err
 	}
 	answer, err := peer.Call[quota.Answer](ctx, f.mesh, address, peer.KindTokens, ask)
-	return answer, eris.Wrap(err, "ask for tokens")
+	return answer, eris.Wrap(err, "request tokens")
 }
 
 func (f *Fleet) liveAddress(host string) (string, error) {
@@ -32,7 +33,7 @@
 	p := f.members.peers[host]
 	switch {
 	case p == nil:
-		return "", eris.Errorf("host %s is not known", host)
+		return "", eris.Errorf("host %s is unknown", host)
 	case p.getsHeartbeats && !p.lastHeartbeat.IsZero() && !p.alive(time.Now()):
 		return "", eris.Errorf("host %s is dead", host)
 	default:
@@ -40,8 +41,8 @@
 	}
 }
 
-// serveTokens serves a peer's question for tokens. One that can't be decoded fails
-// without a log line here: the peer asks others.
+// serveTokens serves a peer's request for tokens. A request that cannot be decoded fails
+// without a log line here, because the peer turns to other hosts.
 func (f *Fleet) serveTokens(payload []byte, w *peer.Responder) {
 	ask, err := peer.Decode[quota.Ask](payload)
 	if err != nil || f.options.Tokens == nil {
