--- a/internal/gateway/fleet/bench_test.go
+++ b/internal/gateway/fleet/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// plannedFleet is one host's view of a fleet of the planned size: 5,900 hosts in 23
+// plannedFleet returns one host's view of a fleet of the planned size: 5,900 hosts in 23
 // regions and 80 zones.
 func plannedFleet(now time.Time) *members {
 	const hosts, zones, regions = 5900, 80, 23
@@ -17,9 +17,9 @@
 			ClientAddress: fmt.Sprintf("10.%d.%d.%d:80", zone, i/250, i%250),
 		}
 	}
-	m := newMembers(host(0), nil, now.Add(-longAgo))
+	m := newMembers(host(0), nil, now.Add(-longUptime))
 	for zone := range zones {
-		m.addList(host(zone).Region, nil, true, now.Add(-longAgo))
+		m.addList(host(zone).Region, nil, true, now.Add(-longUptime))
 	}
 	for i := 1; i < hosts; i++ {
 		m.recordHeartbeat(host(i), Status{Ready: true, Fresh: true}, now)
--- a/internal/gateway/fleet/directory_test.go
+++ b/internal/gateway/fleet/directory_test.go
@@ -26,7 +26,7 @@
 		{"hosts of another zone", "west-1", "west", nil, readyStatus, readyStatus, 0, []string{"west2:80"}},
 		{"hosts of the region when the zone has none", "west-1", "west", nil, readyStatus, leaving, 0, []string{"west0:80", "west1:80"}},
 		{"hosts of the allowed regions when the region has none", "north-0", "north", []string{"south"}, readyStatus, readyStatus, 0, []string{"south0:80", "south1:80", "south2:80"}},
-		{"no dead host", "east-0", "east", nil, readyStatus, leaving, deadTimeout, []string{"west0:80"}},
+		{"dead hosts are left out", "east-0", "east", nil, readyStatus, leaving, deadTimeout, []string{"west0:80"}},
 		{"none when no live host is ready", "east-0", "east", nil, Status{}, leaving, deadTimeout, nil},
 	}
 	for _, tc := range cases {
@@ -39,10 +39,10 @@
 	}
 }
 
-// Where hosts of 0.16 cores with 20 Mbit/s stood beside ones of 0.8 with 200, clients
-// were given all of them alike: the large ones got as few requests as the small ones,
-// whose links delayed large responses, and no host met an upstream often enough to
-// know its load.
+// In a fleet with hosts of 0.16 cores and 20 Mbit/s and hosts of 0.8 cores and 200
+// Mbit/s, clients were given all hosts. The large hosts got as few requests as the small
+// ones, whose links delayed large responses, and no host sent an upstream enough
+// requests to know its load.
 func TestDirectoryNamesTheLargeHostsWhileTheySuffice(t *testing.T) {
 	large := Resources{Cores: 0.8, BandwidthMbps: 200}.Capacity()
 	small := Resources{Cores: 0.16, BandwidthMbps: 20}.Capacity()
@@ -61,16 +61,16 @@
 		want  int
 	}{
 		{"no host", nil, 0},
-		{"all alike", hosts(9, large, 10), 9},
-		{"all alike and busy", hosts(9, large, 800), 9},
-		{"sizes not known", hosts(9, 0, 10), 9},
+		{"equal sizes", hosts(9, large, 10), 9},
+		{"equal sizes, busy", hosts(9, large, 800), 9},
+		{"sizes unknown", hosts(9, 0, 10), 9},
 		{"idle", slices.Concat(hosts(3, large, 0), hosts(30, small, 0)), 3},
 		{"the large ones get all requests", slices.Concat(hosts(3, large, 300), hosts(30, small, 0)), 3},
-		{"more than the large ones should carry", slices.Concat(hosts(3, large, 500), hosts(30, small, 0)), 33},
-		{"as many, on all", slices.Concat(hosts(3, large, 50), hosts(30, small, 45)), 33},
-		{"one of the large ones left", slices.Concat(hosts(1, large, 100), hosts(30, small, 0)), 31},
-		{"none of the large ones left", hosts(30, small, 10), 30},
-		{"some do not say", slices.Concat(hosts(2, large, 10), hosts(5, 0, 10)), 2},
+		{"more than the large ones should handle", slices.Concat(hosts(3, large, 500), hosts(30, small, 0)), 33},
+		{"the same number, spread over all hosts", slices.Concat(hosts(3, large, 50), hosts(30, small, 45)), 33},
+		{"one large host remains", slices.Concat(hosts(1, large, 100), hosts(30, small, 0)), 31},
+		{"no large host remains", hosts(30, small, 10), 30},
+		{"some sizes unknown", slices.Concat(hosts(2, large, 10), hosts(5, 0, 10)), 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			require.Len(t, advertised(c.hosts), c.want)
@@ -78,8 +78,8 @@
 	}
 }
 
-// A large host that dies or leaves is not named any more, and what is left of the
-// large ones is named alone only while it suffices.
+// A large host that dies or leaves is not advertised any more. Only the remaining large
+// hosts are advertised, but only while they suffice.
 func TestDirectoryNamesAllHostsOnceTheLargeOnesAreGone(t *testing.T) {
 	now := time.Now()
 	all := largeAndSmall("west", 3, 4)
--- a/internal/gateway/fleet/discovery_test.go
+++ b/internal/gateway/fleet/discovery_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAHostQueriesAllHostsAtFirstAndThenOneOfEachRegionAtTimes(t *testing.T) {
+func TestAHostQueriesForAllHostsFirstAndThenForThoseOfEachRegion(t *testing.T) {
 	now := time.Now()
 	d := newDiscovery("west")
 	require.Equal(t, queryAll, d.next("", now))
-	require.Equal(t, queryNone, d.next("east", now), "one at a time")
+	require.Equal(t, queryNone, d.next("east", now), "one query at a time")
 	now = now.Add(heartbeatTimeout)
-	require.Equal(t, queryAll, d.next("east", now), "the first did not answer")
+	require.Equal(t, queryAll, d.next("east", now), "the first peer did not respond")
 	d.complete = true
 	require.Equal(t, queryRegion, d.next("east", now))
 	require.Equal(t, queryNone, d.next("east", now.Add(time.Second)))
--- a/internal/gateway/fleet/fleet_test.go
+++ b/internal/gateway/fleet/fleet_test.go
@@ -43,11 +43,11 @@
 	b := startFleet(t, r, host("b", "z", "west"), nil, Table{Replica: watch.NewReplica(), Store: store})
 	from := relay{fleet: b, address: a.members.self.PeerAddress}
 	_, err := from.List(t.Context())
-	require.ErrorIs(t, err, watch.ErrHistoryGone, "a host that knows nothing says so")
+	require.ErrorIs(t, err, watch.ErrHistoryGone, "a host without data reports that it has no history")
 	require.Eventually(t, func() bool { return len(b.Sources(0)) >= 1 }, time.Second, 10*time.Millisecond)
 }
 
-func TestARequestThatIsNotUnderstoodFails(t *testing.T) {
+func TestAnUnsupportedRequestFails(t *testing.T) {
 	r := newFakeRegistry()
 	a := startFleet(t, r, host("a", "z", "west"), nil)
 	b := startFleet(t, r, host("b", "z", "west"), nil)
--- a/internal/gateway/fleet/fuzz_test.go
+++ b/internal/gateway/fleet/fuzz_test.go
@@ -12,7 +12,7 @@
 	"cairndock/internal/peer"
 )
 
-// FuzzPeerMessages holds that whatever a peer sends is decoded or refused; the
+// FuzzPeerMessages checks that any message of a peer is either decoded or rejected. The
 // corpora run as plain tests.
 func FuzzPeerMessages(f *testing.F) {
 	for _, message := range []any{
--- a/internal/gateway/fleet/harness_test.go
+++ b/internal/gateway/fleet/harness_test.go
@@ -24,8 +24,7 @@
 	return Host{Name: name, Zone: zone, Region: region, ClientAddress: name + ":80", Incarnation: "1"}
 }
 
-// regionHosts returns hosts of one region and zone, named by the region and a
-// number.
+// regionHosts returns hosts of one region and zone, named by the region and a number.
 func regionHosts(region string, count int) []Host {
 	hosts := make([]Host, 0, count)
 	for i := range count {
@@ -34,7 +33,7 @@
 	return hosts
 }
 
-// listings returns hosts as the registry does, each announced once.
+// listings returns the registry's entries for hosts that were announced once.
 func listings(hosts []Host) []Listing {
 	var out []Listing
 	for _, h := range hosts {
@@ -43,10 +42,10 @@
 	return out
 }
 
-// longAgo is before all that a host waits for after its start.
-const longAgo = time.Hour
+// longUptime exceeds all delays that apply after a host's start.
+const longUptime = time.Hour
 
-// regionsOf returns the regions of some hosts.
+// regionsOf returns the sorted regions of the given hosts.
 func regionsOf(all []Host) []string {
 	regions := map[string]bool{}
 	for _, h := range all {
@@ -55,17 +54,17 @@
 	return slices.Sorted(maps.Keys(regions))
 }
 
-// membersOf returns the view of a host that has run for long, in which all hosts are
+// membersOf returns the view of a host that has run for longUptime and sees all hosts as
 // alive and ready.
 func membersOf(self Host, all []Host, now time.Time) *members {
-	m := startedMembers(self, all, now.Add(-longAgo))
+	m := startedMembers(self, all, now.Add(-longUptime))
 	for _, h := range all {
 		m.recordHeartbeat(h, readyStatus, now)
 	}
 	return m
 }
 
-// startedMembers returns the view of a host that started at a time, and read the
+// startedMembers returns the view of a host that started at the given time and read the
 // lists of all hosts then.
 func startedMembers(self Host, all []Host, started time.Time) *members {
 	m := newMembers(self, regionsOf(all), started)
@@ -78,7 +77,7 @@
 	return m
 }
 
-// nineHostsList returns nine hosts in the regions west, east and south, each with
+// nineHostsList returns nine hosts in the regions west, east and south. Each region has
 // two hosts in zone 0 and one in zone 1.
 func nineHostsList() []Host {
 	var all []Host
@@ -90,7 +89,7 @@
 	return all
 }
 
-// nineHosts returns the view of one of nineHostsList, which has run for long.
+// nineHosts returns the view of one host of nineHostsList that has run for longUptime.
 func nineHosts(self string, now time.Time) *members {
 	for _, h := range nineHostsList() {
 		if h.Name == self {
@@ -100,7 +99,7 @@
 	return nil
 }
 
-// nineHostsAfterRestart is nineHosts of a host whose process has just started.
+// nineHostsAfterRestart is like nineHosts for a host whose process has just started.
 func nineHostsAfterRestart(self string, now time.Time) *members {
 	m := nineHosts(self, now)
 	m.started = now
@@ -111,22 +110,22 @@
 type fakeRegistry struct {
 	mu    sync.Mutex
 	hosts map[string]Host
-	// versions are those of the announcements, in the store's era.
+	// versions are the versions of the announcements in the store's era.
 	versions    map[string]int64
 	era         int64
-	quarantines map[quarantineAt]StoredQuarantine
-	// down makes announcements fail, and noReads readings.
-	down, noReads bool
+	quarantines map[quarantineKey]StoredQuarantine
+	// down makes announcements fail, and unreadable makes reads fail.
+	down, unreadable bool
 }
 
 func newFakeRegistry() *fakeRegistry {
-	return &fakeRegistry{hosts: map[string]Host{}, versions: map[string]int64{}, quarantines: map[quarantineAt]StoredQuarantine{}}
+	return &fakeRegistry{hosts: map[string]Host{}, versions: map[string]int64{}, quarantines: map[quarantineKey]StoredQuarantine{}}
 }
 
-func (r *fakeRegistry) setReads(work bool) {
+func (r *fakeRegistry) setReadable(work bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.noReads = !work
+	r.unreadable = !work
 }
 
 // list returns the names of the hosts in the registry.
@@ -163,8 +162,8 @@
 func (r *fakeRegistry) Read(_ context.Context, region string) (RegionList, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.noReads {
-		return RegionList{}, errors.New("no reads")
+	if r.unreadable {
+		return RegionList{}, errors.New("unreadable")
 	}
 	var out RegionList
 	for _, h := range r.hosts {
@@ -180,8 +179,8 @@
 	return out, nil
 }
 
-// quarantineAt is the place of a stored quarantine.
-type quarantineAt struct {
+// quarantineKey is the key of a stored quarantine.
+type quarantineKey struct {
 	region      string
 	fingerprint poison.Fingerprint
 }
@@ -192,14 +191,14 @@
 	if r.down {
 		return errors.New("down")
 	}
-	r.quarantines[quarantineAt{region, q.Report.Fingerprint}] = q
+	r.quarantines[quarantineKey{region, q.Report.Fingerprint}] = q
 	return nil
 }
 
 func (r *fakeRegistry) Release(_ context.Context, region string, f poison.Fingerprint) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.quarantines, quarantineAt{region, f})
+	delete(r.quarantines, quarantineKey{region, f})
 	return nil
 }
 
@@ -210,14 +209,14 @@
 	return len(r.quarantines)
 }
 
-// noReport drops reports.
-type noReport struct{}
+// noopReporter drops reports.
+type noopReporter struct{}
 
-func (noReport) Lost(string, string, error)             {}
-func (noReport) Regained(string, string, time.Duration) {}
-func (noReport) Stalled(time.Duration)                  {}
+func (noopReporter) Lost(string, string, error)             {}
+func (noopReporter) Regained(string, string, time.Duration) {}
+func (noopReporter) Stalled(time.Duration)                  {}
 
-// freeAddress returns an address that nothing listens on.
+// freeAddress returns an address that no process listens on.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -231,7 +230,7 @@
 	t.Helper()
 	h.PeerAddress = freeAddress(t)
 	f := New(Options{
-		Self: h, Regions: []string{h.Region}, Registry: r, Report: noReport{}, Status: func() Status { return readyStatus },
+		Self: h, Regions: []string{h.Region}, Registry: r, Report: noopReporter{}, Status: func() Status { return readyStatus },
 		Seeds: seeds, Transport: peer.TCP((&net.Dialer{}).DialContext), Tables: tables,
 	})
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/gateway/fleet/limitshare_test.go
+++ b/internal/gateway/fleet/limitshare_test.go
@@ -12,7 +12,7 @@
 	"cairndock/internal/gateway/upstream"
 )
 
-// limitTokens are numbers of tokens from those of a limit of 0 to those of a large one.
+// limitTokens are numbers of tokens, from that of a limit of 0 to that of a large limit.
 var limitTokens = []int{1, 3, 4, 9, 58, 1000}
 
 func TestSharesOfALimitAddUp(t *testing.T) {
@@ -41,8 +41,8 @@
 	}
 }
 
-// Whomever hosts see alive, and whether or not they have read who shares it, their shares
-// are never more than there is.
+// Whichever hosts a host sees alive, and whether or not it has read the lists of the
+// hosts that share the limit, all shares add up to no more than the limit.
 func TestSharesOfALimitAddUpWhoeverIsKnown(t *testing.T) {
 	now := time.Now()
 	all := nineHostsList()
@@ -51,9 +51,9 @@
 		for _, tokens := range limitTokens {
 			sum := 0
 			for _, self := range all {
-				m := newMembers(self, regionsOf(all), now.Add(-longAgo))
+				m := newMembers(self, regionsOf(all), now.Add(-longUptime))
 				if random.IntN(2) == 0 { // it has read the lists
-					m = startedMembers(self, all, now.Add(-longAgo))
+					m = startedMembers(self, all, now.Add(-longUptime))
 				}
 				for _, h := range all {
 					if random.IntN(2) == 0 {
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestAHostThatStopsHasNoShareOfALimit(t *testing.T) {
+func TestAStoppingHostHasNoShareOfALimit(t *testing.T) {
 	now := time.Now()
 	m := nineHosts("west0", now)
 	require.Positive(t, m.limitShare("i-1", "west", 9, now))
@@ -75,7 +75,7 @@
 	require.Zero(t, m.limitShare("i-1", "west", 9, now))
 }
 
-// viewShares are the shares of one host.
+// viewShares returns the shares of one host.
 type viewShares struct {
 	view *members
 	now  *time.Time
@@ -85,22 +85,23 @@
 	return notice.Share{Tokens: v.view.limitShare(id, region, tokens, *v.now), Hosts: v.view.size()}
 }
 
-type noReports struct{}
+type noopObserver struct{}
 
-func (noReports) Limited(upstream.Run, float64)     {}
-func (noReports) LimitEnded(upstream.Run)           {}
-func (noReports) Leaves(upstream.Run)               {}
-func (noReports) Rests(upstream.Run, time.Duration) {}
+func (noopObserver) Limited(upstream.Run, float64)     {}
+func (noopObserver) LimitEnded(upstream.Run)           {}
+func (noopObserver) Leaves(upstream.Run)               {}
+func (noopObserver) Rests(upstream.Run, time.Duration) {}
 
-// Hosts end and start all the time, and go on at once. Their processes start without
-// tokens, so that no four seconds see more than the platform allows; no restart is excused.
+// Hosts stop and restart all the time and continue at once. Their processes start
+// without tokens, so that no period of four seconds exceeds the platform's bound, with
+// restarts as without them.
 func TestALimitHoldsOverAllHosts(t *testing.T) {
 	many := append(append(regionHosts("west", 30), regionHosts("east", 20)...), regionHosts("south", 17)...)
 	for _, all := range [][]Host{nineHostsList(), many} {
 		for _, perSecond := range []float64{0, 0.3, 6, 60} {
 			for _, restarts := range []int{0, 2} {
 				t.Run(fmt.Sprintf("%d hosts, %g a second, %d restarts a second", len(all), perSecond, restarts), func(t *testing.T) {
-					most, used := pressOnLimit(all, perSecond, restarts)
+					most, used := saturateLimit(all, perSecond, restarts)
 					t.Logf("%d in 4 s, %.2f requests a second", most, used)
 					require.LessOrEqual(t, float64(most), perSecond*1.5*4+5)
 					if perSecond >= 1 && restarts == 0 {
@@ -112,19 +113,19 @@
 	}
 }
 
-// pressOnLimit has all hosts send whatever they may for 40 s, and gives the most requests in
-// any 4 s, and the requests a second.
-func pressOnLimit(all []Host, perSecond float64, restarts int) (most int, used float64) {
+// saturateLimit has all hosts send as many requests as they may for 40 s. It returns the
+// highest number of requests in any 4 s, and the requests a second.
+func saturateLimit(all []Host, perSecond float64, restarts int) (most int, used float64) {
 	const length, step = 40 * time.Second, 20 * time.Millisecond
 	random := rand.New(rand.NewPCG(1, uint64(len(all))))
 	began := time.Now()
 	now := began
 	target := &upstream.Upstream{Registration: upstream.Registration{ID: "i-1", Region: "west"}}
-	told := notice.Notice{}.WithLimit(notice.LimitOf(perSecond))
+	reported := notice.Notice{}.WithLimit(notice.LimitOf(perSecond))
 	tables := make([]*notice.Table, len(all))
 	start := func(i int) {
-		tables[i] = notice.NewTable(all[i].Name, viewShares{membersOf(all[i], all, began), &now}, noReports{})
-		tables[i].Observe(target.Run(), told, now, now)
+		tables[i] = notice.NewTable(all[i].Name, viewShares{membersOf(all[i], all, began), &now}, noopObserver{})
+		tables[i].Observe(target.Run(), reported, now, now)
 	}
 	for i := range all {
 		start(i)
@@ -134,7 +135,7 @@
 		for i, table := range tables {
 			for table.Withheld(target, now).Upstream == "" {
 				table.Take(target, now)
-				table.Observe(target.Run(), told, now, now)
+				table.Observe(target.Run(), reported, now, now)
 				sent = append(sent, now)
 			}
 			if random.IntN(len(all)*int(time.Second/step)) < restarts {
--- a/internal/gateway/fleet/members_test.go
+++ b/internal/gateway/fleet/members_test.go
@@ -12,14 +12,14 @@
 	m := nineHosts("west0", now)
 	m.heartbeatPeers(now)
 	dead := m.expire(now, now.Add(deadTimeout))
-	require.Len(t, dead, 2+2*remoteFanout, "those that get heartbeats")
+	require.Len(t, dead, 2+2*remoteFanout, "peers that get heartbeats")
 	require.Empty(t, m.expire(now.Add(deadTimeout), now.Add(deadTimeout+time.Second)))
-	require.Equal(t, 9, m.size(), "limits stay split over hosts that may only be cut off")
+	require.Equal(t, 9, m.size(), "limits are still split over hosts that may only be cut off")
 	m.expire(now, now.Add(2*peerTTL))
 	require.Equal(t, 1, m.size())
 }
 
-// A host that has said that it leaves is not one that may only be cut off.
+// A host that has announced that it leaves is not merely unreachable.
 func TestAPeerThatLeftIsForgottenSoon(t *testing.T) {
 	now := time.Now()
 	m := nineHosts("west0", now)
@@ -30,8 +30,8 @@
 	require.Equal(t, 8, m.size())
 }
 
-// Hosts that are gone are not named from one starting host to the next for ever.
-func TestOnlyPeersHeardOfLatelyAreNamedToOthers(t *testing.T) {
+// Without this, starting hosts would pass on the names of removed hosts forever.
+func TestOnlyRecentlyReportedPeersAreNamedToOthers(t *testing.T) {
 	now := time.Now()
 	m := nineHosts("west0", now)
 	require.Len(t, m.seenRecently(now.Add(advertisePeriod-1)), 8)
@@ -39,7 +39,7 @@
 	require.Len(t, m.seenRecently(now.Add(advertisePeriod)), 1)
 }
 
-// Limits are split over all hosts, of which a host gets heartbeats only of some.
+// Limits are split over all hosts, but a host gets heartbeats only from some of them.
 func TestAPeerThatOthersNameIsNotForgotten(t *testing.T) {
 	now := time.Now()
 	m := nineHosts("west0", now)
--- a/internal/gateway/fleet/place_test.go
+++ b/internal/gateway/fleet/place_test.go
@@ -15,7 +15,7 @@
 	"west-0": "west", "west-1": "west", "east-0": "east", "east-1": "east", "south-0": "south", "south-1": "south",
 }
 
-func TestEachZoneIsLaidOutWithItsHosts(t *testing.T) {
+func TestTheLayoutHasTheHostsOfEachZone(t *testing.T) {
 	now := time.Now()
 	m := nineHosts("west0", now)
 	place := m.limitPlace(settingsZones, nil, now)
@@ -29,36 +29,37 @@
 		}
 	}
 	require.Equal(t, []string{"east-0", "east-1", "south-0", "south-1", "west-0", "west-1"}, names)
-	require.Same(t, place, m.limitPlace(settingsZones, place, now.Add(time.Second)), "the same until something changes")
+	require.Same(t, place, m.limitPlace(settingsZones, place, now.Add(time.Second)), "unchanged while nothing changes")
 }
 
-// Two hosts that hold the same shard let pass twice what it has. So a host that is new to
-// its zone waits until one that does not hear of it has given up its shards.
+// Two hosts that hold the same shard admit twice its requests. A host that is new to its
+// zone therefore waits until a host that is cut off from the zone, and does not learn of
+// the new one, has given up its shards.
 func TestAShardNeverHasTwoHolders(t *testing.T) {
 	now := time.Now()
-	cutOff := nineHosts("west0", now) // hears nobody from now on
-	newcomer := startedMembers(host("west9", "west-0", "west"), nineHostsList(), now)
-	held, taken := time.Duration(0), time.Duration(-1)
+	cutOff := nineHosts("west0", now) // receives nothing from now on
+	newHost := startedMembers(host("west9", "west-0", "west"), nineHostsList(), now)
+	lastHeld, firstTaken := time.Duration(0), time.Duration(-1)
 	for at := time.Duration(0); at < 20*time.Second; at += 100 * time.Millisecond {
 		if cutOff.holdsShards(now.Add(at)) {
-			held = at
+			lastHeld = at
 		}
 		for _, h := range nineHostsList() {
 			if h.Name != "west0" {
-				newcomer.recordHeartbeat(h, readyStatus, now.Add(at))
+				newHost.recordHeartbeat(h, readyStatus, now.Add(at))
 			}
 		}
-		if taken < 0 && newcomer.holdsShards(now.Add(at)) {
-			taken = at
+		if firstTaken < 0 && newHost.holdsShards(now.Add(at)) {
+			firstTaken = at
 		}
 	}
-	require.Greater(t, taken, held)
-	t.Logf("given up after %s, taken after %s", held, taken)
+	require.Greater(t, firstTaken, lastHeld)
+	t.Logf("released after %s, taken after %s", lastHeld, firstTaken)
 }
 
-// All hosts were killed at once and had no part of any limit for a second and more: all
-// requests of the clients that came back were refused.
-func TestAHostThatStartsAgainHoldsItsShardsAtOnce(t *testing.T) {
+// After all hosts were killed at the same time, they held no share of any limit for more
+// than a second, and all requests of the reconnecting clients were refused.
+func TestARestartedHostHoldsItsShardsAtOnce(t *testing.T) {
 	now := time.Now()
 	m := newMembers(host("west0", "west-0", "west"), []string{"west", "east", "south"}, now)
 	require.False(t, m.limitPlace(settingsZones, nil, now).Holds, "it does not know its zone yet")
@@ -68,11 +69,11 @@
 	m.announcedBefore = true
 	place := m.limitPlace(settingsZones, before, read)
 	require.True(t, place.Holds)
-	require.Equal(t, now, place.Since, "they fill from the start of the process")
+	require.Equal(t, now, place.Since, "the shards fill from the start of the process")
 	m.addList("east", listings(nineHostsList()[3:6]), true, read.Add(time.Second))
 	later := m.limitPlace(settingsZones, place, read.Add(time.Second))
 	require.NotSame(t, place, later)
-	require.Equal(t, now, later.Since, "another zone changes nothing here")
+	require.Equal(t, now, later.Since, "a change in another zone has no effect")
 	m.addKnown(host("west8", "west-0", "west"), read.Add(2*time.Second))
 	last := m.limitPlace(settingsZones, later, read.Add(2*time.Second))
 	require.Equal(t, read.Add(2*time.Second), last.Since, "a shard that moves starts empty")
@@ -92,17 +93,17 @@
 	require.Equal(t, []string{"west0", "west1"}, zoneOf().Large)
 	stopping := host("west1", "west-0", "west")
 	m.recordHeartbeat(stopping, Status{Ready: true, Leaving: true}, now)
-	require.Equal(t, []string{"west0", "west1"}, zoneOf().Large, "it may hold shards as long as it does not say otherwise")
+	require.Equal(t, []string{"west0", "west1"}, zoneOf().Large, "a leaving host may hold shards until it has withdrawn")
 	m.recordHeartbeat(stopping, Status{Ready: true, Leaving: true, Withdrawn: true}, now)
 	require.Equal(t, []string{"west0"}, zoneOf().Large)
 	stopping.Incarnation = "2"
 	m.recordHeartbeat(stopping, readyStatus, now)
-	require.Equal(t, []string{"west0", "west1"}, zoneOf().Large, "it takes them later, the others give them up now")
+	require.Equal(t, []string{"west0", "west1"}, zoneOf().Large, "the others release its shards now, and it takes them later")
 }
 
-func TestWhoHoldsNoShards(t *testing.T) {
+func TestHoldsShards(t *testing.T) {
 	now := time.Now()
-	newcomerHearing := func(names ...string) func() *members {
+	newHostReceiving := func(names ...string) func() *members {
 		return func() *members {
 			m := startedMembers(host("west9", "west-0", "west"), nineHostsList(), now)
 			for _, name := range names {
@@ -117,40 +118,40 @@
 		at      time.Duration
 		holds   bool
 	}{
-		{"one that runs", func() *members { return nineHosts("west0", now) }, 0, true},
-		{"one that stops", func() *members { m := nineHosts("west0", now); m.withdrawn = true; return m }, 0, false},
-		{"one that hears nobody of its zone", func() *members { return nineHosts("west0", now) }, isolationTimeout + time.Second, false},
-		{"one that is alone in its zone", func() *members { return nineHosts("west2", now) }, time.Hour, true},
-		{"a new one that does not hear all of its zone", newcomerHearing("west0"), newHostDelay - time.Second, false},
-		{"the same later", newcomerHearing("west0"), newHostDelay, true},
-		{"a new one that hears all of its zone", newcomerHearing("west0", "west1"), 2 * time.Second, true},
-		{"a new one that is alone in its zone", func() *members { return startedMembers(host("west9", "west-9", "west"), nineHostsList(), now) }, 2 * time.Second, true},
-		{"one of a first start", func() *members {
+		{"running", func() *members { return nineHosts("west0", now) }, 0, true},
+		{"stopping", func() *members { m := nineHosts("west0", now); m.withdrawn = true; return m }, 0, false},
+		{"isolated from its zone", func() *members { return nineHosts("west0", now) }, isolationTimeout + time.Second, false},
+		{"alone in its zone", func() *members { return nineHosts("west2", now) }, time.Hour, true},
+		{"new, has not received heartbeats from all of its zone", newHostReceiving("west0"), newHostDelay - time.Second, false},
+		{"the same after newHostDelay", newHostReceiving("west0"), newHostDelay, true},
+		{"new, has received heartbeats from all of its zone", newHostReceiving("west0", "west1"), 2 * time.Second, true},
+		{"new and alone in its zone", func() *members { return startedMembers(host("west9", "west-9", "west"), nineHostsList(), now) }, 2 * time.Second, true},
+		{"first start of the deployment", func() *members {
 			m := startedMembers(host("west9", "west-0", "west"), nineHostsList(), now)
 			m.firstStart = true
 			return m
 		}, 2 * time.Second, true},
-		{"one that has not read its list", func() *members { return newMembers(host("west0", "west-0", "west"), []string{"west"}, now) }, time.Hour, false},
+		{"list not read", func() *members { return newMembers(host("west0", "west-0", "west"), []string{"west"}, now) }, time.Hour, false},
 	} {
 		t.Run(c.name, func(t *testing.T) { require.Equal(t, c.holds, c.members().holdsShards(now.Add(c.at))) })
 	}
 }
 
-// fixedGiver gives as many tokens as it is asked for, of one account.
-type fixedGiver struct{}
+// fixedTokenProvider grants as many tokens as requested, but only for one account.
+type fixedTokenProvider struct{}
 
-func (fixedGiver) GiveTokens(ask quota.Ask) quota.Answer {
+func (fixedTokenProvider) GiveTokens(ask quota.Ask) quota.Answer {
 	if ask.Account != "rail" {
 		return quota.Answer{}
 	}
 	return quota.Answer{Tokens: ask.Tokens}
 }
 
-func TestAHostAsksAnotherForTokens(t *testing.T) {
+func TestAHostRequestsTokensFromAnother(t *testing.T) {
 	registry := newFakeRegistry()
 	a := startFleet(t, registry, host("a", "z", "west"), nil)
 	b := startFleet(t, registry, host("b", "z", "west"), nil)
-	b.options.Tokens = fixedGiver{}
+	b.options.Tokens = fixedTokenProvider{}
 	require.Eventually(t, func() bool { return a.Hosts() == 2 }, 5*time.Second, 10*time.Millisecond)
 	answer, err := a.AskTokens(t.Context(), "b", quota.Ask{Account: "rail", Tokens: 700})
 	require.NoError(t, err)
@@ -163,5 +164,5 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	_, err = b.AskTokens(ctx, "a", quota.Ask{Account: "rail", Tokens: 1})
-	require.Error(t, err, "a has none to give")
+	require.Error(t, err, "a grants no tokens")
 }
--- a/internal/gateway/fleet/quota_test.go
+++ b/internal/gateway/fleet/quota_test.go
@@ -21,7 +21,7 @@
 		{"split evenly, the rest unused", 10, 3, 0, 3},
 		{"one each when there are as many as hosts", 3, 3, 2, 1},
 		{"one each for the first hosts when there are fewer", 2, 5, 1, 1},
-		{"none for the hosts after them", 2, 5, 2, 0},
+		{"none for the hosts after those", 2, 5, 2, 0},
 		{"one for the first host when there are none", 0, 5, 0, 1},
 		{"none for the second host when there are none", 0, 5, 1, 0},
 	}
@@ -32,8 +32,8 @@
 	}
 }
 
-// Whomever the hosts see alive, together they send a cold
-// upstream no more than its rate.
+// Whichever hosts each host sees alive, together they send a cold upstream no more than
+// its rate.
 func TestColdPartsAddUpUnderAnyBeliefs(t *testing.T) {
 	now := time.Now()
 	const total = 26
@@ -53,8 +53,8 @@
 	}
 }
 
-// With more hosts than the rate has requests, each upstream has a few hosts
-// of its own, and each host has some upstream.
+// If there are more hosts than the rate has requests, each upstream gets requests from a
+// few hosts, and each host has a share of some upstream.
 func TestColdPartsAddUpWithManyHosts(t *testing.T) {
 	now := time.Now()
 	const hosts, total = 27, 16.4
@@ -75,14 +75,14 @@
 	require.Len(t, served, hosts)
 }
 
-// The users' record has two cold upstreams that got more than their rate from hosts
-// of two regions, whose processes had just started: a host that knew few of the
-// others took a larger part, and one that had not heard the upstream's region took
-// a part as if nobody lived there. The logs of a play show parts split over two of
+// Two cold upstreams got more than their rate from hosts of two regions whose processes
+// had just started. A host that knew few of the other hosts took a larger share, and a
+// host that had received no heartbeat from the upstream's region took a share as if
+// there were no hosts in that region. In a recorded run, shares were split over two of
 // three hosts of the upstream's region, and over two of six of the others.
 //
-// Whomever the hosts know, by names or heartbeats, together they send a cold
-// upstream no more than its rate.
+// Whichever hosts are known, by name or by heartbeats, together the hosts must send a
+// cold upstream no more than its rate.
 func TestColdPartsAddUpWhoeverIsKnown(t *testing.T) {
 	now := time.Now()
 	const total, seeds = 26, 200
@@ -92,9 +92,9 @@
 		random := rand.New(rand.NewPCG(seed, seed))
 		sum := 0
 		for _, self := range all {
-			m := newMembers(self, regionsOf(all), now.Add(-longAgo))
+			m := newMembers(self, regionsOf(all), now.Add(-longUptime))
 			if random.IntN(2) == 0 { // it has read the lists
-				m = startedMembers(self, all, now.Add(-longAgo))
+				m = startedMembers(self, all, now.Add(-longUptime))
 			}
 			for _, h := range all {
 				switch random.IntN(3) {
@@ -113,9 +113,9 @@
 	require.Positive(t, most)
 }
 
-// What a host may send a cold upstream before it knows who shares the rate and what
-// was sent: nothing.
-func TestAHostHasNoPartBeforeItKnowsWhoSharesIt(t *testing.T) {
+// A host must not send a cold upstream any request before it knows which hosts share the
+// rate and which requests were recently sent.
+func TestAHostHasNoShareOfARateUntilItKnowsTheSharers(t *testing.T) {
 	started, all := time.Now(), nineHostsList()
 	for _, c := range []struct {
 		name   string
@@ -125,14 +125,14 @@
 		want   warmup.Withheld
 	}{
 		{"a process that has just started", map[string]time.Duration{"west": 0, "east": 0, "south": 0}, "west", warmup.Window - 1, warmup.Starting},
-		{"one that sent nothing for a window", map[string]time.Duration{"west": 0, "east": 0, "south": 0}, "west", warmup.Window, warmup.NotWithheld},
-		{"no list was read", nil, "west", longAgo, warmup.HostsUnknown},
-		{"the list of another region only", map[string]time.Duration{"east": 0, "south": 0}, "west", longAgo, warmup.HostsUnknown},
-		{"the list of its region is enough there", map[string]time.Duration{"west": 0}, "west", longAgo, warmup.NotWithheld},
-		{"its hosts may not know of this one yet", map[string]time.Duration{"west": longAgo}, "west", longAgo + warmup.Window - 1, warmup.HostsUnknown},
-		{"they had time to hear of it", map[string]time.Duration{"west": longAgo}, "west", longAgo + warmup.Window, warmup.NotWithheld},
-		{"for another region, a list of those that share is missing", map[string]time.Duration{"west": 0, "east": 0}, "east", longAgo, warmup.HostsUnknown},
-		{"for another region, all that share are known", map[string]time.Duration{"west": 0, "south": 0}, "east", longAgo, warmup.NotWithheld},
+		{"a process that has sent nothing for a window", map[string]time.Duration{"west": 0, "east": 0, "south": 0}, "west", warmup.Window, warmup.NotWithheld},
+		{"no list was read", nil, "west", longUptime, warmup.HostsUnknown},
+		{"only lists of other regions were read", map[string]time.Duration{"east": 0, "south": 0}, "west", longUptime, warmup.HostsUnknown},
+		{"the list of the own region suffices for its upstreams", map[string]time.Duration{"west": 0}, "west", longUptime, warmup.NotWithheld},
+		{"the other hosts may not know of this one yet", map[string]time.Duration{"west": longUptime}, "west", longUptime + warmup.Window - 1, warmup.HostsUnknown},
+		{"the other hosts had time to learn of this one", map[string]time.Duration{"west": longUptime}, "west", longUptime + warmup.Window, warmup.NotWithheld},
+		{"for another region, the list of a sharing region is missing", map[string]time.Duration{"west": 0, "east": 0}, "east", longUptime, warmup.HostsUnknown},
+		{"for another region, all sharing hosts are known", map[string]time.Duration{"west": 0, "south": 0}, "east", longUptime, warmup.NotWithheld},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := newMembers(all[0], regionsOf(all), started)
@@ -146,12 +146,12 @@
 	}
 }
 
-// A host that stops is not in the list that starting hosts read, while it still serves.
-func TestAHostThatStopsHasNoPart(t *testing.T) {
+// A stopping host still serves, but is not in the list that starting hosts read.
+func TestAStoppingHostHasNoShareOfARate(t *testing.T) {
 	r := newFakeRegistry()
 	f := startFleet(t, r, host("a", "z", "west"), nil)
 	f.mu.Lock()
-	f.members.started = time.Now().Add(-longAgo)
+	f.members.started = time.Now().Add(-longUptime)
 	f.members.lists["west"] = f.members.started
 	f.mu.Unlock()
 	require.Positive(t, f.WarmUpQuota("i-1", "west", 26).Requests)
@@ -169,13 +169,12 @@
 	require.Positive(t, m.warmUpQuota("i-1", "west", 26, now.Add(deadTimeout)).Requests)
 }
 
-// The users' record fits hosts that were killed and started again within the second
-// in which they sent their parts: a process knows nothing of what the one before it
-// sent. The logs of a play show 11 requests by three hosts before the kill, and 15
-// by the same three after it, of 26 that were allowed.
+// Hosts were killed and restarted within the second in which they had sent their shares,
+// and a new process does not know what the previous one sent. In a recorded run, three
+// hosts sent 11 requests before the kill and 15 after it, of 26 that were allowed.
 //
-// The processes that run at a restart of all hosts, before it and after it, together
-// send a cold upstream no more than its rate within one second.
+// The processes before and after a restart of all hosts must together send a cold
+// upstream no more than its rate within one second.
 func TestColdPartsAddUpOverARestart(t *testing.T) {
 	now := time.Now()
 	const total = 26
@@ -188,10 +187,10 @@
 	require.LessOrEqual(t, sum, total)
 }
 
-// Found beside the flooding of cold upstreams: a host that others do not hear for a
-// minute was forgotten, also if it was only cut off from them, and took them for gone
-// in turn. Each side's parts then grew as if the other did not exist: of the hosts of
-// one region, cut from each other and from all other regions, each had the whole part.
+// A host from which others received no heartbeat for a minute was forgotten, even if it
+// was only cut off from them, and it forgot them in turn. The shares on each side then
+// grew as if the other side did not exist. When the hosts of one region were cut off
+// from each other and from all other regions, each of them had the whole share.
 func TestColdPartsAddUpWhileHostsAreCutOffForAnHour(t *testing.T) {
 	start := time.Now()
 	const total, cut = 26, time.Hour
@@ -207,8 +206,8 @@
 	require.Positive(t, sum)
 }
 
-// largeAndSmall returns hosts of one region, the first of which are five times as
-// large as the others.
+// largeAndSmall returns hosts of one region. The first ones have five times the capacity
+// of the others.
 func largeAndSmall(region string, large, small int) []Host {
 	hosts := regionHosts(region, large+small)
 	for i := range hosts {
@@ -220,17 +219,17 @@
 	return hosts
 }
 
-// Of 98 hosts in a region nine were large and got all requests. A cold upstream's
-// rate was split over all by number: eight hosts had one request a second each, of
-// which less than one was large, so that it stayed cold and idle beside upstreams
-// that refused.
+// Of 98 hosts in a region, nine were large and got all requests. A cold upstream's rate
+// was split evenly over all hosts: eight hosts had one request a second each, and on
+// average less than one of these hosts was large. The upstream stayed cold and idle
+// while other upstreams refused requests.
 func TestTheLargeHostsHaveMostOfAColdUpstreamsRate(t *testing.T) {
 	now := time.Now()
 	const upstreams = 60
 	for _, c := range []struct {
 		large, small int
 		total        float64
-		// least is what the large hosts must have of it, in the mean.
+		// least is the minimum mean of the requests that the large hosts must have.
 		least float64
 	}{
 		{9, 89, 14.65, 6.9},
@@ -263,8 +262,8 @@
 	}
 }
 
-// The hosts of other regions, which take over while an upstream's own has no live
-// host, differ in size as well.
+// The hosts of other regions, which take over while the upstream's region has no live
+// host, also differ in size.
 func TestColdPartsAddUpWithHostsOfUnequalSize(t *testing.T) {
 	now := time.Now()
 	const total = 26
--- a/internal/gateway/fleet/registration_test.go
+++ b/internal/gateway/fleet/registration_test.go
@@ -14,12 +14,12 @@
 	"cairndock/internal/pause"
 )
 
-// newFleet returns a host that does not run.
+// newFleet returns a host that is not running.
 func newFleet(r Registry, self Host, regions []string) *Fleet {
-	return New(Options{Self: self, Regions: regions, Registry: r, Report: noReport{}, Status: func() Status { return readyStatus }})
+	return New(Options{Self: self, Regions: regions, Registry: r, Report: noopReporter{}, Status: func() Status { return readyStatus }})
 }
 
-// startRegistering has a host of the region west registered until it is stopped.
+// startRegistering keeps a host of the region west registered until stop is called.
 func startRegistering(t *testing.T, r Registry, regions ...string) (f *Fleet, stop func()) {
 	f = newFleet(r, host("w0", "west-0", "west"), regions)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -31,8 +31,8 @@
 	}
 }
 
-// register runs a host's registration for a time of the test's clock and returns the
-// regions whose lists it has not read whole.
+// register runs a host's registration for d on the test's clock and returns the regions
+// whose lists it has not read completely.
 func register(t *testing.T, r Registry, h Host, regions []string, d time.Duration) []string {
 	t.Helper()
 	f := newFleet(r, h, regions)
@@ -51,12 +51,12 @@
 		change func(r *fakeRegistry)
 		unread []string
 	}{
-		{"a registry that works", func(*fakeRegistry) {}, []string{}},
-		{"it takes no announcements: later hosts would not find this one", func(r *fakeRegistry) { r.down = true }, []string{"west", "east", "south"}},
-		{"it takes none, but an earlier process has announced the host", func(r *fakeRegistry) {
+		{"the registry works", func(*fakeRegistry) {}, []string{}},
+		{"announcements fail: later hosts would not find this one", func(r *fakeRegistry) { r.down = true }, []string{"west", "east", "south"}},
+		{"announcements fail, but an earlier process has announced the host", func(r *fakeRegistry) {
 			r.down, r.hosts["w"] = true, host("w", "west-0", "west")
 		}, []string{}},
-		{"it can't be read", func(r *fakeRegistry) { r.noReads = true }, []string{"west", "east", "south"}},
+		{"reads fail", func(r *fakeRegistry) { r.unreadable = true }, []string{"west", "east", "south"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -68,9 +68,9 @@
 	}
 }
 
-// Before a host knows who shares a limit with it it has no part, as it would take too
-// large a one. Hosts of other regions share other parts.
-func TestAHostHasNoPartOfALimitUntilItKnowsItsRegion(t *testing.T) {
+// A host has no share of a limit before it knows which hosts share it, because its share
+// would be too large. Hosts of other regions share other parts of the limit.
+func TestAHostHasNoShareOfALimitUntilItKnowsItsRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFakeRegistry()
 		r.hosts["e"], r.hosts["w2"] = host("e", "east-0", "east"), host("w2", "west-0", "west")
@@ -79,33 +79,33 @@
 		require.Equal(t, 2, f.UnreadLists())
 		f.register(t.Context(), f.regions())
 		require.Zero(t, f.UnreadLists())
-		require.Zero(t, f.CommonPart(), "they may not know of this one yet")
+		require.Zero(t, f.CommonPart(), "the others may not know of this host yet")
 		time.Sleep(warmup.Window)
 		require.Equal(t, 0.25, f.CommonPart())
 	})
 }
 
-// The slack of 630 retries was split by number over 295 hosts, of which 27 got all
-// requests: they had a tenth of it. Whatever the sizes of hosts, the parts add up to
-// no more than the limit.
+// A slack of 630 retries was split evenly over 295 hosts, of which 27 got all requests,
+// so that these had a tenth of the slack. For any sizes of hosts, the shares must add up
+// to no more than the limit.
 func TestPartsOfALimitAddUp(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
 		large, small int
-		// wanted is the least part that the large hosts have together.
-		wanted float64
+		// minLarge is the minimum share that the large hosts have together.
+		minLarge float64
 	}{{9, 89, 0.79}, {1, 0, 1}, {3, 0, 0.99}, {2, 11, 0.79}} {
 		all := slices.Concat(largeAndSmall("west", c.large, c.small), largeAndSmall("east", c.large, c.small))
 		sum, large := 0.0, 0.0
 		for _, self := range all {
-			part := membersOf(self, all, now).commonShare(now)
-			sum += part
+			fraction := membersOf(self, all, now).commonShare(now)
+			sum += fraction
 			if isLarge(self.Capacity, 800) {
-				large += part
+				large += fraction
 			}
 		}
 		require.LessOrEqual(t, sum, 1+1e-9)
-		require.GreaterOrEqual(t, large, c.wanted)
+		require.GreaterOrEqual(t, large, c.minLarge)
 	}
 }
 
@@ -113,25 +113,25 @@
 func TestAListIsReadAfterTheAnnouncement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFakeRegistry()
-		r.noReads = true
+		r.unreadable = true
 		f := newFleet(r, host("w0", "west-0", "west"), []string{"west"})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		go f.register(ctx, f.regions())
 		synctest.Wait()
 		require.NoError(t, r.announce(ctx, host("w1", "west-0", "west")))
-		r.setReads(true)
+		r.setReadable(true)
 		time.Sleep(2 * registryRetryDelay)
 		require.Equal(t, 2, f.Hosts())
-		r.setReads(false) // what was read stays
+		r.setReadable(false) // the list that was read is kept
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		require.Empty(t, f.members.unread())
 	})
 }
 
-// Hosts that were cut off from each other for so long that they forgot each other find
-// each other again by the registry.
+// Hosts that were cut off from each other until they forgot each other find each other
+// again through the registry.
 func TestAHostThatWasForgottenIsFoundAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFakeRegistry()
@@ -144,8 +144,8 @@
 	})
 }
 
-// A host that was replaced for good would take a part of each limit for ever.
-func TestAHostThatIsGoneIsWithdrawnByOneOfItsRegion(t *testing.T) {
+// Otherwise a host that was replaced for good would keep a share of each limit forever.
+func TestASilentHostIsWithdrawnByOneOfItsRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFakeRegistry()
 		for _, h := range []Host{host("gone", "west-0", "west"), host("other", "east-0", "east"), host("cut", "west-0", "west")} {
@@ -157,13 +157,13 @@
 		defer cancel()
 		go func() { // cut off from this host, but not from the registry
 			for pause.For(ctx, listInterval) {
-				_ = r.announce(ctx, host("cut", "west-0", "west")) // it never fails
+				_ = r.announce(ctx, host("cut", "west-0", "west")) // the fake registry accepts it
 			}
 		}()
 		time.Sleep(peerTTL - time.Minute)
-		require.Len(t, r.list(), 4, "they may only be cut off")
+		require.Len(t, r.list(), 4, "silent hosts may only be cut off")
 		time.Sleep(2 * (listInterval + maxListJitter))
-		require.Equal(t, []string{"cut", "other", "w0"}, r.list(), "those of other regions are left to their hosts")
+		require.Equal(t, []string{"cut", "other", "w0"}, r.list(), "hosts of other regions are withdrawn only by their own region")
 	})
 }
 
@@ -179,8 +179,8 @@
 	})
 }
 
-// A store that is down for long is asked seldom by hosts that have read all lists.
-func TestARenewalIsTriedAgainSeldom(t *testing.T) {
+// Hosts that have read all lists rarely call a store that is down for long.
+func TestRenewalsAreRetriedLessOften(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFakeRegistry()
 		f := newFleet(r, host("w0", "west-0", "west"), []string{"west"})
@@ -190,8 +190,8 @@
 	})
 }
 
-// A host that a version wrote to the unsplit table as well stands in two rows, of
-// which only the later one is its last announcement.
+// A host whose version also wrote to the unsplit table has two rows. Only the later row
+// is its last announcement.
 func TestAnOlderRowIsNoNewAnnouncement(t *testing.T) {
 	now := time.Now()
 	m := newMembers(host("w0", "west-0", "west"), []string{"west"}, now)
--- a/internal/gateway/fleet/relaytree_test.go
+++ b/internal/gateway/fleet/relaytree_test.go
@@ -17,13 +17,13 @@
 		roots[h.Name] = true
 	}
 	require.Len(t, roots, 1)
-	// When it is gone, another takes its place.
-	var gone string
+	// When the root is removed, another host replaces it.
+	var removed string
 	for name := range roots {
-		gone = name
+		removed = name
 	}
 	for _, name := range []string{"west0", "west1", "west2"} {
-		if name == gone {
+		if name == removed {
 			continue
 		}
 		m := nineHosts(name, now)
@@ -31,13 +31,13 @@
 		m.recordHeartbeat(host("west0", "west-0", "west"), readyStatus, later)
 		m.recordHeartbeat(host("west1", "west-0", "west"), readyStatus, later)
 		m.recordHeartbeat(host("west2", "west-1", "west"), readyStatus, later)
-		m.forget(gone)
+		m.forget(removed)
 		h, _ := m.relayParent(true, later)
-		require.NotEqual(t, gone, h.Name)
+		require.NotEqual(t, removed, h.Name)
 	}
 }
 
-// No host of a large region has to send a change to more than a few others.
+// No host of a large region may have to send a change to more than a few others.
 func TestTheHostsOfARegionFormATree(t *testing.T) {
 	now := time.Now()
 	const hosts = 100
@@ -52,7 +52,7 @@
 		parents[self.Name] = h.Name
 		children[h.Name]++
 	}
-	require.Len(t, parents, hosts-1, "one polls the store")
+	require.Len(t, parents, hosts-1, "one host polls the store")
 	for name, n := range children {
 		require.LessOrEqual(t, n, relayFanout, name)
 	}
@@ -65,7 +65,7 @@
 	}
 }
 
-// Hosts that differ in whom they see alive must not poll each other in a cycle.
+// Hosts that differ in which hosts they see alive must not poll each other in a cycle.
 func TestRelaysNeverFormACycle(t *testing.T) {
 	now := time.Now()
 	for views := range 1 << 6 {
@@ -91,8 +91,8 @@
 	}
 }
 
-// Before there is a configuration no host is ready, and still only one polls
-// the store.
+// Before there is a configuration no host is ready, and still only one host may poll the
+// store.
 func TestOneOfTheHostsThatStartTogetherPollsTheStore(t *testing.T) {
 	now := time.Now()
 	polling := 0
@@ -105,19 +105,20 @@
 			polling++
 		}
 		_, root := m.relayParent(true, now)
-		require.True(t, root, "a host that is ready polls none that is not")
+		require.True(t, root, "a ready host polls only ready hosts")
 	}
 	require.Equal(t, 1, polling)
 }
 
-// Where hosts hear only their zone and the first hosts, those are polled by all others,
-// each by a few of every zone, and there is no cycle.
+// If hosts receive heartbeats only from their zone and from the first hosts, the other
+// hosts poll these, each of them is polled by a few hosts of every zone, and there is no
+// cycle.
 func TestTheFirstHostsOfARegionRelayToItsZones(t *testing.T) {
 	now := time.Now()
 	all := zonesOf(3, 30)
 	parents, children := map[string]string{}, map[string]int{}
 	for _, self := range all {
-		m := startedMembers(self, all, now.Add(-longAgo))
+		m := startedMembers(self, all, now.Add(-longUptime))
 		for _, name := range m.regionPeers(now) {
 			m.recordHeartbeat(m.peers[name].host, readyStatus, now)
 		}
@@ -126,7 +127,7 @@
 			children[h.Name]++
 		}
 	}
-	require.Len(t, parents, len(all)-1, "one polls the store")
+	require.Len(t, parents, len(all)-1, "one host polls the store")
 	for name, n := range children {
 		require.LessOrEqual(t, n, 3*relayFanout, name)
 	}
--- a/internal/gateway/fleet/rewrite_test.go
+++ b/internal/gateway/fleet/rewrite_test.go
@@ -28,16 +28,16 @@
 	return watch.Page{Version: watch.Version{Era: e.era.Load(), Number: 1}}, nil
 }
 
-// noSink drops updates.
-type noSink struct{}
+// noopSink drops updates.
+type noopSink struct{}
 
-func (noSink) Apply(watch.Update)                                          {}
-func (noSink) Lost(string, error)                                          {}
-func (noSink) Regained(string, time.Duration)                              {}
-func (noSink) Refused(string, watch.Version, watch.Version)                {}
-func (noSink) EraBegan(string, watch.Version, watch.Version, watch.Update) {}
+func (noopSink) Apply(watch.Update)                                          {}
+func (noopSink) Lost(string, error)                                          {}
+func (noopSink) Regained(string, time.Duration)                              {}
+func (noopSink) Refused(string, watch.Version, watch.Version)                {}
+func (noopSink) EraBegan(string, watch.Version, watch.Version, watch.Update) {}
 
-// quarantines are Suspicions that have some quarantines only.
+// quarantines are Suspicions that consist of quarantines only.
 type quarantines []poison.Report
 
 func (quarantines) News(poison.Marks, time.Time) poison.News { return poison.News{} }
@@ -45,23 +45,23 @@
 func (quarantines) Merge([]poison.Report, time.Time)         {}
 func (q quarantines) Quarantines(time.Time) []poison.Report  { return q }
 
-// restorable is a host that watches a table of a store that comes back from copies.
-type restorable struct {
+// restorableHost is a host that watches a table of a store that is restored from copies.
+type restorableHost struct {
 	*Fleet
 	registry *fakeRegistry
 	table    *eraTable
 }
 
-func startRestorable(t *testing.T, era int64) restorable {
+func startRestorableHost(t *testing.T, era int64) restorableHost {
 	r, table, replica := newFakeRegistry(), &eraTable{}, watch.NewReplica()
 	table.era.Store(era)
 	r.era = era
 	f := New(Options{
-		Self: host("w0", "west-0", "west"), Regions: []string{"west"}, Registry: r, Report: noReport{}, Status: func() Status { return readyStatus },
+		Self: host("w0", "west-0", "west"), Regions: []string{"west"}, Registry: r, Report: noopReporter{}, Status: func() Status { return readyStatus },
 		Tables: []Table{{Replica: replica, Store: table}}, Suspicions: quarantines{{Fingerprint: poison.Fingerprint{1}}},
 	})
 	sources := func() []watch.NamedSource { return []watch.NamedSource{{Name: "store", Source: table}} }
-	w := watch.New(replica, sources, func() (watch.Version, time.Duration) { return f.NewestKnown(0) }, noSink{}, watch.Timing(2*time.Second))
+	w := watch.New(replica, sources, func() (watch.Version, time.Duration) { return f.NewestKnown(0) }, noopSink{}, watch.Timing(2*time.Second))
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(func() {
 		cancel()
@@ -71,11 +71,11 @@
 	go f.keepRegistered(ctx)
 	go f.heartbeatLoop(ctx)
 	time.Sleep(time.Second)
-	return restorable{f, r, table}
+	return restorableHost{f, r, table}
 }
 
-// restore has the store come back from a copy that has no rows of hosts.
-func (h restorable) restore() {
+// restore restores the store from a copy that has no rows of hosts.
+func (h restorableHost) restore() {
 	h.registry.mu.Lock()
 	defer h.registry.mu.Unlock()
 	clear(h.registry.hosts)
@@ -84,7 +84,7 @@
 	h.table.era.Add(1)
 }
 
-func (h restorable) announcements() int64 {
+func (h restorableHost) announcements() int64 {
 	h.registry.mu.Lock()
 	defer h.registry.mu.Unlock()
 	return h.registry.versions["w0"]
@@ -92,15 +92,15 @@
 
 func TestAHostWritesAgainWhatARestoredStoreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := startRestorable(t, 1)
+		h := startRestorableHost(t, 1)
 		require.Equal(t, int64(1), h.announcements())
-		for drill := range 2 {
+		for restored := range 2 {
 			h.restore()
 			require.Empty(t, h.registry.list())
 			time.Sleep(maxRewriteDelay + 2*time.Second)
 			require.Equal(t, []string{"w0"}, h.registry.list())
 			require.Equal(t, 1, h.registry.quarantined())
-			require.Equal(t, int64(2+drill), h.announcements(), "once each")
+			require.Equal(t, int64(2+restored), h.announcements(), "one announcement for each restore")
 		}
 		time.Sleep(time.Minute)
 		require.Equal(t, int64(3), h.announcements())
@@ -109,7 +109,7 @@
 
 func TestAHostThatCannotWriteToARestoredStoreTriesAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := startRestorable(t, 1)
+		h := startRestorableHost(t, 1)
 		h.restore()
 		h.registry.mu.Lock()
 		h.registry.down = true
@@ -126,7 +126,7 @@
 
 func TestAHostThatStopsDoesNotAnnounceItselfToARestoredStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := startRestorable(t, 1)
+		h := startRestorableHost(t, 1)
 		h.Withdraw(t.Context())
 		h.restore()
 		time.Sleep(time.Minute)
@@ -134,21 +134,21 @@
 	})
 }
 
-func TestAStoreWithoutErasIsAnnouncedToOnce(t *testing.T) {
+func TestAHostAnnouncesItselfOnceToAStoreWithoutEras(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, era := range []int64{0, watch.UnknownEra} {
-			h := startRestorable(t, era)
+			h := startRestorableHost(t, era)
 			time.Sleep(time.Minute)
 			require.Equal(t, int64(1), h.announcements())
 		}
 	})
 }
 
-func TestARelayTellsItsEraWithTheHistoryThatIsGone(t *testing.T) {
+func TestARelayReportsItsEraWhenItsHistoryWasRemoved(t *testing.T) {
 	table, replica := &eraTable{}, watch.NewReplica()
 	table.era.Store(2)
 	sources := func() []watch.NamedSource { return []watch.NamedSource{{Name: "store", Source: table}} }
-	w := watch.New(replica, sources, func() (watch.Version, time.Duration) { return watch.Version{}, 0 }, noSink{}, watch.Timing(2*time.Second))
+	w := watch.New(replica, sources, func() (watch.Version, time.Duration) { return watch.Version{}, 0 }, noopSink{}, watch.Timing(2*time.Second))
 	go w.Run(t.Context())
 	r := newFakeRegistry()
 	a := startFleet(t, r, host("a", "z", "west"), nil, Table{Replica: replica, Store: table})
@@ -163,8 +163,8 @@
 	f := New(Options{Self: host("w0", "west-0", "west"), Tables: make([]Table, 1)})
 	now := time.Now()
 	for _, c := range []struct {
-		heard Status
-		want  watch.Version
+		received Status
+		want     watch.Version
 	}{
 		{Status{Changes: []int64{90}}, watch.Version{Number: 90}},
 		{Status{}.WithLastChange(watch.Version{Era: 1, Number: 50}), watch.Version{Era: 1, Number: 50}},
@@ -172,7 +172,7 @@
 		{Status{}.WithLastChange(watch.Version{Era: 1, Number: 99}), watch.Version{Era: 2, Number: 7}},
 		{Status{Changes: []int64{99}}, watch.Version{Era: 2, Number: 7}},
 	} {
-		f.recordVersions(c.heard, now)
+		f.recordVersions(c.received, now)
 		got, _ := f.NewestKnown(0)
 		require.Equal(t, c.want, got)
 	}
--- a/internal/gateway/fleet/schedule_test.go
+++ b/internal/gateway/fleet/schedule_test.go
@@ -10,7 +10,7 @@
 	"cairndock/internal/gateway/warmup"
 )
 
-// Heartbeats between regions grow with hosts, not with their square.
+// Heartbeats between regions grow with the number of hosts and not with its square.
 func TestHeartbeatsGoToTheRegionAndAFewHostsOfEachOther(t *testing.T) {
 	now := time.Now()
 	const perRegion = 40
@@ -34,16 +34,16 @@
 func TestADeadPeerOfAnotherRegionIsReplaced(t *testing.T) {
 	now := time.Now()
 	m := nineHosts("west0", now)
-	var chosen []string
+	var selected []string
 	for _, p := range m.heartbeatPeers(now) {
 		if p.host.Region == "east" {
-			chosen = append(chosen, p.host.Name)
+			selected = append(selected, p.host.Name)
 		}
 	}
-	require.Len(t, chosen, remoteFanout)
+	require.Len(t, selected, remoteFanout)
 	later := now.Add(deadTimeout)
 	for _, p := range m.peersByName(m.indexed().names) {
-		if p.host.Name != chosen[0] {
+		if p.host.Name != selected[0] {
 			m.recordHeartbeat(p.host, readyStatus, later)
 		}
 	}
@@ -53,10 +53,10 @@
 			east++
 		}
 	}
-	require.Equal(t, 3, east, "the dead one is tried as well as two that live")
+	require.Equal(t, 3, east, "the dead peer is tried in addition to two live ones")
 }
 
-// One exchange informs both hosts; the other need not begin one as well.
+// One exchange informs both hosts, so the receiver need not start one as well.
 func TestAHeartbeatReceivedPostponesTheNextOneSent(t *testing.T) {
 	f := New(Options{Self: host("west0", "west-0", "west")})
 	other := host("west1", "west-0", "west")
@@ -66,10 +66,10 @@
 	f.postpone(other.Name)
 	require.Empty(t, f.due(now.Add(heartbeatInterval/2)))
 	require.Len(t, f.due(now.Add(2*heartbeatInterval)), 1)
-	require.Less(t, heartbeatInterval+schedulerTick+heartbeatTimeout, deadTimeout, "a host that only answers is not taken for dead")
+	require.Less(t, heartbeatInterval+schedulerTick+heartbeatTimeout, deadTimeout, "a host that only responds does not count as dead")
 }
 
-func TestStatusIsSentOutOfTurnOnceAPause(t *testing.T) {
+func TestHeartbeatsAreTriggeredOncePerInterval(t *testing.T) {
 	now := time.Now()
 	f := New(Options{Self: host("west0", "west-0", "west")})
 	other := host("west1", "west-0", "west")
@@ -83,11 +83,11 @@
 	f.triggerHeartbeats(now.Add(minTriggerInterval))
 	require.Len(t, f.due(now.Add(minTriggerInterval)), 1)
 	require.Equal(t, minTriggerInterval, triggerInterval(triggerHostStep-1))
-	require.Equal(t, 2*minTriggerInterval, triggerInterval(triggerHostStep), "heartbeats to a large region are rarer")
+	require.Equal(t, 2*minTriggerInterval, triggerInterval(triggerHostStep), "the interval grows with the region")
 }
 
 // While a region is cut off, a few of its hosts are tried at a time, and all of them
-// in turn.
+// after a while.
 func TestDeadHostsOfAnotherRegionAreTriedAFewAtATime(t *testing.T) {
 	start := time.Now()
 	const hosts = 30
@@ -103,11 +103,11 @@
 	}
 	require.Len(t, tried, hosts)
 	m.recordHeartbeat(all[hosts], readyStatus, start.Add(time.Hour))
-	require.Contains(t, m.firstAlive(m.indexed().remote["east"], start.Add(time.Hour)), all[hosts].Name, "one that lives is kept")
+	require.Contains(t, m.firstAlive(m.indexed().remote["east"], start.Add(time.Hour)), all[hosts].Name, "a live peer is kept")
 }
 
-// zonesOf returns hosts of one region in three zones, of which the first of each zone
-// are large.
+// zonesOf returns hosts of one region in three zones. The first hosts of each zone are
+// large.
 func zonesOf(largePerZone, smallPerZone int) []Host {
 	var all []Host
 	for zone := range 3 {
@@ -119,8 +119,9 @@
 	return all
 }
 
-// Each of 98 hosts of a region exchanged heartbeats with each other: 30 KB a second of a
-// host with 0.16 cores, seven times what a node may spend on control.
+// When all 98 hosts of a region exchanged heartbeats with each other, a host with 0.16
+// cores sent and received 30 KB a second, seven times what a node may spend on control
+// traffic.
 func TestAHostExchangesHeartbeatsWithItsZoneAndTheFirstHostsOfItsRegion(t *testing.T) {
 	now := time.Now()
 	all := zonesOf(3, 30)
@@ -150,8 +151,8 @@
 	}
 }
 
-// Nine hosts of one region know each other as before.
-func TestFewHostsExchangeHeartbeatsWithAll(t *testing.T) {
+// In a region of twelve hosts, each host exchanges heartbeats with all others.
+func TestAllHostsOfASmallRegionExchangeHeartbeats(t *testing.T) {
 	now := time.Now()
 	all := zonesOf(0, 4)
 	for _, self := range all {
@@ -159,7 +160,7 @@
 	}
 }
 
-// Hosts that share a limit with one that starts must know of it, whichever zone they
+// Hosts that share a limit with a starting host must learn of it, whichever zone they
 // are in.
 func TestAHostThatStartsExchangesHeartbeatsWithItsWholeRegion(t *testing.T) {
 	now := time.Now()
@@ -170,7 +171,7 @@
 	require.Greater(t, introductionPeriod, warmup.Window)
 }
 
-// When the large hosts die, others take their place, and those that come back are found.
+// When the large hosts die, others replace them, and hosts that return are found.
 func TestDeadFirstHostsAreReplacedAndStillTried(t *testing.T) {
 	now := time.Now()
 	all := zonesOf(3, 30)
@@ -190,7 +191,8 @@
 	}
 }
 
-// A host that has heard of one only at its start does not report it as lost.
+// A host does not report a peer as lost from which it received a heartbeat only at its
+// start.
 func TestAPeerThatGetsNoHeartbeatsIsNotReportedAsLost(t *testing.T) {
 	start := time.Now()
 	all := zonesOf(3, 30)
@@ -214,13 +216,14 @@
 
 // stallRecorder records reported stalls.
 type stallRecorder struct {
-	noReport
+	noopReporter
 	stalls []time.Duration
 }
 
 func (r *stallRecorder) Stalled(d time.Duration) { r.stalls = append(r.stalls, d) }
 
-// Requests timed out at a host that stood still, and nothing of its own told.
+// Requests timed out at a host that had no processor time, and the host reported
+// nothing.
 func TestAProcessWithoutProcessorTimeIsReported(t *testing.T) {
 	var r stallRecorder
 	f := &Fleet{options: Options{Report: &r}}
--- a/internal/gateway/fleet/start_test.go
+++ b/internal/gateway/fleet/start_test.go
@@ -12,8 +12,9 @@
 	"cairndock/internal/gateway/watch"
 )
 
-// 295 hosts that started together made 2,650 calls to the store within a second, and a
-// kill of half of them as many again: each read all tables and all lists of hosts.
+// When 295 hosts started together, they made 2,650 calls to the store within a second,
+// and about as many again after half of them were killed, because each host read all
+// tables and all lists of hosts.
 func TestFewOfTheHostsThatStartTogetherReadFromTheStore(t *testing.T) {
 	now := time.Now()
 	all := largeAndSmall("west", 9, 89)
@@ -28,7 +29,7 @@
 		}
 	}
 	require.Equal(t, storeReaderCount, atStore)
-	require.Equal(t, 9, large, "those that clients are given first do not wait")
+	require.Equal(t, 9, large, "the hosts that clients are given first do not wait")
 }
 
 func TestTheFirstHostsOfARegionListARestoredStoreAtOnce(t *testing.T) {
@@ -45,7 +46,7 @@
 	require.Equal(t, storeReaderCount, atOnce)
 }
 
-func TestWhereAHostThatStartsReadsTheTables(t *testing.T) {
+func TestAStartingHostReadsTheTablesFromPeersOrTheStore(t *testing.T) {
 	now := time.Now()
 	all := regionHosts("west", 50)
 	last := all[0]
@@ -61,11 +62,11 @@
 		age                                     time.Duration
 		peers                                   bool
 	}{
-		{"nothing is known at the first start", nil, false, true, false, 0, true},
-		{"nothing is known at a restart", nil, false, false, false, 0, false},
-		{"a host of few", all[:9], true, true, false, 0, false},
-		{"a host of many, by the list", all, true, false, false, 0, true},
-		{"a host of many, by a peer", all, false, false, true, 0, true},
+		{"no host is known at the first start", nil, false, true, false, 0, true},
+		{"no host is known at a restart", nil, false, false, false, 0, false},
+		{"one of few hosts, by the list", all[:9], true, true, false, 0, false},
+		{"one of many hosts, by the list", all, true, false, false, 0, true},
+		{"one of many hosts, by a peer", all, false, false, true, 0, true},
 		{"no peer had them in time", all, true, true, true, peerStartTimeout, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -81,21 +82,21 @@
 	}
 }
 
-// readCount is a registry that counts the lists read of each region.
-type readCount struct {
+// countingRegistry is a registry that counts the reads of each region's list.
+type countingRegistry struct {
 	*fakeRegistry
 	reads map[string]int
 }
 
-func (r *readCount) Read(ctx context.Context, region string) (RegionList, error) {
+func (r *countingRegistry) Read(ctx context.Context, region string) (RegionList, error) {
 	r.mu.Lock()
 	r.reads[region]++
 	r.mu.Unlock()
 	return r.fakeRegistry.Read(ctx, region)
 }
 
-// counts returns how often a region's list was read, and a host announced.
-func (r *readCount) counts(region, host string) (reads, announced int) {
+// counts returns how many times a region's list was read and a host was announced.
+func (r *countingRegistry) counts(region, host string) (reads, announced int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.reads[region], int(r.versions[host])
@@ -109,7 +110,7 @@
 	}{{"one of few hosts", 0, 3, true}, {"one behind many", 20, 1, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := &readCount{newFakeRegistry(), map[string]int{}}
+				r := &countingRegistry{newFakeRegistry(), map[string]int{}}
 				all := largeAndSmall("west", c.large, c.small)
 				for _, h := range all {
 					r.hosts[h.Name] = h
@@ -125,7 +126,7 @@
 				time.Sleep(maxOtherListsDelay)
 				other, announced := r.counts("east", f.options.Self.Name)
 				require.Equal(t, 1, other)
-				require.Equal(t, 1, announced, "announced once")
+				require.Equal(t, 1, announced, "the host is announced once")
 				cancel()
 				synctest.Wait()
 			})
@@ -133,22 +134,22 @@
 	}
 }
 
-// noTable is a source that can't be read.
-type noTable struct{}
+// unavailableTable is a source that cannot be read.
+type unavailableTable struct{}
 
-func (noTable) List(context.Context) (watch.Page, error) {
-	return watch.Page{}, errors.New("not asked")
+func (unavailableTable) List(context.Context) (watch.Page, error) {
+	return watch.Page{}, errors.New("unavailable")
 }
 
-func (noTable) Changes(context.Context, watch.Version, time.Duration) (watch.Page, error) {
-	return watch.Page{}, errors.New("not asked")
+func (unavailableTable) Changes(context.Context, watch.Version, time.Duration) (watch.Page, error) {
+	return watch.Page{}, errors.New("unavailable")
 }
 
 // Once a host is ready, or no peer had the tables in time, the store is a source again.
 func TestTheStoreIsASourceOnceAHostIsReady(t *testing.T) {
 	all := largeAndSmall("west", 20, 1)
 	status := Status{}
-	f := New(Options{Self: all[20], Regions: []string{"west"}, Report: noReport{}, Status: func() Status { return status }, Tables: []Table{{Store: noTable{}}}})
+	f := New(Options{Self: all[20], Regions: []string{"west"}, Report: noopReporter{}, Status: func() Status { return status }, Tables: []Table{{Store: unavailableTable{}}}})
 	f.addList("west", listings(all[:20]), true)
 	require.Empty(t, f.Sources(0))
 	status = readyStatus
--- a/internal/gateway/fleet/suspicions_test.go
+++ b/internal/gateway/fleet/suspicions_test.go
@@ -14,7 +14,7 @@
 	"cairndock/internal/poison"
 )
 
-// observer does with suspicions what a gateway does.
+// observer handles the events of suspicions as a gateway does.
 type observer struct{ fleet *Fleet }
 
 func (o *observer) SuspicionsChanged()    { o.fleet.SendSoonToAll() }
@@ -32,47 +32,47 @@
 	}
 }
 
-// suspiciousHost is a running host with its suspicions.
-type suspiciousHost struct {
+// hostWithSuspicions is a running host with its suspicions.
+type hostWithSuspicions struct {
 	*Fleet
 	table *poison.Table
 }
 
-func startSuspiciousHost(t *testing.T, r Registry, h Host) suspiciousHost {
+func startHostWithSuspicions(t *testing.T, r Registry, h Host) hostWithSuspicions {
 	t.Helper()
 	h.PeerAddress = freeAddress(t)
 	o := &observer{}
 	table := poison.NewTable(h.Name+h.Incarnation, time.Now(), o)
 	f := New(Options{
-		Self: h, Regions: []string{"west", "east", "south"}, Registry: r, Report: noReport{}, Status: func() Status { return readyStatus },
+		Self: h, Regions: []string{"west", "east", "south"}, Registry: r, Report: noopReporter{}, Status: func() Status { return readyStatus },
 		Suspicions: table, Transport: peer.TCP((&net.Dialer{}).DialContext),
 	})
 	o.fleet = f
 	require.NoError(t, f.Start(t.Context()))
 	t.Cleanup(f.mesh.Close)
-	return suspiciousHost{f, table}
+	return hostWithSuspicions{f, table}
 }
 
-func (h suspiciousHost) recordEnd(f poison.Fingerprint, run string) {
+func (h hostWithSuspicions) recordTermination(f poison.Fingerprint, run string) {
 	now := time.Now()
 	h.table.RecordEnd(f, poison.Attempt{Run: run, Began: now.Add(-20 * time.Millisecond), Ended: now})
 }
 
-// quarantine has the host see three upstreams end in turn under a request.
-func (h suspiciousHost) quarantine(f poison.Fingerprint) {
+// quarantine lets the host see a request terminate three upstreams in turn.
+func (h hostWithSuspicions) quarantine(f poison.Fingerprint) {
 	for i := range 3 {
-		h.recordEnd(f, fmt.Sprint("run-", i))
+		h.recordTermination(f, fmt.Sprint("run-", i))
 		time.Sleep(30 * time.Millisecond)
 	}
 }
 
-// The request comes to another host each time, of another region; then to one that has
-// just started, and to one that was restarted.
+// The request reaches a host of another region each time. A host that has just started
+// and a host that was restarted must learn of the quarantine as well.
 func TestAllHostsLearnWhatEachSaw(t *testing.T) {
 	r := newFakeRegistry()
-	var hosts []suspiciousHost
+	var hosts []hostWithSuspicions
 	for _, h := range nineHostsList() {
-		hosts = append(hosts, startSuspiciousHost(t, r, h))
+		hosts = append(hosts, startHostWithSuspicions(t, r, h))
 	}
 	require.Eventually(t, func() bool {
 		for _, h := range hosts {
@@ -84,10 +84,10 @@
 	}, 5*time.Second, 10*time.Millisecond)
 	f := poison.Content{Target: "/x"}.Fingerprint()
 	for i, at := range []int{0, 4, 8} {
-		hosts[at].recordEnd(f, fmt.Sprint("run-", i))
-		time.Sleep(300 * time.Millisecond) // so that each is later than the one before for all
+		hosts[at].recordTermination(f, fmt.Sprint("run-", i))
+		time.Sleep(300 * time.Millisecond) // so that each is later than the previous one for all hosts
 	}
-	quarantined := func(hosts ...suspiciousHost) func() bool {
+	quarantined := func(hosts ...hostWithSuspicions) func() bool {
 		return func() bool {
 			for _, h := range hosts {
 				if !h.table.Quarantined(f, time.Now()) {
@@ -99,15 +99,15 @@
 	}
 	began := time.Now()
 	require.Eventually(t, quarantined(hosts...), 3*time.Second, 5*time.Millisecond)
-	t.Logf("known to all after %s", time.Since(began))
+	t.Logf("known to all hosts after %s", time.Since(began))
 
-	added := startSuspiciousHost(t, r, host("west9", "west-0", "west"))
+	added := startHostWithSuspicions(t, r, host("west9", "west-0", "west"))
 	require.Eventually(t, quarantined(added), 3*time.Second, 5*time.Millisecond)
 
 	again := hosts[8].options.Self
 	again.Incarnation = "2"
 	hosts[8].mesh.Close()
-	restarted := startSuspiciousHost(t, r, again)
+	restarted := startHostWithSuspicions(t, r, again)
 	require.Eventually(t, quarantined(restarted), 5*time.Second, 5*time.Millisecond)
 
 	hosts[3].table.Release(f)
@@ -125,10 +125,10 @@
 // While nothing changes, heartbeats carry no suspicions.
 func TestSuspicionsAreSentOnce(t *testing.T) {
 	r := newFakeRegistry()
-	a := startSuspiciousHost(t, r, host("a", "west-0", "west"))
-	b := startSuspiciousHost(t, r, host("b", "west-0", "west"))
+	a := startHostWithSuspicions(t, r, host("a", "west-0", "west"))
+	b := startHostWithSuspicions(t, r, host("b", "west-0", "west"))
 	f := poison.Content{Target: "/x"}.Fingerprint()
-	a.recordEnd(f, "run-0")
+	a.recordTermination(f, "run-0")
 	require.Eventually(t, func() bool { return b.table.Suspected(f) }, 3*time.Second, 5*time.Millisecond)
 	require.Eventually(t, func() bool {
 		toB, toA := a.withSuspicions(heartbeat{}, "b"), b.withSuspicions(heartbeat{}, "a")
@@ -136,97 +136,95 @@
 	}, 3*time.Second, 20*time.Millisecond)
 }
 
-// All hosts ended at the same moment, and the request came on: three more upstreams
-// ended, and three more each time.
+// When all hosts had stopped at the same time while the request kept coming, three more
+// upstreams were terminated, and three more each time that happened.
 func TestAQuarantineOutlastsAllHosts(t *testing.T) {
 	r := newFakeRegistry()
 	f := poison.Content{Target: "/x"}.Fingerprint()
-	a := startSuspiciousHost(t, r, host("a", "west-0", "west"))
+	a := startHostWithSuspicions(t, r, host("a", "west-0", "west"))
 	a.quarantine(f)
 	require.True(t, a.table.Quarantined(f, time.Now()))
-	require.Eventually(t, func() bool { return r.quarantined() == 3 }, time.Second, 5*time.Millisecond, "with each region")
+	require.Eventually(t, func() bool { return r.quarantined() == 3 }, time.Second, 5*time.Millisecond, "stored under each region")
 	a.mesh.Close()
-	b := startSuspiciousHost(t, r, host("b", "east-0", "east"))
+	b := startHostWithSuspicions(t, r, host("b", "east-0", "east"))
 	require.Eventually(t, func() bool { return b.table.Quarantined(f, time.Now()) }, 3*time.Second, 5*time.Millisecond)
 
 	b.table.Release(f)
-	require.Eventually(t, func() bool { return r.quarantined() == 0 }, time.Second, 5*time.Millisecond, "whoever stored it")
+	require.Eventually(t, func() bool { return r.quarantined() == 0 }, time.Second, 5*time.Millisecond, "whichever host stored it")
 	b.mesh.Close()
-	c := startSuspiciousHost(t, r, host("c", "west-0", "west"))
+	c := startHostWithSuspicions(t, r, host("c", "west-0", "west"))
 	require.Eventually(t, func() bool { return c.UnreadLists() == 0 }, 3*time.Second, 5*time.Millisecond)
 	require.False(t, c.table.Quarantined(f, time.Now()))
 }
 
-// A quarantine that was stored long ago is removed by whoever reads it.
+// A quarantine that was stored long ago is removed by the host that reads it.
 func TestAnOldStoredQuarantineIsRemoved(t *testing.T) {
 	r := newFakeRegistry()
 	f := poison.Content{Target: "/x"}.Fingerprint()
 	old := StoredQuarantine{StoredAt: time.Now().Add(-2 * time.Hour).UnixMilli(), Report: poison.Report{Fingerprint: f, Ends: []poison.End{{Run: "a"}, {Run: "b"}, {Run: "c"}}}}
 	require.NoError(t, r.Quarantine(t.Context(), "west", old))
-	a := startSuspiciousHost(t, r, host("a", "west-0", "west"))
+	a := startHostWithSuspicions(t, r, host("a", "west-0", "west"))
 	require.Eventually(t, func() bool { return r.quarantined() == 0 }, 3*time.Second, 5*time.Millisecond)
 	require.True(t, a.table.Empty())
 }
 
-// Once, under the race detector, a request was sent to one more upstream after all hosts
-// had been restarted.
-//
-// The order of events: the quarantine stood with the hosts of the region whose host had
-// decided; hosts of other regions started, served by their own region's list, and read
-// the others up to a second later.
-//
-// The cause: what a starting host must know before it serves stood where it reads last.
-// The evidence: the time at which this host knows it, below.
+// After a restart of all hosts, a quarantined request was sent to one more upstream. The
+// quarantine was stored only with the hosts of the region whose host had decided it.
+// Hosts of other regions served after they had read their own region's list, and read
+// the lists of other regions up to a second later. A quarantine must therefore be known
+// as soon as a starting host has read the list of its own region.
 func TestAStartingHostKnowsQuarantinesWithItsOwnList(t *testing.T) {
 	r := newFakeRegistry()
 	f := poison.Content{Target: "/x"}.Fingerprint()
-	a := startSuspiciousHost(t, r, host("a", "west-0", "west"))
+	a := startHostWithSuspicions(t, r, host("a", "west-0", "west"))
 	a.quarantine(f)
 	require.Eventually(t, func() bool { return r.quarantined() > 0 }, time.Second, 5*time.Millisecond)
-	time.Sleep(50 * time.Millisecond) // until it stands wherever it will
+	time.Sleep(50 * time.Millisecond) // until it is stored under all regions
 	a.mesh.Close()
-	b := startSuspiciousHost(t, r, host("b", "east-0", "east"))
+	b := startHostWithSuspicions(t, r, host("b", "east-0", "east"))
 	require.Eventually(t, func() bool { return b.readOwnList() }, time.Second, time.Millisecond)
 	require.True(t, b.table.Quarantined(f, time.Now()))
 }
 
-// It serves once it has heard of them, from the registry, or from a host that serves; while
-// the store is away and no other host is there, it does not wait for long.
-func TestAStartingHostWaitsToHearOfQuarantines(t *testing.T) {
+// A host serves once it has learned of quarantines, from the registry or from a host
+// that serves. While the store is unavailable and no other host runs, it does not wait
+// for long.
+func TestAStartingHostWaitsForQuarantines(t *testing.T) {
 	r := newFakeRegistry()
-	r.noReads = true
+	r.unreadable = true
 	alone := newFleet(r, host("a", "west-0", "west"), []string{"west"})
 	require.False(t, alone.KnowsQuarantines())
 	starting := heartbeat{Host: host("b", "west-0", "west")}
 	alone.recordHeartbeat(starting)
-	require.False(t, alone.KnowsQuarantines(), "that one starts as well")
+	require.False(t, alone.KnowsQuarantines(), "the peer is starting as well")
 	serving := heartbeat{Host: host("b", "west-0", "west"), Status: readyStatus}
 	alone.recordHeartbeat(serving)
 	require.True(t, alone.KnowsQuarantines())
 
 	second := newFleet(r, host("a", "west-0", "west"), []string{"west"})
 	_, _ = second.readLists(t.Context(), []string{"west"}, true)
-	require.False(t, second.KnowsQuarantines(), "the registry is away")
-	r.noReads = false
+	require.False(t, second.KnowsQuarantines(), "the registry is unavailable")
+	r.unreadable = false
 	_, _ = second.readLists(t.Context(), []string{"west"}, true)
 	require.True(t, second.KnowsQuarantines())
 }
 
-// After a start of all hosts while the store was away for longer than the wait, hosts that
-// had just read the tables served at once, before the list with the quarantines.
+// When all hosts had started while the store was unavailable for longer than
+// quarantineTimeout, hosts that had just read the tables served at once, before they
+// read the list with the quarantines.
 func TestAHostWaitsForQuarantinesFromWhenItCouldServe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFakeRegistry()
 		f := newFleet(r, host("a", "west-0", "west"), []string{"west"})
-		time.Sleep(3 * quarantineTimeout) // the store is away
-		require.False(t, f.KnowsQuarantines(), "the tables have come, the list has not")
+		time.Sleep(3 * quarantineTimeout) // the store is unavailable
+		require.False(t, f.KnowsQuarantines(), "the tables were read, the list was not")
 		time.Sleep(quarantineTimeout)
-		require.True(t, f.KnowsQuarantines(), "the list can't be read")
+		require.True(t, f.KnowsQuarantines(), "the list cannot be read")
 	})
 }
 
 // readOwnList reports whether the host has read the list of its own region.
-func (h suspiciousHost) readOwnList() bool {
+func (h hostWithSuspicions) readOwnList() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return !h.members.lists[h.options.Self.Region].IsZero()
