--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -197,9 +197,9 @@
 	}
 }
 
-// CommonPart is this host's share of a limit of all hosts, from 0 to 1; zero while the
+// CommonShare is this host's share of a limit of all hosts, from 0 to 1; zero while the
 // host does not know all hosts that share the limit.
-func (f *Fleet) CommonPart() float64 {
+func (f *Fleet) CommonShare() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.members.commonShare(time.Now())
--- a/internal/gateway/fleet/quota_test.go
+++ b/internal/gateway/fleet/quota_test.go
@@ -155,11 +155,11 @@
 	f.members.lists["west"] = f.members.started
 	f.mu.Unlock()
 	require.Positive(t, f.WarmUpQuota("i-1", "west", 26).Requests)
-	require.Positive(t, f.CommonPart())
+	require.Positive(t, f.CommonShare())
 	f.Withdraw(t.Context())
 	require.Equal(t, warmup.Stopping, f.WarmUpQuota("i-1", "west", 26).Withheld)
 	require.Zero(t, f.WarmUpQuota("i-1", "west", 26).Requests)
-	require.Zero(t, f.CommonPart())
+	require.Zero(t, f.CommonShare())
 }
 
 func TestAColdUpstreamIsLeftToTheLiveHostsOfItsRegion(t *testing.T) {
--- a/internal/gateway/fleet/registration_test.go
+++ b/internal/gateway/fleet/registration_test.go
@@ -75,13 +75,13 @@
 		r := newFakeRegistry()
 		r.hosts["e"], r.hosts["w2"] = host("e", "east-0", "east"), host("w2", "west-0", "west")
 		f := newFleet(r, host("w", "west-0", "west"), []string{"east", "west"})
-		require.Zero(t, f.CommonPart())
+		require.Zero(t, f.CommonShare())
 		require.Equal(t, 2, f.UnreadLists())
 		f.register(t.Context(), f.regions())
 		require.Zero(t, f.UnreadLists())
-		require.Zero(t, f.CommonPart(), "the others may not know of this host yet")
+		require.Zero(t, f.CommonShare(), "the others may not know of this host yet")
 		time.Sleep(warmup.Window)
-		require.Equal(t, 0.25, f.CommonPart())
+		require.Equal(t, 0.25, f.CommonShare())
 	})
 }
 
--- a/internal/gateway/wiring.go
+++ b/internal/gateway/wiring.go
@@ -85,7 +85,7 @@
 		SuspendWatch: g.suspendWatch,
 		Client:       client,
 		Codec:        platform.Codec{Metrics: g.metrics},
-		SlackPart:    g.fleet.CommonPart,
+		SlackPart:    g.fleet.CommonShare,
 		Quota:        g.quota,
 		MaxKeyAge:    limits.maxKeyAge(),
 		ConfigAge:    g.tables[operatorTable].Replica.Age,
