--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -127,7 +127,7 @@
 	members *members
 	// nextHeartbeat is when the next heartbeat to each peer is due, by the peer's name.
 	nextHeartbeat map[string]time.Time
-	// triggeredAt is when SendSoon last made heartbeats due.
+	// triggeredAt is when TriggerHeartbeats last made heartbeats due.
 	triggeredAt time.Time
 	// triggeredAllAt is when SendSoonToAll last made heartbeats due.
 	triggeredAllAt time.Time
--- a/internal/gateway/fleet/schedule.go
+++ b/internal/gateway/fleet/schedule.go
@@ -172,10 +172,10 @@
 	f.nextHeartbeat[name] = time.Now().Add(heartbeatInterval)
 }
 
-// SendSoon makes heartbeats to the live hosts of the own region due now, so that they
+// TriggerHeartbeats makes heartbeats to the live hosts of the own region due now, so that they
 // learn of a change of the status, such as an upstream's failure. It does nothing if it
 // took effect less than triggerInterval ago.
-func (f *Fleet) SendSoon() { f.triggerHeartbeats(time.Now()) }
+func (f *Fleet) TriggerHeartbeats() { f.triggerHeartbeats(time.Now()) }
 
 func (f *Fleet) triggerHeartbeats(now time.Time) {
 	f.mu.Lock()
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -30,7 +30,7 @@
 }
 
 // FailureSeen sends the region's hosts this host's observations out of turn.
-func (g *Gateway) FailureSeen() { g.fleet.SendSoon() }
+func (g *Gateway) FailureSeen() { g.fleet.TriggerHeartbeats() }
 
 // Ejected logs that an upstream is ejected.
 func (g *Gateway) Ejected(e outlier.Ejection) { g.log.Ejected(e) }
