--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -129,7 +129,7 @@
 	nextHeartbeat map[string]time.Time
 	// triggeredAt is when TriggerHeartbeats last made heartbeats due.
 	triggeredAt time.Time
-	// triggeredAllAt is when SendSoonToAll last made heartbeats due.
+	// triggeredAllAt is when TriggerAllHeartbeats last made heartbeats due.
 	triggeredAllAt time.Time
 	discovery      discovery
 	// newest is the newest version seen of each table.
--- a/internal/gateway/fleet/suspicions.go
+++ b/internal/gateway/fleet/suspicions.go
@@ -37,10 +37,10 @@
 	}
 }
 
-// SendSoonToAll makes the next heartbeats to all heartbeatTargets due now, so that these
+// TriggerAllHeartbeats makes the next heartbeats to all heartbeatTargets due now, so that these
 // peers learn of a suspicion. It does nothing if it took effect less than
 // triggerInterval ago.
-func (f *Fleet) SendSoonToAll() {
+func (f *Fleet) TriggerAllHeartbeats() {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/fleet/suspicions_test.go
+++ b/internal/gateway/fleet/suspicions_test.go
@@ -17,7 +17,7 @@
 // observer handles the events of suspicions as a gateway does.
 type observer struct{ fleet *Fleet }
 
-func (o *observer) SuspicionsChanged()    { o.fleet.SendSoonToAll() }
+func (o *observer) SuspicionsChanged()    { o.fleet.TriggerAllHeartbeats() }
 func (*observer) Ended(string, time.Time) {}
 
 func (o *observer) Quarantined(q poison.Quarantine) {
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -36,7 +36,7 @@
 func (g *Gateway) Ejected(e outlier.Ejection) { g.log.Ejected(e) }
 
 // SuspicionsChanged sends the other hosts what changed out of turn.
-func (g *Gateway) SuspicionsChanged() { g.fleet.SendSoonToAll() }
+func (g *Gateway) SuspicionsChanged() { g.fleet.TriggerAllHeartbeats() }
 
 // Ended has requests avoid a run of an upstream that has ended.
 func (g *Gateway) Ended(run string, at time.Time) { g.detector.RecordEnded(upstream.Run(run), at) }
@@ -77,14 +77,14 @@
 func (g *Gateway) Leaves(run upstream.Run) {
 	g.log.Leaves(run)
 	g.state.MarkLeaving(run)
-	g.fleet.SendSoonToAll()
+	g.fleet.TriggerAllHeartbeats()
 }
 
 // Rests logs that an upstream wants no request for a time, and has other hosts hear of it
 // out of turn: each would be refused by it first.
 func (g *Gateway) Rests(run upstream.Run, d time.Duration) {
 	g.log.Rests(run, d)
-	g.fleet.SendSoonToAll()
+	g.fleet.TriggerAllHeartbeats()
 }
 
 // LimitShare gives this host's share of a number of tokens of an upstream's limit.
