--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -93,7 +93,7 @@
 	Observations ObservationSink
 	Notices      NoticeSink
 	Suspicions   Suspicions
-	Tokens       TokenGiver
+	Tokens       TokenProvider
 	// Status returns the current status of this host.
 	Status func() Status
 	// Seeds are peer addresses that a starting host queries for other hosts.
--- a/internal/gateway/fleet/tokens.go
+++ b/internal/gateway/fleet/tokens.go
@@ -10,8 +10,8 @@
 	"cairndock/internal/peer"
 )
 
-// TokenGiver grants tokens of client accounts' limits to other hosts.
-type TokenGiver interface {
+// TokenProvider grants tokens of client accounts' limits to other hosts.
+type TokenProvider interface {
 	GiveTokens(ask quota.Ask) quota.Answer
 }
 
