--- a/internal/gateway/fleet/place_test.go
+++ b/internal/gateway/fleet/place_test.go
@@ -140,7 +140,7 @@
 // fixedTokenProvider grants as many tokens as requested, but only for one account.
 type fixedTokenProvider struct{}
 
-func (fixedTokenProvider) GiveTokens(ask quota.Ask) quota.Answer {
+func (fixedTokenProvider) GrantTokens(ask quota.Ask) quota.Answer {
 	if ask.Account != "rail" {
 		return quota.Answer{}
 	}
--- a/internal/gateway/fleet/tokens.go
+++ b/internal/gateway/fleet/tokens.go
@@ -12,7 +12,7 @@
 
 // TokenProvider grants tokens of client accounts' limits to other hosts.
 type TokenProvider interface {
-	GiveTokens(ask quota.Ask) quota.Answer
+	GrantTokens(ask quota.Ask) quota.Answer
 }
 
 // AskTokens requests tokens of a client account's limit from another host. It fails at
@@ -49,5 +49,5 @@
 		fail(w)
 		return
 	}
-	respond(w, f.options.Tokens.GiveTokens(ask))
+	respond(w, f.options.Tokens.GrantTokens(ask))
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -92,8 +92,8 @@
 	return g.fleet.LimitShare(id, region, tokens)
 }
 
-// GiveTokens gives tokens of a client account's limit to another host.
-func (g *Gateway) GiveTokens(ask quota.Ask) quota.Answer {
+// GrantTokens gives tokens of a client account's limit to another host.
+func (g *Gateway) GrantTokens(ask quota.Ask) quota.Answer {
 	config := g.state.Config()
 	if config == nil {
 		return quota.Answer{}
