--- a/internal/gateway/fleet/tokens.go
+++ b/internal/gateway/fleet/tokens.go
@@ -15,10 +15,10 @@
 	GrantTokens(ask quota.Ask) quota.Answer
 }
 
-// AskTokens requests tokens of a client account's limit from another host. It fails at
+// RequestTokens requests tokens of a client account's limit from another host. It fails at
 // once if the host is known to be dead, because a client's request may wait for the
 // result.
-func (f *Fleet) AskTokens(ctx context.Context, host string, ask quota.Ask) (quota.Answer, error) {
+func (f *Fleet) RequestTokens(ctx context.Context, host string, ask quota.Ask) (quota.Answer, error) {
 	address, err := f.liveAddress(host)
 	if err != nil {
 		return quota.Answer{}, err
--- a/internal/gateway/quota/ask.go
+++ b/internal/gateway/quota/ask.go
@@ -111,7 +111,7 @@
 	defer cancel()
 	l := r.limiter
 	asked := time.Now()
-	answer, err := l.Hosts.AskTokens(ctx, h.Host, Ask{Account: r.account, Tokens: want})
+	answer, err := l.Hosts.RequestTokens(ctx, h.Host, Ask{Account: r.account, Tokens: want})
 	got := max(0, min(answer.Tokens, want))
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/gateway/quota/bench_test.go
+++ b/internal/gateway/quota/bench_test.go
@@ -12,7 +12,7 @@
 
 func (h noOthers) Place() *Place { return h.place }
 
-func (noOthers) AskTokens(context.Context, string, Ask) (Answer, error) {
+func (noOthers) RequestTokens(context.Context, string, Ask) (Answer, error) {
 	return Answer{}, errors.New("nobody answers")
 }
 
--- a/internal/gateway/quota/cluster_test.go
+++ b/internal/gateway/quota/cluster_test.go
@@ -99,8 +99,8 @@
 
 var errNoAnswer = errors.New("no answer")
 
-// AskTokens implements Hosts.
-func (h *clusterHost) AskTokens(ctx context.Context, host string, ask Ask) (Answer, error) {
+// RequestTokens implements Hosts.
+func (h *clusterHost) RequestTokens(ctx context.Context, host string, ask Ask) (Answer, error) {
 	c := h.cluster
 	other, late, reached, answered := c.route(h, host)
 	if !reached {
--- a/internal/gateway/quota/limiter.go
+++ b/internal/gateway/quota/limiter.go
@@ -38,8 +38,8 @@
 type Hosts interface {
 	// Place gives the newest place; the same pointer until it changes.
 	Place() *Place
-	// AskTokens asks a host for tokens.
-	AskTokens(ctx context.Context, host string, ask Ask) (Answer, error)
+	// RequestTokens asks a host for tokens.
+	RequestTokens(ctx context.Context, host string, ask Ask) (Answer, error)
 }
 
 // Ask asks a host for tokens of an account, perRequest for each request. It is on the
