--- a/internal/gateway/fleet/capacity.go
+++ b/internal/gateway/fleet/capacity.go
@@ -1,11 +1,11 @@
 package fleet
 
-// A host's capacity is how many requests a second it can handle, computed from the
+// A host's capacity is how many requests per second it can handle, computed from the
 // resources in its settings. Capacities within one deployment may differ by a factor of
 // five to ten, so that equal shares would overload the small hosts and leave the large
 // ones idle.
 const (
-	// requestsPerCore is how many requests a second a core handles. A request takes 0.5
+	// requestsPerCore is how many requests per second a core handles. A request takes 0.5
 	// to 1 ms of processor time, heartbeats included, averaged over all hosts on days
 	// without faults.
 	requestsPerCore = 1000
@@ -26,12 +26,12 @@
 type Resources struct {
 	// Cores is the processor time, in cores.
 	Cores float64
-	// BandwidthMbps is the bandwidth of the link, in megabits a second in each
+	// BandwidthMbps is the bandwidth of the link, in megabits per second in each
 	// direction.
 	BandwidthMbps float64
 }
 
-// Capacity returns the requests a second that a host with these resources can handle;
+// Capacity returns the requests per second that a host with these resources can handle;
 // zero if neither resource is known.
 func (r Resources) Capacity() int {
 	byCores := int(r.Cores * requestsPerCore)
--- a/internal/gateway/fleet/directory.go
+++ b/internal/gateway/fleet/directory.go
@@ -37,7 +37,7 @@
 type entryHost struct {
 	address  string
 	capacity int
-	// rate is the number of requests a second that clients send to the host.
+	// rate is the number of requests per second that clients send to the host.
 	rate int
 }
 
--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -113,8 +113,8 @@
 type Fleet struct {
 	options Options
 	mesh    *peer.Mesh
-	// limitPlace is this host's position in the limits of client accounts.
-	limitPlace atomic.Pointer[quota.Place]
+	// limitAssignment is the assignment of the shards of account limits to hosts.
+	limitAssignment atomic.Pointer[quota.Place]
 	// quarantinesLearned is set once this host has learned which requests are
 	// quarantined.
 	quarantinesLearned atomic.Bool
@@ -147,7 +147,7 @@
 	hello := peer.Hello{Host: o.Self.Name, Zone: o.Self.Zone, Incarnation: o.Self.Incarnation}
 	f.mesh = peer.NewMesh(hello, o.Transport, f)
 	f.members.firstStart = o.FirstStart
-	f.updatePlace(time.Now())
+	f.updateAssignment(time.Now())
 	return f
 }
 
@@ -170,7 +170,7 @@
 	f.mu.Lock()
 	f.members.withdrawn = true
 	f.mu.Unlock()
-	f.updatePlace(time.Now())
+	f.updateAssignment(time.Now())
 	f.heartbeatAll(ctx)
 	// The error is dropped: the host is stopping and does not retry. If the entry
 	// remains, a starting host sends a few heartbeats in vain until it forgets this host
--- a/internal/gateway/fleet/heartbeat.go
+++ b/internal/gateway/fleet/heartbeat.go
@@ -39,7 +39,7 @@
 			go f.exchangeHeartbeat(ctx, p.host)
 		}
 		f.reportDead(last, now)
-		f.updatePlace(now)
+		f.updateAssignment(now)
 		f.rewriteLost(ctx)
 		last = now
 	}
--- a/internal/gateway/fleet/host.go
+++ b/internal/gateway/fleet/host.go
@@ -22,7 +22,7 @@
 	ClientAddress string `msgpack:"c" json:"caller_address"`
 	// Incarnation is different for each process of the host.
 	Incarnation string `msgpack:"i" json:"incarnation"`
-	// Capacity is the requests a second that the host can handle. Zero means unknown.
+	// Capacity is the requests per second that the host can handle. Zero means unknown.
 	Capacity int `msgpack:"q,omitempty" json:"capacity,omitempty"`
 }
 
@@ -34,7 +34,7 @@
 	Leaving bool `msgpack:"l,omitempty"`
 	// Withdrawn reports that the host has given up its shares of all limits.
 	Withdrawn bool `msgpack:"w,omitempty"`
-	// Rate is the recent rate of client requests to the host, in requests a second.
+	// Rate is the recent rate of client requests to the host, in requests per second.
 	Rate int `msgpack:"q,omitempty"`
 	// Changes is the version of the last change in each table's replica, in the order of
 	// Options.Tables.
--- a/internal/gateway/fleet/limitshare_test.go
+++ b/internal/gateway/fleet/limitshare_test.go
@@ -102,7 +102,7 @@
 			for _, restarts := range []int{0, 2} {
 				t.Run(fmt.Sprintf("%d hosts, %g a second, %d restarts a second", len(all), perSecond, restarts), func(t *testing.T) {
 					most, used := saturateLimit(all, perSecond, restarts)
-					t.Logf("%d in 4 s, %.2f requests a second", most, used)
+					t.Logf("%d in 4 s, %.2f requests per second", most, used)
 					require.LessOrEqual(t, float64(most), perSecond*1.5*4+5)
 					if perSecond >= 1 && restarts == 0 {
 						require.GreaterOrEqual(t, used, perSecond/2)
@@ -114,7 +114,7 @@
 }
 
 // saturateLimit has all hosts send as many requests as they may for 40 s. It returns the
-// highest number of requests in any 4 s, and the requests a second.
+// highest number of requests in any 4 s, and the requests per second.
 func saturateLimit(all []Host, perSecond float64, restarts int) (most int, used float64) {
 	const length, step = 40 * time.Second, 20 * time.Millisecond
 	random := rand.New(rand.NewPCG(1, uint64(len(all))))
--- a/internal/gateway/fleet/place.go
+++ b/internal/gateway/fleet/place.go
@@ -27,9 +27,9 @@
 	newHostDelay = 6 * time.Second
 )
 
-// limitPlace returns this host's position in the limits. It returns last if nothing has
-// changed.
-func (m *members) limitPlace(zones map[string]string, last *quota.Place, now time.Time) *quota.Place {
+// limitAssignment returns the assignment of limit shards to hosts as this host sees it.
+// It returns last if nothing has changed.
+func (m *members) limitAssignment(zones map[string]string, last *quota.Place, now time.Time) *quota.Place {
 	next := &quota.Place{Layout: m.layout(zones), Holds: m.holdsShards(now)}
 	if last != nil && last.Holds == next.Holds && (last.Layout == next.Layout || reflect.DeepEqual(last.Layout, next.Layout)) {
 		return last
@@ -39,8 +39,8 @@
 	return next
 }
 
-// heldSince returns the time since which this host has held the shards of a new
-// position.
+// heldSince returns the time since which this host has held the shards that a new
+// assignment gives to it.
 func (m *members) heldSince(last, next *quota.Place, now time.Time) time.Time {
 	switch {
 	case last != nil && last.Holds && slices.EqualFunc(last.Layout.Zones, next.Layout.Zones, func(a, b quota.Zone) bool {
@@ -61,7 +61,7 @@
 
 // layout returns the known hosts by zone, for the zones of the settings and this host's
 // zone. The result is cached until the known hosts change, because it is used several
-// times a second.
+// times per second.
 func (m *members) layout(zones map[string]string) *quota.Layout {
 	x := m.indexed()
 	if x.layout == nil {
@@ -147,13 +147,13 @@
 	return !slices.ContainsFunc(peers, func(p *peerState) bool { return now.Sub(p.lastHeartbeat) < isolationTimeout })
 }
 
-// Place returns this host's position in the limits of client accounts, which is at most
+// Place returns the assignment of the shards of account limits, which is at most
 // schedulerTick old.
-func (f *Fleet) Place() *quota.Place { return f.limitPlace.Load() }
+func (f *Fleet) Place() *quota.Place { return f.limitAssignment.Load() }
 
-// updatePlace recomputes the position.
-func (f *Fleet) updatePlace(now time.Time) {
+// updateAssignment recomputes the assignment.
+func (f *Fleet) updateAssignment(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.limitPlace.Store(f.members.limitPlace(f.options.Zones, f.limitPlace.Load(), now))
+	f.limitAssignment.Store(f.members.limitAssignment(f.options.Zones, f.limitAssignment.Load(), now))
 }
--- a/internal/gateway/fleet/place_test.go
+++ b/internal/gateway/fleet/place_test.go
@@ -18,18 +18,18 @@
 func TestTheLayoutHasTheHostsOfEachZone(t *testing.T) {
 	now := time.Now()
 	m := nineHosts("west0", now)
-	place := m.limitPlace(settingsZones, nil, now)
-	require.True(t, place.Holds)
-	require.Len(t, place.Layout.Zones, 6)
+	assignment := m.limitAssignment(settingsZones, nil, now)
+	require.True(t, assignment.Holds)
+	require.Len(t, assignment.Layout.Zones, 6)
 	var names []string
-	for _, z := range place.Layout.Zones {
+	for _, z := range assignment.Layout.Zones {
 		names = append(names, z.Name)
 		if z.Name == "west-0" {
 			require.Equal(t, []string{"west0", "west1"}, z.Large)
 		}
 	}
 	require.Equal(t, []string{"east-0", "east-1", "south-0", "south-1", "west-0", "west-1"}, names)
-	require.Same(t, place, m.limitPlace(settingsZones, place, now.Add(time.Second)), "unchanged while nothing changes")
+	require.Same(t, assignment, m.limitAssignment(settingsZones, assignment, now.Add(time.Second)), "unchanged while nothing changes")
 }
 
 // Two hosts that hold the same shard admit twice its requests. A host that is new to its
@@ -62,20 +62,20 @@
 func TestARestartedHostHoldsItsShardsAtOnce(t *testing.T) {
 	now := time.Now()
 	m := newMembers(host("west0", "west-0", "west"), []string{"west", "east", "south"}, now)
-	require.False(t, m.limitPlace(settingsZones, nil, now).Holds, "it does not know its zone yet")
-	before := m.limitPlace(settingsZones, nil, now)
+	require.False(t, m.limitAssignment(settingsZones, nil, now).Holds, "it does not know its zone yet")
+	before := m.limitAssignment(settingsZones, nil, now)
 	read := now.Add(time.Second)
 	m.addList("west", listings(nineHostsList()[:3]), true, read)
 	m.announcedBefore = true
-	place := m.limitPlace(settingsZones, before, read)
-	require.True(t, place.Holds)
-	require.Equal(t, now, place.Since, "the shards fill from the start of the process")
+	assignment := m.limitAssignment(settingsZones, before, read)
+	require.True(t, assignment.Holds)
+	require.Equal(t, now, assignment.Since, "the shards fill from the start of the process")
 	m.addList("east", listings(nineHostsList()[3:6]), true, read.Add(time.Second))
-	later := m.limitPlace(settingsZones, place, read.Add(time.Second))
-	require.NotSame(t, place, later)
+	later := m.limitAssignment(settingsZones, assignment, read.Add(time.Second))
+	require.NotSame(t, assignment, later)
 	require.Equal(t, now, later.Since, "a change in another zone has no effect")
 	m.addKnown(host("west8", "west-0", "west"), read.Add(2*time.Second))
-	last := m.limitPlace(settingsZones, later, read.Add(2*time.Second))
+	last := m.limitAssignment(settingsZones, later, read.Add(2*time.Second))
 	require.Equal(t, read.Add(2*time.Second), last.Since, "a shard that moves starts empty")
 }
 
@@ -83,7 +83,7 @@
 	now := time.Now()
 	m := nineHosts("west0", now)
 	zoneOf := func() quota.Zone {
-		for _, z := range m.limitPlace(settingsZones, nil, now).Layout.Zones {
+		for _, z := range m.limitAssignment(settingsZones, nil, now).Layout.Zones {
 			if z.Name == "west-0" {
 				return z
 			}
@@ -140,11 +140,11 @@
 // fixedTokenProvider grants as many tokens as requested, but only for one account.
 type fixedTokenProvider struct{}
 
-func (fixedTokenProvider) GrantTokens(ask quota.Ask) quota.Answer {
-	if ask.Account != "rail" {
+func (fixedTokenProvider) GrantTokens(request quota.Ask) quota.Answer {
+	if request.Account != "rail" {
 		return quota.Answer{}
 	}
-	return quota.Answer{Tokens: ask.Tokens}
+	return quota.Answer{Tokens: request.Tokens}
 }
 
 func TestAHostRequestsTokensFromAnother(t *testing.T) {
@@ -153,12 +153,12 @@
 	b := startFleet(t, registry, host("b", "z", "west"), nil)
 	b.options.Tokens = fixedTokenProvider{}
 	require.Eventually(t, func() bool { return a.Hosts() == 2 }, 5*time.Second, 10*time.Millisecond)
-	answer, err := a.RequestTokens(t.Context(), "b", quota.Ask{Account: "rail", Tokens: 700})
+	response, err := a.RequestTokens(t.Context(), "b", quota.Ask{Account: "rail", Tokens: 700})
 	require.NoError(t, err)
-	require.Equal(t, 700, answer.Tokens)
-	answer, err = a.RequestTokens(t.Context(), "b", quota.Ask{Account: "yard", Tokens: 700})
+	require.Equal(t, 700, response.Tokens)
+	response, err = a.RequestTokens(t.Context(), "b", quota.Ask{Account: "yard", Tokens: 700})
 	require.NoError(t, err)
-	require.Zero(t, answer.Tokens)
+	require.Zero(t, response.Tokens)
 	_, err = a.RequestTokens(t.Context(), "nobody", quota.Ask{})
 	require.ErrorContains(t, err, "nobody")
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
--- a/internal/gateway/fleet/quota.go
+++ b/internal/gateway/fleet/quota.go
@@ -20,7 +20,7 @@
 )
 
 // warmUpQuota returns this host's share of the rate of a cold (warming-up) upstream.
-// total is the number of requests a second that all hosts together may send to the
+// total is the number of requests per second that all hosts together may send to the
 // upstream. The result has the same unit.
 //
 // The rate is split without messages over all known hosts, including dead ones, so that
@@ -211,7 +211,7 @@
 	return 0
 }
 
-// WarmUpQuota returns this host's share, in requests a second, of the total that all
+// WarmUpQuota returns this host's share, in requests per second, of the total that all
 // hosts together may send to a cold upstream of a region.
 func (f *Fleet) WarmUpQuota(upstream, region string, total float64) warmup.Quota {
 	f.mu.Lock()
--- a/internal/gateway/fleet/registration.go
+++ b/internal/gateway/fleet/registration.go
@@ -14,18 +14,18 @@
 	// read yet.
 	registryRetryDelay = 500 * time.Millisecond
 	// renewalRetryDelay is that pause once all lists were read. Nothing waits for a
-	// renewal, and a store that is down for long does not get two calls a second from
+	// renewal, and a store that is down for long does not get two calls per second from
 	// each host.
 	renewalRetryDelay = 30 * time.Second
 	// listDelayPerHost is the pause after reading the list of a region, multiplied by
 	// the number of hosts of the own region, so that hosts that start together do not
 	// read the lists of other regions faster than the store serves them: 5,900 hosts in
-	// 23 regions read 4,600 a second. The list of the own region is read first, so that
-	// nothing waits for the pause.
+	// 23 regions read 4,600 lists per second. The list of the own region is read first,
+	// so that nothing waits for the pause.
 	listDelayPerHost = 5 * time.Millisecond
 	// listInterval is how often a host registers again and reads all lists. It is a
 	// quarter of peerTTL, so that three attempts may fail. 5,900 hosts in 23 regions
-	// read 76 lists a second.
+	// read 76 lists per second.
 	listInterval = 30 * time.Minute
 	// maxListJitter is the maximum random addition to listInterval, so that hosts that
 	// started together do not read the lists at the same time.
@@ -93,7 +93,7 @@
 		f.mu.Lock()
 		f.members.announcedBefore = true
 		f.mu.Unlock()
-		f.updatePlace(time.Now())
+		f.updateAssignment(time.Now())
 	}
 	return unread, listed
 }
--- a/internal/gateway/fleet/relaytree.go
+++ b/internal/gateway/fleet/relaytree.go
@@ -10,8 +10,8 @@
 
 // relayFanout is how many hosts of a region poll the same peer, so that no host sends
 // each change to all hosts of a large region. At 300 hosts, 100 in a region, a single
-// relay sent 3,953 KB a second and a configuration took 4,036 ms to take effect; with a
-// tree of fan-out 6 the figures were 339 KB and 20 ms.
+// relay sent 3,953 KB per second and a configuration took 4,036 ms to take effect; with
+// a tree of fan-out 6 the figures were 339 KB and 20 ms.
 const relayFanout = 6
 
 // relayParent returns the peer whose replicas this host polls, or this host itself if it
--- a/internal/gateway/fleet/schedule.go
+++ b/internal/gateway/fleet/schedule.go
@@ -23,7 +23,7 @@
 	// firstHostCount is how many hosts of a region exchange heartbeats with all other
 	// hosts of the region. The other hosts do so with these and with the hosts of their
 	// own zone. When all exchanged heartbeats with all, each of 98 hosts of a region
-	// sent and received 30 KB a second, five sixths of it about hosts that it does not
+	// sent and received 30 KB per second, five sixths of it about hosts that it does not
 	// interact with. The number is high enough that a few hosts may die at the same
 	// time.
 	firstHostCount = 12
@@ -34,7 +34,7 @@
 	// maxDeadProbes is how many dead hosts of another region get a heartbeat at a time.
 	// While that region is cut off, none of its hosts is alive, and without the bound
 	// each host of this region would try all of them every deadHeartbeatInterval: 128
-	// connections a second with 257 hosts, for as long as the region is cut off.
+	// connections per second with 257 hosts, for as long as the region is cut off.
 	maxDeadProbes = 8
 	// minTriggerInterval is the minimum time between status updates that are sent ahead
 	// of schedule, for each triggerHostStep hosts of the region.
@@ -172,9 +172,9 @@
 	f.nextHeartbeat[name] = time.Now().Add(heartbeatInterval)
 }
 
-// TriggerHeartbeats makes heartbeats to the live hosts of the own region due now, so that they
-// learn of a change of the status, such as an upstream's failure. It does nothing if it
-// took effect less than triggerInterval ago.
+// TriggerHeartbeats makes heartbeats to the live hosts of the own region due now, so
+// that they learn of a change of the status, such as an upstream's failure. It does
+// nothing if it took effect less than triggerInterval ago.
 func (f *Fleet) TriggerHeartbeats() { f.triggerHeartbeats(time.Now()) }
 
 func (f *Fleet) triggerHeartbeats(now time.Time) {
--- a/internal/gateway/fleet/schedule_test.go
+++ b/internal/gateway/fleet/schedule_test.go
@@ -120,7 +120,7 @@
 }
 
 // When all 98 hosts of a region exchanged heartbeats with each other, a host with 0.16
-// cores sent and received 30 KB a second, seven times what a node may spend on control
+// cores sent and received 30 KB per second, seven times what a node may spend on control
 // traffic.
 func TestAHostExchangesHeartbeatsWithItsZoneAndTheFirstHostsOfItsRegion(t *testing.T) {
 	now := time.Now()
--- a/internal/gateway/fleet/suspicions.go
+++ b/internal/gateway/fleet/suspicions.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// TriggerAllHeartbeats makes the next heartbeats to all heartbeatTargets due now, so that these
-// peers learn of a suspicion. It does nothing if it took effect less than
+// TriggerAllHeartbeats makes the next heartbeats to all heartbeatTargets due now, so
+// that these peers learn of a suspicion. It does nothing if it took effect less than
 // triggerInterval ago.
 func (f *Fleet) TriggerAllHeartbeats() {
 	now := time.Now()
--- a/internal/gateway/fleet/tokens.go
+++ b/internal/gateway/fleet/tokens.go
@@ -12,19 +12,19 @@
 
 // TokenProvider grants tokens of client accounts' limits to other hosts.
 type TokenProvider interface {
-	GrantTokens(ask quota.Ask) quota.Answer
+	GrantTokens(request quota.Ask) quota.Answer
 }
 
-// RequestTokens requests tokens of a client account's limit from another host. It fails at
-// once if the host is known to be dead, because a client's request may wait for the
+// RequestTokens requests tokens of a client account's limit from another host. It fails
+// at once if the host is known to be dead, because a client's request may wait for the
 // result.
-func (f *Fleet) RequestTokens(ctx context.Context, host string, ask quota.Ask) (quota.Answer, error) {
+func (f *Fleet) RequestTokens(ctx context.Context, host string, request quota.Ask) (quota.Answer, error) {
 	address, err := f.liveAddress(host)
 	if err != nil {
 		return quota.Answer{}, err
 	}
-	answer, err := peer.Call[quota.Answer](ctx, f.mesh, address, peer.KindTokens, ask)
-	return answer, eris.Wrap(err, "request tokens")
+	response, err := peer.Call[quota.Answer](ctx, f.mesh, address, peer.KindTokens, request)
+	return response, eris.Wrap(err, "request tokens")
 }
 
 func (f *Fleet) liveAddress(host string) (string, error) {
@@ -44,10 +44,10 @@
 // serveTokens serves a peer's request for tokens. A request that cannot be decoded fails
 // without a log line here, because the peer turns to other hosts.
 func (f *Fleet) serveTokens(payload []byte, w *peer.Responder) {
-	ask, err := peer.Decode[quota.Ask](payload)
+	request, err := peer.Decode[quota.Ask](payload)
 	if err != nil || f.options.Tokens == nil {
 		fail(w)
 		return
 	}
-	respond(w, f.options.Tokens.GrantTokens(ask))
+	respond(w, f.options.Tokens.GrantTokens(request))
 }
