--- a/internal/gateway/fleet/suspicions.go
+++ b/internal/gateway/fleet/suspicions.go
@@ -6,10 +6,10 @@
 	"cairndock/internal/poison"
 )
 
-// Suspicions travel in heartbeats, which connect all hosts of all regions within a few
-// steps: each host passes on what is news to it.
+// Suspicions are sent in heartbeats, which connect all hosts of all regions within a few
+// steps, because each host passes on what is new to it.
 
-// withSuspicions adds to a heartbeat what its receiver does not have yet.
+// withSuspicions adds to a heartbeat the suspicions that its receiver does not have yet.
 func (f *Fleet) withSuspicions(b heartbeat, to string) heartbeat {
 	if f.options.Suspicions == nil {
 		return b
@@ -24,7 +24,7 @@
 	return b
 }
 
-// mergeSuspicions merges what a heartbeat brought.
+// mergeSuspicions merges the suspicions of a received heartbeat.
 func (f *Fleet) mergeSuspicions(b heartbeat, now time.Time) {
 	if f.options.Suspicions == nil {
 		return
@@ -37,18 +37,18 @@
 	}
 }
 
-// SendSoonToAll makes the next heartbeats to all peers that get them due now, so that
-// they learn of a suspicion. It does nothing if it took effect less than sendSoonPause
-// ago.
-func (f *Fleet) SendSoonToAll() {
+// TriggerAllHeartbeats makes the next heartbeats to all heartbeatTargets due now, so
+// that these peers learn of a suspicion. It does nothing if it took effect less than
+// triggerInterval ago.
+func (f *Fleet) TriggerAllHeartbeats() {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if now.Sub(f.sentToAllAt) < sendSoonPause(len(f.members.chosen)) {
+	if now.Sub(f.triggeredAllAt) < triggerInterval(len(f.members.heartbeatTargets)) {
 		return
 	}
-	f.sentToAllAt = now
-	for _, name := range f.members.chosen {
+	f.triggeredAllAt = now
+	for _, name := range f.members.heartbeatTargets {
 		f.nextHeartbeat[name] = now
 	}
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -30,13 +30,13 @@
 }
 
 // FailureSeen sends the region's hosts this host's observations out of turn.
-func (g *Gateway) FailureSeen() { g.fleet.SendSoon() }
+func (g *Gateway) FailureSeen() { g.fleet.TriggerHeartbeats() }
 
 // Ejected logs that an upstream is ejected.
 func (g *Gateway) Ejected(e outlier.Ejection) { g.log.Ejected(e) }
 
 // SuspicionsChanged sends the other hosts what changed out of turn.
-func (g *Gateway) SuspicionsChanged() { g.fleet.SendSoonToAll() }
+func (g *Gateway) SuspicionsChanged() { g.fleet.TriggerAllHeartbeats() }
 
 // Ended has requests avoid a run of an upstream that has ended.
 func (g *Gateway) Ended(run string, at time.Time) { g.detector.RecordEnded(upstream.Run(run), at) }
@@ -77,14 +77,14 @@
 func (g *Gateway) Leaves(run upstream.Run) {
 	g.log.Leaves(run)
 	g.state.MarkLeaving(run)
-	g.fleet.SendSoonToAll()
+	g.fleet.TriggerAllHeartbeats()
 }
 
 // Rests logs that an upstream wants no request for a time, and has other hosts hear of it
 // out of turn: each would be refused by it first.
 func (g *Gateway) Rests(run upstream.Run, d time.Duration) {
 	g.log.Rests(run, d)
-	g.fleet.SendSoonToAll()
+	g.fleet.TriggerAllHeartbeats()
 }
 
 // LimitShare gives this host's share of a number of tokens of an upstream's limit.
@@ -92,8 +92,8 @@
 	return g.fleet.LimitShare(id, region, tokens)
 }
 
-// GiveTokens gives tokens of a client account's limit to another host.
-func (g *Gateway) GiveTokens(ask quota.Ask) quota.Answer {
+// GrantTokens gives tokens of a client account's limit to another host.
+func (g *Gateway) GrantTokens(ask quota.Ask) quota.Answer {
 	config := g.state.Config()
 	if config == nil {
 		return quota.Answer{}
