--- a/internal/gateway/outlier/baseline.go
+++ b/internal/gateway/outlier/baseline.go
@@ -6,48 +6,51 @@
 )
 
 const (
-	// baselineSize is how many of a service's last responses make its
-	// baseline.
+	// baselineSize is the number of most recent responses that make up the
+	// baseline of a service.
 	baselineSize = 64
-	// baselineMin is how many responses it takes before there is a baseline.
-	baselineMin = 32
-	// medianEvery is after how many responses the median is computed anew,
-	// to keep sorting off most of them.
-	medianEvery = baselineMin / 4
-	// overdueFactor is how many times the median a response may take before
-	// it is overdue. On an object that it has not served lately an upstream
-	// takes 3.1 times as long (90 in 100 below 3.8 times), so a lower factor
-	// would count first requests as failures (docs/design/platform.md).
+	// minBaselineSize is the number of responses that are required before a
+	// baseline is available.
+	minBaselineSize = 32
+	// medianInterval is the number of responses after which the median is
+	// recomputed, so that most responses do not pay for the sorting.
+	medianInterval = minBaselineSize / 4
+	// overdueFactor is the multiple of the median latency above which a
+	// response is overdue. An upstream takes 3.1 times the median for an
+	// object that it has not served recently (90% of these responses take less
+	// than 3.8 times), so a lower factor would count first requests as
+	// failures (docs/design/platform.md).
 	overdueFactor = 4
-	// minOverdueAfter is the least time after which a response is overdue.
-	minOverdueAfter = 250 * time.Millisecond
+	// minOverdueDelay is the minimum time after which a response is overdue.
+	minOverdueDelay = 250 * time.Millisecond
 )
 
-// latencyBaseline follows how long the responses of one service take: the
-// median of the last ones.
+// latencyBaseline tracks the median latency of the most recent responses of
+// one service.
 type latencyBaseline struct {
-	took  [baselineSize]time.Duration
-	count int
-	// median is zero until baselineMin responses were seen.
+	samples [baselineSize]time.Duration
+	count   int
+	// median is zero until minBaselineSize responses have been recorded.
 	median time.Duration
 }
 
-func (b *latencyBaseline) add(took time.Duration) {
-	b.took[b.count%baselineSize] = took
+func (b *latencyBaseline) add(latency time.Duration) {
+	b.samples[b.count%baselineSize] = latency
 	b.count++
-	if b.count < baselineMin || b.count%medianEvery != 0 {
+	if b.count < minBaselineSize || b.count%medianInterval != 0 {
 		return
 	}
-	sorted := slices.Sorted(slices.Values(b.took[:min(b.count, baselineSize)]))
+	sorted := slices.Sorted(slices.Values(b.samples[:min(b.count, baselineSize)]))
 	b.median = sorted[len(sorted)/2]
 }
 
-// overdueAfter returns how long a response may take at an upstream with a
-// load, in its capacities: a queue of requests is not the upstream's fault. It
-// is zero while there is no median.
+// overdueAfter returns the time after which a response is overdue. The time
+// grows with the load of the upstream, as a multiple of its capacity, because
+// queueing delay is not a fault of the upstream. The result is zero while there
+// is no median.
 func overdueAfter(median time.Duration, load float64) time.Duration {
 	if median == 0 {
 		return 0
 	}
-	return max(minOverdueAfter, time.Duration(overdueFactor*max(1, load)*float64(median)))
+	return max(minOverdueDelay, time.Duration(overdueFactor*max(1, load)*float64(median)))
 }
--- a/internal/gateway/outlier/consecutive.go
+++ b/internal/gateway/outlier/consecutive.go
@@ -3,43 +3,47 @@
 import "time"
 
 const (
-	// firstBackOff is how long this host avoids an upstream at first; it
-	// doubles with each further failure in a row.
-	firstBackOff = 500 * time.Millisecond
-	// maxBackOffDoublings bounds that doubling, to 4 s.
+	// initialBackOff is the time for which this host first avoids an upstream.
+	// It doubles with each further consecutive failure.
+	initialBackOff = 500 * time.Millisecond
+	// maxBackOffDoublings limits the back-off to 4 s.
 	maxBackOffDoublings = 3
-	// failuresToBackOff is how many failures in a row it takes at an upstream
-	// that can be reached; one is enough at one that can't.
-	failuresToBackOff = 3
-	// endedFor is how long a run of an upstream is avoided that has ended: about until
-	// its row lapses, after three missed heartbeats of 1 to 1.5 s. A run never comes
-	// back, but where rows do not tell runs apart the next one looks like it.
-	endedFor = 4 * time.Second
+	// minFailedToBackOff is the number of consecutive failures after which a
+	// reachable upstream is avoided. A single failure suffices for an
+	// unreachable upstream.
+	minFailedToBackOff = 3
+	// terminatedBackOff is the time for which a terminated run of an upstream is
+	// avoided. It is about the time until the run's row expires, which happens
+	// after three missed heartbeats of 1 to 1.5 s each. A run never resumes, but
+	// if the rows do not distinguish runs, the next run looks like the terminated
+	// one and must become usable again.
+	terminatedBackOff = 4 * time.Second
 )
 
-// Outcome is how a request ended at an upstream.
+// Outcome is the result of a request at an upstream.
 type Outcome uint8
 
 const (
-	// Succeeded is a whole response.
+	// Succeeded means that the upstream returned a complete response.
 	Succeeded Outcome = iota
-	// Rejected is the upstream's proof that it did not run the request.
+	// Rejected means that the upstream proved that it did not run the request.
 	Rejected
-	// Failed is a broken, wrong or missing response.
+	// Failed means that the response was truncated, invalid or missing.
 	Failed
-	// Unreachable is a connection that could not be made, or one to another
-	// upstream that has the address now.
+	// Unreachable means that no connection could be established, or that
+	// another upstream now uses the address.
 	Unreachable
-	// Canceled is a request given up before its response was complete: the
-	// client left, its deadline passed, or it was sent elsewhere as overdue.
-	// A response that breaks off while it is forwarded counts as one, too, as
-	// either side may have caused it.
+	// Canceled means that the request was aborted before its response was
+	// complete, because the client disconnected, the deadline expired, or the
+	// overdue request was sent to another upstream. A response that is
+	// truncated while it is forwarded also counts as Canceled, because either
+	// side may have caused the truncation.
 	Canceled
 )
 
-// consecutive counts this host's failures in a row at one upstream. It is not
-// selector/slot's: there a host has slots of its own at an upstream, so that
-// its own requests alone decide, and rejections count.
+// consecutive counts this host's consecutive failures at one upstream. Package
+// selector/slot has a different rule: each host owns slots at an upstream there,
+// so only its own requests are considered, and rejections count as failures.
 type consecutive struct {
 	failures     int
 	ejectedUntil time.Time
@@ -59,15 +63,16 @@
 	}
 }
 
-// backOff returns how long this host avoids an upstream after a failure that
-// is the given one in a row, from 1; zero is not at all.
+// backOff returns the time for which this host avoids an upstream after a number
+// of consecutive failures, including the latest one. Zero means that the
+// upstream is not avoided.
 func backOff(o Outcome, failures int) time.Duration {
 	doublings := failures - 1
 	if o == Failed {
-		doublings = failures - failuresToBackOff
+		doublings = failures - minFailedToBackOff
 	}
 	if doublings < 0 {
 		return 0
 	}
-	return firstBackOff << min(doublings, maxBackOffDoublings)
+	return initialBackOff << min(doublings, maxBackOffDoublings)
 }
--- a/internal/gateway/outlier/counter.go
+++ b/internal/gateway/outlier/counter.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// counterHalf is the length of a counter's halves.
-const counterHalf = evidenceWindow / 2
+// counterInterval is the length of each of the two intervals of a counter.
+const counterInterval = evidenceWindow / 2
 
-// counter counts failures and successes over a window, in two halves: the
-// current one and the past one, which is dropped when the next begins. So it
-// covers at least the last half of a window and at most a whole one.
+// counter counts failures and successes over a window of two intervals. The
+// counts of the previous interval are dropped when the next interval begins, so
+// the counter covers between half a window and a whole window.
 type counter struct {
-	began                       time.Time
+	start                       time.Time
 	failures, successes         int
-	pastFailures, pastSuccesses int
+	prevFailures, prevSuccesses int
 }
 
 func (c *counter) add(now time.Time, failures, successes int) {
@@ -22,18 +22,18 @@
 
 func (c *counter) count(now time.Time) (failures, successes int) {
 	c.advance(now)
-	return c.failures + c.pastFailures, c.successes + c.pastSuccesses
+	return c.failures + c.prevFailures, c.successes + c.prevSuccesses
 }
 
-// advance begins a new half when the current one has ended.
+// advance starts a new interval once the current interval has ended.
 func (c *counter) advance(now time.Time) {
-	age := now.Sub(c.began)
-	if age < counterHalf {
+	age := now.Sub(c.start)
+	if age < counterInterval {
 		return
 	}
-	c.pastFailures, c.pastSuccesses = c.failures, c.successes
+	c.prevFailures, c.prevSuccesses = c.failures, c.successes
 	if age >= evidenceWindow {
-		c.pastFailures, c.pastSuccesses = 0, 0
+		c.prevFailures, c.prevSuccesses = 0, 0
 	}
-	c.failures, c.successes, c.began = 0, 0, now
+	c.failures, c.successes, c.start = 0, 0, now
 }
--- a/internal/gateway/outlier/detector.go
+++ b/internal/gateway/outlier/detector.go
@@ -8,21 +8,23 @@
 	"cairndock/internal/gateway/upstream"
 )
 
-// maxObservations bounds the upstreams in one list of observations, and so the
-// size of a heartbeat.
+// maxObservations limits the number of upstreams in a list of observations, and
+// thereby the size of a heartbeat.
 const maxObservations = 32
 
-// Reporter is notified of what a detector finds. Its methods are called
-// without the detector's lock.
+// Reporter receives the events of a detector. Its methods are called without
+// the detector's lock.
 type Reporter interface {
-	// FailureSeen means that this host saw a failure, which the other hosts
-	// should learn of before the next regular heartbeat.
+	// FailureSeen is called when this host has observed a failure, which should
+	// be sent to the other hosts before the next regular heartbeat.
 	FailureSeen()
-	// Ejected means that the region's evidence ejects an upstream from now on.
+	// Ejected is called when an upstream is ejected because of the evidence of
+	// the region.
 	Ejected(Ejection)
 }
 
-// Detector keeps the counts of all upstreams. It is safe for concurrent use.
+// Detector counts failures and successes of all upstreams. It is safe for
+// concurrent use.
 type Detector struct {
 	reporter Reporter
 
@@ -31,44 +33,44 @@
 	upstreams map[upstream.Run]*state     // by run
 }
 
-// state is what is known of one run of an upstream.
+// state is the state of one run of an upstream.
 type state struct {
 	evidence    evidence
 	consecutive consecutive
 }
 
-// New makes a detector that knows nothing yet.
+// New returns a detector without any observations.
 func New(reporter Reporter) *Detector {
 	return &Detector{reporter: reporter, baselines: map[string]*latencyBaseline{}, upstreams: map[upstream.Run]*state{}}
 }
 
-// OverdueAfter returns how long a service's response may take before it is
-// overdue, at an upstream with a load in its capacities. It is zero while too
-// few responses of the service were seen.
+// OverdueAfter returns the time after which a response of a service is overdue
+// at an upstream with a load, as a multiple of the upstream's capacity. The
+// result is zero while too few responses of the service have been recorded.
 func (d *Detector) OverdueAfter(service string, load float64) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return overdueAfter(d.baseline(service).median, load)
 }
 
-// RecordSuccess records a response that came in time.
-func (d *Detector) RecordSuccess(service string, run upstream.Run, took time.Duration, now time.Time) {
+// RecordSuccess records the latency of a response that was not overdue.
+func (d *Detector) RecordSuccess(service string, run upstream.Run, latency time.Duration, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.baseline(service).add(took)
+	d.baseline(service).add(latency)
 	d.state(run).evidence.own.add(now, 0, 1)
 }
 
-// RecordLatency records how long an overdue response took, which was a failure
-// already: the baseline has to follow a service that grew slow as a whole.
-func (d *Detector) RecordLatency(service string, took time.Duration) {
+// RecordLatency records the latency of an overdue response, which has already
+// been recorded as a failure. Without it the baseline would not follow a service
+// that becomes slow as a whole.
+func (d *Detector) RecordLatency(service string, latency time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.baseline(service).add(took)
+	d.baseline(service).add(latency)
 }
 
-// RecordFailure records a failure of the upstream, or that its response is
-// overdue.
+// RecordFailure records a failure or an overdue response of an upstream.
 func (d *Detector) RecordFailure(run upstream.Run, now time.Time) {
 	d.mu.Lock()
 	e := &d.state(run).evidence
@@ -81,7 +83,7 @@
 	}
 }
 
-// RecordOutcome records how a request ended, for this host's count of
+// RecordOutcome records the outcome of a request in this host's count of
 // consecutive failures.
 func (d *Detector) RecordOutcome(run upstream.Run, o Outcome, now time.Time) {
 	d.mu.Lock()
@@ -89,16 +91,16 @@
 	d.state(run).consecutive.record(o, now)
 }
 
-// RecordEnded records that a run of an upstream has ended, as this host or another saw.
-// Each host would otherwise learn it by requests of its own, and again after each
-// back-off.
+// RecordEnded records that a run of an upstream has terminated, as observed by
+// this host or by another one. Without it each host would detect the termination
+// only by failures of its own requests, and again after each back-off.
 func (d *Detector) RecordEnded(run upstream.Run, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.state(run).consecutive.ejectedUntil = now.Add(endedFor)
+	d.state(run).consecutive.ejectedUntil = now.Add(terminatedBackOff)
 }
 
-// Merge adds what another host observed; it replaces that host's earlier
+// Merge adds the observations of another host. Each replaces the host's earlier
 // observation of the same upstream.
 func (d *Detector) Merge(host string, observations []Observation, now time.Time) {
 	var ejections []Ejection
@@ -116,9 +118,9 @@
 	}
 }
 
-// Observations returns what this host sends to the others: its counts at the
-// upstreams at which it saw failures, or successes where another host saw
-// failures.
+// Observations returns the counts that this host sends to the other hosts. They
+// cover the upstreams at which this host observed failures, and the upstreams at
+// which this host observed successes and another host observed failures.
 func (d *Detector) Observations(now time.Time) []Observation {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -136,7 +138,8 @@
 	return observations
 }
 
-// Ejected reports whether an upstream is ejected, by either count.
+// Ejected reports whether an upstream is ejected because of the evidence of the
+// region or because of this host's consecutive failures.
 func (d *Detector) Ejected(run upstream.Run, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -144,8 +147,9 @@
 	return r != nil && (now.Before(r.evidence.ejectedUntil) || now.Before(r.consecutive.ejectedUntil))
 }
 
-// Suspended forgets what was observed before the machine was suspended: it is older
-// than its times say. Ejections stay, and end later.
+// Suspended drops the observations from before the machine was suspended, because
+// they are older than their timestamps indicate. Ejections remain in force and
+// end later by the duration of the suspension.
 func (d *Detector) Suspended(time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -155,7 +159,7 @@
 	}
 }
 
-// Retain drops the records of the runs that keep rejects.
+// Retain drops the state of all runs for which keep returns false.
 func (d *Detector) Retain(keep func(upstream.Run) bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/gateway/outlier/detector_test.go
+++ b/internal/gateway/outlier/detector_test.go
@@ -10,7 +10,7 @@
 	"cairndock/internal/gateway/upstream"
 )
 
-// recorder records what a detector reports.
+// recorder records the events of a detector.
 type recorder struct {
 	ejections    []outlier.Ejection
 	failuresSeen int
@@ -57,7 +57,7 @@
 	}
 }
 
-// One host of a large fleet sends too little to an upstream to judge it.
+// A host of a large fleet sends too few requests to one upstream to judge it alone.
 func TestObservationsOfAllHostsAddUp(t *testing.T) {
 	now := time.Now()
 	d, reports := newDetector()
@@ -88,26 +88,26 @@
 	d.Merge("a", []outlier.Observation{{Upstream: "failing-elsewhere", Failures: 1}}, now)
 	want := []outlier.Observation{{Upstream: "failing", Failures: 1}, {Upstream: "failing-elsewhere", Successes: 1}}
 	require.ElementsMatch(t, want, d.Observations(now))
-	require.Empty(t, d.Observations(now.Add(5*time.Second)), "old evidence does not count")
+	require.Empty(t, d.Observations(now.Add(5*time.Second)), "expired evidence is ignored")
 }
 
 func TestEjectionEndsAndDoublesWhileTheUpstreamStillFails(t *testing.T) {
 	now := time.Now()
 	d, reports := newDetector()
 	fail(d, "i", 3, now)
-	d.Merge("a", []outlier.Observation{{Upstream: "i", Failures: 9}}, now.Add(time.Second)) // seen before the ejection
+	d.Merge("a", []outlier.Observation{{Upstream: "i", Failures: 9}}, now.Add(time.Second)) // observed before the ejection
 	end := now.Add(2 * time.Second)
 	require.False(t, d.Ejected("i", end))
 	d.RecordFailure("i", end)
-	require.False(t, d.Ejected("i", end), "evidence from before the ejection does not count")
+	require.False(t, d.Ejected("i", end), "evidence from before the ejection is ignored")
 	fail(d, "i", 3, end)
 	require.Equal(t, 4*time.Second, reports.ejections[1].For)
 	require.True(t, d.Ejected("i", end.Add(3*time.Second)))
 	fail(d, "i", 3, end.Add(20*time.Second))
-	require.Equal(t, 2*time.Second, reports.ejections[2].For, "an ejection long ago is forgiven")
+	require.Equal(t, 2*time.Second, reports.ejections[2].For, "the period is reset long after the last ejection")
 }
 
-func TestOverdueFollowsTheMedianOfTheService(t *testing.T) {
+func TestOverdueThresholdFollowsTheMedianOfTheService(t *testing.T) {
 	now := time.Now()
 	d, _ := newDetector()
 	require.Zero(t, d.OverdueAfter("s", 0))
@@ -115,11 +115,11 @@
 		d.RecordSuccess("s", "i", 100*time.Millisecond, now)
 	}
 	require.Equal(t, 400*time.Millisecond, d.OverdueAfter("s", 0))
-	require.Equal(t, 800*time.Millisecond, d.OverdueAfter("s", 2), "a queue is no fault")
+	require.Equal(t, 800*time.Millisecond, d.OverdueAfter("s", 2), "queueing is not a fault of the upstream")
 	for range 64 {
 		d.RecordLatency("s", time.Second)
 	}
-	require.Equal(t, 4*time.Second, d.OverdueAfter("s", 0), "the whole service is slow")
+	require.Equal(t, 4*time.Second, d.OverdueAfter("s", 0), "the baseline follows a service that is slow as a whole")
 	for range 64 {
 		d.RecordSuccess("s", "i", time.Millisecond, now)
 	}
@@ -127,7 +127,7 @@
 	require.Zero(t, d.OverdueAfter("other", 0))
 }
 
-func TestRetainDropsUpstreamsThatAreGone(t *testing.T) {
+func TestRetainDropsRemovedUpstreams(t *testing.T) {
 	now := time.Now()
 	d, _ := newDetector()
 	fail(d, "i", 3, now)
@@ -135,7 +135,8 @@
 	require.False(t, d.Ejected("i", now))
 }
 
-// The host's own count ejects without any evidence, and reports nothing.
+// The count of consecutive failures ejects an upstream without any evidence of the
+// region, and is not reported.
 func TestConsecutiveFailuresEjectAtThisHostOnly(t *testing.T) {
 	now := time.Now()
 	d, reports := newDetector()
@@ -148,9 +149,9 @@
 	require.False(t, d.Ejected("i", now))
 }
 
-// A crash that many hosts saw, and whose reports came late, ejected the process
-// that had started again in the meantime.
-func TestWhatARunDidDoesNotEjectTheNext(t *testing.T) {
+// Late reports from many hosts about a crash ejected the next run of the upstream,
+// which had started in the meantime.
+func TestFailuresOfARunDoNotEjectTheNextRun(t *testing.T) {
 	now := time.Now()
 	d, _ := newDetector()
 	fail(d, "i@10", 3, now)
@@ -160,18 +161,18 @@
 	require.False(t, d.Ejected("i@20", now))
 }
 
-// Nine hosts went on sending requests to upstreams that had ended, each until it had
-// been refused a connection by itself, and again after each back-off.
-func TestARunThatEndedIsAvoidedUntilItsRowLapses(t *testing.T) {
-	const rowLapses = 4 * time.Second
+// Nine hosts continued to send requests to terminated upstreams. Each host stopped only
+// when one of its own connections was refused, and tried again after each back-off.
+func TestATerminatedRunIsAvoidedUntilItsRowExpires(t *testing.T) {
+	const rowTTL = 4 * time.Second
 	now := time.Now()
 	d, _ := newDetector()
 	d.RecordEnded("a", now)
-	require.True(t, d.Ejected("a", now.Add(rowLapses-time.Millisecond)))
-	require.False(t, d.Ejected("a", now.Add(rowLapses)))
+	require.True(t, d.Ejected("a", now.Add(rowTTL-time.Millisecond)))
+	require.False(t, d.Ejected("a", now.Add(rowTTL)))
 	require.False(t, d.Ejected("b", now))
 	d.RecordOutcome("a", outlier.Unreachable, now)
-	require.True(t, d.Ejected("a", now.Add(rowLapses-time.Millisecond)), "a back-off does not shorten it")
+	require.True(t, d.Ejected("a", now.Add(rowTTL-time.Millisecond)), "a back-off does not end the avoidance earlier")
 	d.RecordOutcome("a", outlier.Succeeded, now)
-	require.False(t, d.Ejected("a", now), "the next run may look like it")
+	require.False(t, d.Ejected("a", now), "a success may come from the next run with the same identifier")
 }
--- a/internal/gateway/outlier/evidence.go
+++ b/internal/gateway/outlier/evidence.go
@@ -7,62 +7,66 @@
 )
 
 const (
-	// evidenceWindow is the time over which failures and successes count.
+	// evidenceWindow is the period over which failures and successes are
+	// counted.
 	evidenceWindow = 1600 * time.Millisecond
-	// minFailures is how many failures in a window it takes to eject an
-	// upstream.
+	// minFailures is the number of failures within the window that is required
+	// to eject an upstream.
 	minFailures = 3
-	// maxSuccessRatio is how many successes for each failure an ejected
-	// upstream may have in the window: 1.5 is a failure rate of 0.4.
+	// maxSuccessRatio is the maximum number of successes per failure within the
+	// window at which an upstream is ejected: 1.5 is a failure rate of 0.4.
 	maxSuccessRatio = 1.5
-	// firstEjection is how long an upstream is ejected at first; it doubles
-	// with each ejection that follows soon.
-	firstEjection = 2 * time.Second
-	// maxEjection bounds that doubling.
-	maxEjection = 8 * time.Second
-	// forgiveAfter is how long after an ejection's end the next one counts
-	// as the first again.
-	forgiveAfter = 5 * time.Second
+	// initialEjectionPeriod is the length of the first ejection of an upstream.
+	// It doubles with each ejection that follows within ejectionResetDelay.
+	initialEjectionPeriod = 2 * time.Second
+	// maxEjectionPeriod limits the doubling.
+	maxEjectionPeriod = 8 * time.Second
+	// ejectionResetDelay is the time after the end of an ejection from which the
+	// next ejection has the initial length again.
+	ejectionResetDelay = 5 * time.Second
 )
 
-// Observation is what one host saw of an upstream in the last window.
+// Observation is the number of failures and successes that one host counted at
+// an upstream within the last window.
 type Observation struct {
-	// Upstream is the run that was seen: an observation that arrives after a
-	// restart says nothing of the next one.
+	// Upstream is the observed run. An observation that arrives after a restart
+	// must not affect the next run.
 	Upstream  upstream.Run `msgpack:"u"`
 	Failures  int          `msgpack:"b"`
 	Successes int          `msgpack:"g,omitempty"`
 }
 
-// Ejection is the evidence for which an upstream is ejected.
+// Ejection is a decision to eject an upstream, with the evidence for it.
 type Ejection struct {
 	Upstream  upstream.Run
 	Failures  int
 	Successes int
-	// Hosts is how many hosts saw failures.
+	// Hosts is the number of hosts that observed failures.
 	Hosts int
-	// For is how long the upstream is ejected.
+	// For is the length of the ejection.
 	For time.Duration
 }
 
-// evidence is what the region's hosts saw of one upstream.
+// evidence is the failures and successes that the hosts of the region observed
+// at one upstream.
 type evidence struct {
 	own   counter
 	peers map[string]peerReport // by host
 
 	ejectedUntil time.Time
-	// lastEjection is how long the last ejection was; zero before the first.
-	lastEjection time.Duration
+	// lastPeriod is the length of the last ejection. It is zero before the first.
+	lastPeriod time.Duration
 }
 
-// peerReport is another host's observation and when it was received.
+// peerReport is an observation of another host with the time of its receipt.
 type peerReport struct {
 	failures, successes int
-	at                  time.Time
+	receivedAt          time.Time
 }
 
-// merge adds another host's observation, unless the upstream is ejected: what
-// led to an ejection must not count again after it.
+// merge stores the observation of another host. Observations that arrive during
+// an ejection are ignored, because the evidence that led to the ejection must
+// not be counted again after it.
 func (e *evidence) merge(host string, o Observation, now time.Time) {
 	if now.Before(e.ejectedUntil) {
 		return
@@ -70,21 +74,22 @@
 	if e.peers == nil {
 		e.peers = map[string]peerReport{}
 	}
-	e.peers[host] = peerReport{failures: o.Failures, successes: o.Successes, at: now}
+	e.peers[host] = peerReport{failures: o.Failures, successes: o.Successes, receivedAt: now}
 }
 
-// failingAtPeer reports whether another host saw failures lately.
+// failingAtPeer reports whether another host observed failures within the
+// window.
 func (e *evidence) failingAtPeer(now time.Time) bool {
 	for _, r := range e.peers {
-		if r.failures > 0 && now.Sub(r.at) < evidenceWindow {
+		if r.failures > 0 && now.Sub(r.receivedAt) < evidenceWindow {
 			return true
 		}
 	}
 	return false
 }
 
-// evaluate adds up the evidence of all hosts, and ejects the upstream if it
-// suffices and it is not ejected already.
+// evaluate sums up the evidence of all hosts, and ejects the upstream if the
+// evidence suffices and the upstream is not ejected already.
 func (e *evidence) evaluate(run upstream.Run, now time.Time) (Ejection, bool) {
 	if now.Before(e.ejectedUntil) {
 		return Ejection{}, false
@@ -94,11 +99,11 @@
 		return Ejection{}, false
 	}
 	e.eject(now)
-	total.Upstream, total.For = run, e.lastEjection
+	total.Upstream, total.For = run, e.lastPeriod
 	return total, true
 }
 
-// total sums the evidence within the window and drops what is older.
+// total sums up the evidence within the window and drops older evidence.
 func (e *evidence) total(now time.Time) Ejection {
 	var sum Ejection
 	sum.Failures, sum.Successes = e.own.count(now)
@@ -106,7 +111,7 @@
 		sum.Hosts = 1
 	}
 	for host, r := range e.peers {
-		if now.Sub(r.at) >= evidenceWindow {
+		if now.Sub(r.receivedAt) >= evidenceWindow {
 			delete(e.peers, host)
 			continue
 		}
@@ -119,26 +124,27 @@
 	return sum
 }
 
-// isOutlier decides whether an upstream with so many failures and successes in
-// a window is ejected.
+// isOutlier reports whether the number of failures and successes within a window
+// is sufficient to eject the upstream.
 func isOutlier(failures, successes int) bool {
 	return failures >= minFailures && float64(successes) <= maxSuccessRatio*float64(failures)
 }
 
-// eject ejects the upstream from now on and forgets the evidence, which must
-// not count again.
+// eject ejects the upstream from now on and clears the evidence, which must not
+// be counted again.
 func (e *evidence) eject(now time.Time) {
-	e.lastEjection = nextEjection(e.lastEjection, now.Sub(e.ejectedUntil))
-	e.ejectedUntil = now.Add(e.lastEjection)
+	e.lastPeriod = nextEjectionPeriod(e.lastPeriod, now.Sub(e.ejectedUntil))
+	e.ejectedUntil = now.Add(e.lastPeriod)
 	e.own = counter{}
 	clear(e.peers)
 }
 
-// nextEjection returns how long an upstream is ejected, after a last ejection
-// of that length (zero: none) that ended a time ago.
-func nextEjection(last, ended time.Duration) time.Duration {
-	if last == 0 || ended >= forgiveAfter {
-		return firstEjection
+// nextEjectionPeriod returns the length of the next ejection of an upstream. The
+// parameter last is the length of the previous ejection (zero: none), and
+// sinceEnd is the time since its end.
+func nextEjectionPeriod(last, sinceEnd time.Duration) time.Duration {
+	if last == 0 || sinceEnd >= ejectionResetDelay {
+		return initialEjectionPeriod
 	}
-	return min(2*last, maxEjection)
+	return min(2*last, maxEjectionPeriod)
 }
--- a/internal/gateway/outlier/rules_test.go
+++ b/internal/gateway/outlier/rules_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestBackOffDoublesWithEachFailureInARow(t *testing.T) {
+func TestBackOffDoublesWithEachConsecutiveFailure(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		outcome  Outcome
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestOnlySuccessEndsARowOfFailures(t *testing.T) {
+func TestOnlySuccessResetsConsecutiveFailures(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
 		name    string
@@ -38,38 +38,38 @@
 		{"cancellation", Canceled, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var row consecutive
+			var count consecutive
 			for _, o := range []Outcome{Failed, Failed, c.between, Failed} {
-				row.record(o, now)
+				count.record(o, now)
 			}
-			require.Equal(t, c.ejected, now.Before(row.ejectedUntil))
+			require.Equal(t, c.ejected, now.Before(count.ejectedUntil))
 		})
 	}
 }
 
-func TestNextEjectionDoublesUnlessTheLastIsForgiven(t *testing.T) {
+func TestEjectionPeriodDoublesUntilTheResetDelay(t *testing.T) {
 	for _, c := range []struct {
-		name              string
-		last, ended, want time.Duration
+		name                 string
+		last, sinceEnd, want time.Duration
 	}{
 		{"the first", 0, time.Hour, 2 * time.Second},
 		{"soon after the first", 2 * time.Second, time.Second, 4 * time.Second},
 		{"at most", 8 * time.Second, 0, 8 * time.Second},
-		{"forgiven", 8 * time.Second, forgiveAfter, 2 * time.Second},
+		{"reset", 8 * time.Second, ejectionResetDelay, 2 * time.Second},
 	} {
-		t.Run(c.name, func(t *testing.T) { require.Equal(t, c.want, nextEjection(c.last, c.ended)) })
+		t.Run(c.name, func(t *testing.T) { require.Equal(t, c.want, nextEjectionPeriod(c.last, c.sinceEnd)) })
 	}
 }
 
-func TestCounterCoversHalfToAWholeWindow(t *testing.T) {
+func TestCounterCoversHalfAWindowToAWholeWindow(t *testing.T) {
 	start := time.Now()
 	for _, c := range []struct {
 		name     string
 		after    time.Duration
 		failures int
 	}{
-		{"in the same half", counterHalf - 1, 1},
-		{"in the next half", counterHalf, 1},
+		{"in the same interval", counterInterval - 1, 1},
+		{"in the next interval", counterInterval, 1},
 		{"a window later", evidenceWindow, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
