--- a/internal/gateway/quota/ask.go
+++ b/internal/gateway/quota/ask.go
@@ -8,32 +8,35 @@
 )
 
 const (
-	// askTimeout bounds one question to a holder: within maxWait, and above a round
-	// trip between distant regions.
-	askTimeout = 120 * time.Millisecond
-	// nearAsks is how many holders of the own region are asked, one after the other,
-	// and farAsks how many of others, together: asked one after the other, these take a
-	// round trip between regions each.
-	nearAsks = 4
-	farAsks  = 5
-	// farSurplus is how many times what is wanted holders of other regions are asked for
-	// together, as some have less. Asked for just that, each round left a rest for the
-	// next, and requests waited for several round trips: with all clients in one region
-	// 1.8 of 1,000 were refused below their limit, most of accounts of 30 requests a
-	// second. What is left over is used by the next requests, or lapses.
-	farSurplus = 2
-	// freeRounds is how many times holders are asked in a row, others each time, while
-	// none has anything, until the host pauses.
-	freeRounds = 3
-	// emptyFor is how long a holder is not asked that gave less than it was asked for,
-	// and silentFor that time for one that did not answer.
-	emptyFor  = 250 * time.Millisecond
-	silentFor = 500 * time.Millisecond
+	// tokenRequestTimeout limits one token request to a holder. It is shorter than
+	// maxWait and longer than a round trip between distant regions.
+	tokenRequestTimeout = 120 * time.Millisecond
+	// maxNearHolders is the number of holders in the host's own region that a round
+	// queries one after the other. maxFarHolders is the number of holders in other
+	// regions that a round queries concurrently, because each of them takes a round
+	// trip between regions.
+	maxNearHolders = 4
+	maxFarHolders  = 5
+	// farRequestFactor is the multiple of the needed tokens that a round requests from
+	// all holders of other regions together, because some of them have too few. With a
+	// factor of 1 each round left a remainder for the next one, and requests waited for
+	// several round trips: with all clients in one region 1.8 of 1,000 requests below
+	// the limit were refused, most of them of accounts with 30 requests per second.
+	// Surplus tokens are used by later requests or expire.
+	farRequestFactor = 2
+	// maxEmptyRounds is the number of consecutive rounds without any token, each with
+	// other holders, after which the host pauses.
+	maxEmptyRounds = 3
+	// emptyHolderBackOff is the time for which a holder is not queried after it granted
+	// fewer tokens than requested, and silentHolderBackOff the time after it did not
+	// respond.
+	emptyHolderBackOff  = 250 * time.Millisecond
+	silentHolderBackOff = 500 * time.Millisecond
 )
 
-// round is one time of asking holders for tokens of an account. Holders of the own region
-// come first, as they answer at once, and as what clients there don't use is most often
-// there.
+// round is one round of token requests for an account. Holders in the host's own region
+// are queried first, because they respond fastest and are the most likely to hold tokens
+// that the clients of this region do not use.
 type round struct {
 	limiter   *Limiter
 	ledger    *ledger
@@ -41,98 +44,99 @@
 	near, far []Holder
 }
 
-// ask begins to ask other hosts for tokens, unless they are being asked, or had none a
-// moment ago; l.mu is held.
-func (l *Limiter) ask(led *ledger, now time.Time) {
-	if !led.mayAsk(now) {
+// startRound starts a round of token requests to other hosts, unless a round is already
+// running or paused. l.mu must be held.
+func (l *Limiter) startRound(led *ledger, now time.Time) {
+	if !led.mayRequest(now) {
 		return
 	}
-	want := led.want(now)
-	if want <= 0 {
+	needed := led.tokensNeeded(now)
+	if needed <= 0 {
 		return
 	}
 	r := round{limiter: l, ledger: led, account: led.account.Name}
-	r.near, r.far = l.holdersToAsk(led, now)
+	r.near, r.far = l.selectHolders(led, now)
 	if len(r.near)+len(r.far) == 0 {
-		led.pausedUntil = now.Add(leastPause)
+		led.pausedUntil = now.Add(minPause)
 		return
 	}
-	led.asking, led.asked, led.got = true, want, 0
-	go r.run(want)
+	led.requesting, led.requested, led.received = true, needed, 0
+	go r.run(needed)
 }
 
-// holdersToAsk gives the holders that may have tokens.
-func (l *Limiter) holdersToAsk(led *ledger, now time.Time) (near, far []Holder) {
-	if led.others == nil {
-		led.others = led.place.Layout.others(led.account.Name, l.Host, l.Zone, l.Region, led.budget.Shards)
-		led.emptyUntil = map[string]time.Time{}
+// selectHolders returns the holders that may have tokens.
+func (l *Limiter) selectHolders(led *ledger, now time.Time) (near, far []Holder) {
+	if led.otherHolders == nil {
+		led.otherHolders = led.place.Layout.otherHolders(led.account.Name, l.Host, l.Zone, l.Region, led.budget.Shards)
+		led.skipUntil = map[string]time.Time{}
 	}
-	for _, h := range led.others {
+	for _, h := range led.otherHolders {
 		switch {
-		case now.Before(led.emptyUntil[h.Host]):
-		case h.Region == l.Region && len(near) < nearAsks:
+		case now.Before(led.skipUntil[h.Host]):
+		case h.Region == l.Region && len(near) < maxNearHolders:
 			near = append(near, h)
-		case h.Region != l.Region && len(far) < farAsks:
+		case h.Region != l.Region && len(far) < maxFarHolders:
 			far = append(far, h)
 		}
 	}
 	return near, far
 }
 
-// run asks until the tokens wanted are there, or no holder is left.
-func (r round) run(want int) {
+// run queries holders until the needed tokens have been received or no holder is left.
+func (r round) run(needed int) {
 	for _, h := range r.near {
-		if want <= 0 {
+		if needed <= 0 {
 			break
 		}
-		want -= r.askOne(h, want)
+		needed -= r.request(h, needed)
 	}
-	if want > 0 && len(r.far) > 0 {
-		r.askFar(want)
+	if needed > 0 && len(r.far) > 0 {
+		r.requestFar(needed)
 	}
 	r.end()
 }
 
-// askFar asks holders of other regions together, each for an equal part of farSurplus
-// times what is wanted.
-func (r round) askFar(want int) {
-	each := (farSurplus*want + len(r.far) - 1) / len(r.far)
+// requestFar queries the holders of other regions concurrently, each for an equal share of
+// farRequestFactor times the needed tokens.
+func (r round) requestFar(needed int) {
+	share := (farRequestFactor*needed + len(r.far) - 1) / len(r.far)
 	var wait sync.WaitGroup
 	for _, h := range r.far {
-		wait.Go(func() { r.askOne(h, each) })
+		wait.Go(func() { r.request(h, share) })
 	}
 	wait.Wait()
 }
 
-// askOne asks one holder and returns what it gave. What comes too late is lost: the
-// holder has taken it out of its shards already.
-func (r round) askOne(h Holder, want int) int {
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+// request requests tokens from one holder and returns the number of tokens received. The
+// tokens of a late response are lost, because the holder has already removed them from its
+// shards.
+func (r round) request(h Holder, needed int) int {
+	ctx, cancel := context.WithTimeout(context.Background(), tokenRequestTimeout)
 	defer cancel()
 	l := r.limiter
-	asked := time.Now()
-	answer, err := l.Hosts.AskTokens(ctx, h.Host, Ask{Account: r.account, Tokens: want})
-	got := max(0, min(answer.Tokens, want))
+	requestedAt := time.Now()
+	response, err := l.Hosts.AskTokens(ctx, h.Host, Ask{Account: r.account, Tokens: needed})
+	received := max(0, min(response.Tokens, needed))
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.Metrics.Add("cairndock_quota_asks_total", 1)
 	switch {
 	case err != nil:
-		// Not logged: a holder that is dead or cut off is reported by its heartbeats.
-		r.ledger.skip(h.Host, asked.Add(silentFor))
+		// Not logged, because missing heartbeats already report a dead or partitioned holder.
+		r.ledger.skip(h.Host, requestedAt.Add(silentHolderBackOff))
 		return 0
-	case got < want:
-		r.ledger.skip(h.Host, asked.Add(emptyFor))
+	case received < needed:
+		r.ledger.skip(h.Host, requestedAt.Add(emptyHolderBackOff))
 	}
-	r.ledger.receive(got, asked)
-	r.ledger.tell()
-	return got
+	r.ledger.receive(received, requestedAt)
+	r.ledger.notify()
+	return received
 }
 
-// skip has a holder not be asked until a time.
+// skip excludes a holder from token requests until the given time.
 func (l *ledger) skip(host string, until time.Time) {
-	if l.emptyUntil != nil {
-		l.emptyUntil[host] = until
+	if l.skipUntil != nil {
+		l.skipUntil[host] = until
 	}
 }
 
@@ -141,22 +145,22 @@
 	l := r.limiter
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r.ledger.asking = false
-	r.ledger.notePause(time.Now())
-	r.ledger.tell()
+	r.ledger.requesting = false
+	r.ledger.updatePause(time.Now())
+	r.ledger.notify()
 }
 
-// notePause has no holder be asked for a while after several rounds without a token, the
-// longer the more there were. Many accounts above their limit would cost hosts a question
-// for each of their requests.
-func (l *ledger) notePause(now time.Time) {
-	if l.got > 0 {
-		l.fruitless = 0
+// updatePause pauses token requests after several consecutive rounds without a token. The
+// pause grows with the number of these rounds. Without it, accounts above their limits
+// would cost the hosts a token request for each of their requests.
+func (l *ledger) updatePause(now time.Time) {
+	if l.received > 0 {
+		l.emptyRounds = 0
 		return
 	}
-	l.fruitless++
-	if n := l.fruitless - freeRounds; n >= 0 {
-		pause := min(mostPause, leastPause<<min(n, maxDoublings))
+	l.emptyRounds++
+	if n := l.emptyRounds - maxEmptyRounds; n >= 0 {
+		pause := min(maxPause, minPause<<min(n, maxDoublings))
 		l.pausedUntil = now.Add(pause/2 + rand.N(pause))
 	}
 }
--- a/internal/gateway/quota/bench_test.go
+++ b/internal/gateway/quota/bench_test.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// noOthers is a host that asks in vain.
-type noOthers struct{ place *Place }
+// noPeers is a Hosts on which all token requests fail.
+type noPeers struct{ place *Place }
 
-func (h noOthers) Place() *Place { return h.place }
+func (h noPeers) Place() *Place { return h.place }
 
-func (noOthers) AskTokens(context.Context, string, Ask) (Answer, error) {
-	return Answer{}, errors.New("nobody answers")
+func (noPeers) AskTokens(context.Context, string, Ask) (Answer, error) {
+	return Answer{}, errors.New("no host responds")
 }
 
-// BenchmarkAdmit is what a limit costs a request: one that passes, and one that is
-// refused, which costs no more than to look.
+// BenchmarkAdmit measures the cost of a limit for an admitted and for a refused request. A
+// refused request should cost no more than the check.
 func BenchmarkAdmit(b *testing.B) {
 	for _, c := range []struct {
 		name string
@@ -27,7 +27,7 @@
 			a := limited("a", c.rate, 1)
 			l := NewLimiter(Options{
 				Host: "z0-large-0", Zone: "z0", Region: "r0", Bound: bound, Metrics: noMetrics{},
-				Hosts: noOthers{&Place{Layout: testLayout(1, 1, 0), Holds: true, Since: time.Now().Add(-time.Hour)}},
+				Hosts: noPeers{&Place{Layout: testLayout(1, 1, 0), Holds: true, Since: time.Now().Add(-time.Hour)}},
 			})
 			for range 100 {
 				l.Admit(b.Context(), a)
--- a/internal/gateway/quota/budget_test.go
+++ b/internal/gateway/quota/budget_test.go
@@ -8,11 +8,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// bound is that of the tests: five seconds, a tenth and twenty requests.
+// bound is the default bound of the tests.
 var bound = Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 
-// most is what the bound allows in a window.
-func (b Bound) most(rate, burst float64) float64 {
+// limit returns the number of requests that the bound allows in a window.
+func (b Bound) limit(rate, burst float64) float64 {
 	return (rate*b.Window.Seconds()+burst)*(1+b.Overshoot) + b.Slack
 }
 
@@ -22,10 +22,10 @@
 			for _, burst := range []float64{0, 1, 8, 411, 50_000} {
 				for _, zones := range []int{1, 6, 80} {
 					got := b.Budget(rate, burst, zones)
-					inWindow := got.Rate*(b.Window+tokenLife).Seconds() + got.Burst
-					require.LessOrEqual(t, inWindow, max(b.most(rate, burst), 1+got.Rate*(b.Window+tokenLife).Seconds()))
+					inWindow := got.Rate*(b.Window+tokenTTL).Seconds() + got.Burst
+					require.LessOrEqual(t, inWindow, max(b.limit(rate, burst), 1+got.Rate*(b.Window+tokenTTL).Seconds()))
 					require.Positive(t, got.Rate)
-					require.GreaterOrEqual(t, got.Burst, 1.0, "one request passes")
+					require.GreaterOrEqual(t, got.Burst, 1.0, "one request is admitted")
 					require.GreaterOrEqual(t, got.Shards, 1)
 					require.LessOrEqual(t, got.Shards, shardsPerZone*zones)
 				}
@@ -34,7 +34,7 @@
 	}
 }
 
-// An account that keeps to its limit is not to feel how the limit is kept.
+// The enforcement must not affect an account that stays within its limit.
 func TestABudgetHasTheAccountsRateWhereItsBurstAllowsThat(t *testing.T) {
 	for _, rate := range []float64{1, 8, 411} {
 		require.GreaterOrEqual(t, bound.Budget(rate, rate, 6).Rate, rate)
@@ -49,12 +49,13 @@
 			r, n := b.shards(1)
 			perSecond, burst = perSecond+r, burst+n
 		}
-		require.InDelta(t, b.Rate*perRequest, perSecond, 0.001)
-		require.LessOrEqual(t, float64(burst), b.Burst*perRequest)
+		require.InDelta(t, b.Rate*tokensPerRequest, perSecond, 0.001)
+		require.LessOrEqual(t, float64(burst), b.Burst*tokensPerRequest)
 	}
 }
 
-// testLayout has zones of three regions, each with large and small hosts.
+// testLayout returns a layout with zones in three regions, each with numbers of large and
+// small hosts.
 func testLayout(zones, large, small int) *Layout {
 	l := &Layout{}
 	for z := range zones {
@@ -83,25 +84,26 @@
 				}
 				require.Equal(t, shards, sum)
 				others := 0
-				for _, h := range l.others(account, "elsewhere", "z0", "r0", shards) {
+				for _, h := range l.otherHolders(account, "elsewhere", "z0", "r0", shards) {
 					others += h.Shards
 				}
-				require.Equal(t, shards, others, "those who ask look where the shards are")
+				require.Equal(t, shards, others, "token requests go to the hosts that hold the shards")
 			}
 		}
 	}
 }
 
-// Hosts of other zones may believe what they like: a zone's hosts hold what is the zone's.
-func TestWhatAZoneHoldsDoesNotDependOnOtherZones(t *testing.T) {
-	whole, alone := testLayout(6, 2, 9), testLayout(6, 2, 9)
-	for i := range alone.Zones[1:] {
-		alone.Zones[i+1].Large, alone.Zones[i+1].Small = nil, nil
+// The shards of a zone's hosts must not depend on the hosts that other zones have, because
+// hosts may have different lists of them.
+func TestShardsOfAZoneDoNotDependOnOtherZones(t *testing.T) {
+	complete, isolated := testLayout(6, 2, 9), testLayout(6, 2, 9)
+	for i := range isolated.Zones[1:] {
+		isolated.Zones[i+1].Large, isolated.Zones[i+1].Small = nil, nil
 	}
-	for _, host := range append(whole.Zones[0].Large, whole.Zones[0].Small...) {
-		require.Equal(t, whole.held("a", host, "z0", 30), alone.held("a", host, "z0", 30))
+	for _, host := range append(complete.Zones[0].Large, complete.Zones[0].Small...) {
+		require.Equal(t, complete.held("a", host, "z0", 30), isolated.held("a", host, "z0", 30))
 	}
-	require.Zero(t, whole.held("a", "z0-large-0", "nowhere", 30))
+	require.Zero(t, complete.held("a", "z0-large-0", "nowhere", 30))
 }
 
 func TestLargeHostsHoldFourOfFiveShards(t *testing.T) {
@@ -115,10 +117,10 @@
 	require.Equal(t, 24, large)
 }
 
-func TestHoldersAreAskedFromNearToFar(t *testing.T) {
+func TestHoldersAreQueriedFromNearToFar(t *testing.T) {
 	l := testLayout(6, 2, 9)
 	distance := 0
-	for _, h := range l.others("a", "z0-large-0", "z0", "r0", 30) {
+	for _, h := range l.otherHolders("a", "z0-large-0", "z0", "r0", 30) {
 		d := 2
 		switch {
 		case h.Zone == "z0":
--- a/internal/gateway/quota/cluster_test.go
+++ b/internal/gateway/quota/cluster_test.go
@@ -12,10 +12,10 @@
 	"cairndock/internal/gateway/account"
 )
 
-// This file has a cluster of limiters in virtual time, with a network between them that
-// loses, delays and cuts.
+// This file simulates a cluster of limiters in virtual time. Its network loses and delays
+// messages and can be partitioned.
 
-// cluster is hosts that share limits.
+// cluster is a number of simulated hosts that share limits.
 type cluster struct {
 	rng    *rand.Rand
 	bound  Bound
@@ -23,39 +23,40 @@
 
 	mu    sync.Mutex
 	hosts map[string]*clusterHost
-	// accounts are those in force, by name.
+	// accounts are the accounts of the current configuration, by name.
 	accounts map[string]*account.Account
-	// cut reports whether two hosts can't reach each other.
-	cut func(a, b *clusterHost) bool
-	// loss is the part of answers that are lost, and lag the most that one is late beside
-	// the way there.
-	loss float64
-	lag  time.Duration
-	// passed has when requests passed, and refused when they were, by account.
-	passed, refused map[string][]time.Time
-	asks            int
+	// partitioned reports whether two hosts cannot reach each other.
+	partitioned func(a, b *clusterHost) bool
+	// loss is the fraction of responses that are lost, and maxDelay the maximum delay of a
+	// response in addition to the round-trip time.
+	loss     float64
+	maxDelay time.Duration
+	// admitted and refused are the times of the admitted and of the refused requests, by
+	// account.
+	admitted, refused map[string][]time.Time
+	tokenRequests     int
 }
 
-// clusterHost is one host; its limiter is a new one after each restart.
+// clusterHost is one host. It gets a new limiter at each restart.
 type clusterHost struct {
 	cluster            *cluster
 	name, zone, region string
 	limiter            *Limiter
 	place              *Place
-	// down is set while the process is dead.
+	// down is set while the host's process is not running.
 	down bool
 }
 
-// The ways between hosts, there and back.
+// Round-trip times between hosts within a region and across regions.
 const (
-	nearWay = time.Millisecond
-	farWay  = 70 * time.Millisecond
+	nearRTT = time.Millisecond
+	farRTT  = 70 * time.Millisecond
 )
 
 func newCluster(seed uint64, l *Layout, accounts ...*account.Account) *cluster {
 	c := &cluster{
 		rng: rand.New(rand.NewPCG(seed, 1)), bound: bound, layout: l, hosts: map[string]*clusterHost{}, accounts: map[string]*account.Account{},
-		cut: func(_, _ *clusterHost) bool { return false }, passed: map[string][]time.Time{}, refused: map[string][]time.Time{},
+		partitioned: func(_, _ *clusterHost) bool { return false }, admitted: map[string][]time.Time{}, refused: map[string][]time.Time{},
 	}
 	for _, a := range accounts {
 		c.accounts[a.Name] = a
@@ -70,7 +71,7 @@
 	return c
 }
 
-// start starts the host's process: all that an earlier one knew is gone.
+// start starts the host's process without any state of an earlier process.
 func (h *clusterHost) start() {
 	c := h.cluster
 	c.mu.Lock()
@@ -97,55 +98,58 @@
 	return h.place
 }
 
-var errNoAnswer = errors.New("no answer")
+var errNoResponse = errors.New("no response")
 
 // AskTokens implements Hosts.
-func (h *clusterHost) AskTokens(ctx context.Context, host string, ask Ask) (Answer, error) {
+func (h *clusterHost) AskTokens(ctx context.Context, host string, request Ask) (Answer, error) {
 	c := h.cluster
-	other, late, reached, answered := c.route(h, host)
+	other, delay, reached, delivered := c.route(h, host)
 	if !reached {
 		<-ctx.Done()
-		return Answer{}, errNoAnswer
+		return Answer{}, errNoResponse
 	}
-	way := nearWay
+	rtt := nearRTT
 	if other.region != h.region {
-		way = farWay
+		rtt = farRTT
 	}
-	time.Sleep(way / 2)
-	answer, up := other.giveTokens(ask)
-	time.Sleep(way/2 + late)
-	if !up || !answered || ctx.Err() != nil && late == 0 {
-		return Answer{}, errNoAnswer
+	time.Sleep(rtt / 2)
+	response, up := other.grantTokens(request)
+	time.Sleep(rtt/2 + delay)
+	if !up || !delivered || ctx.Err() != nil && delay == 0 {
+		return Answer{}, errNoResponse
 	}
-	return answer, nil // also one that comes after the asker gave up, as a paused host's
+	// A delayed response is returned even after the timeout, as at a host that was paused.
+	return response, nil
 }
 
-func (c *cluster) route(from *clusterHost, to string) (other *clusterHost, late time.Duration, reached, answered bool) {
+// route returns the host that a token request reaches, the additional delay of its response,
+// and whether the response is delivered.
+func (c *cluster) route(from *clusterHost, to string) (other *clusterHost, delay time.Duration, reached, delivered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asks++
+	c.tokenRequests++
 	other = c.hosts[to]
-	if other == nil || other.down || c.cut(from, other) {
+	if other == nil || other.down || c.partitioned(from, other) {
 		return nil, 0, false, false
 	}
-	if c.lag > 0 {
-		late = time.Duration(c.rng.Int64N(int64(c.lag)))
+	if c.maxDelay > 0 {
+		delay = time.Duration(c.rng.Int64N(int64(c.maxDelay)))
 	}
-	return other, late, true, c.rng.Float64() >= c.loss
+	return other, delay, true, c.rng.Float64() >= c.loss
 }
 
-func (h *clusterHost) giveTokens(ask Ask) (Answer, bool) {
+func (h *clusterHost) grantTokens(request Ask) (Answer, bool) {
 	c := h.cluster
 	c.mu.Lock()
-	limiter, a, down := h.limiter, c.accounts[ask.Account], h.down
+	limiter, a, down := h.limiter, c.accounts[request.Account], h.down
 	c.mu.Unlock()
 	if down {
 		return Answer{}, false
 	}
-	return limiter.Give(a, ask.Tokens), true
+	return limiter.Give(a, request.Tokens), true
 }
 
-// request has a client of an account send a request to a host.
+// request sends a request of an account to the host.
 func (h *clusterHost) request(t testing.TB, name string) {
 	c := h.cluster
 	c.mu.Lock()
@@ -158,17 +162,17 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if h.limiter != limiter || h.down {
-		return // the process has ended, and sent nothing
+		return // the process has ended without forwarding the request
 	}
 	if ok {
-		c.passed[name] = append(c.passed[name], time.Now())
+		c.admitted[name] = append(c.admitted[name], time.Now())
 	} else {
 		c.refused[name] = append(c.refused[name], time.Now())
 	}
 }
 
-// load sends requests of an account at a rate, at moments of chance, until the time has
-// passed. pick chooses the host of each.
+// load sends requests of an account for the duration d, at random times with an average rate.
+// pick chooses the host of each request.
 func (c *cluster) load(t testing.TB, wait *sync.WaitGroup, name string, perSecond float64, d time.Duration, pick func(*rand.Rand) *clusterHost) {
 	c.mu.Lock()
 	rng := rand.New(rand.NewPCG(c.rng.Uint64(), 2))
@@ -182,11 +186,11 @@
 	})
 }
 
-// hostsOf gives the hosts that a test chooses by a rule, in order.
-func (c *cluster) hostsOf(rule func(*clusterHost) bool) []*clusterHost {
+// filterHosts returns the hosts that a filter selects, sorted by name.
+func (c *cluster) filterHosts(filter func(*clusterHost) bool) []*clusterHost {
 	var out []*clusterHost
 	for _, h := range c.hosts {
-		if rule(h) {
+		if filter(h) {
 			out = append(out, h)
 		}
 	}
@@ -199,7 +203,8 @@
 	return out
 }
 
-// large reports whether clients are given a host first.
+// large reports whether the host is one of the large hosts, to which clients are directed
+// first.
 func (h *clusterHost) large() bool {
 	for _, z := range h.cluster.layout.Zones {
 		if slices.Contains(z.Large, h.name) {
@@ -209,21 +214,21 @@
 	return false
 }
 
-// anyOf picks one of some hosts by chance.
-func anyOf(hosts []*clusterHost) func(*rand.Rand) *clusterHost {
+// randomHost returns a function that picks a random host.
+func randomHost(hosts []*clusterHost) func(*rand.Rand) *clusterHost {
 	return func(rng *rand.Rand) *clusterHost { return hosts[rng.IntN(len(hosts))] }
 }
 
-// worstWindow is the most requests that passed in any window.
-func worstWindow(times []time.Time, window time.Duration) int {
+// maxInWindow returns the maximum number of times within any window.
+func maxInWindow(times []time.Time, window time.Duration) int {
 	times = slices.Clone(times)
 	slices.SortFunc(times, time.Time.Compare)
-	worst, first := 0, 0
+	most, first := 0, 0
 	for i, at := range times {
 		for at.Sub(times[first]) > window {
 			first++
 		}
-		worst = max(worst, i-first+1)
+		most = max(most, i-first+1)
 	}
-	return worst
+	return most
 }
--- a/internal/gateway/quota/doc.go
+++ b/internal/gateway/quota/doc.go
@@ -1,20 +1,23 @@
-// Package quota keeps the requests of a client account under its limit, summed over all
-// hosts, without a host that knows the sum.
+// Package quota limits the requests of each client account, summed over all hosts,
+// although no host knows the sum.
 //
-// The limit is a token bucket (Budget) that is cut into shards. Each shard is held by one
-// host at a time (Layout): which one follows from the hosts' names, so that hosts agree
-// on it without messages. The holder fills the shard's bucket at the shard's part of the
-// rate, starting empty, and takes tokens out for each request that it lets pass. A host
-// whose own shards have none left asks the holders of others, and uses what they give
-// within tokenLife, or not at all.
+// The limit is a token bucket (Budget) that is divided into shards. Each shard is held by
+// one host at a time (Layout). The holder follows from the names of the hosts, so the
+// hosts agree on it without messages. The holder fills the shard's bucket at the shard's
+// share of the rate, starting with an empty bucket, and removes tokens for each request
+// that it admits. A host whose own shards are empty requests tokens from the holders of
+// other shards, and must use these tokens within tokenTTL or discard them.
 //
-// So no window sees more than the budget, whatever happens: a token is taken out of a
-// bucket before it is used, and at most tokenLife before; a lost answer loses tokens; a
-// process that ends loses its buckets, and the next one starts with empty ones; a host
-// that is cut off goes on with its own shards, and the others with theirs. Nothing rests
-// on who is alive, on clocks that agree, or on an order of messages. It does rest on no
-// shard having two holders, which Place is about.
+// The requests of any window therefore stay within the budget, whatever fails:
 //
-// Budget and Layout are plain rules, ledger is one account's state on one host without
-// lock or clock, and Limiter adds those and the asking.
+//   - A token is removed from a bucket before it is used, and at most tokenTTL before.
+//   - A lost response loses its tokens.
+//   - A process that ends loses its buckets, and the next one starts with empty ones.
+//   - A partitioned host continues with its own shards, and the others with theirs.
+//
+// The limit depends neither on liveness, nor on synchronized clocks, nor on the order of
+// messages. It does depend on each shard having at most one holder, which Place ensures.
+//
+// Budget and Layout are pure functions, ledger is the state of one account on one host
+// without a lock or a clock, and Limiter adds the lock, the clock and the token requests.
 package quota
--- a/internal/gateway/quota/interleave_test.go
+++ b/internal/gateway/quota/interleave_test.go
@@ -10,14 +10,14 @@
 	"cairndock/internal/gateway/account"
 )
 
-// This file plays all orders of the few steps of the protocol with three hosts: the
-// rules of a ledger alone, without the limiter's timing.
+// This file runs all orders of a few steps of the token protocol with three hosts. It tests
+// the ledger alone, without the timing of the limiter.
 
-// stepDepth is how many steps are played in all orders, between two at which every host
-// lets pass what it can.
+// stepDepth is the number of steps in each order. Host 0 admits all requests that it can
+// before these steps, and all hosts do so after them.
 const stepDepth = 4
 
-// smallBound lets few requests pass, so that a few steps reach it.
+// smallBound allows only a few requests, so that a few steps reach it.
 var smallBound = Bound{Window: time.Second, Overshoot: 0.2, Slack: 2}
 
 // protocol is three hosts of one zone with one account.
@@ -26,15 +26,16 @@
 	account *account.Account
 	place   *Place
 	ledgers [3]*ledger
-	passed  []time.Time
-	// late are tokens that were taken out and have not arrived.
-	late []lateTokens
+	// admitted are the times of the admitted requests.
+	admitted []time.Time
+	// delayed are tokens that were removed from a bucket and have not arrived yet.
+	delayed []delayedTokens
 }
 
-type lateTokens struct {
-	to     *ledger
-	tokens int
-	asked  time.Time
+type delayedTokens struct {
+	to          *ledger
+	tokens      int
+	requestedAt time.Time
 }
 
 func newProtocol() *protocol {
@@ -54,72 +55,73 @@
 	p.ledgers[host].update(p.account, &place, smallBound, fmt.Sprint(host), "z", p.now)
 }
 
-// pass lets pass all that a host can.
-func (p *protocol) pass(host int) {
+// admit admits as many requests as a host can.
+func (p *protocol) admit(host int) {
 	for p.ledgers[host].take(p.now) {
-		p.passed = append(p.passed, p.now)
+		p.admitted = append(p.admitted, p.now)
 	}
 }
 
-// ask has a host take tokens out for another; they arrive, are lost or come later.
-func (p *protocol) ask(from, to int, arrives, lost bool) {
-	tokens := p.ledgers[to].give(5*perRequest, p.now)
+// request makes one host request tokens from another. The tokens arrive, are lost or are
+// delayed.
+func (p *protocol) request(from, to int, arrives, lost bool) {
+	tokens := p.ledgers[to].grantTokens(5*tokensPerRequest, p.now)
 	switch {
 	case lost:
 	case arrives:
 		p.ledgers[from].receive(tokens, p.now)
 	default:
-		p.late = append(p.late, lateTokens{p.ledgers[from], tokens, p.now})
+		p.delayed = append(p.delayed, delayedTokens{p.ledgers[from], tokens, p.now})
 	}
 }
 
-// arrive has all late tokens arrive, also at a process that has ended.
+// arrive delivers all delayed tokens, even to a process that has ended.
 func (p *protocol) arrive() {
-	for _, l := range p.late {
-		l.to.receive(l.tokens, l.asked)
+	for _, d := range p.delayed {
+		d.to.receive(d.tokens, d.requestedAt)
 	}
-	p.late = nil
+	p.delayed = nil
 }
 
-// steps are all that may happen next.
+// steps returns all possible steps.
 func steps() []func(*protocol) {
 	out := []func(*protocol){
 		(*protocol).arrive,
 		func(p *protocol) { p.now = p.now.Add(200 * time.Millisecond) },
-		func(p *protocol) { p.now = p.now.Add(tokenLife) },
+		func(p *protocol) { p.now = p.now.Add(tokenTTL) },
 	}
 	for host := range 3 {
-		out = append(out, func(p *protocol) { p.pass(host) }, func(p *protocol) { p.restart(host) })
+		out = append(out, func(p *protocol) { p.admit(host) }, func(p *protocol) { p.restart(host) })
 		other := (host + 1) % 3
 		for _, o := range []struct{ arrives, lost bool }{{true, false}, {false, true}, {false, false}} {
-			out = append(out, func(p *protocol) { p.ask(host, other, o.arrives, o.lost) })
+			out = append(out, func(p *protocol) { p.request(host, other, o.arrives, o.lost) })
 		}
 	}
 	return out
 }
 
-func TestNoOrderOfStepsPassesMoreThanTheBound(t *testing.T) {
+func TestNoOrderOfStepsAdmitsMoreThanTheBound(t *testing.T) {
 	all := steps()
 	orders := 1
 	for range stepDepth {
 		orders *= len(all)
 	}
-	most := smallBound.most(9, 9)
-	worst := 0
+	limit := smallBound.limit(9, 9)
+	most := 0
 	for order := range orders {
 		p := newProtocol()
-		p.pass(0)
+		p.admit(0)
 		for range stepDepth {
 			all[order%len(all)](p)
 			order /= len(all)
 		}
 		p.arrive()
 		for host := range p.ledgers {
-			p.pass(host)
+			p.admit(host)
 		}
-		worst = max(worst, worstWindow(p.passed, smallBound.Window))
+		most = max(most, maxInWindow(p.admitted, smallBound.Window))
 	}
-	t.Logf("%d orders, at most %d of %.1f", orders, worst, most)
-	require.LessOrEqual(t, float64(worst), most)
-	require.Greater(t, worst, 5, "the orders come near the bound")
+	t.Logf("%d orders, at most %d of %.1f requests admitted", orders, most, limit)
+	require.LessOrEqual(t, float64(most), limit)
+	require.Greater(t, most, 5, "some orders come close to the bound")
 }
--- a/internal/gateway/quota/layout.go
+++ b/internal/gateway/quota/layout.go
@@ -8,39 +8,39 @@
 	"cairndock/internal/gateway/rendezvous"
 )
 
-// Zone is an availability zone with the names of its known hosts, those that are dead or
-// cut off included. Large are those that clients are given first.
+// Zone is an availability zone with the names of its known hosts, including dead and
+// partitioned ones. Clients are directed to the Large hosts first.
 type Zone struct {
 	Name, Region string
 	Large, Small []string
 }
 
-// Layout is the zones of a deployment. Zones come from the settings, so that all hosts
-// have the same ones, also while they don't know each other: what a zone's hosts hold
-// depends on nothing outside the zone. A Layout is not changed once it is in use.
+// Layout is the list of zones of a deployment. The zones come from the settings, so all
+// hosts have the same zones even before they discover each other. The shards that the hosts
+// of a zone hold depend on nothing outside the zone. A Layout in use is immutable.
 type Layout struct {
 	Zones []Zone
 }
 
-// Place is what a host knows of its own part in the limits.
+// Place is the current role of a host in the limits.
 type Place struct {
 	Layout *Layout
-	// Holds is set while this host holds the shards that the layout gives it. A host that
-	// can't be sure that no other holds them too holds none.
+	// Holds is set while this host holds the shards that the layout assigns to it. A host
+	// that cannot rule out another holder of these shards holds none.
 	Holds bool
-	// Since is from when on it holds them.
+	// Since is the time since when this host has held its shards.
 	Since time.Time
 }
 
-// Holder is a host that holds shards of an account.
+// Holder is a host that holds a number of shards of an account.
 type Holder struct {
 	Host, Zone, Region string
 	Shards             int
 }
 
-// zoneShards gives how many of an account's shards each zone has, in the order of
-// Layout.Zones. An account with fewer shards than there are zones has them in the first
-// of its own order of zones.
+// zoneShards returns the number of an account's shards in each zone, in the order of
+// Layout.Zones. The shards of an account with fewer shards than zones are in the first zones
+// of an order that depends on the account.
 func (l *Layout) zoneShards(account string, shards int) []int {
 	order := make([]int, len(l.Zones))
 	ranks := make([]uint64, len(l.Zones))
@@ -49,37 +49,38 @@
 	}
 	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(ranks[a], ranks[b]) })
 	counts := make([]int, len(l.Zones))
-	for place, zone := range order {
+	for rank, zone := range order {
 		counts[zone] = shards / len(l.Zones)
-		if place < shards%len(l.Zones) {
+		if rank < shards%len(l.Zones) {
 			counts[zone]++
 		}
 	}
 	return counts
 }
 
-// holders gives the hosts of a zone that hold a number of an account's shards. Shards of a
-// zone without a known host are held by nobody: no other zone can know that.
+// holders returns the hosts of a zone that hold the zone's number of an account's shards.
+// Nobody holds the shards of a zone without known hosts, because no other zone can determine
+// that the zone has none.
 func (z Zone) holders(account string, shards int) []Holder {
 	large, small := ranked(z.Large, account), ranked(z.Small, account)
 	var out []Holder
 	for shard := range shards {
-		hosts, place := large, shard-shard/shardsPerZone
+		hosts, index := large, shard-shard/shardsPerZone
 		if shard%shardsPerZone == shardsPerZone-1 {
-			hosts, place = small, shard/shardsPerZone
+			hosts, index = small, shard/shardsPerZone
 		}
 		if len(hosts) == 0 {
-			hosts, place = slices.Concat(large, small), shard
+			hosts, index = slices.Concat(large, small), shard
 		}
 		if len(hosts) == 0 {
 			return nil
 		}
-		out = addShard(out, Holder{Host: hosts[place%len(hosts)], Zone: z.Name, Region: z.Region})
+		out = addShard(out, Holder{Host: hosts[index%len(hosts)], Zone: z.Name, Region: z.Region})
 	}
 	return out
 }
 
-// addShard adds a shard to the holder, which may have some already.
+// addShard adds one shard to a holder, which is appended if it has none yet.
 func addShard(holders []Holder, h Holder) []Holder {
 	i := slices.IndexFunc(holders, func(o Holder) bool { return o.Host == h.Host })
 	if i < 0 {
@@ -89,7 +90,7 @@
 	return holders
 }
 
-// ranked returns hosts in the order of an account.
+// ranked returns hosts in an order that depends on the account.
 func ranked(hosts []string, account string) []string {
 	if len(hosts) < 2 {
 		return hosts
@@ -105,7 +106,7 @@
 	return out
 }
 
-// held gives how many of an account's shards a host of a zone holds.
+// held returns the number of an account's shards that a host of a zone holds.
 func (l *Layout) held(account, host, zone string, shards int) int {
 	i := slices.IndexFunc(l.Zones, func(z Zone) bool { return z.Name == zone })
 	if i < 0 {
@@ -119,10 +120,10 @@
 	return 0
 }
 
-// others gives the holders of an account's shards besides a host, those of its zone first,
-// then those of its region, then the others. Each host has an order of its own within
-// these, so that not all ask the same one.
-func (l *Layout) others(account, host, zone, region string, shards int) []Holder {
+// otherHolders returns the holders of an account's shards except the given host: first the
+// holders of its zone, then those of its region, then the others. The order within these
+// groups depends on the host, so that not all hosts query the same holder.
+func (l *Layout) otherHolders(account, host, zone, region string, shards int) []Holder {
 	var out []Holder
 	counts := l.zoneShards(account, shards)
 	for i, z := range l.Zones {
--- a/internal/gateway/quota/ledger.go
+++ b/internal/gateway/quota/ledger.go
@@ -9,66 +9,68 @@
 )
 
 const (
-	// lookahead is for how long ahead a host asks for tokens, by the rate at which
-	// requests come: less than tokenLife, so that most are used before they lapse. Of
-	// requests below the limit from clients of one region 5.6 of 1,000 were refused with
-	// three quarters of it, and 11.3 with half (TestRequestsBelowTheLimitAreNotRefused,
-	// with a tokenLife of 600 ms).
-	lookahead = tokenLife * 3 / 4
-	// refillBelow is how far ahead a host's tokens suffice when it asks for more before
-	// it is out of them, so that requests needn't wait: a round trip between distant
-	// regions, twice. Measured with lookahead.
-	refillBelow = tokenLife / 3
+	// lookahead is the period for which a host requests tokens in advance, based on the
+	// rate of incoming requests. It is shorter than tokenTTL, so that most tokens are used
+	// before they expire. Of requests below the limit from clients of one region, 5.6 of
+	// 1,000 were refused with three quarters of tokenTTL and 11.3 with half of it
+	// (TestRequestsBelowTheLimitAreNotRefused, with a tokenTTL of 600 ms).
+	lookahead = tokenTTL * 3 / 4
+	// refillThreshold is the remaining supply, as a period at the current rate, below which
+	// a host requests more tokens, so that requests need not wait. It is two round trips
+	// between distant regions.
+	refillThreshold = tokenTTL / 3
 )
 
-// ledger is what a host knows of the limit of one account. It has no lock and no clock.
+// ledger is the state of one account's limit on one host. It has no lock and no clock.
 type ledger struct {
-	// account and place are those that budget, shards and bucket were made for.
+	// account and place are the inputs of budget, shards and bucket.
 	account *account.Account
 	place   *Place
 	budget  Budget
-	// shards is how many shards this host holds, and bucket theirs; nil if there are none.
+	// shards is the number of shards that this host holds. bucket is their common bucket,
+	// and nil if there are none.
 	shards int
 	bucket *rate.Limiter
-	// given are tokens of other hosts that were not used yet.
-	given []given
-	// demand is the rate of the account's requests at this host, and refused that of the
-	// refused ones.
+	// grants are the unused tokens from other hosts.
+	grants []grant
+	// demand is the rate of the account's requests at this host, and refused the rate of
+	// the refused requests.
 	demand, refused meter
-	// others are the holders of the other shards; nil until they are asked.
-	others []Holder
-	// emptyUntil is until when a holder is not asked, as it had nothing.
-	emptyUntil map[string]time.Time
-
-	// asking is set while holders are asked, and pausedUntil is until when none is, as
-	// none had anything. waiting is how many requests wait for an answer, and news is
-	// closed when one has come.
-	asking      bool
+	// otherHolders are the holders of the other shards. It is nil until the first round.
+	otherHolders []Holder
+	// skipUntil is the time until when a holder is not queried, because it had too few
+	// tokens or did not respond.
+	skipUntil map[string]time.Time
+
+	// requesting is set during a round of token requests. pausedUntil is the time until
+	// when no round starts, because no holder had tokens. waiting is the number of
+	// requests that wait for a response, and responded is closed at the next response.
+	requesting  bool
 	pausedUntil time.Time
 	waiting     int
-	news        chan struct{}
-	// asked and got are the tokens of the last round of asking, and fruitless is how many
-	// rounds in a row got none.
-	asked, got, fruitless int
+	responded   chan struct{}
+	// requested and received are the numbers of tokens of the last round, and emptyRounds
+	// is the number of consecutive rounds without a token.
+	requested, received, emptyRounds int
 }
 
-// given are tokens that another host gave.
-type given struct {
-	tokens int
-	until  time.Time
+// grant is a number of tokens that another host granted.
+type grant struct {
+	tokens    int
+	expiresAt time.Time
 }
 
-// update fits the ledger to the account's figures and to this host's place.
+// update applies the account's current limit and this host's current shards to the ledger.
 func (l *ledger) update(a *account.Account, p *Place, b Bound, host, zone string, now time.Time) {
-	// A new configuration has new accounts, mostly with the figures of the old ones, and
-	// to lay out an account anew takes 0.2 ms with 80 zones of 74 hosts.
+	// A new configuration has new accounts, mostly with unchanged limits, and computing the
+	// layout of an account takes 0.2 ms with 80 zones of 74 hosts.
 	same := l.place == p && l.account != nil && l.account.Rate == a.Rate && l.account.Burst == a.Burst
 	l.account, l.place = a, p
 	if same {
 		return
 	}
 	l.budget = b.Budget(a.Rate, a.Burst, len(p.Layout.Zones))
-	l.others, l.emptyUntil = nil, nil
+	l.otherHolders, l.skipUntil = nil, nil
 	l.shards = 0
 	if p.Holds {
 		l.shards = p.Layout.held(a.Name, host, zone, l.budget.Shards)
@@ -76,9 +78,9 @@
 	l.resize(now)
 }
 
-// resize fits the bucket to the shards. A bucket that grows gets no token by it, and one
-// that shrinks keeps no more than it holds now. One that is made is as full as if it had
-// been there, empty, since this host holds the shards.
+// resize adjusts the bucket to the number of shards. A bucket that grows gains no tokens, and
+// a bucket that shrinks keeps at most its new size. A new bucket is as full as an empty bucket
+// would be that was created when this host began to hold the shards.
 func (l *ledger) resize(now time.Time) {
 	if l.shards == 0 {
 		l.bucket = nil
@@ -91,83 +93,83 @@
 		return
 	}
 	l.bucket = rate.NewLimiter(rate.Limit(perSecond), burst)
-	l.bucket.AllowN(l.place.Since, burst) // it is made full
+	l.bucket.AllowN(l.place.Since, burst) // a new rate.Limiter is full
 }
 
-// take takes the tokens of a request: those of other hosts first, as they lapse, and what
-// lacks of the own ones.
+// take takes the tokens of one request. Tokens from other hosts are taken first, because they
+// expire, and the remainder comes from this host's own bucket.
 func (l *ledger) take(now time.Time) bool {
-	l.dropLapsed(now)
-	lack := perRequest
-	for _, g := range l.given {
-		lack -= g.tokens
+	l.dropExpired(now)
+	missing := tokensPerRequest
+	for _, g := range l.grants {
+		missing -= g.tokens
 	}
-	if lack > 0 && (l.bucket == nil || !l.bucket.AllowN(now, lack)) {
+	if missing > 0 && (l.bucket == nil || !l.bucket.AllowN(now, missing)) {
 		return false
 	}
-	l.spendGiven(min(perRequest, perRequest-lack))
+	l.spendGrants(min(tokensPerRequest, tokensPerRequest-missing))
 	return true
 }
 
-// spendGiven takes tokens of other hosts, of those that lapse first.
-func (l *ledger) spendGiven(n int) {
+// spendGrants takes n tokens from other hosts, in order of their expiry.
+func (l *ledger) spendGrants(n int) {
 	for n > 0 {
-		g := &l.given[0]
+		g := &l.grants[0]
 		spent := min(n, g.tokens)
 		g.tokens -= spent
 		n -= spent
 		if g.tokens == 0 {
-			l.given = l.given[1:]
+			l.grants = l.grants[1:]
 		}
 	}
 }
 
-// sparesOne reports whether there are tokens for another request beside those that wait,
-// which came before it.
-func (l *ledger) sparesOne(now time.Time) bool {
-	return l.waiting == 0 || l.available(now) >= perRequest*(l.waiting+1)
+// coversWaiting reports whether the tokens suffice for one more request in addition to the
+// waiting requests, which arrived earlier.
+func (l *ledger) coversWaiting(now time.Time) bool {
+	return l.waiting == 0 || l.available(now) >= tokensPerRequest*(l.waiting+1)
 }
 
-func (l *ledger) dropLapsed(now time.Time) {
-	for len(l.given) > 0 && !now.Before(l.given[0].until) {
-		l.given = l.given[1:]
+func (l *ledger) dropExpired(now time.Time) {
+	for len(l.grants) > 0 && !now.Before(l.grants[0].expiresAt) {
+		l.grants = l.grants[1:]
 	}
 }
 
-// give takes up to a number of tokens out of the own shards for another host. Whoever asks
-// first gets them, as a request here would.
-func (l *ledger) give(want int, now time.Time) int {
+// grantTokens removes up to a number of tokens from this host's own bucket for another host.
+// Other hosts and local requests are served in the order of their arrival.
+func (l *ledger) grantTokens(needed int, now time.Time) int {
 	if l.bucket == nil {
 		return 0
 	}
-	n := max(0, min(want, int(l.bucket.TokensAt(now))))
+	n := max(0, min(needed, int(l.bucket.TokensAt(now))))
 	if n == 0 || !l.bucket.AllowN(now, n) {
 		return 0
 	}
 	return n
 }
 
-// receive adds tokens of another host, which was asked at a time.
-func (l *ledger) receive(tokens int, asked time.Time) {
+// receive adds the tokens that another host granted in response to a request at requestedAt.
+func (l *ledger) receive(tokens int, requestedAt time.Time) {
 	if tokens > 0 {
-		l.given = append(l.given, given{tokens: tokens, until: asked.Add(tokenLife)})
-		l.got += tokens
+		l.grants = append(l.grants, grant{tokens: tokens, expiresAt: requestedAt.Add(tokenTTL)})
+		l.received += tokens
 	}
 }
 
-// suspended has the tokens of others lapse earlier by the time for which the machine was
-// suspended.
+// suspended makes the tokens from other hosts expire earlier by the duration for which the
+// machine was suspended.
 func (l *ledger) suspended(gap time.Duration) {
-	for i := range l.given {
-		l.given[i].until = l.given[i].until.Add(-gap)
+	for i := range l.grants {
+		l.grants[i].expiresAt = l.grants[i].expiresAt.Add(-gap)
 	}
 }
 
-// available is how many whole tokens are here now.
+// available returns the number of whole tokens that this host has now.
 func (l *ledger) available(now time.Time) int {
 	n := 0
-	for _, g := range l.given {
-		if now.Before(g.until) {
+	for _, g := range l.grants {
+		if now.Before(g.expiresAt) {
 			n += g.tokens
 		}
 	}
@@ -177,56 +179,58 @@
 	return n
 }
 
-// want is how many tokens to ask others for. For those that wait it is exact: one token
-// too few, by rounding, and a request is refused that got all that it asked for.
-func (l *ledger) want(now time.Time) int {
+// tokensNeeded returns the number of tokens to request from other hosts. The number for the
+// waiting requests is not rounded, because a request that is one token short is refused even
+// if other hosts grant all requested tokens.
+func (l *ledger) tokensNeeded(now time.Time) int {
 	own := 0.0
 	if l.bucket != nil {
 		own = float64(l.bucket.Limit()) * lookahead.Seconds()
 	}
-	here := l.available(now)
-	ahead := perRequest*l.demand.perSecond(now)*lookahead.Seconds() - float64(here) - own
-	most := perRequest * max(1, l.budget.Rate*lookahead.Seconds())
-	return max(perRequest*l.waiting-here, int(min(most, ahead)))
+	available := l.available(now)
+	ahead := tokensPerRequest*l.demand.perSecond(now)*lookahead.Seconds() - float64(available) - own
+	maxAhead := tokensPerRequest * max(1, l.budget.Rate*lookahead.Seconds())
+	return max(tokensPerRequest*l.waiting-available, int(min(maxAhead, ahead)))
 }
 
-// runsLow reports whether more tokens are to be asked for before the host is out of them.
-// Where a request comes now and then, one is asked for when it comes.
-func (l *ledger) runsLow(now time.Time) bool {
-	soon := l.demand.perSecond(now) * refillBelow.Seconds()
-	return soon >= 1 && float64(l.available(now)) < perRequest*soon
+// runningLow reports whether this host should request more tokens before it has none left. At
+// a low rate of requests, tokens are requested only when a request arrives.
+func (l *ledger) runningLow(now time.Time) bool {
+	expected := l.demand.perSecond(now) * refillThreshold.Seconds()
+	return expected >= 1 && float64(l.available(now)) < tokensPerRequest*expected
 }
 
-// mayAsk reports whether holders may be asked now.
-func (l *ledger) mayAsk(now time.Time) bool { return !l.asking && !now.Before(l.pausedUntil) }
+// mayRequest reports whether a round of token requests may start now.
+func (l *ledger) mayRequest(now time.Time) bool { return !l.requesting && !now.Before(l.pausedUntil) }
 
-// maxWaiting is how many requests may wait for an answer: as many as the account may send
-// meanwhile, so that an account far above its limit doesn't fill the host with waiting
-// requests.
+// maxWaiting returns the maximum number of requests that may wait for a response. It is the
+// number of requests that the account may send within maxWait, so that an account far above
+// its limit does not fill the host with waiting requests.
 func (l *ledger) maxWaiting() int {
-	return max(minWaiting, int(l.budget.Rate*maxWait.Seconds()))
+	return max(minMaxWaiting, int(l.budget.Rate*maxWait.Seconds()))
 }
 
-// tell wakes the requests that wait for an answer.
-func (l *ledger) tell() {
-	if l.news != nil {
-		close(l.news)
-		l.news = nil
+// notify wakes the requests that wait for a response.
+func (l *ledger) notify() {
+	if l.responded != nil {
+		close(l.responded)
+		l.responded = nil
 	}
 }
 
-// listen returns a channel that is closed at the next answer.
-func (l *ledger) listen() <-chan struct{} {
-	if l.news == nil {
-		l.news = make(chan struct{})
+// nextResponse returns a channel that is closed at the next response or at the end of the
+// round.
+func (l *ledger) nextResponse() <-chan struct{} {
+	if l.responded == nil {
+		l.responded = make(chan struct{})
 	}
-	return l.news
+	return l.responded
 }
 
-// idle reports whether the ledger has nothing that a new one would not have: its bucket
-// is full, and nobody waits.
+// idle reports whether the ledger can be replaced by a new one without loss: the bucket is
+// full, there are no tokens from other hosts, and no request waits.
 func (l *ledger) idle(now time.Time) bool {
-	l.dropLapsed(now)
+	l.dropExpired(now)
 	full := l.bucket == nil || l.bucket.TokensAt(now) >= float64(l.bucket.Burst())
-	return full && len(l.given) == 0 && !l.asking && l.waiting == 0 && l.demand.perSecond(now) < idleRate
+	return full && len(l.grants) == 0 && !l.requesting && l.waiting == 0 && l.demand.perSecond(now) < maxIdleRate
 }
--- a/internal/gateway/quota/limit_test.go
+++ b/internal/gateway/quota/limit_test.go
@@ -17,17 +17,19 @@
 	return &account.Account{Name: name, Rate: rate, Burst: burst}
 }
 
-// inVirtualTime runs a test in a bubble, and lets questions end that are under way.
-func inVirtualTime(t *testing.T, play func(t *testing.T)) {
+// inVirtualTime runs a test in a synctest bubble. It waits for pending token requests at the
+// end.
+func inVirtualTime(t *testing.T, run func(t *testing.T)) {
 	synctest.Test(t, func(t *testing.T) {
 		defer time.Sleep(10 * time.Second)
-		play(t)
+		run(t)
 	})
 }
 
-// An account that sends several times its limit, at hosts that end, start, lose answers,
-// get them late and are cut off, never passes more than the bound in any window.
-func TestNoWindowSeesMoreThanTheBound(t *testing.T) {
+// The requests of an account that sends several times its limit must stay within the bound in
+// every window, although hosts stop, start and are partitioned, and although responses are
+// lost or delayed.
+func TestNoWindowAdmitsMoreThanTheBound(t *testing.T) {
 	for _, c := range []struct {
 		name                       string
 		zones, large, small, seeds int
@@ -38,103 +40,107 @@
 	} {
 		for seed := range c.seeds {
 			t.Run(fmt.Sprint(c.name, " ", seed), func(t *testing.T) {
-				inVirtualTime(t, func(t *testing.T) { playFaults(t, uint64(seed), testLayout(c.zones, c.large, c.small)) })
+				inVirtualTime(t, func(t *testing.T) { runFaults(t, uint64(seed), testLayout(c.zones, c.large, c.small)) })
 			})
 		}
 	}
 }
 
-// playFaults plays 20 s with requests at four times the limits, and faults of all kinds.
-func playFaults(t *testing.T, seed uint64, l *Layout) {
+// runFaults simulates 20 s with requests at four times the limits and with faults of all
+// kinds.
+func runFaults(t *testing.T, seed uint64, l *Layout) {
 	accounts := []*account.Account{limited("small", 6, 6), limited("large", 200, 200), limited("bare", 20, 0)}
 	c := newCluster(seed, l, accounts...)
-	c.loss, c.lag = 0.1, time.Second
-	all := c.hostsOf(func(*clusterHost) bool { return true })
+	c.loss, c.maxDelay = 0.1, time.Second
+	all := c.filterHosts(func(*clusterHost) bool { return true })
 	var wait sync.WaitGroup
 	for _, a := range accounts {
-		c.load(t, &wait, a.Name, 4*a.Rate, 20*time.Second, anyOf(all))
+		c.load(t, &wait, a.Name, 4*a.Rate, 20*time.Second, randomHost(all))
 	}
 	rng := rand.New(rand.NewPCG(seed, 3))
 	wait.Go(func() {
 		for range 40 {
 			time.Sleep(500 * time.Millisecond)
-			c.fault(rng, all)
+			c.injectFault(rng, all)
 		}
 	})
 	wait.Wait()
 	for _, a := range accounts {
-		worst := worstWindow(c.passed[a.Name], bound.Window)
-		require.LessOrEqual(t, float64(worst), bound.most(a.Rate, a.Burst), a.Name)
+		most := maxInWindow(c.admitted[a.Name], bound.Window)
+		require.LessOrEqual(t, float64(most), bound.limit(a.Rate, a.Burst), a.Name)
 	}
-	require.Greater(t, len(c.passed["large"]), 100, "requests pass all the time")
+	require.Greater(t, len(c.admitted["large"]), 100, "requests are admitted despite the faults")
 }
 
-// fault is one fault by chance.
-func (c *cluster) fault(rng *rand.Rand, all []*clusterHost) {
+// injectFault causes or ends a random fault.
+func (c *cluster) injectFault(rng *rand.Rand, all []*clusterHost) {
 	h := all[rng.IntN(len(all))]
 	switch rng.IntN(7) {
-	case 0: // a process ends
+	case 0: // one process stops
 		h.stop()
-	case 1: // all processes end at once, and start again
+	case 1: // all processes stop simultaneously and start again
 		for _, h := range all {
 			h.stop()
 			h.start()
 		}
-	case 2: // those that ended start
+	case 2: // the stopped processes start again
 		for _, h := range all {
 			if h.down {
 				h.start()
 			}
 		}
-	case 3: // a zone is cut off
-		c.setCut(func(a, b *clusterHost) bool { return (a.zone == h.zone) != (b.zone == h.zone) })
-	case 4: // all zones are
-		c.setCut(func(a, b *clusterHost) bool { return a.zone != b.zone })
-	case 5: // a host is
-		c.setCut(func(a, b *clusterHost) bool { return a == h || b == h })
-	default: // cuts end
-		c.setCut(func(_, _ *clusterHost) bool { return false })
+	case 3: // one zone is partitioned from the others
+		c.setPartition(func(a, b *clusterHost) bool { return (a.zone == h.zone) != (b.zone == h.zone) })
+	case 4: // all zones are partitioned from each other
+		c.setPartition(func(a, b *clusterHost) bool { return a.zone != b.zone })
+	case 5: // one host is partitioned from the others
+		c.setPartition(func(a, b *clusterHost) bool { return a == h || b == h })
+	default: // all partitions end
+		c.setPartition(func(_, _ *clusterHost) bool { return false })
 	}
 }
 
-func (c *cluster) setCut(cut func(a, b *clusterHost) bool) {
+func (c *cluster) setPartition(partitioned func(a, b *clusterHost) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut = cut
+	c.partitioned = partitioned
 }
 
-// A lower limit holds a window after all hosts know it.
-func TestALowerLimitHoldsOneWindowAfterItIsKnown(t *testing.T) {
+// A lowered limit must be enforced from the time at which all hosts have the new
+// configuration.
+func TestALoweredLimitIsEnforcedOnceAllHostsHaveIt(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		c := newCluster(1, testLayout(6, 2, 9), limited("a", 200, 200))
-		all := c.hostsOf((*clusterHost).large)
+		all := c.filterHosts((*clusterHost).large)
 		var wait sync.WaitGroup
-		c.load(t, &wait, "a", 400, 20*time.Second, anyOf(all))
+		c.load(t, &wait, "a", 400, 20*time.Second, randomHost(all))
 		time.Sleep(8 * time.Second)
 		c.mu.Lock()
 		c.accounts["a"] = limited("a", 20, 20)
 		c.mu.Unlock()
-		known := time.Now()
+		lowered := time.Now()
 		wait.Wait()
 		var later []time.Time
-		for _, at := range c.passed["a"] {
-			if at.After(known) {
+		for _, at := range c.admitted["a"] {
+			if at.After(lowered) {
 				later = append(later, at)
 			}
 		}
-		require.LessOrEqual(t, float64(worstWindow(later, bound.Window)), bound.most(20, 20))
+		require.LessOrEqual(t, float64(maxInWindow(later, bound.Window)), bound.limit(20, 20))
 	})
 }
 
-// Accounts that keep to their limit, with clients anywhere: the parts of the limit must
-// be where the requests are. An even part for each host refused 21 in 100 of these
-// requests on a day without any fault, as most hosts get none.
+// The tokens must be available at the hosts that receive the requests, wherever the clients
+// are. With equal shares for all hosts, 21% of the requests below the limit were refused
+// without any fault, because most hosts receive no requests of an account.
 func TestRequestsBelowTheLimitAreNotRefused(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		hosts func(*clusterHost) bool
-		use   float64
-		most  float64
+		// usedFraction is the rate of requests as a fraction of the limit.
+		usedFraction float64
+		// maxRefused is the maximum fraction of refused requests.
+		maxRefused float64
 	}{
 		{"clients everywhere", (*clusterHost).large, 0.65, 0.001},
 		{"clients of one region", func(h *clusterHost) bool { return h.large() && h.region == "r1" }, 0.65, 0.001},
@@ -144,22 +150,22 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
-				names, cl := accountsOfAllSizes(), newCluster(7, testLayout(6, 2, 9), accountsOfAllSizes()...)
-				began := time.Now()
+				accounts, cl := accountsOfAllSizes(), newCluster(7, testLayout(6, 2, 9), accountsOfAllSizes()...)
+				start := time.Now()
 				time.Sleep(3 * time.Second) // the shards fill
 				var wait sync.WaitGroup
-				for _, a := range names {
-					cl.load(t, &wait, a.Name, c.use*a.Rate, 30*time.Second, anyOf(cl.hostsOf(c.hosts)))
+				for _, a := range accounts {
+					cl.load(t, &wait, a.Name, c.usedFraction*a.Rate, 30*time.Second, randomHost(cl.filterHosts(c.hosts)))
 				}
 				wait.Wait()
-				require.LessOrEqual(t, cl.refusedOfAll(began), c.most)
-				t.Logf("refused %.5f, %d questions for %.0f requests a second", cl.refusedOfAll(began), cl.asks, c.use*totalRate(names))
+				require.LessOrEqual(t, cl.refusedFraction(start), c.maxRefused)
+				t.Logf("refused %.5f, %d token requests for %.0f requests per second", cl.refusedFraction(start), cl.tokenRequests, c.usedFraction*totalRate(accounts))
 			})
 		})
 	}
 }
 
-// accountsOfAllSizes are 30 accounts, a few of them large.
+// accountsOfAllSizes returns 30 accounts, a few of them with high limits.
 func accountsOfAllSizes() []*account.Account {
 	var out []*account.Account
 	for i := range 30 {
@@ -185,94 +191,98 @@
 	return sum
 }
 
-// refusedOfAll is the part of all accounts' requests since a moment that were refused.
-func (c *cluster) refusedOfAll(since time.Time) float64 {
-	refused, passed := 0, 0
+// refusedFraction returns the fraction of all accounts' requests since a time that were
+// refused.
+func (c *cluster) refusedFraction(since time.Time) float64 {
+	refused, admitted := 0, 0
 	for name := range c.accounts {
 		for _, at := range c.refused[name] {
 			if !at.Before(since) {
 				refused++
 			}
 		}
-		for _, at := range c.passed[name] {
+		for _, at := range c.admitted[name] {
 			if !at.Before(since) {
-				passed++
+				admitted++
 			}
 		}
 	}
-	return float64(refused) / float64(max(1, refused+passed))
+	return float64(refused) / float64(max(1, refused+admitted))
 }
 
-// Four fifths of an account's clients move to another region at once.
-func TestWhatIsRefusedWhenClientsMove(t *testing.T) {
+// At most 1% of the requests may be refused right after four fifths of each account's clients
+// move to another region simultaneously.
+func TestFewRequestsAreRefusedWhenClientsMove(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		accounts := accountsOfAllSizes()
 		c := newCluster(3, testLayout(6, 2, 9), accounts...)
 		time.Sleep(3 * time.Second)
-		before := c.hostsOf(func(h *clusterHost) bool { return h.large() && h.region == "r0" })
-		after := c.hostsOf(func(h *clusterHost) bool { return h.large() && h.region == "r1" })
+		before := c.filterHosts(func(h *clusterHost) bool { return h.large() && h.region == "r0" })
+		after := c.filterHosts(func(h *clusterHost) bool { return h.large() && h.region == "r1" })
 		moved := time.Now().Add(10 * time.Second)
 		var wait sync.WaitGroup
 		for _, a := range accounts {
 			c.load(t, &wait, a.Name, 0.65*a.Rate, 12*time.Second, func(rng *rand.Rand) *clusterHost {
 				if time.Now().Before(moved) || rng.IntN(5) == 0 {
-					return anyOf(before)(rng)
+					return randomHost(before)(rng)
 				}
-				return anyOf(after)(rng)
+				return randomHost(after)(rng)
 			})
 		}
 		wait.Wait()
-		t.Logf("refused %.5f", c.refusedOfAll(moved))
-		require.LessOrEqual(t, c.refusedOfAll(moved), 0.01)
+		t.Logf("refused %.5f", c.refusedFraction(moved))
+		require.LessOrEqual(t, c.refusedFraction(moved), 0.01)
 	})
 }
 
-// bytesPerQuestion is about what a question and its answer take, frames included.
-const bytesPerQuestion = 100
+// bytesPerTokenRequest is the approximate size of a token request and its response, including
+// their frames.
+const bytesPerTokenRequest = 100
 
-// An account far above its limit is refused at once, and others feel nothing.
-func TestAnAccountAboveItsLimitSlowsNobody(t *testing.T) {
-	play := func(hot float64) (other float64, asks int) {
+// The requests of an account far above its limit must not lead to refusals of other accounts'
+// requests, and may cost only a few token requests.
+func TestAnAccountAboveItsLimitDoesNotAffectOthers(t *testing.T) {
+	run := func(hotUse float64) (refused float64, tokenRequests int) {
 		inVirtualTime(t, func(t *testing.T) {
 			c := newCluster(5, testLayout(6, 2, 9), accountsOfAllSizes()...)
 			c.accounts["hot"] = limited("hot", 50, 50)
-			began := time.Now()
+			start := time.Now()
 			time.Sleep(3 * time.Second)
 			var wait sync.WaitGroup
 			for name, a := range c.accounts {
 				use := 0.65
 				if name == "hot" {
-					use = hot
+					use = hotUse
 				}
-				c.load(t, &wait, name, use*a.Rate, 10*time.Second, anyOf(c.hostsOf((*clusterHost).large)))
+				c.load(t, &wait, name, use*a.Rate, 10*time.Second, randomHost(c.filterHosts((*clusterHost).large)))
 			}
 			wait.Wait()
-			passed := len(c.passed["hot"])
-			if hot > 1 {
-				require.Greater(t, float64(passed), 0.9*50*10, "what is allowed passes")
+			admitted := len(c.admitted["hot"])
+			if hotUse > 1 {
+				require.Greater(t, float64(admitted), 0.9*50*10, "requests within the limit are admitted")
 			}
 			delete(c.accounts, "hot")
-			other, asks = c.refusedOfAll(began), c.asks
+			refused, tokenRequests = c.refusedFraction(start), c.tokenRequests
 		})
-		return other, asks
+		return refused, tokenRequests
 	}
-	calm, calmAsks := play(0.65)
-	other, asks := play(20)
-	t.Logf("others refused: %.5f without, %.5f with it; questions %d and %d", calm, other, calmAsks, asks)
-	require.LessOrEqual(t, other, 0.001)
-	perHost := float64(asks-calmAsks) / 10 / float64(2*6)
-	require.Less(t, perHost*bytesPerQuestion, 4096.0, "bytes a second that it costs each of the hosts")
+	baseRefused, baseRequests := run(0.65)
+	refused, tokenRequests := run(20)
+	t.Logf("refused of other accounts: %.5f below the limit, %.5f above it; token requests: %d and %d", baseRefused, refused, baseRequests, tokenRequests)
+	require.LessOrEqual(t, refused, 0.001)
+	perHost := float64(tokenRequests-baseRequests) / 10 / float64(2*6)
+	require.Less(t, perHost*bytesPerTokenRequest, 4096.0, "additional bytes per second at each host")
 }
 
-// A host whose shards are empty and whose holders had nothing refuses at once.
+// A host whose shards are empty must refuse immediately if no other holder had tokens recently.
 func TestARequestAboveTheLimitDoesNotWait(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		c := newCluster(5, testLayout(6, 2, 9), limited("a", 6, 6))
-		h := c.hostsOf((*clusterHost).large)[0]
+		h := c.filterHosts((*clusterHost).large)[0]
 		for range 200 {
 			h.request(t, "a")
 		}
-		began, waited := time.Now(), 0
+		start, waited := time.Now(), 0
 		for range 100 {
 			before := time.Now()
 			h.request(t, "a")
@@ -281,12 +291,13 @@
 			}
 		}
 		require.Less(t, waited, 10)
-		t.Logf("%d of 100 waited, %s in all", waited, time.Since(began))
+		t.Logf("%d of 100 waited, %s in total", waited, time.Since(start))
 	})
 }
 
-// Clients that were refused are not told to return together.
-func TestRefusedClientsReturnSpreadAndLaterTheMoreThereAre(t *testing.T) {
+// Refused clients must not retry simultaneously, and the delay must grow with the number of
+// refusals.
+func TestRetryAfterIsRandomizedAndGrowsWithTheRefusals(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		c := newCluster(5, testLayout(1, 1, 0), limited("a", 10, 10))
 		h := c.hosts["z0-large-0"]
@@ -306,8 +317,8 @@
 		seen := map[time.Duration]bool{}
 		for _, d := range last {
 			seen[d] = true
-			require.LessOrEqual(t, d, mostRetry*3/2)
-			require.GreaterOrEqual(t, d, leastRetry/2)
+			require.LessOrEqual(t, d, maxRetryAfter*3/2)
+			require.GreaterOrEqual(t, d, minRetryAfter/2)
 		}
 		require.Greater(t, len(seen), len(last)/2)
 		require.Greater(t, mean(last), mean(first))
@@ -322,29 +333,30 @@
 	return sum / time.Duration(max(1, len(ds)))
 }
 
-// While all zones are cut off from each other, each has its own shards and no others.
-func TestWhatIsRefusedWhileZonesAreCutApart(t *testing.T) {
+// At most 5% of the requests may be refused while all zones are partitioned from each other,
+// so that each zone has only its own shards.
+func TestFewRequestsAreRefusedWhileZonesArePartitioned(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		accounts := accountsOfAllSizes()
 		c := newCluster(3, testLayout(6, 2, 9), accounts...)
-		c.cut = func(a, b *clusterHost) bool { return a.zone != b.zone }
+		c.partitioned = func(a, b *clusterHost) bool { return a.zone != b.zone }
 		time.Sleep(3 * time.Second)
-		began := time.Now()
+		start := time.Now()
 		var wait sync.WaitGroup
 		for _, a := range accounts {
-			c.load(t, &wait, a.Name, 0.65*a.Rate, 20*time.Second, anyOf(c.hostsOf((*clusterHost).large)))
+			c.load(t, &wait, a.Name, 0.65*a.Rate, 20*time.Second, randomHost(c.filterHosts((*clusterHost).large)))
 		}
 		wait.Wait()
-		t.Logf("refused %.5f", c.refusedOfAll(began))
-		require.LessOrEqual(t, c.refusedOfAll(began), 0.05)
+		t.Logf("refused %.5f", c.refusedFraction(start))
+		require.LessOrEqual(t, c.refusedFraction(start), 0.05)
 	})
 }
 
-// Hosts of a small account held a part of a request each. One asked others for exactly
-// what it lacked, got it, and refused the request all the same: what it asked for had been
-// rounded down, by one token in a thousand. On a day with hosts stopped in turn 80 of 83
-// refusals below the limit said that all had come that was asked for.
-func TestARequestThatGetsAllItAsksForPasses(t *testing.T) {
+// Each host of a small account had tokens for only a fraction of a request. A host requested
+// the missing tokens from others, received all of them, and still refused the request, because
+// the requested number had been rounded down by one of a thousand tokens. This was the cause of
+// 80 of 83 refusals below the limit while hosts were stopped one after the other.
+func TestARequestIsAdmittedIfAllRequestedTokensAreReceived(t *testing.T) {
 	now := time.Unix(1000, 0)
 	place := &Place{Layout: testLayout(6, 2, 9), Holds: true, Since: now}
 	for tenths := range 2000 {
@@ -355,32 +367,33 @@
 			continue
 		}
 		l.waiting = 1
-		l.receive(l.want(at), at)
+		l.receive(l.tokensNeeded(at), at)
 		require.True(t, l.take(at), "after %s", at.Sub(now))
 	}
 }
 
-// Tokens that a host kept would add to what their holder has filled again meanwhile.
-func TestTokensOfOtherHostsLapse(t *testing.T) {
+// Tokens from other hosts must expire, because tokens that a host kept would add to those with
+// which their holder has refilled its bucket in the meantime.
+func TestTokensFromOtherHostsExpire(t *testing.T) {
 	now := time.Unix(1000, 0)
-	place := &Place{Layout: testLayout(6, 2, 9), Since: now} // it holds nothing itself
+	place := &Place{Layout: testLayout(6, 2, 9), Since: now} // this host holds no shards
 	for _, c := range []struct {
 		name      string
 		used      time.Duration
 		suspended time.Duration
-		passes    bool
+		admitted  bool
 	}{
 		{"used at once", 0, 0, true},
-		{"used late", tokenLife - time.Millisecond, 0, true},
-		{"too late", tokenLife, 0, false},
-		{"after the machine was suspended", 0, tokenLife, false},
+		{"used late", tokenTTL - time.Millisecond, 0, true},
+		{"used too late", tokenTTL, 0, false},
+		{"after the machine was suspended", 0, tokenTTL, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := &ledger{}
 			l.update(limited("a", 3, 3), place, bound, "z0-large-0", "z0", now)
-			l.receive(perRequest, now)
+			l.receive(tokensPerRequest, now)
 			l.suspended(c.suspended)
-			require.Equal(t, c.passes, l.take(now.Add(c.used)))
+			require.Equal(t, c.admitted, l.take(now.Add(c.used)))
 		})
 	}
 }
--- a/internal/gateway/quota/limiter.go
+++ b/internal/gateway/quota/limiter.go
@@ -10,46 +10,50 @@
 )
 
 const (
-	// maxWait is how long a request may wait for tokens of other hosts: three round trips
-	// between distant regions, and far below the time that clients wait. Of requests
-	// below the limit from clients of one region 0.6 of 1,000 were refused, and 4.8 with
-	// 200 ms (TestRequestsBelowTheLimitAreNotRefused).
+	// maxWait is the maximum time for which a request waits for tokens from other hosts.
+	// It is three round trips between distant regions, and far shorter than client
+	// timeouts. Of requests below the limit from clients of one region, 0.6 of 1,000 were
+	// refused, and 4.8 with a maxWait of 200 ms (TestRequestsBelowTheLimitAreNotRefused).
 	maxWait = 250 * time.Millisecond
-	// minWaiting is how many requests of an account may wait at the least.
-	minWaiting = 4
-	// idleRate is the rate of requests, in a second, below which an account counts as
-	// idle: it has sent none for some seconds.
-	idleRate = 0.01
-
-	// leastPause and mostPause bound the time for which no holder is asked after none
-	// had a token. It doubles up to maxDoublings times, and a half more or less is drawn
-	// at random, so that hosts don't ask together.
-	leastPause   = 100 * time.Millisecond
-	mostPause    = time.Second
+	// minMaxWaiting is the minimum number of requests of an account that are allowed to
+	// wait at the same time.
+	minMaxWaiting = 4
+	// maxIdleRate is the rate of requests per second below which an account is idle. The
+	// rate is reached some seconds after the last request.
+	maxIdleRate = 0.01
+
+	// minPause and maxPause limit the pause between rounds of token requests when no
+	// holder has tokens. The pause doubles up to maxDoublings times and is randomized by
+	// half its length in both directions, so that hosts do not send requests
+	// simultaneously.
+	minPause     = 100 * time.Millisecond
+	maxPause     = time.Second
 	maxDoublings = 4
 
-	// leastRetry and mostRetry bound the time after which the client of a refused
-	// request is told to return.
-	leastRetry = 200 * time.Millisecond
-	mostRetry  = 3 * time.Second
+	// minRetryAfter and maxRetryAfter limit the delay after which the client of a refused
+	// request should retry, before it is randomized.
+	minRetryAfter = 200 * time.Millisecond
+	maxRetryAfter = 3 * time.Second
 )
 
-// Hosts is this host's view of the hosts that share the limits.
+// Hosts gives access to the hosts that share the limits.
 type Hosts interface {
-	// Place gives the newest place; the same pointer until it changes.
+	// Place returns the current place of this host. The pointer stays the same until the
+	// place changes.
 	Place() *Place
-	// AskTokens asks a host for tokens.
-	AskTokens(ctx context.Context, host string, ask Ask) (Answer, error)
+	// AskTokens requests tokens from a host.
+	AskTokens(ctx context.Context, host string, request Ask) (Answer, error)
 }
 
-// Ask asks a host for tokens of an account, perRequest for each request. It is on the
-// wire.
+// Ask is a request for tokens of an account, with tokensPerRequest tokens for each client
+// request. It is sent to other hosts as msgpack.
 type Ask struct {
 	Account string `msgpack:"a"`
 	Tokens  int    `msgpack:"n"`
 }
 
-// Answer is the tokens that the host has taken out of its shards. It is on the wire.
+// Answer is the response to an Ask: the number of tokens that the holder has removed from
+// its shards. It is sent as msgpack.
 type Answer struct {
 	Tokens int `msgpack:"n"`
 }
@@ -57,30 +61,30 @@
 // Counter counts events by metric name. *telemetry.Metrics implements it.
 type Counter interface{ Add(metric string, n int) }
 
-// Refusal says why a request may not pass.
+// Refusal describes why a request was refused.
 type Refusal struct {
-	// RetryAfter is when the client should return.
+	// RetryAfter is the delay after which the client should retry.
 	RetryAfter time.Duration
-	// Shards is how many of the account's shards this host holds, of how many, and Rate
-	// what all shards have, in requests a second.
+	// Shards is the number of the account's shards that this host holds, and Of the total
+	// number of the account's shards. Rate is the rate of all shards, in requests per
+	// second.
 	Shards, Of int
 	Rate       float64
-	// Asked and Got are for how many requests other hosts were asked for tokens last, and
-	// for how many they gave them.
+	// Asked and Got are the tokens that this host requested from other hosts and received
+	// in the last round, in requests.
 	Asked, Got float64
 }
 
-// Options are the parts of a Limiter. All are required.
+// Options are the settings and dependencies of a Limiter. All are required.
 type Options struct {
-	// Host, Zone and Region are this host's.
+	// Host, Zone and Region are the names of this host, its zone and its region.
 	Host, Zone, Region string
 	Bound              Bound
 	Hosts              Hosts
 	Metrics            Counter
 }
 
-// Limiter holds this host's part of the limits of all accounts. It is safe for concurrent
-// use.
+// Limiter enforces the limits of all accounts on this host. It is safe for concurrent use.
 type Limiter struct {
 	Options
 
@@ -88,12 +92,12 @@
 	ledgers map[string]*ledger
 }
 
-// NewLimiter makes the limiter of a host that has just started: its shards are empty.
+// NewLimiter returns the limiter of a host that has just started. Its shards are empty.
 func NewLimiter(o Options) *Limiter { return &Limiter{Options: o, ledgers: map[string]*ledger{}} }
 
-// Admit reports whether a request of an account may pass, and takes its token. It waits
-// up to maxWait for tokens of other hosts where they may have some, and refuses at once
-// where they had none a moment ago.
+// Admit reports whether a request of an account is within the account's limit, and takes the
+// tokens of the request. It waits up to maxWait for tokens from other hosts if they may have
+// some, and refuses immediately if they recently had none.
 func (l *Limiter) Admit(ctx context.Context, a *account.Account) (Refusal, bool) {
 	if !a.Limited() {
 		return Refusal{}, true
@@ -103,9 +107,9 @@
 	now := time.Now()
 	led := l.ledger(a, now)
 	led.demand.add(now)
-	if led.sparesOne(now) && led.take(now) {
-		if led.runsLow(now) {
-			l.ask(led, now)
+	if led.coversWaiting(now) && led.take(now) {
+		if led.runningLow(now) {
+			l.startRound(led, now)
 		}
 		return Refusal{}, true
 	}
@@ -115,30 +119,30 @@
 	return l.refuse(led, time.Now()), false
 }
 
-// wait waits for a token of other hosts; l.mu is held when it is called and when it
-// returns.
+// wait waits for tokens from other hosts and reports whether it took the tokens of one
+// request. l.mu must be held when wait is called, and is held when it returns.
 func (l *Limiter) wait(ctx context.Context, led *ledger) bool {
 	led.waiting++
 	defer func() { led.waiting-- }()
 	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	for {
-		l.ask(led, time.Now())
-		if !led.asking {
+		l.startRound(led, time.Now())
+		if !led.requesting {
 			return false
 		}
-		news := led.listen()
+		responded := led.nextResponse()
 		l.mu.Unlock()
-		lapsed := false
+		aborted := false
 		select {
-		case <-news:
+		case <-responded:
 		case <-timer.C:
-			lapsed = true
+			aborted = true
 		case <-ctx.Done():
-			lapsed = true
+			aborted = true
 		}
 		l.mu.Lock()
-		if lapsed {
+		if aborted {
 			return false
 		}
 		if led.take(time.Now()) {
@@ -147,18 +151,20 @@
 	}
 }
 
-// refuse gives when the client should return: by then as many tokens are expected as
-// requests were refused lately, each at a moment of its own.
+// refuse returns the refusal of a request. By the end of the delay in RetryAfter, enough
+// tokens are expected for all recently refused requests. The delay is randomized, so that
+// clients retry at different times.
 func (l *Limiter) refuse(led *ledger, now time.Time) Refusal {
 	led.refused.add(now)
-	after := time.Duration(led.refused.perSecond(now) / max(led.budget.Rate, 1) * float64(time.Second))
-	after = min(max(after, leastRetry), mostRetry)
+	delay := time.Duration(led.refused.perSecond(now) / max(led.budget.Rate, 1) * float64(time.Second))
+	delay = min(max(delay, minRetryAfter), maxRetryAfter)
 	return Refusal{
-		RetryAfter: after/2 + rand.N(after), Shards: led.shards, Of: led.budget.Shards, Rate: led.budget.Rate, Asked: float64(led.asked) / perRequest, Got: float64(led.got) / perRequest,
+		RetryAfter: delay/2 + rand.N(delay), Shards: led.shards, Of: led.budget.Shards, Rate: led.budget.Rate, Asked: float64(led.requested) / tokensPerRequest, Got: float64(led.received) / tokensPerRequest,
 	}
 }
 
-// ledger returns an account's ledger, fitted to what is in force; l.mu is held.
+// ledger returns the ledger of an account, updated to the current configuration and place.
+// l.mu must be held.
 func (l *Limiter) ledger(a *account.Account, now time.Time) *ledger {
 	led := l.ledgers[a.Name]
 	if led == nil {
@@ -169,8 +175,8 @@
 	return led
 }
 
-// Give takes tokens for another host out of this host's shards. The account is that of the
-// name in the configuration that is in force here; nil gives none.
+// Give removes up to a number of tokens from this host's shards for another host. The
+// account is taken from this host's current configuration. A nil account has no tokens.
 func (l *Limiter) Give(a *account.Account, tokens int) Answer {
 	if a == nil || !a.Limited() {
 		return Answer{}
@@ -178,12 +184,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	n := l.ledger(a, now).give(tokens, now)
-	l.Metrics.Add("cairndock_quota_given_requests_total", n/perRequest)
+	n := l.ledger(a, now).grantTokens(tokens, now)
+	l.Metrics.Add("cairndock_quota_given_requests_total", n/tokensPerRequest)
 	return Answer{Tokens: n}
 }
 
-// Suspended corrects what is believed by its age after the machine was suspended.
+// Suspended corrects the expiry of tokens from other hosts after the machine was suspended
+// for the duration gap.
 func (l *Limiter) Suspended(gap time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -192,7 +199,7 @@
 	}
 }
 
-// CleanUp forgets accounts that send nothing, once their shards are full again.
+// CleanUp drops the state of idle accounts whose shards are full.
 func (l *Limiter) CleanUp(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/gateway/quota/meter.go
+++ b/internal/gateway/quota/meter.go
@@ -5,26 +5,28 @@
 	"time"
 )
 
-// meterOver is the time over which a rate is averaged: long enough that single requests
-// don't count, short enough that clients that move are followed within a second.
-const meterOver = time.Second
+// meterPeriod is the time constant of a meter. It is long enough that single requests
+// hardly change the rate, and short enough that the rate follows clients that move between
+// hosts within a second.
+const meterPeriod = time.Second
 
-// meter is a rate, averaged with exponentially falling weights. The zero value is none.
+// meter is an event rate, averaged with exponentially decreasing weights. The zero value
+// is a rate of zero.
 type meter struct {
-	rate float64
-	at   time.Time
+	rate      float64
+	updatedAt time.Time
 }
 
-// add counts an event now.
+// add records an event.
 func (m *meter) add(now time.Time) {
-	m.rate = m.perSecond(now) + 1/meterOver.Seconds()
-	m.at = now
+	m.rate = m.perSecond(now) + 1/meterPeriod.Seconds()
+	m.updatedAt = now
 }
 
-// perSecond is the rate now, in events a second.
+// perSecond returns the current rate, in events per second.
 func (m *meter) perSecond(now time.Time) float64 {
-	if m.at.IsZero() {
+	if m.updatedAt.IsZero() {
 		return 0
 	}
-	return m.rate * math.Exp(-max(0, now.Sub(m.at).Seconds())/meterOver.Seconds())
+	return m.rate * math.Exp(-max(0, now.Sub(m.updatedAt).Seconds())/meterPeriod.Seconds())
 }
