--- a/internal/gateway/warmup/doc.go
+++ b/internal/gateway/warmup/doc.go
@@ -1,8 +1,9 @@
-// Package warmup has the terms in which hosts keep the rate of a cold (warming-up)
-// upstream together, without a message between them: each sends its quota of it in
-// any second, and no more.
+// Package warmup defines how hosts limit the rate of requests to a cold (warming-up)
+// upstream together without exchanging messages: each host sends at most its quota to the
+// upstream in any second.
 //
-// It owns what a quota is, why a host has none (Quota), and the count of what one
-// host sent to an upstream (Sends). Package fleet splits the rate into quotas, and
-// package balance holds requests to them. It has no lock and no clock.
+// The package defines the quota, the reasons why a host has none (Quota), and the count of
+// the requests that one host sent to an upstream (Sends). Package fleet divides the rate
+// into quotas, and package balance enforces them. This package has neither locks nor a
+// clock.
 package warmup
--- a/internal/gateway/warmup/quota.go
+++ b/internal/gateway/warmup/quota.go
@@ -1,32 +1,33 @@
 package warmup
 
-// Quota is one host's part of the rate of a cold upstream.
+// Quota is one host's share of the rate of requests to a cold upstream.
 type Quota struct {
-	// Requests is how many requests a second the host may send there.
+	// Requests is the number of requests per second that the host may send to the upstream.
 	Requests int
-	// Hosts is how many known hosts the rate is split over, this one included.
+	// Hosts is the number of known hosts that share the rate, including this host.
 	Hosts int
-	// Withheld says why the host has no part; then Requests is zero.
+	// Withheld is the reason why the host has no share. If it is set, Requests is zero.
 	Withheld Withheld
 }
 
-// Withheld is why a host has no part of a cold upstream's rate.
+// Withheld is the reason why a host has no share of a cold upstream's rate.
 type Withheld string
 
 const (
-	// NotWithheld is for a host that has a part, which may be zero where the
-	// rate has fewer requests than hosts.
+	// NotWithheld means that the host has a share. The share may be zero if the rate has
+	// fewer requests per second than there are hosts.
 	NotWithheld Withheld = ""
-	// Starting is a process younger than Window: the one before it may have
-	// used the host's part.
+	// Starting means that the process started less than Window ago. The previous process
+	// may have used the host's share within that time.
 	Starting Withheld = "starting"
-	// HostsUnknown is a host that has not read who shares the rate, or has read
-	// it less than a Window ago: they may not know of it yet, and one that left
-	// just before may have used its part.
+	// HostsUnknown means that the host has not read the list of hosts that share the rate,
+	// or read it for the first time less than Window ago. The other hosts may not know of
+	// this host yet, and a host that left just before may have used this host's share.
 	HostsUnknown Withheld = "hosts-unknown"
-	// Stopping is a host that has withdrawn itself: a host that starts now does
-	// not find it.
+	// Stopping means that the host has deregistered itself. Hosts that start afterwards do
+	// not take it into account.
 	Stopping Withheld = "stopping"
-	// OwnRegion leaves the upstream to the live hosts of its own region.
+	// OwnRegion means that the upstream's rate is reserved for the live hosts of the
+	// upstream's region.
 	OwnRegion Withheld = "own-region"
 )
--- a/internal/gateway/warmup/sends.go
+++ b/internal/gateway/warmup/sends.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// Window is the time over which requests are counted against a quota. The
-// platform's bound counts what is sent and arrives in any one second; the rest
-// allows for the time between writing a request and noting that it was
-// written.
+// Window is the period over which requests count against a quota. The platform's
+// limit applies to the requests that are sent and arrive within any one second.
+// The remaining 150 ms allow for the time between writing a request and recording
+// that it was written.
 const Window = 1150 * time.Millisecond
 
-// Sends are the requests for which a host has lately chosen one upstream. The zero
-// value has none. Each counts from the choice on, and until Window has passed since
-// it was sent: a request may wait for a new connection or for processor time, and
-// comes together with those chosen later. Requests count whether the upstream was
-// cold or warm, as it turns cold at any moment.
+// Sends are the requests for which a host recently selected one upstream. The zero
+// value is empty. A request counts from the selection of its upstream until Window
+// has passed since the request was sent, because it may wait for a new connection
+// or for processor time and then arrive together with later requests. Requests to
+// a warm upstream count too, because the upstream may become cold at any time.
 type Sends struct{ sends []*Send }
 
-// Send is one request for which an upstream was chosen.
+// Send is one request for which an upstream was selected.
 type Send struct {
-	// at is when it was sent, or chosen if it was not sent.
+	// at is the time when the request was sent, or the time of the selection if the
+	// request has not been sent.
 	at time.Time
-	// waiting is set until it is sent or ends.
+	// waiting is set until the request is sent or ends.
 	waiting bool
-	// cold is set when the upstream counted as cold.
+	// cold is set if the upstream was cold when it was selected.
 	cold bool
 }
 
-// Add adds a request for which the upstream is chosen now.
+// Add adds a request for which the upstream is selected now.
 func (s *Sends) Add(now time.Time, cold bool) *Send {
 	s.trim(now)
 	x := &Send{at: now, waiting: true, cold: cold}
@@ -36,24 +37,25 @@
 	return x
 }
 
-// Sent notes that the request was sent.
+// Sent records that the request was sent.
 func (x *Send) Sent(now time.Time) {
 	if x.waiting {
 		x.at, x.waiting = now, false
 	}
 }
 
-// End notes that the request has ended. One that was not sent counts from its
-// choice.
+// End records that the request has ended. A request that was not sent stops counting
+// when Window has passed since the selection of its upstream.
 func (x *Send) End() { x.waiting = false }
 
-// Count is how many requests count against the quota.
+// Count returns the number of requests that count against the quota.
 func (s *Sends) Count(now time.Time) int {
 	s.trim(now)
 	return len(s.sends)
 }
 
-// Cold is how many of these were chosen for while the upstream counted as cold.
+// Cold returns the number of counted requests for which the upstream was selected
+// while it was cold.
 func (s *Sends) Cold(now time.Time) int {
 	s.trim(now)
 	n := 0
@@ -65,7 +67,7 @@
 	return n
 }
 
-// trim drops the requests that do not count any more.
+// trim drops the requests that no longer count against the quota.
 func (s *Sends) trim(now time.Time) {
 	s.sends = slices.DeleteFunc(s.sends, func(x *Send) bool { return !x.waiting && now.Sub(x.at) >= Window })
 }
--- a/internal/gateway/warmup/sends_test.go
+++ b/internal/gateway/warmup/sends_test.go
@@ -31,28 +31,28 @@
 	}
 }
 
-func TestARequestThatWaitsCountsUntilAWindowAfterItWasSent(t *testing.T) {
+func TestAWaitingRequestCountsUntilAWindowAfterItIsSent(t *testing.T) {
 	const wait = 5 * time.Second
 	now := time.Now()
 	for _, c := range []struct {
 		name string
 		end  func(x *Send)
-		// until is when it stops counting, after its choice.
-		until time.Duration
+		// countedFor is the time from the selection countedFor the request no longer counts.
+		countedFor time.Duration
 	}{
 		{"sent late", func(x *Send) { x.Sent(now.Add(wait)) }, wait + Window},
 		{"sent late and ended", func(x *Send) { x.Sent(now.Add(wait)); x.End() }, wait + Window},
-		{"sent at once, noted twice", func(x *Send) { x.Sent(now); x.Sent(now.Add(wait)) }, Window},
+		{"sent immediately, recorded twice", func(x *Send) { x.Sent(now); x.Sent(now.Add(wait)) }, Window},
 		{"ended without being sent", func(x *Send) { x.End() }, Window},
-		{"ended before it could be noted as sent", func(x *Send) { x.End(); x.Sent(now.Add(wait)) }, Window},
+		{"ended before it was recorded as sent", func(x *Send) { x.End(); x.Sent(now.Add(wait)) }, Window},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var s Sends
 			x := s.Add(now, true)
-			require.Equal(t, 1, s.Count(now.Add(wait)), "it waits")
+			require.Equal(t, 1, s.Count(now.Add(wait)), "the request is still waiting")
 			c.end(x)
-			require.Equal(t, 1, s.Count(now.Add(c.until-1)))
-			require.Zero(t, s.Count(now.Add(c.until)))
+			require.Equal(t, 1, s.Count(now.Add(c.countedFor-1)))
+			require.Zero(t, s.Count(now.Add(c.countedFor)))
 		})
 	}
 }
