--- a/internal/gateway/account/account.go
+++ b/internal/gateway/account/account.go
@@ -1,9 +1,10 @@
-// Package account holds the client accounts of the operator configuration: whose
-// requests are served, under which limit and where.
+// Package account holds the client accounts of the operator configuration: their keys,
+// their rate limits and the regions that may serve their requests.
 //
-// A client proves by a key which account its requests belong to. A Set finds the
-// account of a key; it is immutable, and a part of one version of the configuration
-// (package route). Keys are secrets: no method returns one, and no error names one.
+// A client authenticates with a key, which identifies the account of its requests. A Set
+// looks up the account of a key. A Set is immutable and belongs to one version of the
+// configuration (package route). Keys are secrets: no method returns a key, and no error
+// contains one.
 package account
 
 import (
@@ -12,22 +13,23 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxKeyBytes is the longest key that a request may carry, in bytes. No key that people
-// or programs make is as long; a longer one is not looked up, as its hash would cost
-// every host time that the sender need not spend.
+// maxKeyBytes is the maximum length of a key in a request, in bytes. Keys in use are
+// shorter. A longer key is not looked up, because hashing it would cost the host more time
+// than it costs the client to send it.
 const maxKeyBytes = 1024
 
 // Account is a client account.
 type Account struct {
-	// Name identifies the account in logs, metrics and towards upstreams.
+	// Name identifies the account in logs, in metrics and in requests to upstreams.
 	Name string
-	// Priority orders requests under overload in place of their route's; nil leaves
-	// the route's. 0 is the most urgent.
+	// Priority is the priority of the account's requests under overload. It overrides the
+	// priority of the route unless it is nil. 0 is the most urgent.
 	Priority *int
-	// Rate is the requests a second that the account may send over all hosts, and Burst
-	// how many more at once. A zero Rate is no limit.
+	// Rate is the limit in requests per second over all hosts, and Burst the number of
+	// requests that may exceed it at once. A Rate of zero means no limit.
 	Rate, Burst float64
-	// Regions are those in which the account's requests may be served; empty is any.
+	// Regions are the regions that may serve the account's requests. Empty means any
+	// region.
 	Regions []string
 }
 
@@ -36,7 +38,7 @@
 	return len(a.Regions) == 0 || slices.Contains(a.Regions, region)
 }
 
-// Limited reports whether the account has a limit.
+// Limited reports whether the account has a rate limit.
 func (a *Account) Limited() bool { return a.Rate > 0 }
 
 // Entry is an account with the keys that belong to it.
@@ -45,17 +47,17 @@
 	Keys    []string
 }
 
-// Set is the accounts of one version of the configuration. A nil Set is a configuration
-// without accounts, where no request needs a key.
+// Set is the set of accounts of one version of the configuration. A nil Set is a
+// configuration without accounts, in which requests need no key.
 type Set struct {
 	byKey  map[string]*Account
 	byName map[string]*Account
-	// bound has the parts of BoundParts.
-	bound map[string]float64
+	// boundFractions is the result of BoundParts.
+	boundFractions map[string]float64
 }
 
-// NewSet makes a set. An empty key belongs to nobody. The error names the accounts that
-// share a key, or the one whose figures no account can have.
+// NewSet returns a set of accounts. Empty keys are ignored. NewSet returns an error with the
+// names of the accounts if two accounts share a key, or if a name, rate or burst is invalid.
 func NewSet(entries []Entry) (*Set, error) {
 	s := &Set{byKey: map[string]*Account{}, byName: make(map[string]*Account, len(entries))}
 	for i := range entries {
@@ -63,13 +65,14 @@
 			return nil, err
 		}
 	}
-	s.bound = boundParts(entries)
+	s.boundFractions = boundFractions(entries)
 	return s, nil
 }
 
-// boundParts sums up the rates of accounts that have homes, by region, as parts of the
-// rates of all. An account of several regions counts in each with an equal part.
-func boundParts(entries []Entry) map[string]float64 {
+// boundFractions sums up the rates of the accounts that are restricted to regions, by region,
+// as fractions of the total rate. The rate of an account with several regions is divided
+// equally among them.
+func boundFractions(entries []Entry) map[string]float64 {
 	total, bound := 0.0, map[string]float64{}
 	for i := range entries {
 		a := &entries[i].Account
@@ -109,7 +112,7 @@
 	switch {
 	case a.Name == "":
 		return eris.New("account: its name must be set")
-	case !(a.Rate >= 0): // also not a number
+	case !(a.Rate >= 0): // also catches NaN
 		return eris.Errorf("account %q: rate must not be below 0", a.Name)
 	case !(a.Burst >= 0):
 		return eris.Errorf("account %q: burst must not be below 0", a.Name)
@@ -117,7 +120,7 @@
 	return nil
 }
 
-// ByKey returns the account that a key belongs to.
+// ByKey returns the account of a key.
 func (s *Set) ByKey(key string) (*Account, bool) {
 	if s == nil || key == "" || len(key) > maxKeyBytes {
 		return nil, false
@@ -126,7 +129,7 @@
 	return a, ok
 }
 
-// ByName returns the account of a name.
+// ByName returns the account with a name.
 func (s *Set) ByName(name string) (*Account, bool) {
 	if s == nil {
 		return nil, false
@@ -135,16 +138,17 @@
 	return a, ok
 }
 
-// BoundParts gives, by region, which part of all requests may be served there only, from
-// 0 to 1, where the accounts use their rates alike. The map is not to be changed.
+// BoundParts returns, by region, the fraction of all requests that only this region may
+// serve, from 0 to 1. It assumes that all accounts use the same fraction of their rates. The
+// caller must not modify the map.
 func (s *Set) BoundParts() map[string]float64 {
 	if s == nil {
 		return nil
 	}
-	return s.bound
+	return s.boundFractions
 }
 
-// Len is the number of accounts.
+// Len returns the number of accounts.
 func (s *Set) Len() int {
 	if s == nil {
 		return 0
--- a/internal/gateway/account/account_test.go
+++ b/internal/gateway/account/account_test.go
@@ -22,7 +22,7 @@
 	return account.Entry{Account: account.Account{Name: name}, Keys: keys}
 }
 
-func TestAKeyBelongsToItsAccountAlone(t *testing.T) {
+func TestAKeyBelongsToOneAccount(t *testing.T) {
 	long := strings.Repeat("k", 1025)
 	s := newSet(t, entry("rail", "one", "two", "two", "\xff\x00"), entry("yard", "three", ""), entry("none"), entry("odd", long))
 	for _, c := range []struct{ key, want string }{
@@ -45,7 +45,7 @@
 	require.Equal(t, []string{"rail", "yard"}, []string{a.Name, b.Name})
 }
 
-func TestAFaultyAccountIsAnErrorThatNamesItAndNoKey(t *testing.T) {
+func TestAnInvalidAccountIsAnErrorThatNamesItWithoutKeys(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		entries []account.Entry
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestWithoutAccountsNoKeyIsKnown(t *testing.T) {
+func TestANilSetHasNoKeys(t *testing.T) {
 	var s *account.Set
 	_, ok := s.ByKey("one")
 	require.False(t, ok)
@@ -77,31 +77,31 @@
 	require.Zero(t, s.Len())
 }
 
-func TestAnAccountIsServedInItsRegions(t *testing.T) {
-	bound, free := account.Account{Regions: []string{"west", "east"}}, account.Account{}
+func TestAnAccountAllowsItsRegions(t *testing.T) {
+	bound, unbound := account.Account{Regions: []string{"west", "east"}}, account.Account{}
 	require.True(t, bound.Allows("east"))
 	require.False(t, bound.Allows("south"))
-	require.True(t, free.Allows("south"))
+	require.True(t, unbound.Allows("south"))
 }
 
-func TestWhichPartOfTheRequestsIsBoundToARegion(t *testing.T) {
+func TestFractionsOfRequestsBoundToARegion(t *testing.T) {
 	account := func(name string, rate float64, regions ...string) account.Entry {
 		return account.Entry{Account: account.Account{Name: name, Rate: rate, Regions: regions}}
 	}
 	s := newSet(t, account("free", 60), account("bound", 20, "west"), account("both", 20, "west", "east"), account("unlimited", 0, "east"))
 	require.InDeltaMapValues(t, map[string]float64{"west": 0.3, "east": 0.1}, s.BoundParts(), 1e-9)
-	require.Empty(t, newSet(t, account("unlimited", 0, "east")).BoundParts(), "nothing is known of how much it sends")
+	require.Empty(t, newSet(t, account("unlimited", 0, "east")).BoundParts(), "the rate of an unlimited account is unknown")
 }
 
-// The look-up is a part of every request.
+// Every request looks up a key.
 func TestLookingUpAKeyAllocatesNothing(t *testing.T) {
 	s := newSet(t, entry("rail", "one"))
 	require.Zero(t, testing.AllocsPerRun(100, func() { s.ByKey("one") }))
 	require.Zero(t, testing.AllocsPerRun(100, func() { s.ByKey("none") }))
 }
 
-// BenchmarkByKey shows that the time of a look-up does not grow with the number of keys
-// as a search through them would.
+// BenchmarkByKey shows that the time of a look-up does not grow linearly with the number of
+// keys.
 func BenchmarkByKey(b *testing.B) {
 	for _, keys := range []int{100, 100_000} {
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
