--- a/internal/gateway/account/account.go
+++ b/internal/gateway/account/account.go
@@ -111,7 +111,7 @@
 func (a *Account) check() error {
 	switch {
 	case a.Name == "":
-		return eris.New("account: its name must be set")
+		return eris.New("account: name must be set")
 	case !(a.Rate >= 0): // also catches NaN
 		return eris.Errorf("account %q: rate must not be below 0", a.Name)
 	case !(a.Burst >= 0):
