--- a/internal/gateway/losses/cause.go
+++ b/internal/gateway/losses/cause.go
@@ -8,67 +8,72 @@
 	"cairndock/internal/verdict"
 )
 
-// Cause is why a request lost worth.
+// Cause is the reason why a request missed its objective.
 type Cause string
 
-// The causes of a response that came late, in the order in which they are
-// looked for. A request that got no response has the cause refused or failed,
-// with the reason of its final response.
+// The causes of late responses, in the order in which they are checked. A request
+// without a response has the prefix refused or failed as its cause, followed by
+// the reason in its final log line.
 const (
-	// None is a response in time.
+	// None means that the response met the objective.
 	None Cause = ""
-	// Repeated is a request that was sent a second time; the outcome of its
-	// first attempt follows.
+	// Repeated means that the request was sent a second time. The outcome of the
+	// first attempt is appended.
 	Repeated Cause = "late: repeated after "
-	// WarmingUp is an upstream that was warming up.
+	// WarmingUp means that the upstream was warming up.
 	WarmingUp Cause = "late: warming up"
-	// FirstRequest is the first request for an object at its upstream.
+	// FirstRequest means that the request was the first one for its object at the
+	// upstream.
 	FirstRequest Cause = "late: first request"
-	// BehindFirst is a request that waited while its upstream worked on first
-	// requests.
+	// BehindFirst means that the request was queued while the upstream processed
+	// first requests for other objects.
 	BehindFirst Cause = "late: behind first requests"
-	// Waiting is a request that waited behind others.
+	// Waiting means that the request was queued behind other requests.
 	Waiting Cause = "late: waiting"
-	// Slow is an upstream that had room, and took long all the same.
+	// Slow means that the response took long although the upstream had free
+	// capacity.
 	Slow Cause = "late: slow upstream"
-	// Other is a request that took little longer than usual: the way to another
-	// region, a first try of the client's own, or a large response.
+	// Other means that the response took only slightly longer than usual, for
+	// example because of the latency to another region, an earlier attempt by the
+	// client itself, or a large response.
 	Other Cause = "late: other"
 
 	refused = "refused: "
 	failed  = "failed: "
 )
 
-// slowFactor is how many times the usual time a response takes at an upstream
-// with room before the upstream counts as slow. Without a queue, 95 in 100
-// responses on known objects take less (chosen by that, on a quiet day).
+// slowFactor is the multiple of the usual time above which a response of an
+// upstream with free capacity counts as slow. Without queueing, 95% of the
+// responses for objects that the upstream has seen take less.
 const slowFactor = 1.8
 
-// lostShare is the part of its worth that a request loses by a cause.
-func lostShare(c Cause, lateShare float64) float64 {
+// lostFraction returns the fraction of its weight that a request loses by a cause.
+// A late response keeps lateFraction.
+func lostFraction(c Cause, lateFraction float64) float64 {
 	switch {
 	case c == None:
 		return 0
 	case isLate(c):
-		return 1 - lateShare
+		return 1 - lateFraction
 	default:
 		return 1
 	}
 }
 
-// cause is why a request lost worth.
-func (h *history) cause(f logline.Line, way time.Duration) Cause {
+// cause returns the cause for which a request missed its objective. The parameter
+// rtt is the round-trip time between client and host.
+func (h *history) cause(f logline.Line, rtt time.Duration) Cause {
 	if f.Reason != "" {
 		return unserved(f)
 	}
-	allowed := f.ObjectiveMS - float64(way)/float64(time.Millisecond)
+	allowed := f.ObjectiveMS - float64(rtt)/float64(time.Millisecond)
 	if f.ObjectiveMS == 0 || f.TookMS <= allowed {
 		return None
 	}
 	return h.lateCause(h.byRequest[f.Request])
 }
 
-// unserved is the cause of a request that got no response of an upstream's.
+// unserved returns the cause of a request without a response from an upstream.
 func unserved(f logline.Line) Cause {
 	if f.Verdict == verdict.NotRun.String() {
 		return Cause(refused + f.Reason)
@@ -76,7 +81,8 @@
 	return Cause(failed + f.Reason)
 }
 
-// lateCause is why the response to a request's attempts came late.
+// lateCause returns the cause of a late response to a request with the given
+// attempts.
 func (h *history) lateCause(attempts []*attempt) Cause {
 	if len(attempts) == 0 {
 		return Other
@@ -102,8 +108,9 @@
 	}
 }
 
-// runningWith counts the attempts that ran or waited at an attempt's upstream
-// when it began, and reports whether one of them was a first request.
+// runningWith returns the number of other attempts that were running or queued at
+// the same upstream when an attempt began, and reports whether one of them was a
+// first request.
 func (h *history) runningWith(a *attempt) (running int, first bool) {
 	for _, other := range h.byUpstream[a.Upstream] {
 		if other.began.After(a.began) {
@@ -118,7 +125,7 @@
 	return running, first
 }
 
-// isLate reports whether a cause is one of a late response.
+// isLate reports whether a cause is that of a late response.
 func isLate(c Cause) bool {
 	switch c {
 	case WarmingUp, FirstRequest, BehindFirst, Waiting, Slow, Other:
--- a/internal/gateway/losses/losses.go
+++ b/internal/gateway/losses/losses.go
@@ -1,13 +1,13 @@
-// Package losses sums up why requests missed their route's objective, from the
-// logs of all hosts. internal/gateway/eventlog must have written every request
-// (Sampling.OneIn is 1, and rates above the hosts' requests); what was left out
-// is missing in every sum.
+// Package losses summarizes from the logs of all hosts why requests missed their
+// route's objective. Package eventlog must have logged every request: Sampling.OneIn
+// must be 1, and the limits of log lines per second must exceed the hosts' rates of
+// requests. Requests that were not logged are missing in all sums.
 //
-// It owns the rules by which a response that came late, or a request that got
-// none, has one cause (cause.go), and the sums by cause, route, zone and second.
-// It relies on package logline for the log's fields. `cairndock losses` prints
-// its result. The logs end at the hosts: what happened on the way from a client,
-// or while no host was there, is not in them.
+// The package assigns one cause to each request with a late response or without any
+// response (cause.go), and sums up requests by cause, route, zone and second.
+// Package logline defines the fields of the log, and `cairndock losses` prints the
+// result. The logs contain only events at the hosts. They do not cover the network
+// between client and host, nor periods in which no host was running.
 package losses
 
 import (
@@ -22,19 +22,21 @@
 	"cairndock/internal/verdict"
 )
 
-// Options say what a request is worth.
+// Options define the weight of a request and of a late response.
 type Options struct {
-	// Way is what a request takes between client and host, there and back. It is
-	// taken off the objective, which counts from the client.
+	// Way is the round-trip time between client and host. It is subtracted from the
+	// objective, which includes this time.
 	Way time.Duration
-	// LateShare is the part of its worth that a late response keeps, from 0 to 1.
+	// LateShare is the fraction of its weight that a request with a late response
+	// keeps, from 0 to 1.
 	LateShare float64
-	// Weights are the worth of a request of each priority, from the most urgent
-	// on; the last one also holds for all that follow. Without any, each is 1.
+	// Weights are the weights of a request by priority, starting with the most
+	// urgent. The last weight applies to all further priorities too. If Weights is
+	// empty, every request has weight 1.
 	Weights []float64
 }
 
-// weight is the worth of a request of a priority.
+// weight returns the weight of a request with a priority.
 func (o Options) weight(priority int) float64 {
 	if len(o.Weights) == 0 {
 		return 1
@@ -42,49 +44,51 @@
 	return o.Weights[max(0, min(priority, len(o.Weights)-1))]
 }
 
-// Sum adds up requests.
+// Sum is a number of requests with their total weight.
 type Sum struct {
-	// Requests is how many there are.
+	// Requests is the number of requests.
 	Requests int
-	// Worth is what they were worth, or what of it was lost.
+	// Worth is the total weight of the requests, or the total weight that they lost.
 	Worth float64
 }
 
-func (s *Sum) add(worth float64) {
+func (s *Sum) add(weight float64) {
 	s.Requests++
-	s.Worth += worth
+	s.Worth += weight
 }
 
-// Report says what a log's requests were worth, and why some of it was lost.
+// Report contains the requests of a log, and the causes for which they missed their
+// objectives.
 type Report struct {
-	// Owed sums all requests, and what they would have been worth in time.
+	// Owed sums up all counted requests with their full weight.
 	Owed Sum
-	// Lost sums the requests that lost worth, by their cause.
+	// Lost sums up the requests that missed their objective, with the lost weight, by
+	// cause.
 	Lost map[Cause]Sum
-	// Routes, Zones and Seconds have the same by the request's route, the host's
-	// zone, and the second of the log in which it ended, from 0.
+	// Routes, Zones and Seconds contain the same sums by route, by the host's zone,
+	// and by the second in which the request ended, counted from the start of the log.
 	Routes  map[string]Part
 	Zones   map[string]Part
 	Seconds map[int]Part
-	// FirstLoads is how often an upstream got an object for the first time, and
-	// Objects how many different ones there were, by service.
+	// FirstLoads is the number of first requests for an object at an upstream, and
+	// Objects the number of distinct objects, by service.
 	FirstLoads map[string]int
 	Objects    map[string]int
 }
 
-// Part is a part of a report's requests.
+// Part contains the sums of a subset of a report's requests.
 type Part struct {
 	Owed Sum
 	Lost map[Cause]Sum
 }
 
-// LostWorth is what the part lost, over all causes.
-func (p Part) LostWorth() float64 { return lostWorth(p.Lost) }
+// LostWorth returns the lost weight of the subset, over all causes.
+func (p Part) LostWorth() float64 { return lostWeight(p.Lost) }
 
-// LostWorth is what all requests lost, over all causes.
-func (r Report) LostWorth() float64 { return lostWorth(r.Lost) }
+// LostWorth returns the lost weight of all requests, over all causes.
+func (r Report) LostWorth() float64 { return lostWeight(r.Lost) }
 
-func lostWorth(lost map[Cause]Sum) float64 {
+func lostWeight(lost map[Cause]Sum) float64 {
 	total := 0.0
 	for _, s := range lost {
 		total += s.Worth
@@ -92,7 +96,7 @@
 	return total
 }
 
-// Read sums up logs. Its error is that of the reader.
+// Read returns the report of logs. Its error is the error of the reader.
 func Read(logs io.Reader, o Options) (Report, error) {
 	var h history
 	if err := logline.Read(logs, h.add); err != nil {
@@ -102,24 +106,24 @@
 	return h.report(o), nil
 }
 
-// history is what the logs say of all requests.
+// history contains the final log lines and the attempts of all requests.
 type history struct {
 	finals   []logline.Line
 	attempts []*attempt
-	// byRequest and byUpstream have the same attempts, in the order in which
-	// they began.
+	// byRequest and byUpstream contain the attempts grouped by request and by
+	// upstream, sorted by the time at which they began.
 	byRequest  map[string][]*attempt
 	byUpstream map[string][]*attempt
-	// usual is the median time of a service's responses on objects that the
-	// upstream had seen, in milliseconds.
+	// usual is the median latency of responses for objects that the upstream had
+	// seen before, in milliseconds, by service.
 	usual map[string]float64
 }
 
-// attempt is one attempt with what decides its cause.
+// attempt is an attempt to send a request to an upstream.
 type attempt struct {
 	logline.Line
 	began time.Time
-	// first is set for the first attempt at its upstream with its key.
+	// first is set if no earlier attempt at the same upstream had the same key.
 	first bool
 }
 
@@ -133,7 +137,8 @@
 	}
 }
 
-// prepare orders the attempts, finds the first ones and the usual times.
+// prepare sorts and groups the attempts, marks the first attempts and computes the
+// usual latencies.
 func (h *history) prepare() {
 	slices.SortStableFunc(h.attempts, func(a, b *attempt) int { return a.began.Compare(b.began) })
 	slices.SortStableFunc(h.finals, func(a, b logline.Line) int { return a.Time.Compare(b.Time) })
@@ -146,12 +151,12 @@
 		a.first = a.Key != "" && !seen[object]
 		seen[object] = true
 	}
-	h.usual = h.usualTimes()
+	h.usual = h.usualLatencies()
 }
 
-// usualTimes gives the median time of each service's responses on objects that
-// the upstream had seen.
-func (h *history) usualTimes() map[string]float64 {
+// usualLatencies returns the median latency of responses for objects that the
+// upstream had seen before, in milliseconds, by service.
+func (h *history) usualLatencies() map[string]float64 {
 	times := map[string][]float64{}
 	for _, a := range h.attempts {
 		if a.Outcome == eventlog.OutcomeAnswered && !a.first && !a.Cold {
@@ -166,31 +171,32 @@
 	return medians
 }
 
-// report sums up the requests.
+// report returns the sums over all counted requests.
 func (h *history) report(o Options) Report {
 	r := Report{
 		Lost: map[Cause]Sum{}, Routes: map[string]Part{}, Zones: map[string]Part{}, Seconds: map[int]Part{},
 		FirstLoads: map[string]int{}, Objects: map[string]int{},
 	}
 	for _, f := range h.finals {
-		if !owed(f) {
+		if !isCounted(f) {
 			continue
 		}
-		worth := o.weight(f.Priority)
+		weight := o.weight(f.Priority)
 		cause := h.cause(f, o.Way)
-		lost := worth * lostShare(cause, o.LateShare)
+		lost := weight * lostFraction(cause, o.LateShare)
 		second := int(f.Time.Sub(h.finals[0].Time) / time.Second)
-		r.Owed.add(worth)
+		r.Owed.add(weight)
 		addLost(r.Lost, cause, lost)
-		addPart(r.Routes, f.Route, worth, cause, lost)
-		addPart(r.Zones, f.HostZone, worth, cause, lost)
-		addPart(r.Seconds, second, worth, cause, lost)
+		addToGroup(r.Routes, f.Route, weight, cause, lost)
+		addToGroup(r.Zones, f.HostZone, weight, cause, lost)
+		addToGroup(r.Seconds, second, weight, cause, lost)
 	}
 	h.countObjects(r)
 	return r
 }
 
-// countObjects counts the objects that upstreams got for the first time.
+// countObjects counts the distinct objects and the first requests for an object at an
+// upstream.
 func (h *history) countObjects(r Report) {
 	seen := map[[2]string]bool{}
 	for _, a := range h.attempts {
@@ -205,9 +211,9 @@
 	}
 }
 
-// owed reports whether a response was owed: not to a client that left, and not
-// for a request that breaks a limit or has no route.
-func owed(f logline.Line) bool {
+// isCounted reports whether a request is part of the report. A request is not counted if the
+// client disconnected, or if the request is invalid, incomplete or too large or has no route.
+func isCounted(f logline.Line) bool {
 	if f.Client == string(eventlog.ClientLeft) {
 		return false
 	}
@@ -219,27 +225,27 @@
 	}
 }
 
-func addLost(lost map[Cause]Sum, c Cause, worth float64) {
+func addLost(lost map[Cause]Sum, c Cause, weight float64) {
 	if c == None {
 		return
 	}
 	s := lost[c]
-	s.add(worth)
+	s.add(weight)
 	lost[c] = s
 }
 
-func addPart[K cmp.Ordered](parts map[K]Part, key K, worth float64, c Cause, lost float64) {
-	p := parts[key]
-	if p.Lost == nil {
-		p.Lost = map[Cause]Sum{}
+func addToGroup[K cmp.Ordered](groups map[K]Part, key K, weight float64, c Cause, lost float64) {
+	g := groups[key]
+	if g.Lost == nil {
+		g.Lost = map[Cause]Sum{}
 	}
-	p.Owed.add(worth)
-	addLost(p.Lost, c, lost)
-	parts[key] = p
+	g.Owed.add(weight)
+	addLost(g.Lost, c, lost)
+	groups[key] = g
 }
 
-// byWorth gives the causes of a sum, the most lost first.
-func byWorth(lost map[Cause]Sum) []Cause {
+// byLostWeight returns the causes, sorted by the lost weight in descending order.
+func byLostWeight(lost map[Cause]Sum) []Cause {
 	return slices.SortedFunc(maps.Keys(lost), func(a, b Cause) int {
 		return cmp.Or(cmp.Compare(lost[b].Worth, lost[a].Worth), cmp.Compare(a, b))
 	})
--- a/internal/gateway/losses/losses_test.go
+++ b/internal/gateway/losses/losses_test.go
@@ -16,97 +16,98 @@
 )
 
 const (
-	objective = 250.0
-	usual     = 100.0
-	slots     = 2
+	objectiveMS    = 250.0
+	usualLatencyMS = 100.0
+	slots          = 2
 )
 
-// play is a log in the making; its clock is in milliseconds.
-type play struct{ h history }
+// logBuilder builds a log. Its times are in milliseconds.
+type logBuilder struct{ h history }
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func at(ms float64) time.Time { return start.Add(time.Duration(ms * float64(time.Millisecond))) }
 
-// attempt adds an attempt that began at a time and took another.
-func (p *play) attempt(request, key string, began, took float64, change ...func(*logline.Line)) {
+// attempt adds an attempt with the time at which it began and its duration.
+func (b *logBuilder) attempt(request, key string, began, duration float64, changes ...func(*logline.Line)) {
 	l := logline.Line{
 		Event: eventlog.EventAttempt, Request: request, Service: "s", Upstream: "i-1", Key: key,
-		Capacity: slots, Outcome: eventlog.OutcomeAnswered, Time: at(began + took), TookMS: took,
+		Capacity: slots, Outcome: eventlog.OutcomeAnswered, Time: at(began + duration), TookMS: duration,
 	}
-	for _, c := range change {
-		c(&l)
+	for _, change := range changes {
+		change(&l)
 	}
-	p.h.add(l)
+	b.h.add(l)
 }
 
-// final adds a request's final response.
-func (p *play) final(request string, ended, took float64, change ...func(*logline.Line)) {
+// final adds the final log line of a request.
+func (b *logBuilder) final(request string, ended, duration float64, changes ...func(*logline.Line)) {
 	l := logline.Line{
-		Event: eventlog.EventFinal, Request: request, Service: "s", Route: "r", Priority: 2, ObjectiveMS: objective,
-		Status: 200, Verdict: "ran", Time: at(ended), TookMS: took,
+		Event: eventlog.EventFinal, Request: request, Service: "s", Route: "r", Priority: 2, ObjectiveMS: objectiveMS,
+		Status: 200, Verdict: "ran", Time: at(ended), TookMS: duration,
 	}
-	for _, c := range change {
-		c(&l)
+	for _, change := range changes {
+		change(&l)
 	}
-	p.h.add(l)
+	b.h.add(l)
 }
 
-// known makes the upstream know a key, and the service's usual time known.
-func (p *play) known(key string) {
+// known adds earlier attempts with a key, so that the key is known at the upstream and the
+// service has a usual latency.
+func (b *logBuilder) known(key string) {
 	for i := range 5 {
-		p.attempt("known", key, -10_000+1_000*float64(i), usual)
+		b.attempt("known", key, -10_000+1_000*float64(i), usualLatencyMS)
 	}
 }
 
-func outcome(o verdict.Reason) func(*logline.Line) {
+func withOutcome(o verdict.Reason) func(*logline.Line) {
 	return func(l *logline.Line) { l.Outcome = string(o) }
 }
 
-func reason(v verdict.Verdict, r verdict.Reason) func(*logline.Line) {
+func withReason(v verdict.Verdict, r verdict.Reason) func(*logline.Line) {
 	return func(l *logline.Line) { l.Verdict, l.Reason = v.String(), r }
 }
 
 func TestEachLateOrMissingResponseHasOneCause(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		log  func(p *play)
+		log  func(b *logBuilder)
 		want Cause
 	}{
-		{"in time", func(p *play) { p.attempt("q", "k", 0, 200); p.final("q", 200, 200) }, None},
-		{"first request for an object", func(p *play) { p.attempt("q", "new", 0, 300); p.final("q", 300, 300) }, FirstRequest},
-		{"warming up", func(p *play) {
-			p.attempt("q", "new", 0, 300, func(l *logline.Line) { l.Cold = true })
-			p.final("q", 300, 300)
+		{"in time", func(b *logBuilder) { b.attempt("q", "k", 0, 200); b.final("q", 200, 200) }, None},
+		{"first request for an object", func(b *logBuilder) { b.attempt("q", "new", 0, 300); b.final("q", 300, 300) }, FirstRequest},
+		{"warming up", func(b *logBuilder) {
+			b.attempt("q", "new", 0, 300, func(l *logline.Line) { l.Cold = true })
+			b.final("q", 300, 300)
 		}, WarmingUp},
-		{"waited behind first requests", func(p *play) {
-			p.attempt("a", "new-1", 0, 300)
-			p.attempt("b", "new-2", 0, 300)
-			p.attempt("q", "k", 10, 390)
-			p.final("q", 400, 390)
+		{"waited behind first requests", func(b *logBuilder) {
+			b.attempt("a", "new-1", 0, 300)
+			b.attempt("b", "new-2", 0, 300)
+			b.attempt("q", "k", 10, 390)
+			b.final("q", 400, 390)
 		}, BehindFirst},
-		{"waited behind others", func(p *play) {
-			p.attempt("a", "k", 0, 300)
-			p.attempt("b", "k", 0, 300)
-			p.attempt("q", "k", 10, 390)
-			p.final("q", 400, 390)
+		{"waited behind others", func(b *logBuilder) {
+			b.attempt("a", "k", 0, 300)
+			b.attempt("b", "k", 0, 300)
+			b.attempt("q", "k", 10, 390)
+			b.final("q", 400, 390)
 		}, Waiting},
-		{"slow upstream", func(p *play) { p.attempt("q", "k", 0, 300); p.final("q", 300, 300) }, Slow},
-		{"little longer than usual", func(p *play) { p.attempt("q", "k", 100, 150); p.final("q", 260, 260) }, Other},
-		{"repeated", func(p *play) {
-			p.attempt("q", "k", 0, 200, outcome(verdict.Unreachable))
-			p.attempt("q", "k", 200, 100, func(l *logline.Line) { l.Upstream = "i-2" })
-			p.final("q", 300, 300)
+		{"slow upstream", func(b *logBuilder) { b.attempt("q", "k", 0, 300); b.final("q", 300, 300) }, Slow},
+		{"little longer than usual", func(b *logBuilder) { b.attempt("q", "k", 100, 150); b.final("q", 260, 260) }, Other},
+		{"repeated", func(b *logBuilder) {
+			b.attempt("q", "k", 0, 200, withOutcome(verdict.Unreachable))
+			b.attempt("q", "k", 200, 100, func(l *logline.Line) { l.Upstream = "i-2" })
+			b.final("q", 300, 300)
 		}, Repeated + Cause(verdict.Unreachable)},
-		{"refused", func(p *play) { p.final("q", 1, 1, reason(verdict.NotRun, verdict.Full)) }, refused + "full"},
-		{"failed", func(p *play) { p.final("q", 900, 900, reason(verdict.MayHaveRun, verdict.DeadlineLapsed)) }, failed + "deadline-lapsed"},
+		{"refused", func(b *logBuilder) { b.final("q", 1, 1, withReason(verdict.NotRun, verdict.Full)) }, refused + "full"},
+		{"failed", func(b *logBuilder) { b.final("q", 900, 900, withReason(verdict.MayHaveRun, verdict.DeadlineLapsed)) }, failed + "deadline-lapsed"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var p play
-			p.known("k")
-			c.log(&p)
-			p.h.prepare()
-			r := p.h.report(Options{LateShare: 0.2, Weights: []float64{3, 2, 1}})
+			var b logBuilder
+			b.known("k")
+			c.log(&b)
+			b.h.prepare()
+			r := b.h.report(Options{LateShare: 0.2, Weights: []float64{3, 2, 1}})
 			require.Equal(t, 1, r.Owed.Requests)
 			if c.want == None {
 				require.Empty(t, r.Lost)
@@ -121,25 +122,25 @@
 	}
 }
 
-func TestTheWayToTheClientIsPartOfTheObjective(t *testing.T) {
-	var p play
-	p.known("k")
-	p.attempt("q", "k", 0, 240)
-	p.final("q", 240, 240)
-	p.h.prepare()
-	require.Empty(t, p.h.report(Options{}).Lost)
-	require.Len(t, p.h.report(Options{Way: 20 * time.Millisecond}).Lost, 1)
+func TestTheRoundTripTimeIsPartOfTheObjective(t *testing.T) {
+	var b logBuilder
+	b.known("k")
+	b.attempt("q", "k", 0, 240)
+	b.final("q", 240, 240)
+	b.h.prepare()
+	require.Empty(t, b.h.report(Options{}).Lost)
+	require.Len(t, b.h.report(Options{Way: 20 * time.Millisecond}).Lost, 1)
 }
 
-func TestNothingIsOwedToAClientThatLeftOrWithoutARoute(t *testing.T) {
-	var p play
-	p.final("left", 900, 900, func(l *logline.Line) { l.Client = string(eventlog.ClientLeft) })
-	p.final("no-route", 1, 1, reason(verdict.NotRun, verdict.UnknownRoute))
-	p.h.prepare()
-	require.Zero(t, p.h.report(Options{}).Owed.Requests)
+func TestDisconnectedClientsAndUnknownRoutesAreNotCounted(t *testing.T) {
+	var b logBuilder
+	b.final("left", 900, 900, func(l *logline.Line) { l.Client = string(eventlog.ClientLeft) })
+	b.final("no-route", 1, 1, withReason(verdict.NotRun, verdict.UnknownRoute))
+	b.h.prepare()
+	require.Zero(t, b.h.report(Options{}).Owed.Requests)
 }
 
-func TestWeightsFollowThePriority(t *testing.T) {
+func TestWeightsDependOnThePriority(t *testing.T) {
 	o := Options{Weights: []float64{3, 2}}
 	for priority, want := range map[int]float64{-1: 3, 0: 3, 1: 2, 2: 2, 9: 2} {
 		require.Equal(t, want, o.weight(priority), priority)
@@ -147,9 +148,9 @@
 	require.Equal(t, 1.0, Options{}.weight(0))
 }
 
-// The report is read from what a host really writes, and its tables name the
-// cause, the route, the zone and the second.
-func TestALogIsSummedUp(t *testing.T) {
+// Read must understand the log as package eventlog writes it, and the printed tables must
+// contain the cause, the route, the zone and the second.
+func TestReadAndPrintALogOfAHost(t *testing.T) {
 	var logs, out bytes.Buffer
 	log := eventlog.New(&logs, eventlog.Options{
 		Host: "h", Zone: "z-a", Level: zerolog.InfoLevel, Metrics: telemetry.NewMetrics(),
