--- a/internal/gateway/outlier/detector.go
+++ b/internal/gateway/outlier/detector.go
@@ -91,10 +91,10 @@
 	d.state(run).consecutive.record(o, now)
 }
 
-// RecordEnded records that a run of an upstream has terminated, as observed by
+// RecordTermination records that a run of an upstream has terminated, as observed by
 // this host or by another one. Without it each host would detect the termination
 // only by failures of its own requests, and again after each back-off.
-func (d *Detector) RecordEnded(run upstream.Run, now time.Time) {
+func (d *Detector) RecordTermination(run upstream.Run, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.state(run).consecutive.ejectedUntil = now.Add(terminatedBackOff)
--- a/internal/gateway/outlier/detector_test.go
+++ b/internal/gateway/outlier/detector_test.go
@@ -167,7 +167,7 @@
 	const rowTTL = 4 * time.Second
 	now := time.Now()
 	d, _ := newDetector()
-	d.RecordEnded("a", now)
+	d.RecordTermination("a", now)
 	require.True(t, d.Ejected("a", now.Add(rowTTL-time.Millisecond)))
 	require.False(t, d.Ejected("a", now.Add(rowTTL)))
 	require.False(t, d.Ejected("b", now))
--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -81,7 +81,7 @@
 func (r suspicionReporter) Released(f poison.Fingerprint, _ bool) { r.Log.Released(f) }
 
 func (r suspicionReporter) Ended(run string, at time.Time) {
-	r.detector.RecordEnded(upstream.Run(run), at)
+	r.detector.RecordTermination(upstream.Run(run), at)
 }
 
 // noticeReporter has upstreams that leave get no new work, as a gateway does.
