--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -39,7 +39,9 @@
 func (g *Gateway) SuspicionsChanged() { g.fleet.SendSoonToAll() }
 
 // Ended has requests avoid a run of an upstream that has ended.
-func (g *Gateway) Ended(run string, at time.Time) { g.detector.RecordTermination(upstream.Run(run), at) }
+func (g *Gateway) Ended(run string, at time.Time) {
+	g.detector.RecordTermination(upstream.Run(run), at)
+}
 
 // Quarantined logs that a request is refused, and stores it if this host was first.
 func (g *Gateway) Quarantined(q poison.Quarantine) {
