--- a/internal/gateway/eventlog/events.go
+++ b/internal/gateway/eventlog/events.go
@@ -212,7 +212,7 @@
 func (l *Log) Ejected(o outlier.Ejection) {
 	l.metrics.Count("cairndock_ejections_total")
 	l.stateEvent(EventEjected).Str("upstream", string(o.Upstream)).Int("bad", o.Failures).Int("good", o.Successes).Int("hosts", o.Hosts).
-		Float64("for_ms", ms(o.For)).Msg("upstream: ejected, avoided for a time")
+		Float64("for_ms", ms(o.Period)).Msg("upstream: ejected, avoided for a time")
 }
 
 // UpstreamEnded logs that an upstream ended under a request, and counts it. route and
--- a/internal/gateway/logline/logline_test.go
+++ b/internal/gateway/logline/logline_test.go
@@ -31,7 +31,7 @@
 	})
 	log.Lost("upstream source", "store", os.ErrDeadlineExceeded)
 	log.Upstream("i-1", upstream.Registration{Service: "s", Zone: "z"}, "draining", 9)
-	log.Ejected(outlier.Ejection{Upstream: "i-1", Failures: 4, Successes: 3, Hosts: 2, For: 2 * time.Second})
+	log.Ejected(outlier.Ejection{Upstream: "i-1", Failures: 4, Successes: 3, Hosts: 2, Period: 2 * time.Second})
 	log.Close()
 
 	want := []Line{
--- a/internal/gateway/outlier/detector_test.go
+++ b/internal/gateway/outlier/detector_test.go
@@ -68,7 +68,7 @@
 	require.False(t, d.Ejected("i", now), "a repeated observation replaces the earlier one")
 	d.Merge("b", []outlier.Observation{{Upstream: "i", Failures: 1}}, now)
 	require.True(t, d.Ejected("i", now))
-	require.Equal(t, []outlier.Ejection{{Upstream: "i", Failures: 3, Hosts: 3, For: 2 * time.Second}}, reports.ejections)
+	require.Equal(t, []outlier.Ejection{{Upstream: "i", Failures: 3, Hosts: 3, Period: 2 * time.Second}}, reports.ejections)
 }
 
 func TestSuccessesAtOtherHostsCountForAnUpstream(t *testing.T) {
@@ -101,10 +101,10 @@
 	d.RecordFailure("i", end)
 	require.False(t, d.Ejected("i", end), "evidence from before the ejection is ignored")
 	fail(d, "i", 3, end)
-	require.Equal(t, 4*time.Second, reports.ejections[1].For)
+	require.Equal(t, 4*time.Second, reports.ejections[1].Period)
 	require.True(t, d.Ejected("i", end.Add(3*time.Second)))
 	fail(d, "i", 3, end.Add(20*time.Second))
-	require.Equal(t, 2*time.Second, reports.ejections[2].For, "the period is reset long after the last ejection")
+	require.Equal(t, 2*time.Second, reports.ejections[2].Period, "the period is reset long after the last ejection")
 }
 
 func TestOverdueThresholdFollowsTheMedianOfTheService(t *testing.T) {
--- a/internal/gateway/outlier/evidence.go
+++ b/internal/gateway/outlier/evidence.go
@@ -43,8 +43,8 @@
 	Successes int
 	// Hosts is the number of hosts that observed failures.
 	Hosts int
-	// For is the length of the ejection.
-	For time.Duration
+	// Period is the length of the ejection.
+	Period time.Duration
 }
 
 // evidence is the failures and successes that the hosts of the region observed
@@ -99,7 +99,7 @@
 		return Ejection{}, false
 	}
 	e.eject(now)
-	total.Upstream, total.For = run, e.lastPeriod
+	total.Upstream, total.Period = run, e.lastPeriod
 	return total, true
 }
 
