--- a/internal/gateway/fleet/place_test.go
+++ b/internal/gateway/fleet/place_test.go
@@ -139,7 +139,7 @@
 // fixedGiver gives as many tokens as it is asked for, of one account.
 type fixedGiver struct{}
 
-func (fixedGiver) GiveTokens(ask quota.Ask) quota.Answer {
+func (fixedGiver) GiveTokens(ask quota.TokenRequest) quota.Answer {
 	if ask.Account != "rail" {
 		return quota.Answer{}
 	}
@@ -152,16 +152,16 @@
 	b := startFleet(t, registry, host("b", "z", "west"), nil)
 	b.options.Tokens = fixedGiver{}
 	require.Eventually(t, func() bool { return a.Hosts() == 2 }, 5*time.Second, 10*time.Millisecond)
-	answer, err := a.AskTokens(t.Context(), "b", quota.Ask{Account: "rail", Tokens: 700})
+	answer, err := a.AskTokens(t.Context(), "b", quota.TokenRequest{Account: "rail", Tokens: 700})
 	require.NoError(t, err)
 	require.Equal(t, 700, answer.Tokens)
-	answer, err = a.AskTokens(t.Context(), "b", quota.Ask{Account: "yard", Tokens: 700})
+	answer, err = a.AskTokens(t.Context(), "b", quota.TokenRequest{Account: "yard", Tokens: 700})
 	require.NoError(t, err)
 	require.Zero(t, answer.Tokens)
-	_, err = a.AskTokens(t.Context(), "nobody", quota.Ask{})
+	_, err = a.AskTokens(t.Context(), "nobody", quota.TokenRequest{})
 	require.ErrorContains(t, err, "nobody")
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	_, err = b.AskTokens(ctx, "a", quota.Ask{Account: "rail", Tokens: 1})
+	_, err = b.AskTokens(ctx, "a", quota.TokenRequest{Account: "rail", Tokens: 1})
 	require.Error(t, err, "a has none to give")
 }
--- a/internal/gateway/fleet/tokens.go
+++ b/internal/gateway/fleet/tokens.go
@@ -12,12 +12,12 @@
 
 // TokenGiver gives tokens of client accounts' limits to other hosts.
 type TokenGiver interface {
-	GiveTokens(ask quota.Ask) quota.Answer
+	GiveTokens(ask quota.TokenRequest) quota.Answer
 }
 
 // AskTokens asks another host for tokens of a client account's limit. One that is known
 // to be dead is not asked, as a request may wait for the answer.
-func (f *Fleet) AskTokens(ctx context.Context, host string, ask quota.Ask) (quota.Answer, error) {
+func (f *Fleet) AskTokens(ctx context.Context, host string, ask quota.TokenRequest) (quota.Answer, error) {
 	address, err := f.addressToAsk(host)
 	if err != nil {
 		return quota.Answer{}, err
@@ -43,7 +43,7 @@
 // serveTokens serves a peer's question for tokens. One that can't be decoded fails
 // without a log line here: the peer asks others.
 func (f *Fleet) serveTokens(payload []byte, w *peer.Responder) {
-	ask, err := peer.Decode[quota.Ask](payload)
+	ask, err := peer.Decode[quota.TokenRequest](payload)
 	if err != nil || f.options.Tokens == nil {
 		fail(w)
 		return
--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -119,7 +119,7 @@
 
 func (aloneHost) Place() *quota.Place { return alonePlace }
 
-func (aloneHost) AskTokens(context.Context, string, quota.Ask) (quota.Answer, error) {
+func (aloneHost) AskTokens(context.Context, string, quota.TokenRequest) (quota.Answer, error) {
 	return quota.Answer{}, errors.New("there is no other host")
 }
 
--- a/internal/gateway/quota/ask.go
+++ b/internal/gateway/quota/ask.go
@@ -115,7 +115,7 @@
 	defer cancel()
 	l := r.limiter
 	requestedAt := time.Now()
-	response, err := l.Hosts.AskTokens(ctx, h.Host, Ask{Account: r.account, Tokens: needed})
+	response, err := l.Hosts.AskTokens(ctx, h.Host, TokenRequest{Account: r.account, Tokens: needed})
 	received := max(0, min(response.Tokens, needed))
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/gateway/quota/bench_test.go
+++ b/internal/gateway/quota/bench_test.go
@@ -12,7 +12,7 @@
 
 func (h noPeers) Place() *Place { return h.place }
 
-func (noPeers) AskTokens(context.Context, string, Ask) (Answer, error) {
+func (noPeers) AskTokens(context.Context, string, TokenRequest) (Answer, error) {
 	return Answer{}, errors.New("no host responds")
 }
 
--- a/internal/gateway/quota/cluster_test.go
+++ b/internal/gateway/quota/cluster_test.go
@@ -101,7 +101,7 @@
 var errNoResponse = errors.New("no response")
 
 // AskTokens implements Hosts.
-func (h *clusterHost) AskTokens(ctx context.Context, host string, request Ask) (Answer, error) {
+func (h *clusterHost) AskTokens(ctx context.Context, host string, request TokenRequest) (Answer, error) {
 	c := h.cluster
 	other, delay, reached, delivered := c.route(h, host)
 	if !reached {
@@ -138,7 +138,7 @@
 	return other, delay, true, c.rng.Float64() >= c.loss
 }
 
-func (h *clusterHost) grantTokens(request Ask) (Answer, bool) {
+func (h *clusterHost) grantTokens(request TokenRequest) (Answer, bool) {
 	c := h.cluster
 	c.mu.Lock()
 	limiter, a, down := h.limiter, c.accounts[request.Account], h.down
--- a/internal/gateway/quota/limiter.go
+++ b/internal/gateway/quota/limiter.go
@@ -42,17 +42,17 @@
 	// place changes.
 	Place() *Place
 	// AskTokens requests tokens from a host.
-	AskTokens(ctx context.Context, host string, request Ask) (Answer, error)
+	AskTokens(ctx context.Context, host string, request TokenRequest) (Answer, error)
 }
 
-// Ask is a request for tokens of an account, with tokensPerRequest tokens for each client
+// TokenRequest is a request for tokens of an account, with tokensPerRequest tokens for each client
 // request. It is sent to other hosts as msgpack.
-type Ask struct {
+type TokenRequest struct {
 	Account string `msgpack:"a"`
 	Tokens  int    `msgpack:"n"`
 }
 
-// Answer is the response to an Ask: the number of tokens that the holder has removed from
+// Answer is the response to an TokenRequest: the number of tokens that the holder has removed from
 // its shards. It is sent as msgpack.
 type Answer struct {
 	Tokens int `msgpack:"n"`
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -95,7 +95,7 @@
 }
 
 // GiveTokens gives tokens of a client account's limit to another host.
-func (g *Gateway) GiveTokens(ask quota.Ask) quota.Answer {
+func (g *Gateway) GiveTokens(ask quota.TokenRequest) quota.Answer {
 	config := g.state.Config()
 	if config == nil {
 		return quota.Answer{}
