--- a/internal/gateway/fleet/place_test.go
+++ b/internal/gateway/fleet/place_test.go
@@ -139,11 +139,11 @@
 // fixedGiver gives as many tokens as it is asked for, of one account.
 type fixedGiver struct{}
 
-func (fixedGiver) GiveTokens(ask quota.TokenRequest) quota.Answer {
+func (fixedGiver) GiveTokens(ask quota.TokenRequest) quota.TokenResponse {
 	if ask.Account != "rail" {
-		return quota.Answer{}
+		return quota.TokenResponse{}
 	}
-	return quota.Answer{Tokens: ask.Tokens}
+	return quota.TokenResponse{Tokens: ask.Tokens}
 }
 
 func TestAHostAsksAnotherForTokens(t *testing.T) {
--- a/internal/gateway/fleet/tokens.go
+++ b/internal/gateway/fleet/tokens.go
@@ -12,17 +12,17 @@
 
 // TokenGiver gives tokens of client accounts' limits to other hosts.
 type TokenGiver interface {
-	GiveTokens(ask quota.TokenRequest) quota.Answer
+	GiveTokens(ask quota.TokenRequest) quota.TokenResponse
 }
 
 // AskTokens asks another host for tokens of a client account's limit. One that is known
 // to be dead is not asked, as a request may wait for the answer.
-func (f *Fleet) AskTokens(ctx context.Context, host string, ask quota.TokenRequest) (quota.Answer, error) {
+func (f *Fleet) AskTokens(ctx context.Context, host string, ask quota.TokenRequest) (quota.TokenResponse, error) {
 	address, err := f.addressToAsk(host)
 	if err != nil {
-		return quota.Answer{}, err
+		return quota.TokenResponse{}, err
 	}
-	answer, err := peer.Call[quota.Answer](ctx, f.mesh, address, peer.KindTokens, ask)
+	answer, err := peer.Call[quota.TokenResponse](ctx, f.mesh, address, peer.KindTokens, ask)
 	return answer, eris.Wrap(err, "ask for tokens")
 }
 
--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -119,8 +119,8 @@
 
 func (aloneHost) Place() *quota.Place { return alonePlace }
 
-func (aloneHost) AskTokens(context.Context, string, quota.TokenRequest) (quota.Answer, error) {
-	return quota.Answer{}, errors.New("there is no other host")
+func (aloneHost) AskTokens(context.Context, string, quota.TokenRequest) (quota.TokenResponse, error) {
+	return quota.TokenResponse{}, errors.New("there is no other host")
 }
 
 // testGateway is a proxy with its server, its state and its log.
--- a/internal/gateway/quota/bench_test.go
+++ b/internal/gateway/quota/bench_test.go
@@ -12,8 +12,8 @@
 
 func (h noPeers) Place() *Place { return h.place }
 
-func (noPeers) AskTokens(context.Context, string, TokenRequest) (Answer, error) {
-	return Answer{}, errors.New("no host responds")
+func (noPeers) AskTokens(context.Context, string, TokenRequest) (TokenResponse, error) {
+	return TokenResponse{}, errors.New("no host responds")
 }
 
 // BenchmarkAdmit measures the cost of a limit for an admitted and for a refused request. A
--- a/internal/gateway/quota/cluster_test.go
+++ b/internal/gateway/quota/cluster_test.go
@@ -101,12 +101,12 @@
 var errNoResponse = errors.New("no response")
 
 // AskTokens implements Hosts.
-func (h *clusterHost) AskTokens(ctx context.Context, host string, request TokenRequest) (Answer, error) {
+func (h *clusterHost) AskTokens(ctx context.Context, host string, request TokenRequest) (TokenResponse, error) {
 	c := h.cluster
 	other, delay, reached, delivered := c.route(h, host)
 	if !reached {
 		<-ctx.Done()
-		return Answer{}, errNoResponse
+		return TokenResponse{}, errNoResponse
 	}
 	rtt := nearRTT
 	if other.region != h.region {
@@ -116,7 +116,7 @@
 	response, up := other.grantTokens(request)
 	time.Sleep(rtt/2 + delay)
 	if !up || !delivered || ctx.Err() != nil && delay == 0 {
-		return Answer{}, errNoResponse
+		return TokenResponse{}, errNoResponse
 	}
 	// A delayed response is returned even after the timeout, as at a host that was paused.
 	return response, nil
@@ -138,13 +138,13 @@
 	return other, delay, true, c.rng.Float64() >= c.loss
 }
 
-func (h *clusterHost) grantTokens(request TokenRequest) (Answer, bool) {
+func (h *clusterHost) grantTokens(request TokenRequest) (TokenResponse, bool) {
 	c := h.cluster
 	c.mu.Lock()
 	limiter, a, down := h.limiter, c.accounts[request.Account], h.down
 	c.mu.Unlock()
 	if down {
-		return Answer{}, false
+		return TokenResponse{}, false
 	}
 	return limiter.Give(a, request.Tokens), true
 }
--- a/internal/gateway/quota/limiter.go
+++ b/internal/gateway/quota/limiter.go
@@ -42,7 +42,7 @@
 	// place changes.
 	Place() *Place
 	// AskTokens requests tokens from a host.
-	AskTokens(ctx context.Context, host string, request TokenRequest) (Answer, error)
+	AskTokens(ctx context.Context, host string, request TokenRequest) (TokenResponse, error)
 }
 
 // TokenRequest is a request for tokens of an account, with tokensPerRequest tokens for each client
@@ -52,9 +52,9 @@
 	Tokens  int    `msgpack:"n"`
 }
 
-// Answer is the response to an TokenRequest: the number of tokens that the holder has removed from
+// TokenResponse is the response to an TokenRequest: the number of tokens that the holder has removed from
 // its shards. It is sent as msgpack.
-type Answer struct {
+type TokenResponse struct {
 	Tokens int `msgpack:"n"`
 }
 
@@ -177,16 +177,16 @@
 
 // Give removes up to a number of tokens from this host's shards for another host. The
 // account is taken from this host's current configuration. A nil account has no tokens.
-func (l *Limiter) Give(a *account.Account, tokens int) Answer {
+func (l *Limiter) Give(a *account.Account, tokens int) TokenResponse {
 	if a == nil || !a.Limited() {
-		return Answer{}
+		return TokenResponse{}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	n := l.ledger(a, now).grantTokens(tokens, now)
 	l.Metrics.Add("cairndock_quota_given_requests_total", n/tokensPerRequest)
-	return Answer{Tokens: n}
+	return TokenResponse{Tokens: n}
 }
 
 // Suspended corrects the expiry of tokens from other hosts after the machine was suspended
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -95,10 +95,10 @@
 }
 
 // GiveTokens gives tokens of a client account's limit to another host.
-func (g *Gateway) GiveTokens(ask quota.TokenRequest) quota.Answer {
+func (g *Gateway) GiveTokens(ask quota.TokenRequest) quota.TokenResponse {
 	config := g.state.Config()
 	if config == nil {
-		return quota.Answer{}
+		return quota.TokenResponse{}
 	}
 	a, _ := config.Accounts.ByName(ask.Account)
 	return g.quota.Give(a, ask.Tokens)
