--- a/internal/gateway/quota/cluster_test.go
+++ b/internal/gateway/quota/cluster_test.go
@@ -146,7 +146,7 @@
 	if down {
 		return TokenResponse{}, false
 	}
-	return limiter.Give(a, request.Tokens), true
+	return limiter.Grant(a, request.Tokens), true
 }
 
 // request sends a request of an account to the host.
--- a/internal/gateway/quota/limiter.go
+++ b/internal/gateway/quota/limiter.go
@@ -175,9 +175,9 @@
 	return led
 }
 
-// Give removes up to a number of tokens from this host's shards for another host. The
+// Grant removes up to a number of tokens from this host's shards for another host. The
 // account is taken from this host's current configuration. A nil account has no tokens.
-func (l *Limiter) Give(a *account.Account, tokens int) TokenResponse {
+func (l *Limiter) Grant(a *account.Account, tokens int) TokenResponse {
 	if a == nil || !a.Limited() {
 		return TokenResponse{}
 	}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -101,7 +101,7 @@
 		return quota.TokenResponse{}
 	}
 	a, _ := config.Accounts.ByName(ask.Account)
-	return g.quota.Give(a, ask.Tokens)
+	return g.quota.Grant(a, ask.Tokens)
 }
 
 // clientAddresses gives the hosts that clients of a zone should use for the
