--- a/internal/gateway/quota/limiter.go
+++ b/internal/gateway/quota/limiter.go
@@ -65,11 +65,11 @@
 type Refusal struct {
 	// RetryAfter is the delay after which the client should retry.
 	RetryAfter time.Duration
-	// Shards is the number of the account's shards that this host holds, and Of the total
+	// Shards is the number of the account's shards that this host holds, and TotalShards the total
 	// number of the account's shards. Rate is the rate of all shards, in requests per
 	// second.
-	Shards, Of int
-	Rate       float64
+	Shards, TotalShards int
+	Rate                float64
 	// Asked and Got are the tokens that this host requested from other hosts and received
 	// in the last round, in requests.
 	Asked, Got float64
@@ -159,7 +159,7 @@
 	delay := time.Duration(led.refused.perSecond(now) / max(led.budget.Rate, 1) * float64(time.Second))
 	delay = min(max(delay, minRetryAfter), maxRetryAfter)
 	return Refusal{
-		RetryAfter: delay/2 + rand.N(delay), Shards: led.shards, Of: led.budget.Shards, Rate: led.budget.Rate, Asked: float64(led.requested) / tokensPerRequest, Got: float64(led.received) / tokensPerRequest,
+		RetryAfter: delay/2 + rand.N(delay), Shards: led.shards, TotalShards: led.budget.Shards, Rate: led.budget.Rate, Asked: float64(led.requested) / tokensPerRequest, Got: float64(led.received) / tokensPerRequest,
 	}
 }
 
