--- a/internal/gateway/proxy/account.go
+++ b/internal/gateway/proxy/account.go
@@ -60,7 +60,7 @@
 		return nil
 	}
 	return verdict.New(verdict.NotRun, verdict.OverLimit, "this host holds %d of %d parts of %.1f requests a second, and got %.1f of %.1f that it asked others for",
-		refusal.Shards, refusal.TotalShards, refusal.Rate, refusal.Got, refusal.Requested).WithRetryAfter(refusal.RetryAfter)
+		refusal.Shards, refusal.TotalShards, refusal.Rate, refusal.Received, refusal.Requested).WithRetryAfter(refusal.RetryAfter)
 }
 
 // errUnknownKey does not say which key, as errors are logged.
--- a/internal/gateway/quota/limiter.go
+++ b/internal/gateway/quota/limiter.go
@@ -70,9 +70,9 @@
 	// second.
 	Shards, TotalShards int
 	Rate                float64
-	// Requested and Got are the tokens that this host requested from other hosts and received
+	// Requested and Received are the tokens that this host requested from other hosts and received
 	// in the last round, in requests.
-	Requested, Got float64
+	Requested, Received float64
 }
 
 // Options are the settings and dependencies of a Limiter. All are required.
@@ -159,7 +159,7 @@
 	delay := time.Duration(led.refused.perSecond(now) / max(led.budget.Rate, 1) * float64(time.Second))
 	delay = min(max(delay, minRetryAfter), maxRetryAfter)
 	return Refusal{
-		RetryAfter: delay/2 + rand.N(delay), Shards: led.shards, TotalShards: led.budget.Shards, Rate: led.budget.Rate, Requested: float64(led.requested) / tokensPerRequest, Got: float64(led.received) / tokensPerRequest,
+		RetryAfter: delay/2 + rand.N(delay), Shards: led.shards, TotalShards: led.budget.Shards, Rate: led.budget.Rate, Requested: float64(led.requested) / tokensPerRequest, Received: float64(led.received) / tokensPerRequest,
 	}
 }
 
