--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -114,7 +114,7 @@
 	options Options
 	mesh    *peer.Mesh
 	// limitPlace is this host's place in the limits of client accounts.
-	limitPlace atomic.Pointer[quota.Place]
+	limitPlace atomic.Pointer[quota.Assignment]
 	// heardOfQuarantines is set once this host has heard of the requests that are
 	// quarantined.
 	heardOfQuarantines atomic.Bool
--- a/internal/gateway/fleet/place.go
+++ b/internal/gateway/fleet/place.go
@@ -25,8 +25,8 @@
 )
 
 // limitPlace gives this host's place in the limits; the last one while nothing changed.
-func (m *members) limitPlace(zones map[string]string, last *quota.Place, now time.Time) *quota.Place {
-	next := &quota.Place{Layout: m.layout(zones), Holds: m.holdsShards(now)}
+func (m *members) limitPlace(zones map[string]string, last *quota.Assignment, now time.Time) *quota.Assignment {
+	next := &quota.Assignment{Layout: m.layout(zones), Holds: m.holdsShards(now)}
 	if last != nil && last.Holds == next.Holds && (last.Layout == next.Layout || reflect.DeepEqual(last.Layout, next.Layout)) {
 		return last
 	}
@@ -36,7 +36,7 @@
 }
 
 // heldSince is from when on this host has held the shards of a new place.
-func (m *members) heldSince(last, next *quota.Place, now time.Time) time.Time {
+func (m *members) heldSince(last, next *quota.Assignment, now time.Time) time.Time {
 	switch {
 	case last != nil && last.Holds && slices.EqualFunc(last.Layout.Zones, next.Layout.Zones, func(a, b quota.Zone) bool {
 		return a.Name != m.self.Zone || reflect.DeepEqual(a, b)
@@ -140,7 +140,7 @@
 
 // Place gives this host's place in the limits of client accounts, at most schedulerTick
 // old.
-func (f *Fleet) Place() *quota.Place { return f.limitPlace.Load() }
+func (f *Fleet) Place() *quota.Assignment { return f.limitPlace.Load() }
 
 // updatePlace works out the place anew.
 func (f *Fleet) updatePlace(now time.Time) {
--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -113,11 +113,11 @@
 // aloneHost holds all shards of all limits.
 type aloneHost struct{}
 
-var alonePlace = &quota.Place{
+var alonePlace = &quota.Assignment{
 	Layout: &quota.Layout{Zones: []quota.Zone{{Name: "z", Region: "r", Large: []string{""}}}}, Holds: true, Since: time.Now().Add(-time.Hour),
 }
 
-func (aloneHost) Place() *quota.Place { return alonePlace }
+func (aloneHost) Place() *quota.Assignment { return alonePlace }
 
 func (aloneHost) AskTokens(context.Context, string, quota.TokenRequest) (quota.TokenResponse, error) {
 	return quota.TokenResponse{}, errors.New("there is no other host")
--- a/internal/gateway/quota/bench_test.go
+++ b/internal/gateway/quota/bench_test.go
@@ -8,9 +8,9 @@
 )
 
 // noPeers is a Hosts on which all token requests fail.
-type noPeers struct{ place *Place }
+type noPeers struct{ place *Assignment }
 
-func (h noPeers) Place() *Place { return h.place }
+func (h noPeers) Place() *Assignment { return h.place }
 
 func (noPeers) AskTokens(context.Context, string, TokenRequest) (TokenResponse, error) {
 	return TokenResponse{}, errors.New("no host responds")
@@ -27,7 +27,7 @@
 			a := limited("a", c.rate, 1)
 			l := NewLimiter(Options{
 				Host: "z0-large-0", Zone: "z0", Region: "r0", Bound: bound, Metrics: noMetrics{},
-				Hosts: noPeers{&Place{Layout: testLayout(1, 1, 0), Holds: true, Since: time.Now().Add(-time.Hour)}},
+				Hosts: noPeers{&Assignment{Layout: testLayout(1, 1, 0), Holds: true, Since: time.Now().Add(-time.Hour)}},
 			})
 			for range 100 {
 				l.Admit(b.Context(), a)
--- a/internal/gateway/quota/cluster_test.go
+++ b/internal/gateway/quota/cluster_test.go
@@ -42,7 +42,7 @@
 	cluster            *cluster
 	name, zone, region string
 	limiter            *Limiter
-	place              *Place
+	place              *Assignment
 	// down is set while the host's process is not running.
 	down bool
 }
@@ -77,7 +77,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	h.down = false
-	h.place = &Place{Layout: c.layout, Holds: true, Since: time.Now()}
+	h.place = &Assignment{Layout: c.layout, Holds: true, Since: time.Now()}
 	h.limiter = NewLimiter(Options{Host: h.name, Zone: h.zone, Region: h.region, Bound: c.bound, Hosts: h, Metrics: noMetrics{}})
 }
 
@@ -92,7 +92,7 @@
 func (noMetrics) Add(string, int) {}
 
 // Place implements Hosts.
-func (h *clusterHost) Place() *Place {
+func (h *clusterHost) Place() *Assignment {
 	h.cluster.mu.Lock()
 	defer h.cluster.mu.Unlock()
 	return h.place
--- a/internal/gateway/quota/interleave_test.go
+++ b/internal/gateway/quota/interleave_test.go
@@ -24,7 +24,7 @@
 type protocol struct {
 	now     time.Time
 	account *account.Account
-	place   *Place
+	place   *Assignment
 	ledgers [3]*ledger
 	// admitted are the times of the admitted requests.
 	admitted []time.Time
@@ -40,7 +40,7 @@
 
 func newProtocol() *protocol {
 	p := &protocol{now: time.Unix(1000, 0), account: limited("a", 9, 9)}
-	p.place = &Place{Layout: &Layout{Zones: []Zone{{Name: "z", Region: "r", Large: []string{"0", "1", "2"}}}}, Holds: true, Since: p.now}
+	p.place = &Assignment{Layout: &Layout{Zones: []Zone{{Name: "z", Region: "r", Large: []string{"0", "1", "2"}}}}, Holds: true, Since: p.now}
 	for i := range p.ledgers {
 		p.restart(i)
 	}
--- a/internal/gateway/quota/layout.go
+++ b/internal/gateway/quota/layout.go
@@ -22,8 +22,8 @@
 	Zones []Zone
 }
 
-// Place is the current role of a host in the limits.
-type Place struct {
+// Assignment is the current role of a host in the limits.
+type Assignment struct {
 	Layout *Layout
 	// Holds is set while this host holds the shards that the layout assigns to it. A host
 	// that cannot rule out another holder of these shards holds none.
--- a/internal/gateway/quota/ledger.go
+++ b/internal/gateway/quota/ledger.go
@@ -25,7 +25,7 @@
 type ledger struct {
 	// account and place are the inputs of budget, shards and bucket.
 	account *account.Account
-	place   *Place
+	place   *Assignment
 	budget  Budget
 	// shards is the number of shards that this host holds. bucket is their common bucket,
 	// and nil if there are none.
@@ -61,7 +61,7 @@
 }
 
 // update applies the account's current limit and this host's current shards to the ledger.
-func (l *ledger) update(a *account.Account, p *Place, b Bound, host, zone string, now time.Time) {
+func (l *ledger) update(a *account.Account, p *Assignment, b Bound, host, zone string, now time.Time) {
 	// A new configuration has new accounts, mostly with unchanged limits, and computing the
 	// layout of an account takes 0.2 ms with 80 zones of 74 hosts.
 	same := l.place == p && l.account != nil && l.account.Rate == a.Rate && l.account.Burst == a.Burst
--- a/internal/gateway/quota/limiter.go
+++ b/internal/gateway/quota/limiter.go
@@ -40,7 +40,7 @@
 type Hosts interface {
 	// Place returns the current place of this host. The pointer stays the same until the
 	// place changes.
-	Place() *Place
+	Place() *Assignment
 	// AskTokens requests tokens from a host.
 	AskTokens(ctx context.Context, host string, request TokenRequest) (TokenResponse, error)
 }
