--- a/internal/gateway/fleet/place.go
+++ b/internal/gateway/fleet/place.go
@@ -138,9 +138,9 @@
 	return !slices.ContainsFunc(peers, func(p *peerState) bool { return now.Sub(p.lastHeartbeat) < isolatedAfter })
 }
 
-// Place gives this host's place in the limits of client accounts, at most schedulerTick
+// Assignment gives this host's place in the limits of client accounts, at most schedulerTick
 // old.
-func (f *Fleet) Place() *quota.Assignment { return f.limitPlace.Load() }
+func (f *Fleet) Assignment() *quota.Assignment { return f.limitPlace.Load() }
 
 // updatePlace works out the place anew.
 func (f *Fleet) updatePlace(now time.Time) {
--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -117,7 +117,7 @@
 	Layout: &quota.Layout{Zones: []quota.Zone{{Name: "z", Region: "r", Large: []string{""}}}}, Holds: true, Since: time.Now().Add(-time.Hour),
 }
 
-func (aloneHost) Place() *quota.Assignment { return alonePlace }
+func (aloneHost) Assignment() *quota.Assignment { return alonePlace }
 
 func (aloneHost) AskTokens(context.Context, string, quota.TokenRequest) (quota.TokenResponse, error) {
 	return quota.TokenResponse{}, errors.New("there is no other host")
--- a/internal/gateway/quota/bench_test.go
+++ b/internal/gateway/quota/bench_test.go
@@ -10,7 +10,7 @@
 // noPeers is a Hosts on which all token requests fail.
 type noPeers struct{ place *Assignment }
 
-func (h noPeers) Place() *Assignment { return h.place }
+func (h noPeers) Assignment() *Assignment { return h.place }
 
 func (noPeers) AskTokens(context.Context, string, TokenRequest) (TokenResponse, error) {
 	return TokenResponse{}, errors.New("no host responds")
--- a/internal/gateway/quota/cluster_test.go
+++ b/internal/gateway/quota/cluster_test.go
@@ -91,8 +91,8 @@
 
 func (noMetrics) Add(string, int) {}
 
-// Place implements Hosts.
-func (h *clusterHost) Place() *Assignment {
+// Assignment implements Hosts.
+func (h *clusterHost) Assignment() *Assignment {
 	h.cluster.mu.Lock()
 	defer h.cluster.mu.Unlock()
 	return h.place
--- a/internal/gateway/quota/limiter.go
+++ b/internal/gateway/quota/limiter.go
@@ -38,9 +38,9 @@
 
 // Hosts gives access to the hosts that share the limits.
 type Hosts interface {
-	// Place returns the current place of this host. The pointer stays the same until the
+	// Assignment returns the current place of this host. The pointer stays the same until the
 	// place changes.
-	Place() *Assignment
+	Assignment() *Assignment
 	// AskTokens requests tokens from a host.
 	AskTokens(ctx context.Context, host string, request TokenRequest) (TokenResponse, error)
 }
@@ -171,7 +171,7 @@
 		led = &ledger{}
 		l.ledgers[a.Name] = led
 	}
-	led.update(a, l.Hosts.Place(), l.Bound, l.Host, l.Zone, now)
+	led.update(a, l.Hosts.Assignment(), l.Bound, l.Host, l.Zone, now)
 	return led
 }
 
