--- a/internal/gateway/fleet/place.go
+++ b/internal/gateway/fleet/place.go
@@ -26,19 +26,19 @@
 
 // limitPlace gives this host's place in the limits; the last one while nothing changed.
 func (m *members) limitPlace(zones map[string]string, last *quota.Assignment, now time.Time) *quota.Assignment {
-	next := &quota.Assignment{Layout: m.layout(zones), Holds: m.holdsShards(now)}
-	if last != nil && last.Holds == next.Holds && (last.Layout == next.Layout || reflect.DeepEqual(last.Layout, next.Layout)) {
+	next := &quota.Assignment{Layout: m.layout(zones), HoldsShards: m.holdsShards(now)}
+	if last != nil && last.HoldsShards == next.HoldsShards && (last.Layout == next.Layout || reflect.DeepEqual(last.Layout, next.Layout)) {
 		return last
 	}
 	next.Since = m.heldSince(last, next, now)
-	m.heldShards = m.heldShards || next.Holds
+	m.heldShards = m.heldShards || next.HoldsShards
 	return next
 }
 
 // heldSince is from when on this host has held the shards of a new place.
 func (m *members) heldSince(last, next *quota.Assignment, now time.Time) time.Time {
 	switch {
-	case last != nil && last.Holds && slices.EqualFunc(last.Layout.Zones, next.Layout.Zones, func(a, b quota.Zone) bool {
+	case last != nil && last.HoldsShards && slices.EqualFunc(last.Layout.Zones, next.Layout.Zones, func(a, b quota.Zone) bool {
 		return a.Name != m.self.Zone || reflect.DeepEqual(a, b)
 	}):
 		return last.Since // only other zones have changed
--- a/internal/gateway/fleet/place_test.go
+++ b/internal/gateway/fleet/place_test.go
@@ -19,7 +19,7 @@
 	now := time.Now()
 	m := nineHosts("west0", now)
 	place := m.limitPlace(settingsZones, nil, now)
-	require.True(t, place.Holds)
+	require.True(t, place.HoldsShards)
 	require.Len(t, place.Layout.Zones, 6)
 	var names []string
 	for _, z := range place.Layout.Zones {
@@ -61,13 +61,13 @@
 func TestAHostThatStartsAgainHoldsItsShardsAtOnce(t *testing.T) {
 	now := time.Now()
 	m := newMembers(host("west0", "west-0", "west"), []string{"west", "east", "south"}, now)
-	require.False(t, m.limitPlace(settingsZones, nil, now).Holds, "it does not know its zone yet")
+	require.False(t, m.limitPlace(settingsZones, nil, now).HoldsShards, "it does not know its zone yet")
 	before := m.limitPlace(settingsZones, nil, now)
 	read := now.Add(time.Second)
 	m.addList("west", listings(nineHostsList()[:3]), true, read)
 	m.announcedBefore = true
 	place := m.limitPlace(settingsZones, before, read)
-	require.True(t, place.Holds)
+	require.True(t, place.HoldsShards)
 	require.Equal(t, now, place.Since, "they fill from the start of the process")
 	m.addList("east", listings(nineHostsList()[3:6]), true, read.Add(time.Second))
 	later := m.limitPlace(settingsZones, place, read.Add(time.Second))
--- a/internal/gateway/quota/interleave_test.go
+++ b/internal/gateway/quota/interleave_test.go
@@ -40,7 +40,7 @@
 
 func newProtocol() *protocol {
 	p := &protocol{now: time.Unix(1000, 0), account: limited("a", 9, 9)}
-	p.place = &Assignment{Layout: &Layout{Zones: []Zone{{Name: "z", Region: "r", Large: []string{"0", "1", "2"}}}}, Holds: true, Since: p.now}
+	p.place = &Assignment{Layout: &Layout{Zones: []Zone{{Name: "z", Region: "r", Large: []string{"0", "1", "2"}}}}, HoldsShards: true, Since: p.now}
 	for i := range p.ledgers {
 		p.restart(i)
 	}
--- a/internal/gateway/quota/layout.go
+++ b/internal/gateway/quota/layout.go
@@ -25,9 +25,9 @@
 // Assignment is the current role of a host in the limits.
 type Assignment struct {
 	Layout *Layout
-	// Holds is set while this host holds the shards that the layout assigns to it. A host
+	// HoldsShards is set while this host holds the shards that the layout assigns to it. A host
 	// that cannot rule out another holder of these shards holds none.
-	Holds bool
+	HoldsShards bool
 	// Since is the time since when this host has held its shards.
 	Since time.Time
 }
--- a/internal/gateway/quota/ledger.go
+++ b/internal/gateway/quota/ledger.go
@@ -72,7 +72,7 @@
 	l.budget = b.Budget(a.Rate, a.Burst, len(p.Layout.Zones))
 	l.otherHolders, l.skipUntil = nil, nil
 	l.shards = 0
-	if p.Holds {
+	if p.HoldsShards {
 		l.shards = p.Layout.held(a.Name, host, zone, l.budget.Shards)
 	}
 	l.resize(now)
