--- a/internal/gateway/fleet/place.go
+++ b/internal/gateway/fleet/place.go
@@ -30,7 +30,7 @@
 	if last != nil && last.HoldsShards == next.HoldsShards && (last.Layout == next.Layout || reflect.DeepEqual(last.Layout, next.Layout)) {
 		return last
 	}
-	next.Since = m.heldSince(last, next, now)
+	next.HeldSince = m.heldSince(last, next, now)
 	m.heldShards = m.heldShards || next.HoldsShards
 	return next
 }
@@ -41,7 +41,7 @@
 	case last != nil && last.HoldsShards && slices.EqualFunc(last.Layout.Zones, next.Layout.Zones, func(a, b quota.Zone) bool {
 		return a.Name != m.self.Zone || reflect.DeepEqual(a, b)
 	}):
-		return last.Since // only other zones have changed
+		return last.HeldSince // only other zones have changed
 	case m.announcedBefore && !m.heldShards:
 		// They have been this host's since before its process started, and filled while
 		// it read the lists. Counted from when it had read them, 3,718 tries were refused
--- a/internal/gateway/fleet/place_test.go
+++ b/internal/gateway/fleet/place_test.go
@@ -68,14 +68,14 @@
 	m.announcedBefore = true
 	place := m.limitPlace(settingsZones, before, read)
 	require.True(t, place.HoldsShards)
-	require.Equal(t, now, place.Since, "they fill from the start of the process")
+	require.Equal(t, now, place.HeldSince, "they fill from the start of the process")
 	m.addList("east", listings(nineHostsList()[3:6]), true, read.Add(time.Second))
 	later := m.limitPlace(settingsZones, place, read.Add(time.Second))
 	require.NotSame(t, place, later)
-	require.Equal(t, now, later.Since, "another zone changes nothing here")
+	require.Equal(t, now, later.HeldSince, "another zone changes nothing here")
 	m.addKnown(host("west8", "west-0", "west"), read.Add(2*time.Second))
 	last := m.limitPlace(settingsZones, later, read.Add(2*time.Second))
-	require.Equal(t, read.Add(2*time.Second), last.Since, "a shard that moves starts empty")
+	require.Equal(t, read.Add(2*time.Second), last.HeldSince, "a shard that moves starts empty")
 }
 
 func TestTheShardsOfAHostThatStopsGoToItsZone(t *testing.T) {
--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -114,7 +114,7 @@
 type aloneHost struct{}
 
 var alonePlace = &quota.Assignment{
-	Layout: &quota.Layout{Zones: []quota.Zone{{Name: "z", Region: "r", Large: []string{""}}}}, HoldsShards: true, Since: time.Now().Add(-time.Hour),
+	Layout: &quota.Layout{Zones: []quota.Zone{{Name: "z", Region: "r", Large: []string{""}}}}, HoldsShards: true, HeldSince: time.Now().Add(-time.Hour),
 }
 
 func (aloneHost) Assignment() *quota.Assignment { return alonePlace }
--- a/internal/gateway/quota/bench_test.go
+++ b/internal/gateway/quota/bench_test.go
@@ -27,7 +27,7 @@
 			a := limited("a", c.rate, 1)
 			l := NewLimiter(Options{
 				Host: "z0-large-0", Zone: "z0", Region: "r0", Bound: bound, Metrics: noMetrics{},
-				Hosts: noPeers{&Assignment{Layout: testLayout(1, 1, 0), HoldsShards: true, Since: time.Now().Add(-time.Hour)}},
+				Hosts: noPeers{&Assignment{Layout: testLayout(1, 1, 0), HoldsShards: true, HeldSince: time.Now().Add(-time.Hour)}},
 			})
 			for range 100 {
 				l.Admit(b.Context(), a)
--- a/internal/gateway/quota/cluster_test.go
+++ b/internal/gateway/quota/cluster_test.go
@@ -77,7 +77,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	h.down = false
-	h.place = &Assignment{Layout: c.layout, HoldsShards: true, Since: time.Now()}
+	h.place = &Assignment{Layout: c.layout, HoldsShards: true, HeldSince: time.Now()}
 	h.limiter = NewLimiter(Options{Host: h.name, Zone: h.zone, Region: h.region, Bound: c.bound, Hosts: h, Metrics: noMetrics{}})
 }
 
--- a/internal/gateway/quota/interleave_test.go
+++ b/internal/gateway/quota/interleave_test.go
@@ -40,7 +40,7 @@
 
 func newProtocol() *protocol {
 	p := &protocol{now: time.Unix(1000, 0), account: limited("a", 9, 9)}
-	p.place = &Assignment{Layout: &Layout{Zones: []Zone{{Name: "z", Region: "r", Large: []string{"0", "1", "2"}}}}, HoldsShards: true, Since: p.now}
+	p.place = &Assignment{Layout: &Layout{Zones: []Zone{{Name: "z", Region: "r", Large: []string{"0", "1", "2"}}}}, HoldsShards: true, HeldSince: p.now}
 	for i := range p.ledgers {
 		p.restart(i)
 	}
@@ -50,7 +50,7 @@
 
 func (p *protocol) restart(host int) {
 	place := *p.place
-	place.Since = p.now
+	place.HeldSince = p.now
 	p.ledgers[host] = &ledger{}
 	p.ledgers[host].update(p.account, &place, smallBound, fmt.Sprint(host), "z", p.now)
 }
--- a/internal/gateway/quota/layout.go
+++ b/internal/gateway/quota/layout.go
@@ -28,8 +28,8 @@
 	// HoldsShards is set while this host holds the shards that the layout assigns to it. A host
 	// that cannot rule out another holder of these shards holds none.
 	HoldsShards bool
-	// Since is the time since when this host has held its shards.
-	Since time.Time
+	// HeldSince is the time since when this host has held its shards.
+	HeldSince time.Time
 }
 
 // Holder is a host that holds a number of shards of an account.
--- a/internal/gateway/quota/ledger.go
+++ b/internal/gateway/quota/ledger.go
@@ -93,7 +93,7 @@
 		return
 	}
 	l.bucket = rate.NewLimiter(rate.Limit(perSecond), burst)
-	l.bucket.AllowN(l.place.Since, burst) // a new rate.Limiter is full
+	l.bucket.AllowN(l.place.HeldSince, burst) // a new rate.Limiter is full
 }
 
 // take takes the tokens of one request. Tokens from other hosts are taken first, because they
