--- a/internal/gateway/fleet/quota.go
+++ b/internal/gateway/fleet/quota.go
@@ -99,7 +99,7 @@
 }
 
 // withheld says why this host has no share of the rate of a region's upstreams.
-func (m *members) withheld(region string, now time.Time) warmup.Withheld {
+func (m *members) withheld(region string, now time.Time) warmup.WithheldReason {
 	inRegion := m.self.Region == region
 	switch {
 	case !inRegion && m.anyAlive(region, now):
--- a/internal/gateway/fleet/quota_test.go
+++ b/internal/gateway/fleet/quota_test.go
@@ -122,7 +122,7 @@
 		lists  map[string]time.Duration // when the list of each region was read
 		region string
 		at     time.Duration
-		want   warmup.Withheld
+		want   warmup.WithheldReason
 	}{
 		{"a process that has just started", map[string]time.Duration{"west": 0, "east": 0, "south": 0}, "west", warmup.Window - 1, warmup.Starting},
 		{"one that sent nothing for a window", map[string]time.Duration{"west": 0, "east": 0, "south": 0}, "west", warmup.Window, warmup.NotWithheld},
--- a/internal/gateway/warmup/quota.go
+++ b/internal/gateway/warmup/quota.go
@@ -7,27 +7,27 @@
 	// Hosts is the number of known hosts that share the rate, including this host.
 	Hosts int
 	// Withheld is the reason why the host has no share. If it is set, Requests is zero.
-	Withheld Withheld
+	Withheld WithheldReason
 }
 
-// Withheld is the reason why a host has no share of a cold upstream's rate.
-type Withheld string
+// WithheldReason is the reason why a host has no share of a cold upstream's rate.
+type WithheldReason string
 
 const (
 	// NotWithheld means that the host has a share. The share may be zero if the rate has
 	// fewer requests per second than there are hosts.
-	NotWithheld Withheld = ""
+	NotWithheld WithheldReason = ""
 	// Starting means that the process started less than Window ago. The previous process
 	// may have used the host's share within that time.
-	Starting Withheld = "starting"
+	Starting WithheldReason = "starting"
 	// HostsUnknown means that the host has not read the list of hosts that share the rate,
 	// or read it for the first time less than Window ago. The other hosts may not know of
 	// this host yet, and a host that left just before may have used this host's share.
-	HostsUnknown Withheld = "hosts-unknown"
+	HostsUnknown WithheldReason = "hosts-unknown"
 	// Stopping means that the host has deregistered itself. Hosts that start afterwards do
 	// not take it into account.
-	Stopping Withheld = "stopping"
+	Stopping WithheldReason = "stopping"
 	// OwnRegion means that the upstream's rate is reserved for the live hosts of the
 	// upstream's region.
-	OwnRegion Withheld = "own-region"
+	OwnRegion WithheldReason = "own-region"
 )
