--- a/internal/gateway/account/account.go
+++ b/internal/gateway/account/account.go
@@ -52,7 +52,7 @@
 type Set struct {
 	byKey  map[string]*Account
 	byName map[string]*Account
-	// boundFractions is the result of BoundParts.
+	// boundFractions is the result of BoundFractions.
 	boundFractions map[string]float64
 }
 
@@ -138,10 +138,10 @@
 	return a, ok
 }
 
-// BoundParts returns, by region, the fraction of all requests that only this region may
+// BoundFractions returns, by region, the fraction of all requests that only this region may
 // serve, from 0 to 1. It assumes that all accounts use the same fraction of their rates. The
 // caller must not modify the map.
-func (s *Set) BoundParts() map[string]float64 {
+func (s *Set) BoundFractions() map[string]float64 {
 	if s == nil {
 		return nil
 	}
--- a/internal/gateway/account/account_test.go
+++ b/internal/gateway/account/account_test.go
@@ -89,8 +89,8 @@
 		return account.Entry{Account: account.Account{Name: name, Rate: rate, Regions: regions}}
 	}
 	s := newSet(t, account("free", 60), account("bound", 20, "west"), account("both", 20, "west", "east"), account("unlimited", 0, "east"))
-	require.InDeltaMapValues(t, map[string]float64{"west": 0.3, "east": 0.1}, s.BoundParts(), 1e-9)
-	require.Empty(t, newSet(t, account("unlimited", 0, "east")).BoundParts(), "the rate of an unlimited account is unknown")
+	require.InDeltaMapValues(t, map[string]float64{"west": 0.3, "east": 0.1}, s.BoundFractions(), 1e-9)
+	require.Empty(t, newSet(t, account("unlimited", 0, "east")).BoundFractions(), "the rate of an unlimited account is unknown")
 }
 
 // Every request looks up a key.
--- a/internal/gateway/proxy/choose.go
+++ b/internal/gateway/proxy/choose.go
@@ -43,7 +43,7 @@
 	if f.hasHome() {
 		q.Allows = f.allows
 	} else {
-		q.Reserved = f.config.Accounts.BoundParts()
+		q.Reserved = f.config.Accounts.BoundFractions()
 	}
 	return q
 }
