--- a/internal/gateway/losses/losses.go
+++ b/internal/gateway/losses/losses.go
@@ -24,9 +24,9 @@
 
 // Options define the weight of a request and of a late response.
 type Options struct {
-	// Way is the round-trip time between client and host. It is subtracted from the
+	// RTT is the round-trip time between client and host. It is subtracted from the
 	// objective, which includes this time.
-	Way time.Duration
+	RTT time.Duration
 	// LateShare is the fraction of its weight that a request with a late response
 	// keeps, from 0 to 1.
 	LateShare float64
@@ -182,7 +182,7 @@
 			continue
 		}
 		weight := o.weight(f.Priority)
-		cause := h.cause(f, o.Way)
+		cause := h.cause(f, o.RTT)
 		lost := weight * lostFraction(cause, o.LateShare)
 		second := int(f.Time.Sub(h.finals[0].Time) / time.Second)
 		r.Owed.add(weight)
--- a/internal/gateway/losses/losses_test.go
+++ b/internal/gateway/losses/losses_test.go
@@ -129,7 +129,7 @@
 	b.final("q", 240, 240)
 	b.h.prepare()
 	require.Empty(t, b.h.report(Options{}).Lost)
-	require.Len(t, b.h.report(Options{Way: 20 * time.Millisecond}).Lost, 1)
+	require.Len(t, b.h.report(Options{RTT: 20 * time.Millisecond}).Lost, 1)
 }
 
 func TestDisconnectedClientsAndUnknownRoutesAreNotCounted(t *testing.T) {
