--- a/cmd/losses.go
+++ b/cmd/losses.go
@@ -28,7 +28,7 @@
 
 func (c *lossesCmd) SetFlags(f *flag.FlagSet) {
 	f.DurationVar(&c.options.RTT, "way", defaultWay, "`time` between client and host, there and back")
-	f.Float64Var(&c.options.LateShare, "late-share", defaultLateShare, "`part` of its worth that a late response keeps")
+	f.Float64Var(&c.options.LateFraction, "late-share", defaultLateShare, "`part` of its worth that a late response keeps")
 	f.StringVar(&c.weights, "weights", defaultWeights, "`worth` of a request of each priority, the most urgent first")
 }
 
--- a/internal/gateway/losses/losses.go
+++ b/internal/gateway/losses/losses.go
@@ -27,9 +27,9 @@
 	// RTT is the round-trip time between client and host. It is subtracted from the
 	// objective, which includes this time.
 	RTT time.Duration
-	// LateShare is the fraction of its weight that a request with a late response
+	// LateFraction is the fraction of its weight that a request with a late response
 	// keeps, from 0 to 1.
-	LateShare float64
+	LateFraction float64
 	// Weights are the weights of a request by priority, starting with the most
 	// urgent. The last weight applies to all further priorities too. If Weights is
 	// empty, every request has weight 1.
@@ -183,7 +183,7 @@
 		}
 		weight := o.weight(f.Priority)
 		cause := h.cause(f, o.RTT)
-		lost := weight * lostFraction(cause, o.LateShare)
+		lost := weight * lostFraction(cause, o.LateFraction)
 		second := int(f.Time.Sub(h.finals[0].Time) / time.Second)
 		r.Owed.add(weight)
 		addLost(r.Lost, cause, lost)
--- a/internal/gateway/losses/losses_test.go
+++ b/internal/gateway/losses/losses_test.go
@@ -107,7 +107,7 @@
 			b.known("k")
 			c.log(&b)
 			b.h.prepare()
-			r := b.h.report(Options{LateShare: 0.2, Weights: []float64{3, 2, 1}})
+			r := b.h.report(Options{LateFraction: 0.2, Weights: []float64{3, 2, 1}})
 			require.Equal(t, 1, r.Owed.Requests)
 			if c.want == None {
 				require.Empty(t, r.Lost)
@@ -159,7 +159,7 @@
 	log.Attempt(eventlog.Attempt{Request: "q", Service: "s", Upstream: "i-1", Key: "k", Capacity: 2, Outcome: eventlog.OutcomeAnswered, Took: 300 * time.Millisecond})
 	log.Final(eventlog.Final{Request: "q", Route: "r", Service: "s", Objective: 250 * time.Millisecond, Status: 200, Verdict: "ran", Took: 300 * time.Millisecond})
 	log.Close()
-	r, err := Read(&logs, Options{LateShare: 0.2})
+	r, err := Read(&logs, Options{LateFraction: 0.2})
 	require.NoError(t, err)
 	require.InDelta(t, 0.8, r.LostWorth(), 1e-9)
 	require.NoError(t, r.Print(&out))
