--- a/internal/gateway/losses/losses.go
+++ b/internal/gateway/losses/losses.go
@@ -48,13 +48,13 @@
 type Sum struct {
 	// Requests is the number of requests.
 	Requests int
-	// Worth is the total weight of the requests, or the total weight that they lost.
-	Worth float64
+	// Weight is the total weight of the requests, or the total weight that they lost.
+	Weight float64
 }
 
 func (s *Sum) add(weight float64) {
 	s.Requests++
-	s.Worth += weight
+	s.Weight += weight
 }
 
 // Report contains the requests of a log, and the causes for which they missed their
@@ -91,7 +91,7 @@
 func lostWeight(lost map[Cause]Sum) float64 {
 	total := 0.0
 	for _, s := range lost {
-		total += s.Worth
+		total += s.Weight
 	}
 	return total
 }
@@ -247,6 +247,6 @@
 // byLostWeight returns the causes, sorted by the lost weight in descending order.
 func byLostWeight(lost map[Cause]Sum) []Cause {
 	return slices.SortedFunc(maps.Keys(lost), func(a, b Cause) int {
-		return cmp.Or(cmp.Compare(lost[b].Worth, lost[a].Worth), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(lost[b].Weight, lost[a].Weight), cmp.Compare(a, b))
 	})
 }
--- a/internal/gateway/losses/losses_test.go
+++ b/internal/gateway/losses/losses_test.go
@@ -117,7 +117,7 @@
 			if isLate(c.want) {
 				lost = 0.8
 			}
-			require.Equal(t, map[Cause]Sum{c.want: {Requests: 1, Worth: lost}}, r.Lost)
+			require.Equal(t, map[Cause]Sum{c.want: {Requests: 1, Weight: lost}}, r.Lost)
 		})
 	}
 }
--- a/internal/gateway/losses/print.go
+++ b/internal/gateway/losses/print.go
@@ -16,10 +16,10 @@
 // total weight of the requests in the same row or table.
 func (r Report) Print(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "requests\t%d\tworth\t%.0f\tlost\t%.4f\n", r.Owed.Requests, r.Owed.Worth, fraction(r.LostWorth(), r.Owed))
+	fmt.Fprintf(t, "requests\t%d\tworth\t%.0f\tlost\t%.4f\n", r.Owed.Requests, r.Owed.Weight, fraction(r.LostWorth(), r.Owed))
 	fmt.Fprintf(t, "\ncause\trequests\tlost\n")
 	for _, c := range byLostWeight(r.Lost) {
-		fmt.Fprintf(t, "%s\t%d\t%.4f\n", c, r.Lost[c].Requests, fraction(r.Lost[c].Worth, r.Owed))
+		fmt.Fprintf(t, "%s\t%d\t%.4f\n", c, r.Lost[c].Requests, fraction(r.Lost[c].Weight, r.Owed))
 	}
 	fmt.Fprintf(t, "\nservice\tobjects\tfirst requests at an upstream\n")
 	for _, s := range slices.Sorted(maps.Keys(r.Objects)) {
@@ -42,7 +42,7 @@
 			if i == maxCausesPerRow {
 				break
 			}
-			fmt.Fprintf(t, "%s %.3f; ", c, fraction(g.Lost[c].Worth, g.Owed))
+			fmt.Fprintf(t, "%s %.3f; ", c, fraction(g.Lost[c].Weight, g.Owed))
 		}
 		fmt.Fprintln(t)
 	}
@@ -50,8 +50,8 @@
 
 // fraction returns a weight as a fraction of the weight of a sum, and zero for an empty sum.
 func fraction(weight float64, total Sum) float64 {
-	if total.Worth == 0 {
+	if total.Weight == 0 {
 		return 0
 	}
-	return weight / total.Worth
+	return weight / total.Weight
 }
