--- a/internal/gateway/losses/losses.go
+++ b/internal/gateway/losses/losses.go
@@ -82,8 +82,8 @@
 	Lost map[Cause]Sum
 }
 
-// LostWorth returns the lost weight of the subset, over all causes.
-func (p Part) LostWorth() float64 { return lostWeight(p.Lost) }
+// LostWeight returns the lost weight of the subset, over all causes.
+func (p Part) LostWeight() float64 { return lostWeight(p.Lost) }
 
 // LostWorth returns the lost weight of all requests, over all causes.
 func (r Report) LostWorth() float64 { return lostWeight(r.Lost) }
--- a/internal/gateway/losses/print.go
+++ b/internal/gateway/losses/print.go
@@ -37,7 +37,7 @@
 	fmt.Fprintf(t, "\n%s\trequests\tlost\tmost by\n", name)
 	for _, key := range slices.Sorted(maps.Keys(groups)) {
 		g := groups[key]
-		fmt.Fprintf(t, "%v\t%d\t%.4f\t", key, g.Owed.Requests, fraction(g.LostWorth(), g.Owed))
+		fmt.Fprintf(t, "%v\t%d\t%.4f\t", key, g.Owed.Requests, fraction(g.LostWeight(), g.Owed))
 		for i, c := range byLostWeight(g.Lost) {
 			if i == maxCausesPerRow {
 				break
