--- a/internal/gateway/losses/losses.go
+++ b/internal/gateway/losses/losses.go
@@ -85,8 +85,8 @@
 // LostWeight returns the lost weight of the subset, over all causes.
 func (p Part) LostWeight() float64 { return lostWeight(p.Lost) }
 
-// LostWorth returns the lost weight of all requests, over all causes.
-func (r Report) LostWorth() float64 { return lostWeight(r.Lost) }
+// LostWeight returns the lost weight of all requests, over all causes.
+func (r Report) LostWeight() float64 { return lostWeight(r.Lost) }
 
 func lostWeight(lost map[Cause]Sum) float64 {
 	total := 0.0
--- a/internal/gateway/losses/losses_test.go
+++ b/internal/gateway/losses/losses_test.go
@@ -161,7 +161,7 @@
 	log.Close()
 	r, err := Read(&logs, Options{LateFraction: 0.2})
 	require.NoError(t, err)
-	require.InDelta(t, 0.8, r.LostWorth(), 1e-9)
+	require.InDelta(t, 0.8, r.LostWeight(), 1e-9)
 	require.NoError(t, r.Print(&out))
 	for _, want := range []string{"late: first request", "r      1", "z-a", "0       1"} {
 		require.Contains(t, out.String(), want)
@@ -172,5 +172,5 @@
 	r, err := Read(strings.NewReader("nothing\n"), Options{})
 	require.NoError(t, err)
 	require.Zero(t, r.Owed)
-	require.Zero(t, r.LostWorth())
+	require.Zero(t, r.LostWeight())
 }
