--- a/internal/gateway/losses/losses.go
+++ b/internal/gateway/losses/losses.go
@@ -78,8 +78,8 @@
 
 // Part contains the sums of a subset of a report's requests.
 type Part struct {
-	Owed Sum
-	Lost map[Cause]Sum
+	Total Sum
+	Lost  map[Cause]Sum
 }
 
 // LostWeight returns the lost weight of the subset, over all causes.
@@ -239,7 +239,7 @@
 	if g.Lost == nil {
 		g.Lost = map[Cause]Sum{}
 	}
-	g.Owed.add(weight)
+	g.Total.add(weight)
 	addLost(g.Lost, c, lost)
 	groups[key] = g
 }
--- a/internal/gateway/losses/print.go
+++ b/internal/gateway/losses/print.go
@@ -37,12 +37,12 @@
 	fmt.Fprintf(t, "\n%s\trequests\tlost\tmost by\n", name)
 	for _, key := range slices.Sorted(maps.Keys(groups)) {
 		g := groups[key]
-		fmt.Fprintf(t, "%v\t%d\t%.4f\t", key, g.Owed.Requests, fraction(g.LostWeight(), g.Owed))
+		fmt.Fprintf(t, "%v\t%d\t%.4f\t", key, g.Total.Requests, fraction(g.LostWeight(), g.Total))
 		for i, c := range byLostWeight(g.Lost) {
 			if i == maxCausesPerRow {
 				break
 			}
-			fmt.Fprintf(t, "%s %.3f; ", c, fraction(g.Lost[c].Weight, g.Owed))
+			fmt.Fprintf(t, "%s %.3f; ", c, fraction(g.Lost[c].Weight, g.Total))
 		}
 		fmt.Fprintln(t)
 	}
