--- a/internal/gateway/losses/losses.go
+++ b/internal/gateway/losses/losses.go
@@ -60,8 +60,8 @@
 // Report contains the requests of a log, and the causes for which they missed their
 // objectives.
 type Report struct {
-	// Owed sums up all counted requests with their full weight.
-	Owed Sum
+	// Total sums up all counted requests with their full weight.
+	Total Sum
 	// Lost sums up the requests that missed their objective, with the lost weight, by
 	// cause.
 	Lost map[Cause]Sum
@@ -185,7 +185,7 @@
 		cause := h.cause(f, o.RTT)
 		lost := weight * lostFraction(cause, o.LateFraction)
 		second := int(f.Time.Sub(h.finals[0].Time) / time.Second)
-		r.Owed.add(weight)
+		r.Total.add(weight)
 		addLost(r.Lost, cause, lost)
 		addToGroup(r.Routes, f.Route, weight, cause, lost)
 		addToGroup(r.Zones, f.HostZone, weight, cause, lost)
--- a/internal/gateway/losses/losses_test.go
+++ b/internal/gateway/losses/losses_test.go
@@ -108,7 +108,7 @@
 			c.log(&b)
 			b.h.prepare()
 			r := b.h.report(Options{LateFraction: 0.2, Weights: []float64{3, 2, 1}})
-			require.Equal(t, 1, r.Owed.Requests)
+			require.Equal(t, 1, r.Total.Requests)
 			if c.want == None {
 				require.Empty(t, r.Lost)
 				return
@@ -137,7 +137,7 @@
 	b.final("left", 900, 900, func(l *logline.Line) { l.Client = string(eventlog.ClientLeft) })
 	b.final("no-route", 1, 1, withReason(verdict.NotRun, verdict.UnknownRoute))
 	b.h.prepare()
-	require.Zero(t, b.h.report(Options{}).Owed.Requests)
+	require.Zero(t, b.h.report(Options{}).Total.Requests)
 }
 
 func TestWeightsDependOnThePriority(t *testing.T) {
@@ -171,6 +171,6 @@
 func TestLogsWithoutRequestsGiveAnEmptyReport(t *testing.T) {
 	r, err := Read(strings.NewReader("nothing\n"), Options{})
 	require.NoError(t, err)
-	require.Zero(t, r.Owed)
+	require.Zero(t, r.Total)
 	require.Zero(t, r.LostWeight())
 }
--- a/internal/gateway/losses/print.go
+++ b/internal/gateway/losses/print.go
@@ -16,10 +16,10 @@
 // total weight of the requests in the same row or table.
 func (r Report) Print(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "requests\t%d\tworth\t%.0f\tlost\t%.4f\n", r.Owed.Requests, r.Owed.Weight, fraction(r.LostWeight(), r.Owed))
+	fmt.Fprintf(t, "requests\t%d\tworth\t%.0f\tlost\t%.4f\n", r.Total.Requests, r.Total.Weight, fraction(r.LostWeight(), r.Total))
 	fmt.Fprintf(t, "\ncause\trequests\tlost\n")
 	for _, c := range byLostWeight(r.Lost) {
-		fmt.Fprintf(t, "%s\t%d\t%.4f\n", c, r.Lost[c].Requests, fraction(r.Lost[c].Weight, r.Owed))
+		fmt.Fprintf(t, "%s\t%d\t%.4f\n", c, r.Lost[c].Requests, fraction(r.Lost[c].Weight, r.Total))
 	}
 	fmt.Fprintf(t, "\nservice\tobjects\tfirst requests at an upstream\n")
 	for _, s := range slices.Sorted(maps.Keys(r.Objects)) {
