--- a/internal/gateway/losses/losses.go
+++ b/internal/gateway/losses/losses.go
@@ -67,23 +67,23 @@
 	Lost map[Cause]Sum
 	// Routes, Zones and Seconds contain the same sums by route, by the host's zone,
 	// and by the second in which the request ended, counted from the start of the log.
-	Routes  map[string]Part
-	Zones   map[string]Part
-	Seconds map[int]Part
+	Routes  map[string]Group
+	Zones   map[string]Group
+	Seconds map[int]Group
 	// FirstLoads is the number of first requests for an object at an upstream, and
 	// Objects the number of distinct objects, by service.
 	FirstLoads map[string]int
 	Objects    map[string]int
 }
 
-// Part contains the sums of a subset of a report's requests.
-type Part struct {
+// Group contains the sums of a subset of a report's requests.
+type Group struct {
 	Total Sum
 	Lost  map[Cause]Sum
 }
 
 // LostWeight returns the lost weight of the subset, over all causes.
-func (p Part) LostWeight() float64 { return lostWeight(p.Lost) }
+func (p Group) LostWeight() float64 { return lostWeight(p.Lost) }
 
 // LostWeight returns the lost weight of all requests, over all causes.
 func (r Report) LostWeight() float64 { return lostWeight(r.Lost) }
@@ -174,7 +174,7 @@
 // report returns the sums over all counted requests.
 func (h *history) report(o Options) Report {
 	r := Report{
-		Lost: map[Cause]Sum{}, Routes: map[string]Part{}, Zones: map[string]Part{}, Seconds: map[int]Part{},
+		Lost: map[Cause]Sum{}, Routes: map[string]Group{}, Zones: map[string]Group{}, Seconds: map[int]Group{},
 		FirstLoads: map[string]int{}, Objects: map[string]int{},
 	}
 	for _, f := range h.finals {
@@ -234,7 +234,7 @@
 	lost[c] = s
 }
 
-func addToGroup[K cmp.Ordered](groups map[K]Part, key K, weight float64, c Cause, lost float64) {
+func addToGroup[K cmp.Ordered](groups map[K]Group, key K, weight float64, c Cause, lost float64) {
 	g := groups[key]
 	if g.Lost == nil {
 		g.Lost = map[Cause]Sum{}
--- a/internal/gateway/losses/print.go
+++ b/internal/gateway/losses/print.go
@@ -33,7 +33,7 @@
 
 // printGroups writes a table of groups, with the causes that lost the most weight in
 // each group.
-func printGroups[K cmp.Ordered](t io.Writer, name string, groups map[K]Part) {
+func printGroups[K cmp.Ordered](t io.Writer, name string, groups map[K]Group) {
 	fmt.Fprintf(t, "\n%s\trequests\tlost\tmost by\n", name)
 	for _, key := range slices.Sorted(maps.Keys(groups)) {
 		g := groups[key]
