--- a/internal/gateway/account/account.go
+++ b/internal/gateway/account/account.go
@@ -52,7 +52,7 @@
 type Set struct {
 	byKey  map[string]*Account
 	byName map[string]*Account
-	// boundFractions is the result of BoundFractions.
+	// boundFractions is returned by BoundFractions.
 	boundFractions map[string]float64
 }
 
--- a/internal/gateway/losses/losses.go
+++ b/internal/gateway/losses/losses.go
@@ -83,7 +83,7 @@
 }
 
 // LostWeight returns the lost weight of the subset, over all causes.
-func (p Group) LostWeight() float64 { return lostWeight(p.Lost) }
+func (g Group) LostWeight() float64 { return lostWeight(g.Lost) }
 
 // LostWeight returns the lost weight of all requests, over all causes.
 func (r Report) LostWeight() float64 { return lostWeight(r.Lost) }
--- a/internal/gateway/outlier/detector.go
+++ b/internal/gateway/outlier/detector.go
@@ -91,8 +91,8 @@
 	d.state(run).consecutive.record(o, now)
 }
 
-// RecordTermination records that a run of an upstream has terminated, as observed by
-// this host or by another one. Without it each host would detect the termination
+// RecordTermination records that a run of an upstream has terminated, as observed
+// by this host or by another one. Otherwise each host would detect the termination
 // only by failures of its own requests, and again after each back-off.
 func (d *Detector) RecordTermination(run upstream.Run, now time.Time) {
 	d.mu.Lock()
--- a/internal/gateway/quota/ask.go
+++ b/internal/gateway/quota/ask.go
@@ -67,7 +67,7 @@
 // selectHolders returns the holders that may have tokens.
 func (l *Limiter) selectHolders(led *ledger, now time.Time) (near, far []Holder) {
 	if led.otherHolders == nil {
-		led.otherHolders = led.place.Layout.otherHolders(led.account.Name, l.Host, l.Zone, l.Region, led.budget.Shards)
+		led.otherHolders = led.assignment.Layout.otherHolders(led.account.Name, l.Host, l.Zone, l.Region, led.budget.Shards)
 		led.skipUntil = map[string]time.Time{}
 	}
 	for _, h := range led.otherHolders {
--- a/internal/gateway/quota/bench_test.go
+++ b/internal/gateway/quota/bench_test.go
@@ -8,9 +8,9 @@
 )
 
 // noPeers is a Hosts on which all token requests fail.
-type noPeers struct{ place *Assignment }
+type noPeers struct{ assignment *Assignment }
 
-func (h noPeers) Assignment() *Assignment { return h.place }
+func (h noPeers) Assignment() *Assignment { return h.assignment }
 
 func (noPeers) AskTokens(context.Context, string, TokenRequest) (TokenResponse, error) {
 	return TokenResponse{}, errors.New("no host responds")
--- a/internal/gateway/quota/cluster_test.go
+++ b/internal/gateway/quota/cluster_test.go
@@ -42,7 +42,7 @@
 	cluster            *cluster
 	name, zone, region string
 	limiter            *Limiter
-	place              *Assignment
+	assignment         *Assignment
 	// down is set while the host's process is not running.
 	down bool
 }
@@ -77,7 +77,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	h.down = false
-	h.place = &Assignment{Layout: c.layout, HoldsShards: true, HeldSince: time.Now()}
+	h.assignment = &Assignment{Layout: c.layout, HoldsShards: true, HeldSince: time.Now()}
 	h.limiter = NewLimiter(Options{Host: h.name, Zone: h.zone, Region: h.region, Bound: c.bound, Hosts: h, Metrics: noMetrics{}})
 }
 
@@ -95,7 +95,7 @@
 func (h *clusterHost) Assignment() *Assignment {
 	h.cluster.mu.Lock()
 	defer h.cluster.mu.Unlock()
-	return h.place
+	return h.assignment
 }
 
 var errNoResponse = errors.New("no response")
--- a/internal/gateway/quota/doc.go
+++ b/internal/gateway/quota/doc.go
@@ -16,7 +16,7 @@
 //   - A partitioned host continues with its own shards, and the others with theirs.
 //
 // The limit depends neither on liveness, nor on synchronized clocks, nor on the order of
-// messages. It does depend on each shard having at most one holder, which Place ensures.
+// messages. It does depend on each shard having at most one holder (Assignment).
 //
 // Budget and Layout are pure functions, ledger is the state of one account on one host
 // without a lock or a clock, and Limiter adds the lock, the clock and the token requests.
--- a/internal/gateway/quota/interleave_test.go
+++ b/internal/gateway/quota/interleave_test.go
@@ -22,10 +22,10 @@
 
 // protocol is three hosts of one zone with one account.
 type protocol struct {
-	now     time.Time
-	account *account.Account
-	place   *Assignment
-	ledgers [3]*ledger
+	now        time.Time
+	account    *account.Account
+	assignment *Assignment
+	ledgers    [3]*ledger
 	// admitted are the times of the admitted requests.
 	admitted []time.Time
 	// delayed are tokens that were removed from a bucket and have not arrived yet.
@@ -40,7 +40,7 @@
 
 func newProtocol() *protocol {
 	p := &protocol{now: time.Unix(1000, 0), account: limited("a", 9, 9)}
-	p.place = &Assignment{Layout: &Layout{Zones: []Zone{{Name: "z", Region: "r", Large: []string{"0", "1", "2"}}}}, HoldsShards: true, HeldSince: p.now}
+	p.assignment = &Assignment{Layout: &Layout{Zones: []Zone{{Name: "z", Region: "r", Large: []string{"0", "1", "2"}}}}, HoldsShards: true, HeldSince: p.now}
 	for i := range p.ledgers {
 		p.restart(i)
 	}
@@ -49,10 +49,10 @@
 }
 
 func (p *protocol) restart(host int) {
-	place := *p.place
-	place.HeldSince = p.now
+	assignment := *p.assignment
+	assignment.HeldSince = p.now
 	p.ledgers[host] = &ledger{}
-	p.ledgers[host].update(p.account, &place, smallBound, fmt.Sprint(host), "z", p.now)
+	p.ledgers[host].update(p.account, &assignment, smallBound, fmt.Sprint(host), "z", p.now)
 }
 
 // admit admits as many requests as a host can.
--- a/internal/gateway/quota/layout.go
+++ b/internal/gateway/quota/layout.go
@@ -22,13 +22,13 @@
 	Zones []Zone
 }
 
-// Assignment is the current role of a host in the limits.
+// Assignment describes which shards a host currently holds.
 type Assignment struct {
 	Layout *Layout
-	// HoldsShards is set while this host holds the shards that the layout assigns to it. A host
-	// that cannot rule out another holder of these shards holds none.
+	// HoldsShards is set while this host holds the shards that the layout assigns to it. A
+	// host that cannot rule out another holder of these shards holds none.
 	HoldsShards bool
-	// HeldSince is the time since when this host has held its shards.
+	// HeldSince is the time at which this host began to hold its shards.
 	HeldSince time.Time
 }
 
--- a/internal/gateway/quota/ledger.go
+++ b/internal/gateway/quota/ledger.go
@@ -23,10 +23,10 @@
 
 // ledger is the state of one account's limit on one host. It has no lock and no clock.
 type ledger struct {
-	// account and place are the inputs of budget, shards and bucket.
-	account *account.Account
-	place   *Assignment
-	budget  Budget
+	// account and assignment are the inputs of budget, shards and bucket.
+	account    *account.Account
+	assignment *Assignment
+	budget     Budget
 	// shards is the number of shards that this host holds. bucket is their common bucket,
 	// and nil if there are none.
 	shards int
@@ -61,19 +61,19 @@
 }
 
 // update applies the account's current limit and this host's current shards to the ledger.
-func (l *ledger) update(a *account.Account, p *Assignment, b Bound, host, zone string, now time.Time) {
+func (l *ledger) update(a *account.Account, as *Assignment, b Bound, host, zone string, now time.Time) {
 	// A new configuration has new accounts, mostly with unchanged limits, and computing the
 	// layout of an account takes 0.2 ms with 80 zones of 74 hosts.
-	same := l.place == p && l.account != nil && l.account.Rate == a.Rate && l.account.Burst == a.Burst
-	l.account, l.place = a, p
+	same := l.assignment == as && l.account != nil && l.account.Rate == a.Rate && l.account.Burst == a.Burst
+	l.account, l.assignment = a, as
 	if same {
 		return
 	}
-	l.budget = b.Budget(a.Rate, a.Burst, len(p.Layout.Zones))
+	l.budget = b.Budget(a.Rate, a.Burst, len(as.Layout.Zones))
 	l.otherHolders, l.skipUntil = nil, nil
 	l.shards = 0
-	if p.HoldsShards {
-		l.shards = p.Layout.held(a.Name, host, zone, l.budget.Shards)
+	if as.HoldsShards {
+		l.shards = as.Layout.held(a.Name, host, zone, l.budget.Shards)
 	}
 	l.resize(now)
 }
@@ -93,7 +93,7 @@
 		return
 	}
 	l.bucket = rate.NewLimiter(rate.Limit(perSecond), burst)
-	l.bucket.AllowN(l.place.HeldSince, burst) // a new rate.Limiter is full
+	l.bucket.AllowN(l.assignment.HeldSince, burst) // a new rate.Limiter is full
 }
 
 // take takes the tokens of one request. Tokens from other hosts are taken first, because they
--- a/internal/gateway/quota/limit_test.go
+++ b/internal/gateway/quota/limit_test.go
@@ -358,10 +358,10 @@
 // 80 of 83 refusals below the limit while hosts were stopped one after the other.
 func TestARequestIsAdmittedIfAllRequestedTokensAreReceived(t *testing.T) {
 	now := time.Unix(1000, 0)
-	place := &Assignment{Layout: testLayout(6, 2, 9), HoldsShards: true, HeldSince: now}
+	assignment := &Assignment{Layout: testLayout(6, 2, 9), HoldsShards: true, HeldSince: now}
 	for tenths := range 2000 {
 		l := &ledger{}
-		l.update(limited("a", 3, 3), place, bound, "z0-large-0", "z0", now)
+		l.update(limited("a", 3, 3), assignment, bound, "z0-large-0", "z0", now)
 		at := now.Add(time.Duration(tenths) * 100 * time.Microsecond)
 		if l.take(at) {
 			continue
@@ -376,7 +376,7 @@
 // which their holder has refilled its bucket in the meantime.
 func TestTokensFromOtherHostsExpire(t *testing.T) {
 	now := time.Unix(1000, 0)
-	place := &Assignment{Layout: testLayout(6, 2, 9), HeldSince: now} // this host holds no shards
+	assignment := &Assignment{Layout: testLayout(6, 2, 9), HeldSince: now} // this host holds no shards
 	for _, c := range []struct {
 		name      string
 		used      time.Duration
@@ -390,7 +390,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := &ledger{}
-			l.update(limited("a", 3, 3), place, bound, "z0-large-0", "z0", now)
+			l.update(limited("a", 3, 3), assignment, bound, "z0-large-0", "z0", now)
 			l.receive(tokensPerRequest, now)
 			l.suspended(c.suspended)
 			require.Equal(t, c.admitted, l.take(now.Add(c.used)))
--- a/internal/gateway/quota/limiter.go
+++ b/internal/gateway/quota/limiter.go
@@ -38,22 +38,22 @@
 
 // Hosts gives access to the hosts that share the limits.
 type Hosts interface {
-	// Assignment returns the current place of this host. The pointer stays the same until the
-	// place changes.
+	// Assignment returns the current assignment of this host. The pointer stays the same
+	// until the assignment changes.
 	Assignment() *Assignment
 	// AskTokens requests tokens from a host.
 	AskTokens(ctx context.Context, host string, request TokenRequest) (TokenResponse, error)
 }
 
-// TokenRequest is a request for tokens of an account, with tokensPerRequest tokens for each client
-// request. It is sent to other hosts as msgpack.
+// TokenRequest asks another host for tokens of an account. Each client request takes
+// tokensPerRequest tokens. TokenRequest is sent as msgpack.
 type TokenRequest struct {
 	Account string `msgpack:"a"`
 	Tokens  int    `msgpack:"n"`
 }
 
-// TokenResponse is the response to an TokenRequest: the number of tokens that the holder has removed from
-// its shards. It is sent as msgpack.
+// TokenResponse is the response to a TokenRequest. Tokens is the number of tokens that the
+// holder has removed from its shards. TokenResponse is sent as msgpack.
 type TokenResponse struct {
 	Tokens int `msgpack:"n"`
 }
@@ -65,13 +65,12 @@
 type Refusal struct {
 	// RetryAfter is the delay after which the client should retry.
 	RetryAfter time.Duration
-	// Shards is the number of the account's shards that this host holds, and TotalShards the total
-	// number of the account's shards. Rate is the rate of all shards, in requests per
-	// second.
+	// Shards is the number of the account's shards that this host holds, and TotalShards
+	// the number of all its shards. Rate is the rate of all shards, in requests per second.
 	Shards, TotalShards int
 	Rate                float64
-	// Requested and Received are the tokens that this host requested from other hosts and received
-	// in the last round, in requests.
+	// Requested and Received are the tokens that this host requested from other hosts and
+	// received in the last round, in units of client requests.
 	Requested, Received float64
 }
 
@@ -163,8 +162,8 @@
 	}
 }
 
-// ledger returns the ledger of an account, updated to the current configuration and place.
-// l.mu must be held.
+// ledger returns the ledger of an account, updated to the current configuration and
+// assignment. l.mu must be held.
 func (l *Limiter) ledger(a *account.Account, now time.Time) *ledger {
 	led := l.ledgers[a.Name]
 	if led == nil {
