--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -114,7 +114,7 @@
 	options Options
 	mesh    *peer.Mesh
 	// limitAssignment is the assignment of the shards of account limits to hosts.
-	limitAssignment atomic.Pointer[quota.Place]
+	limitAssignment atomic.Pointer[quota.Assignment]
 	// quarantinesLearned is set once this host has learned which requests are
 	// quarantined.
 	quarantinesLearned atomic.Bool
--- a/internal/gateway/fleet/place.go
+++ b/internal/gateway/fleet/place.go
@@ -29,24 +29,24 @@
 
 // limitAssignment returns the assignment of limit shards to hosts as this host sees it.
 // It returns last if nothing has changed.
-func (m *members) limitAssignment(zones map[string]string, last *quota.Place, now time.Time) *quota.Place {
-	next := &quota.Place{Layout: m.layout(zones), Holds: m.holdsShards(now)}
-	if last != nil && last.Holds == next.Holds && (last.Layout == next.Layout || reflect.DeepEqual(last.Layout, next.Layout)) {
+func (m *members) limitAssignment(zones map[string]string, last *quota.Assignment, now time.Time) *quota.Assignment {
+	next := &quota.Assignment{Layout: m.layout(zones), HoldsShards: m.holdsShards(now)}
+	if last != nil && last.HoldsShards == next.HoldsShards && (last.Layout == next.Layout || reflect.DeepEqual(last.Layout, next.Layout)) {
 		return last
 	}
-	next.Since = m.heldSince(last, next, now)
-	m.heldShards = m.heldShards || next.Holds
+	next.HeldSince = m.heldSince(last, next, now)
+	m.heldShards = m.heldShards || next.HoldsShards
 	return next
 }
 
 // heldSince returns the time since which this host has held the shards that a new
 // assignment gives to it.
-func (m *members) heldSince(last, next *quota.Place, now time.Time) time.Time {
+func (m *members) heldSince(last, next *quota.Assignment, now time.Time) time.Time {
 	switch {
-	case last != nil && last.Holds && slices.EqualFunc(last.Layout.Zones, next.Layout.Zones, func(a, b quota.Zone) bool {
+	case last != nil && last.HoldsShards && slices.EqualFunc(last.Layout.Zones, next.Layout.Zones, func(a, b quota.Zone) bool {
 		return a.Name != m.self.Zone || reflect.DeepEqual(a, b)
 	}):
-		return last.Since // only other zones have changed
+		return last.HeldSince // only other zones have changed
 	case m.announcedBefore && !m.heldShards:
 		// An earlier process of this host held these shards, and they filled while this
 		// one read the lists. Counted from the time at which the lists were read, 3,718
@@ -147,9 +147,9 @@
 	return !slices.ContainsFunc(peers, func(p *peerState) bool { return now.Sub(p.lastHeartbeat) < isolationTimeout })
 }
 
-// Place returns the assignment of the shards of account limits, which is at most
+// Assignment returns the assignment of the shards of account limits, which is at most
 // schedulerTick old.
-func (f *Fleet) Place() *quota.Place { return f.limitAssignment.Load() }
+func (f *Fleet) Assignment() *quota.Assignment { return f.limitAssignment.Load() }
 
 // updateAssignment recomputes the assignment.
 func (f *Fleet) updateAssignment(now time.Time) {
--- a/internal/gateway/fleet/place_test.go
+++ b/internal/gateway/fleet/place_test.go
@@ -19,7 +19,7 @@
 	now := time.Now()
 	m := nineHosts("west0", now)
 	assignment := m.limitAssignment(settingsZones, nil, now)
-	require.True(t, assignment.Holds)
+	require.True(t, assignment.HoldsShards)
 	require.Len(t, assignment.Layout.Zones, 6)
 	var names []string
 	for _, z := range assignment.Layout.Zones {
@@ -62,21 +62,21 @@
 func TestARestartedHostHoldsItsShardsAtOnce(t *testing.T) {
 	now := time.Now()
 	m := newMembers(host("west0", "west-0", "west"), []string{"west", "east", "south"}, now)
-	require.False(t, m.limitAssignment(settingsZones, nil, now).Holds, "it does not know its zone yet")
+	require.False(t, m.limitAssignment(settingsZones, nil, now).HoldsShards, "it does not know its zone yet")
 	before := m.limitAssignment(settingsZones, nil, now)
 	read := now.Add(time.Second)
 	m.addList("west", listings(nineHostsList()[:3]), true, read)
 	m.announcedBefore = true
 	assignment := m.limitAssignment(settingsZones, before, read)
-	require.True(t, assignment.Holds)
-	require.Equal(t, now, assignment.Since, "the shards fill from the start of the process")
+	require.True(t, assignment.HoldsShards)
+	require.Equal(t, now, assignment.HeldSince, "the shards fill from the start of the process")
 	m.addList("east", listings(nineHostsList()[3:6]), true, read.Add(time.Second))
 	later := m.limitAssignment(settingsZones, assignment, read.Add(time.Second))
 	require.NotSame(t, assignment, later)
-	require.Equal(t, now, later.Since, "a change in another zone has no effect")
+	require.Equal(t, now, later.HeldSince, "a change in another zone has no effect")
 	m.addKnown(host("west8", "west-0", "west"), read.Add(2*time.Second))
 	last := m.limitAssignment(settingsZones, later, read.Add(2*time.Second))
-	require.Equal(t, read.Add(2*time.Second), last.Since, "a shard that moves starts empty")
+	require.Equal(t, read.Add(2*time.Second), last.HeldSince, "a shard that moves starts empty")
 }
 
 func TestTheShardsOfAHostThatStopsGoToItsZone(t *testing.T) {
@@ -140,11 +140,11 @@
 // fixedTokenProvider grants as many tokens as requested, but only for one account.
 type fixedTokenProvider struct{}
 
-func (fixedTokenProvider) GrantTokens(request quota.Ask) quota.Answer {
+func (fixedTokenProvider) GrantTokens(request quota.TokenRequest) quota.TokenResponse {
 	if request.Account != "rail" {
-		return quota.Answer{}
+		return quota.TokenResponse{}
 	}
-	return quota.Answer{Tokens: request.Tokens}
+	return quota.TokenResponse{Tokens: request.Tokens}
 }
 
 func TestAHostRequestsTokensFromAnother(t *testing.T) {
@@ -153,16 +153,16 @@
 	b := startFleet(t, registry, host("b", "z", "west"), nil)
 	b.options.Tokens = fixedTokenProvider{}
 	require.Eventually(t, func() bool { return a.Hosts() == 2 }, 5*time.Second, 10*time.Millisecond)
-	response, err := a.RequestTokens(t.Context(), "b", quota.Ask{Account: "rail", Tokens: 700})
+	response, err := a.RequestTokens(t.Context(), "b", quota.TokenRequest{Account: "rail", Tokens: 700})
 	require.NoError(t, err)
 	require.Equal(t, 700, response.Tokens)
-	response, err = a.RequestTokens(t.Context(), "b", quota.Ask{Account: "yard", Tokens: 700})
+	response, err = a.RequestTokens(t.Context(), "b", quota.TokenRequest{Account: "yard", Tokens: 700})
 	require.NoError(t, err)
 	require.Zero(t, response.Tokens)
-	_, err = a.RequestTokens(t.Context(), "nobody", quota.Ask{})
+	_, err = a.RequestTokens(t.Context(), "nobody", quota.TokenRequest{})
 	require.ErrorContains(t, err, "nobody")
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	_, err = b.RequestTokens(ctx, "a", quota.Ask{Account: "rail", Tokens: 1})
+	_, err = b.RequestTokens(ctx, "a", quota.TokenRequest{Account: "rail", Tokens: 1})
 	require.Error(t, err, "a grants no tokens")
 }
--- a/internal/gateway/fleet/tokens.go
+++ b/internal/gateway/fleet/tokens.go
@@ -12,18 +12,18 @@
 
 // TokenProvider grants tokens of client accounts' limits to other hosts.
 type TokenProvider interface {
-	GrantTokens(request quota.Ask) quota.Answer
+	GrantTokens(request quota.TokenRequest) quota.TokenResponse
 }
 
 // RequestTokens requests tokens of a client account's limit from another host. It fails
 // at once if the host is known to be dead, because a client's request may wait for the
 // result.
-func (f *Fleet) RequestTokens(ctx context.Context, host string, request quota.Ask) (quota.Answer, error) {
+func (f *Fleet) RequestTokens(ctx context.Context, host string, request quota.TokenRequest) (quota.TokenResponse, error) {
 	address, err := f.liveAddress(host)
 	if err != nil {
-		return quota.Answer{}, err
+		return quota.TokenResponse{}, err
 	}
-	response, err := peer.Call[quota.Answer](ctx, f.mesh, address, peer.KindTokens, request)
+	response, err := peer.Call[quota.TokenResponse](ctx, f.mesh, address, peer.KindTokens, request)
 	return response, eris.Wrap(err, "request tokens")
 }
 
@@ -44,7 +44,7 @@
 // serveTokens serves a peer's request for tokens. A request that cannot be decoded fails
 // without a log line here, because the peer turns to other hosts.
 func (f *Fleet) serveTokens(payload []byte, w *peer.Responder) {
-	request, err := peer.Decode[quota.Ask](payload)
+	request, err := peer.Decode[quota.TokenRequest](payload)
 	if err != nil || f.options.Tokens == nil {
 		fail(w)
 		return
--- a/internal/gateway/proxy/account.go
+++ b/internal/gateway/proxy/account.go
@@ -61,7 +61,7 @@
 		return nil
 	}
 	return verdict.New(verdict.NotRun, verdict.OverLimit, "this host holds %d of %d shards of %.1f requests per second and received tokens for %.1f of %.1f requests from other hosts",
-		refusal.Shards, refusal.Of, refusal.Rate, refusal.Got, refusal.Asked).WithRetryAfter(refusal.RetryAfter)
+		refusal.Shards, refusal.TotalShards, refusal.Rate, refusal.Received, refusal.Requested).WithRetryAfter(refusal.RetryAfter)
 }
 
 // errUnknownKey returns the error for a request without a valid API key. It does not
--- a/internal/gateway/proxy/choose.go
+++ b/internal/gateway/proxy/choose.go
@@ -42,7 +42,7 @@
 	if f.isRegionRestricted() {
 		q.Allows = f.allows
 	} else {
-		q.Reserved = f.config.Accounts.BoundParts()
+		q.Reserved = f.config.Accounts.BoundFractions()
 	}
 	return q
 }
--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -81,7 +81,7 @@
 func (r suspicionReporter) Released(f poison.Fingerprint, _ bool) { r.Log.Released(f) }
 
 func (r suspicionReporter) Ended(run string, at time.Time) {
-	r.detector.RecordEnded(upstream.Run(run), at)
+	r.detector.RecordTermination(upstream.Run(run), at)
 }
 
 // noticeReporter has upstreams that leave get no new work, as a gateway does.
@@ -113,14 +113,14 @@
 // aloneHost holds all shards of all limits.
 type aloneHost struct{}
 
-var alonePlace = &quota.Place{
-	Layout: &quota.Layout{Zones: []quota.Zone{{Name: "z", Region: "r", Large: []string{""}}}}, Holds: true, Since: time.Now().Add(-time.Hour),
+var alonePlace = &quota.Assignment{
+	Layout: &quota.Layout{Zones: []quota.Zone{{Name: "z", Region: "r", Large: []string{""}}}}, HoldsShards: true, HeldSince: time.Now().Add(-time.Hour),
 }
 
-func (aloneHost) Place() *quota.Place { return alonePlace }
+func (aloneHost) Assignment() *quota.Assignment { return alonePlace }
 
-func (aloneHost) RequestTokens(context.Context, string, quota.Ask) (quota.Answer, error) {
-	return quota.Answer{}, errors.New("there is no other host")
+func (aloneHost) RequestTokens(context.Context, string, quota.TokenRequest) (quota.TokenResponse, error) {
+	return quota.TokenResponse{}, errors.New("there is no other host")
 }
 
 // testGateway is a proxy with its server, its state and its log.
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -39,7 +39,9 @@
 func (g *Gateway) SuspicionsChanged() { g.fleet.TriggerAllHeartbeats() }
 
 // Ended has requests avoid a run of an upstream that has ended.
-func (g *Gateway) Ended(run string, at time.Time) { g.detector.RecordEnded(upstream.Run(run), at) }
+func (g *Gateway) Ended(run string, at time.Time) {
+	g.detector.RecordTermination(upstream.Run(run), at)
+}
 
 // Quarantined logs that a request is refused, and stores it if this host was first.
 func (g *Gateway) Quarantined(q poison.Quarantine) {
@@ -92,14 +94,14 @@
 	return g.fleet.LimitShare(id, region, tokens)
 }
 
-// GrantTokens gives tokens of a client account's limit to another host.
-func (g *Gateway) GrantTokens(ask quota.Ask) quota.Answer {
+// GrantTokens grants tokens of a client account's limit to another host.
+func (g *Gateway) GrantTokens(ask quota.TokenRequest) quota.TokenResponse {
 	config := g.state.Config()
 	if config == nil {
-		return quota.Answer{}
+		return quota.TokenResponse{}
 	}
 	a, _ := config.Accounts.ByName(ask.Account)
-	return g.quota.Give(a, ask.Tokens)
+	return g.quota.Grant(a, ask.Tokens)
 }
 
 // clientAddresses gives the hosts that clients of a zone should use for the
