--- a/internal/gateway/notice/doc.go
+++ b/internal/gateway/notice/doc.go
@@ -1,17 +1,18 @@
-// Package notice keeps what upstreams say of themselves in their responses, and holds
-// the host to it.
+// Package notice keeps the state that upstreams announce in their responses, and applies
+// it to the requests of this host.
 //
-// A Notice is what one response says, as the platform decodes it. A Table has what is in
-// force, by the run of the upstream that said it: another run under the same id, or at
-// the same address, starts without any of it. Unlike an ejection, which is the host's own
-// guess, a notice binds also when all upstreams of a service have one.
+// A Notice is the announcement in one response, as the platform package decodes it. A
+// Table holds the announcements in force, by the run of the upstream that made them: a
+// later run under the same id, or at the same address, starts without any. An ejection is
+// the host's own estimate and is ignored when all upstreams of a service are ejected; a
+// notice is binding even then.
 //
-// Limits are kept over all hosts without a message that has to arrive: each host sends by
-// a token bucket of its own, whose rate and size are its share of what the upstream takes
-// (limit.go). Reports of what is in force travel with heartbeats, so that hosts learn of
-// a limit before they have been told themselves, and of its end though they may send
-// nothing there.
+// Limits are enforced over all hosts without depending on the delivery of any message:
+// each host sends by a token bucket of its own, whose rate and size are its share of the
+// upstream's limit (limit.go). Heartbeats carry reports of the notices in force. Hosts
+// thereby learn of a limit before they receive it from the upstream, and of its end even
+// if they may not send any request to the upstream.
 //
-// Which requests come from where and how many tokens a host has is up to packages balance
-// and fleet.
+// Package balance decides which requests go to which upstream, and package fleet how many
+// tokens each host has.
 package notice
--- a/internal/gateway/notice/leaving.go
+++ b/internal/gateway/notice/leaving.go
@@ -6,20 +6,21 @@
 	"cairndock/internal/gateway/upstream"
 )
 
-// leaver is a run that leaves.
-type leaver struct {
-	// told is when it became known, and registered when it was last registered.
-	told, registered time.Time
+// leavingRun is a run that takes no new work and will end.
+type leavingRun struct {
+	// learnedAt is when this host learned that the run is leaving, and lastRegistered
+	// when the run was last seen registered.
+	learnedAt, lastRegistered time.Time
 }
 
-// leave notes that a run leaves. No response ends that: one that does not say so is only
-// slower.
-func (t *Table) leave(run upstream.Run, now time.Time) {
+// markLeaving records that a run is leaving. No response reverts this, because a response
+// without the announcement was merely sent earlier and arrived later.
+func (t *Table) markLeaving(run upstream.Run, now time.Time) {
 	t.mu.Lock()
 	_, known := t.leaving[run]
 	if !known {
-		t.leaving[run] = &leaver{told: now, registered: now}
-		t.resized()
+		t.leaving[run] = &leavingRun{learnedAt: now, lastRegistered: now}
+		t.updateSize()
 	}
 	t.mu.Unlock()
 	if !known {
--- a/internal/gateway/notice/notice.go
+++ b/internal/gateway/notice/notice.go
@@ -2,41 +2,43 @@
 
 import "time"
 
-// Notice is what one response says of its upstream.
+// Notice is the announcement that an upstream makes in one response.
 type Notice struct {
-	// Leaving means that the upstream takes no new work, and ends. Its run stays so.
+	// Leaving means that the upstream takes no new work and will end. It stays set for the
+	// rest of the run.
 	Leaving bool
-	// Rest is for how long the upstream wants no request of this host; zero is none. Only a
-	// refusal says it.
+	// Rest is the time for which the upstream wants no request from this host; zero is
+	// none. Only a refusal carries it.
 	Rest time.Duration
-	// Limit is the requests a second that the upstream takes from all hosts together.
+	// Limit is the maximum rate of requests that the upstream takes from all hosts
+	// together.
 	Limit Limit
 }
 
-// Limit is what a response says of its upstream's limit. The zero value is a response
-// without one: the upstream has none any more.
+// Limit is the limit announced in a response. The zero value is a response without a
+// limit: the upstream has none any more.
 type Limit struct {
-	word      word
+	presence  presence
 	perSecond float64
 }
 
-// word is how clear a response is.
-type word uint8
+// presence tells whether a response contains a limit.
+type presence uint8
 
 const (
-	silent word = iota
-	said
-	unclear
+	absent presence = iota
+	present
+	malformed
 )
 
-// LimitOf is a limit of so many requests a second, which is not negative.
-func LimitOf(perSecond float64) Limit { return Limit{word: said, perSecond: perSecond} }
+// LimitOf is a limit in requests per second, which must not be negative.
+func LimitOf(perSecond float64) Limit { return Limit{presence: present, perSecond: perSecond} }
 
-// UnclearLimit is a limit that can't be read. It changes nothing: what was said before
+// UnclearLimit is a limit that cannot be parsed. It changes nothing: the previous limit
 // stays in force.
-func UnclearLimit() Limit { return Limit{word: unclear} }
+func UnclearLimit() Limit { return Limit{presence: malformed} }
 
-// WithLeaving returns the notice of an upstream that leaves.
+// WithLeaving returns the notice with Leaving set.
 func (n Notice) WithLeaving() Notice {
 	n.Leaving = true
 	return n
--- a/internal/gateway/notice/report.go
+++ b/internal/gateway/notice/report.go
@@ -9,94 +9,102 @@
 )
 
 const (
-	// maxReports bounds the reports in a heartbeat, and so its size: some 30 bytes each.
+	// maxReports bounds the number of reports in a heartbeat, and thereby its size: a
+	// report has some 30 bytes.
 	maxReports = 32
-	// newsFor is for how long a host tells others what is new, each of which gets several
-	// heartbeats meanwhile, and newsEvery how often it tells that a limit is still there.
-	newsFor   = 3 * time.Second
-	newsEvery = 10 * time.Second
-	// mostRestElsewhere bounds for how long a report of a rest counts: it may come late, and
-	// the rest is not this host's.
-	mostRestElsewhere = 10 * time.Second
-	// echoWithin is by how much a report must be newer than what is known: one's own
-	// comes back with the time that it took on the way.
-	echoWithin = 100 * time.Millisecond
+	// announcePeriod is how long a host reports a change to other hosts, each of which
+	// receives several heartbeats in this time. announceInterval is how often a host
+	// reports that a limit is still in force.
+	announcePeriod   = 3 * time.Second
+	announceInterval = 10 * time.Second
+	// maxBackoffElsewhere bounds how long a reported backoff is used. The report may
+	// arrive late, and the backoff does not bind this host.
+	maxBackoffElsewhere = 10 * time.Second
+	// echoMargin is by how much a report must be newer than the known state to replace
+	// the state. The age in a report does not include the time in transit, so that a
+	// host's own report looks newer when it returns by way of another host.
+	echoMargin = 100 * time.Millisecond
 )
 
-// Report is what a host tells others of a run: that it leaves, that it wants none of the
-// host for a time, or its limit. It is on the wire.
+// Report is what a host sends other hosts about one run: that the run is leaving, that it
+// requested a backoff from the sender, or its limit. It is part of the wire format.
 type Report struct {
 	Run     upstream.Run `msgpack:"u"`
 	Leaving bool         `msgpack:"x,omitempty"`
-	// RestMS is for how much longer it rests, in milliseconds; zero is another report.
+	// RestMS is the remaining backoff, in milliseconds. Zero means that the report is not
+	// about a backoff.
 	RestMS int64 `msgpack:"r,omitempty"`
-	// PerSecond is the limit, in requests a second; it counts in no other report, and not
-	// if Ended is set.
+	// PerSecond is the limit, in requests per second. It is used only if Leaving, RestMS
+	// and Ended are all unset.
 	PerSecond float64 `msgpack:"l,omitempty"`
 	Ended     bool    `msgpack:"e,omitempty"`
-	// AgeMS is how long ago it was heard, in milliseconds.
+	// AgeMS is the time since the state was learned, in milliseconds.
 	AgeMS int64 `msgpack:"a,omitempty"`
 }
 
-// Reports returns what other hosts are told now: what is new, and now and then that a limit
-// is still there; what was heard last, first. In calm times it costs heartbeats nothing.
+// Reports returns the reports to send to other hosts now, the most recent state first:
+// recent changes and, every announceInterval, limits that are still in force. While
+// nothing changes and no limit is in force, heartbeats carry no reports.
 func (t *Table) Reports(now time.Time) []Report {
 	if t.size.Load() == 0 {
 		return nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	reports := make([]Report, 0, len(t.limits)+len(t.leaving)+len(t.restsUntil))
+	reports := make([]Report, 0, len(t.limits)+len(t.leaving)+len(t.backoffUntil))
 	for run, l := range t.leaving {
-		if age := now.Sub(l.told); age < newsFor {
+		if age := now.Sub(l.learnedAt); age < announcePeriod {
 			reports = append(reports, Report{Run: run, Leaving: true, AgeMS: age.Milliseconds()})
 		}
 	}
-	for run, until := range t.restsUntil {
+	for run, until := range t.backoffUntil {
 		if left := until.Sub(now).Milliseconds(); left > 0 {
 			reports = append(reports, Report{Run: run, RestMS: left})
 		}
 	}
 	for run, l := range t.limits {
-		if now.Sub(l.news) >= newsFor {
+		if now.Sub(l.announcedAt) >= announcePeriod {
 			continue
 		}
-		reports = append(reports, Report{Run: run, PerSecond: l.perSecond, Ended: l.ended, AgeMS: now.Sub(l.heard).Milliseconds()})
+		reports = append(reports, Report{Run: run, PerSecond: l.perSecond, Ended: l.ended, AgeMS: now.Sub(l.reportedAt).Milliseconds()})
 	}
 	slices.SortFunc(reports, func(a, b Report) int { return cmp.Or(cmp.Compare(a.AgeMS, b.AgeMS), cmp.Compare(a.Run, b.Run)) })
 	return reports[:min(len(reports), maxReports)]
 }
 
-// Merge takes another host's reports: of each run what was heard last counts.
+// Merge applies the reports of another host. For each run's limit, the most recent report
+// of the upstream wins.
 func (t *Table) Merge(reports []Report, now time.Time) {
 	for _, r := range reports {
 		if r.Leaving {
-			t.leave(r.Run, now)
+			t.markLeaving(r.Run, now)
 			continue
 		}
 		if r.RestMS > 0 {
-			t.restElsewhere(r.Run, time.Duration(min(r.RestMS, mostRestElsewhere.Milliseconds()))*time.Millisecond, now)
+			t.setBackoffElsewhere(r.Run, time.Duration(min(r.RestMS, maxBackoffElsewhere.Milliseconds()))*time.Millisecond, now)
 			continue
 		}
 		t.mu.Lock()
-		report := t.mergeLimit(r, now)
+		notify := t.mergeLimit(r, now)
 		t.mu.Unlock()
-		report()
+		notify()
 	}
 }
 
-func (t *Table) mergeLimit(r Report, now time.Time) (report func()) {
-	heard := now.Add(-time.Duration(max(0, r.AgeMS)) * time.Millisecond)
+// mergeLimit applies another host's report of a limit; t.mu is held. The caller calls
+// notify after it has released t.mu.
+func (t *Table) mergeLimit(r Report, now time.Time) (notify func()) {
+	reportedAt := now.Add(-time.Duration(max(0, r.AgeMS)) * time.Millisecond)
 	l := t.limits[r.Run]
 	switch {
-	case l != nil && heard.Before(l.heard.Add(echoWithin)), l == nil && r.Ended, !(r.PerSecond >= 0):
+	case l != nil && reportedAt.Before(l.reportedAt.Add(echoMargin)), l == nil && r.Ended, !(r.PerSecond >= 0):
 		return func() {}
 	case !r.Ended:
-		return t.put(r.Run, r.PerSecond, heard, now)
+		return t.put(r.Run, r.PerSecond, reportedAt, now)
 	}
-	was := l.ended
-	l.end(heard, now)
-	if was {
+	alreadyEnded := l.ended
+	l.end(reportedAt, now)
+	if alreadyEnded {
 		return func() {}
 	}
 	return func() { t.reporter.LimitEnded(r.Run) }
--- a/internal/gateway/notice/table.go
+++ b/internal/gateway/notice/table.go
@@ -11,156 +11,169 @@
 )
 
 const (
-	// shareHolds is how long a host goes by its last look at who shares a limit.
-	shareHolds = 200 * time.Millisecond
-	// askAfter is the time, for each host that shares a limit, after which a host asks again
-	// whether the limit is still there, by one request, that nobody has confirmed: a host
-	// without a share, which others do not reach, would else never send there again. Up to
-	// as much again is added, by host and upstream, so that all of them together ask less
-	// than once in askAfter. leastAsk and mostAsk bound it.
-	askAfter = 10 * time.Second
-	leastAsk = 30 * time.Second
-	mostAsk  = 10 * time.Minute
-	// goneAfter is how long what a run has said is kept that is not registered any more: as
-	// long as one that comes back counts as the same (package upstream).
-	goneAfter = time.Minute
-	// endLasts is for how long other hosts are told that a limit has ended.
-	endLasts = 10 * time.Second
+	// shareTTL is how long a host uses its share of a limit before it computes it anew.
+	shareTTL = 200 * time.Millisecond
+	// probeIntervalPerHost determines how long a host waits before it probes whether an
+	// unconfirmed limit is still in force. A limit is unconfirmed if the upstream has not
+	// named it in a response and no other host has reported it. The probe is one request
+	// that needs no token. Without probes, a host without a share of the limit that no
+	// other host reaches would never send to the upstream again.
+	//
+	// The wait is probeIntervalPerHost times the number of hosts that share the limit, at
+	// least minProbeInterval and at most maxProbeInterval, plus a jitter of up to the same
+	// time that depends on host and upstream. Below the maximum, all hosts together
+	// therefore send less than one probe per probeIntervalPerHost.
+	probeIntervalPerHost = 10 * time.Second
+	minProbeInterval     = 30 * time.Second
+	maxProbeInterval     = 10 * time.Minute
+	// deregisteredRetention is how long the notices of a run are kept after the run was
+	// last registered. A run that registers again within this time is the same run
+	// (package upstream).
+	deregisteredRetention = time.Minute
+	// endedLimitRetention is how long a limit that has ended is kept, so that other hosts
+	// learn of its end.
+	endedLimitRetention = 10 * time.Second
 )
 
-// Shares splits what hosts keep together.
+// Shares divides limits among the hosts.
 type Shares interface {
-	// LimitShare returns this host's share of a number of tokens of an upstream's limit.
-	// The shares of all hosts add up to that number at most.
+	// LimitShare returns this host's share of the tokens of an upstream's limit. The
+	// shares of all hosts add up to no more than tokens.
 	LimitShare(id, region string, tokens int) Share
 }
 
 // Share is a host's share of a limit.
 type Share struct {
-	// Tokens is how many it has.
+	// Tokens is the number of tokens of this host.
 	Tokens int
-	// Hosts is how many hosts share the limit, those without tokens included.
+	// Hosts is the number of hosts that share the limit, including those without tokens.
 	Hosts int
 }
 
-// Reporter is told what upstreams say. Its methods are called without the table's lock.
+// Reporter is notified of changes of the notices in force. Its methods are called without
+// the table's lock.
 type Reporter interface {
-	// Limited means that an upstream has named a limit, in requests a second, or another
-	// one than before.
+	// Limited means that an upstream has announced a limit, in requests per second, that
+	// is new or differs from the previous one.
 	Limited(run upstream.Run, perSecond float64)
-	// Leaves means that an upstream leaves.
+	// Leaves means that an upstream is leaving.
 	Leaves(run upstream.Run)
-	// Rests means that an upstream which this host sent requests to wants none for a time.
+	// Rests means that an upstream wants no request from this host for a time.
 	Rests(run upstream.Run, d time.Duration)
-	// LimitEnded means that it has none any more.
+	// LimitEnded means that an upstream has no limit any more.
 	LimitEnded(run upstream.Run)
 }
 
-// Table has the notices that are in force at one host. It is safe for concurrent use.
+// Table holds the notices that are in force at one host. It is safe for concurrent use.
 type Table struct {
 	host     string
 	shares   Shares
 	reporter Reporter
 
-	// size is how many notices there are, which choices ask for without the lock.
+	// size is the number of notices. The choice of an upstream reads it without the lock.
 	size   atomic.Int32
 	mu     sync.Mutex
 	limits map[upstream.Run]*limit
-	// leaving has the runs that leave.
-	leaving map[upstream.Run]*leaver
-	// restsUntil has until when each run wants no request of this host, and restsElsewhere
-	// of another one, which binds this host to nothing.
-	restsUntil, restsElsewhere map[upstream.Run]time.Time
+	// leaving has the runs that are leaving.
+	leaving map[upstream.Run]*leavingRun
+	// backoffUntil is the time until which each run wants no request from this host.
+	// backoffElsewhereUntil is the same for any other host, and does not bind this host.
+	backoffUntil, backoffElsewhereUntil map[upstream.Run]time.Time
 }
 
-// NewTable makes the empty table of a host.
+// NewTable returns an empty table for the named host.
 func NewTable(host string, shares Shares, reporter Reporter) *Table {
-	return &Table{host: host, shares: shares, reporter: reporter, limits: map[upstream.Run]*limit{}, leaving: map[upstream.Run]*leaver{}, restsUntil: map[upstream.Run]time.Time{}, restsElsewhere: map[upstream.Run]time.Time{}}
+	return &Table{host: host, shares: shares, reporter: reporter, limits: map[upstream.Run]*limit{}, leaving: map[upstream.Run]*leavingRun{}, backoffUntil: map[upstream.Run]time.Time{}, backoffElsewhereUntil: map[upstream.Run]time.Time{}}
 }
 
-// resized follows how many notices there are; t.mu is held.
-func (t *Table) resized() {
-	t.size.Store(int32(len(t.limits) + len(t.leaving) + len(t.restsUntil) + len(t.restsElsewhere)))
+// updateSize sets size to the number of notices; t.mu is held.
+func (t *Table) updateSize() {
+	t.size.Store(int32(len(t.limits) + len(t.leaving) + len(t.backoffUntil) + len(t.backoffElsewhereUntil)))
 }
 
-// Observe takes what a response of a run says, whose request was sent at a time.
+// Observe applies the notice in a run's response to a request that was sent at the given
+// time.
 //
-// A lower limit is in force at once. That it is higher or has ended counts only in a
-// response to a request that was sent after the limit was heard: responses overtake each
-// other, and one that was only slower says how it was before.
+// A lower limit is in force at once. A higher limit, or the end of a limit, is applied only
+// if the request was sent after the current limit was last reported. Responses overtake
+// each other, and a delayed response may carry an outdated limit.
 func (t *Table) Observe(run upstream.Run, n Notice, sent, now time.Time) {
 	if n.Leaving {
-		t.leave(run, now)
+		t.markLeaving(run, now)
 	}
 	if n.Rest > 0 {
-		t.rest(run, n.Rest, now)
+		t.setBackoff(run, n.Rest, now)
 	}
-	if n.Limit.word == unclear || n.Limit.word == silent && t.size.Load() == 0 {
+	if n.Limit.presence == malformed || n.Limit.presence == absent && t.size.Load() == 0 {
 		return
 	}
 	t.mu.Lock()
-	report := t.observeLimit(run, n.Limit, sent, now)
+	notify := t.observeLimit(run, n.Limit, sent, now)
 	t.mu.Unlock()
-	report()
+	notify()
 }
 
-// observeLimit takes what a response says of a limit; t.mu is held. It returns what to
-// report without it.
-func (t *Table) observeLimit(run upstream.Run, said Limit, sent, now time.Time) (report func()) {
+// observeLimit applies the limit in a response; t.mu is held. The caller calls notify after
+// it has released t.mu.
+func (t *Table) observeLimit(run upstream.Run, announced Limit, sent, now time.Time) (notify func()) {
 	l := t.limits[run]
-	known := l != nil && !l.ended
-	later := l == nil || sent.After(l.heard)
+	limited := l != nil && !l.ended
+	later := l == nil || sent.After(l.reportedAt)
 	switch {
-	case said.word == silent && known && later:
+	case announced.presence == absent && limited && later:
 		l.end(now, now)
 		return func() { t.reporter.LimitEnded(run) }
-	case said.word == silent, !later && l.ended, !later && said.perSecond > l.perSecond:
+	case announced.presence == absent, !later && l.ended, !later && announced.perSecond > l.perSecond:
 		return func() {}
 	}
-	return t.put(run, said.perSecond, now, now)
+	return t.put(run, announced.perSecond, now, now)
 }
 
-// put puts a limit in force that was heard at a time.
-func (t *Table) put(run upstream.Run, perSecond float64, heard, now time.Time) (report func()) {
+// put puts a limit in force that the upstream reported at a given time; t.mu is held. The
+// caller calls notify after it has released t.mu.
+func (t *Table) put(run upstream.Run, perSecond float64, reportedAt, now time.Time) (notify func()) {
 	l := t.limits[run]
 	if l == nil {
-		l = &limit{filledAt: now, registered: now}
+		l = &limit{filledAt: now, lastRegistered: now}
 		t.limits[run] = l
-		t.resized()
+		t.updateSize()
 	}
-	changed := l.ended || l.heard.IsZero() || l.perSecond != perSecond
-	l.set(perSecond, heard, now)
+	changed := l.ended || l.reportedAt.IsZero() || l.perSecond != perSecond
+	l.set(perSecond, reportedAt, now)
 	if !changed {
 		return func() {}
 	}
 	return func() { t.reporter.Limited(run, perSecond) }
 }
 
-// Withheld is why an upstream gets no request now.
+// Withheld is the reason why an upstream receives no request now. Of the reasons Leaving,
+// Resting and the limit, only the first that applies is set.
 type Withheld struct {
-	// Upstream is its id; empty if it may get one.
+	// Upstream is the upstream's id; empty if the upstream may receive a request.
 	Upstream string
-	// Leaving is set when it leaves, and Resting when it wants none for a time. Then the
-	// limit does not count.
+	// Leaving is set if the upstream is leaving, and Resting if it wants no request for a
+	// time. The fields of the limit are zero in both cases.
 	Leaving, Resting bool
-	// PerSecond is its limit, and Share how many of Tokens are this host's.
+	// PerSecond is the limit. Share is this host's share of its Tokens.
 	PerSecond     float64
 	Share, Tokens int
-	// For is how long this host sends it nothing; negative if that is not known.
+	// For is the time for which this host sends nothing to the upstream; negative if
+	// unknown.
 	For time.Duration
 }
 
-// Withheld returns why an upstream gets no request now; the zero value if it may.
+// Withheld returns why an upstream receives no request now; the zero value if the upstream
+// may receive one.
 func (t *Table) Withheld(u *upstream.Upstream, now time.Time) Withheld {
 	if t.size.Load() == 0 {
 		return Withheld{}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if _, leaves := t.leaving[u.Run()]; leaves {
+	if _, leaving := t.leaving[u.Run()]; leaving {
 		return Withheld{Upstream: u.ID, Leaving: true, For: -1}
 	}
-	if left := t.restsUntil[u.Run()].Sub(now); left > 0 {
+	if left := t.backoffUntil[u.Run()].Sub(now); left > 0 {
 		return Withheld{Upstream: u.ID, Resting: true, For: left}
 	}
 	l := t.inForce(u.Run())
@@ -169,25 +182,26 @@
 	}
 	l.fill(now, func(tokens int) Share { return t.shares.LimitShare(u.ID, u.Region, tokens) })
 	wait := l.untilNext()
-	if wait == 0 || t.mayAsk(u.Run(), l, now) {
+	if wait == 0 || t.mayProbe(u.Run(), l, now) {
 		return Withheld{}
 	}
-	return Withheld{Upstream: u.ID, PerSecond: l.perSecond, Share: l.share.Tokens, Tokens: tokensOf(l.perSecond), For: wait}
+	return Withheld{Upstream: u.ID, PerSecond: l.perSecond, Share: l.share.Tokens, Tokens: totalTokens(l.perSecond), For: wait}
 }
 
-// MaySend reports whether a request for which an upstream was chosen may still be sent: it
-// may have waited since, for a connection or for processor time.
+// MaySend reports whether a request for which an upstream was chosen may still be sent. The
+// request may have waited since the choice, for a connection or for processor time.
 func (t *Table) MaySend(u *upstream.Upstream, now time.Time) bool {
 	if t.size.Load() == 0 {
 		return true
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_, leaves := t.leaving[u.Run()]
-	return !leaves && !now.Before(t.restsUntil[u.Run()])
+	_, leaving := t.leaving[u.Run()]
+	return !leaving && !now.Before(t.backoffUntil[u.Run()])
 }
 
-// Take counts a request for which an upstream was chosen that Withheld let pass.
+// Take takes a token for a request to an upstream that Withheld allowed. If there is none,
+// the request is a probe.
 func (t *Table) Take(u *upstream.Upstream, now time.Time) {
 	if t.size.Load() == 0 {
 		return
@@ -199,13 +213,13 @@
 		return
 	}
 	if l.level < 1 {
-		l.asked = now
+		l.probedAt = now
 		return
 	}
 	l.level--
 }
 
-// inForce returns the limit of a run; nil if there is none.
+// inForce returns the limit of a run; nil if the run has none; t.mu is held.
 func (t *Table) inForce(run upstream.Run) *limit {
 	l := t.limits[run]
 	if l == nil || l.ended {
@@ -214,16 +228,17 @@
 	return l
 }
 
-// mayAsk reports whether a request may ask if a limit is still there.
-func (t *Table) mayAsk(run upstream.Run, l *limit, now time.Time) bool {
-	after := min(max(leastAsk, time.Duration(l.share.Hosts)*askAfter), mostAsk)
+// mayProbe reports whether a request may be sent without a token to find out whether the
+// limit is still in force.
+func (t *Table) mayProbe(run upstream.Run, l *limit, now time.Time) bool {
+	interval := min(max(minProbeInterval, time.Duration(l.share.Hosts)*probeIntervalPerHost), maxProbeInterval)
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(t.host + " " + string(run))) // a hash returns no error
-	after += time.Duration(h.Sum32()%uint32(after/time.Millisecond)) * time.Millisecond
-	return now.Sub(l.heard) >= after && now.Sub(l.asked) >= after
+	interval += time.Duration(h.Sum32()%uint32(interval/time.Millisecond)) * time.Millisecond
+	return now.Sub(l.reportedAt) >= interval && now.Sub(l.probedAt) >= interval
 }
 
-// Limits is the number of limits in force.
+// Limits returns the number of limits in force.
 func (t *Table) Limits() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -236,34 +251,34 @@
 	return n
 }
 
-// Suspended has what was heard be older by the time for which the machine was suspended.
-// Tokens that came meanwhile do not count.
+// Suspended accounts for the time for which the machine was suspended: reports and probes
+// become older by it. No tokens accrue for it.
 func (t *Table) Suspended(gap time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, l := range t.limits {
-		l.heard = l.heard.Add(-gap)
-		l.asked = l.asked.Add(-gap)
+		l.reportedAt = l.reportedAt.Add(-gap)
+		l.probedAt = l.probedAt.Add(-gap)
 	}
 }
 
-// Retain drops what runs have said that keep has rejected for goneAfter, limits that have
-// ended, and rests that are over.
+// Retain drops the notices of runs that keep has rejected for deregisteredRetention, limits
+// that ended endedLimitRetention ago, and backoffs that are over.
 func (t *Table) Retain(keep func(upstream.Run) bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	gone := func(run upstream.Run, registered *time.Time) bool {
+	deregistered := func(run upstream.Run, lastRegistered *time.Time) bool {
 		if keep(run) {
-			*registered = now
+			*lastRegistered = now
 		}
-		return now.Sub(*registered) >= goneAfter
+		return now.Sub(*lastRegistered) >= deregisteredRetention
 	}
-	maps.DeleteFunc(t.leaving, func(run upstream.Run, l *leaver) bool { return gone(run, &l.registered) })
+	maps.DeleteFunc(t.leaving, func(run upstream.Run, l *leavingRun) bool { return deregistered(run, &l.lastRegistered) })
 	maps.DeleteFunc(t.limits, func(run upstream.Run, l *limit) bool {
-		return gone(run, &l.registered) || l.ended && now.Sub(l.heard) >= endLasts
+		return deregistered(run, &l.lastRegistered) || l.ended && now.Sub(l.reportedAt) >= endedLimitRetention
 	})
 	over := func(_ upstream.Run, until time.Time) bool { return !now.Before(until) }
-	maps.DeleteFunc(t.restsUntil, over)
-	maps.DeleteFunc(t.restsElsewhere, over)
-	t.resized()
+	maps.DeleteFunc(t.backoffUntil, over)
+	maps.DeleteFunc(t.backoffElsewhereUntil, over)
+	t.updateSize()
 }
