--- a/internal/poison/bench_test.go
+++ b/internal/poison/bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// The calm path is Empty alone; each request pays the rest only while one is suspected.
+// While no request is suspected, each request only costs a call of Empty. The other costs
+// apply while at least one request is suspected.
 
 func BenchmarkEmpty(b *testing.B) {
 	table, _ := newTable("h")
@@ -18,7 +19,7 @@
 func BenchmarkQuarantinedOfFullTable(b *testing.B) {
 	table, _ := newTable("h")
 	for i := range maxSuspects {
-		attempt{fmt.Sprint(i), 20 * i, 20*i + 1}.record(table, printOf(fmt.Sprint(i)))
+		attempt{fmt.Sprint(i), 20 * i, 20*i + 1}.record(table, fingerprintOf(fmt.Sprint(i)))
 	}
 	content := Content{Method: "GET", Host: "a.example", Target: "/some/path/17", Body: make([]byte, 300)}
 	now := time.Now()
@@ -31,9 +32,9 @@
 func BenchmarkRecordEndInFullTable(b *testing.B) {
 	table, _ := newTable("h")
 	for i := range maxSuspects {
-		attempt{fmt.Sprint(i), 20 * i, 20*i + 1}.record(table, printOf(fmt.Sprint(i)))
+		attempt{fmt.Sprint(i), 20 * i, 20*i + 1}.record(table, fingerprintOf(fmt.Sprint(i)))
 	}
-	f := printOf("f")
+	f := fingerprintOf("f")
 	n := 0
 	for b.Loop() {
 		attempt{fmt.Sprint("run-", n), 10 * n, 10*n + 5}.record(table, f)
--- a/internal/poison/change.go
+++ b/internal/poison/change.go
@@ -2,10 +2,12 @@
 
 import "time"
 
-// Each change of a table is made, bounded, decided on and told in one step.
+// Each change of a table applies the change, evicts suspects beyond the maximum, decides on
+// quarantines and notifies the observer, in one step.
 
-// add adds an end to a request's, as learned at a time; t.mu is held.
-func (t *Table) add(f Fingerprint, e *end, now time.Time) bool {
+// add adds a termination that was learned at a time to those of a request; t.mu is held. It
+// reports whether something has changed.
+func (t *Table) add(f Fingerprint, e *termination, now time.Time) bool {
 	s := t.suspects[f]
 	if s == nil {
 		if !t.newSuspects.AllowN(now, 1) {
@@ -17,20 +19,20 @@
 	if !s.add(e) {
 		return false
 	}
-	t.ended = append(t.ended, e)
-	t.touch(s)
+	t.unreported = append(t.unreported, e)
+	t.markChanged(s)
 	return true
 }
 
-// touch numbers a change of a suspect; t.mu is held.
-func (t *Table) touch(s *suspect) {
+// markChanged assigns the next sequence number to a change of a suspect; t.mu is held.
+func (t *Table) markChanged(s *suspect) {
 	t.sequence++
 	s.changed = t.sequence
-	s.sum()
+	s.updateCounts()
 }
 
-// change makes a change, decides anew if there was one, and tells the observer. own is
-// set unless another host made the change first.
+// change applies a change, decides on quarantines if something has changed, and notifies the
+// observer. own is set unless another host made the change first.
 func (t *Table) change(own bool, apply func() bool) {
 	t.mu.Lock()
 	if !apply() {
@@ -38,32 +40,32 @@
 		return
 	}
 	t.evict()
-	before := t.refused()
+	before := t.quarantinedSet()
 	decide(t.suspects)
 	after := t.quarantined()
-	var begun []Quarantine
+	var added []Quarantine
 	for _, q := range after {
 		if !before[q.Fingerprint] {
 			q.Report = t.report(q.Fingerprint, time.Now())
-			begun = append(begun, q)
+			added = append(added, q)
 		}
 		delete(before, q.Fingerprint)
 	}
-	ended := t.ended
-	t.ended = nil
+	terminated := t.unreported
+	t.unreported = nil
 	t.active.Store(t.countActive())
 	t.mu.Unlock()
-	t.tell(ended, begun, before, own)
+	t.notify(terminated, added, before, own)
 }
 
-// tell tells the observer of a change: the ends that are new, the requests that are
-// refused from now on, and those that no longer are.
-func (t *Table) tell(ended []*end, begun []Quarantine, released map[Fingerprint]bool, own bool) {
+// notify notifies the observer of a change: new terminations, requests that are refused from
+// now on, and requests that are no longer refused.
+func (t *Table) notify(terminated []*termination, added []Quarantine, released map[Fingerprint]bool, own bool) {
 	t.observer.SuspicionsChanged()
-	for _, e := range ended {
+	for _, e := range terminated {
 		t.observer.Ended(e.run, e.at)
 	}
-	for _, q := range begun {
+	for _, q := range added {
 		t.observer.Quarantined(q)
 	}
 	for f := range released {
@@ -71,8 +73,8 @@
 	}
 }
 
-// refused returns the requests that the last decision quarantined; t.mu is held.
-func (t *Table) refused() map[Fingerprint]bool {
+// quarantinedSet returns the requests that the last decision quarantined; t.mu is held.
+func (t *Table) quarantinedSet() map[Fingerprint]bool {
 	all := map[Fingerprint]bool{}
 	for f, s := range t.suspects {
 		if s.quarantined {
@@ -82,6 +84,7 @@
 	return all
 }
 
+// countActive returns the number of active suspects; t.mu is held.
 func (t *Table) countActive() (n int64) {
 	for _, s := range t.suspects {
 		if s.active() {
@@ -91,16 +94,17 @@
 	return n
 }
 
-// quarantined returns the quarantined requests as just decided; t.mu is held.
+// quarantined returns the requests that the last decision quarantined, with their details;
+// t.mu is held.
 func (t *Table) quarantined() []Quarantine {
 	var all []Quarantine
 	for f, s := range t.suspects {
 		if !s.quarantined {
 			continue
 		}
-		ends := s.counted(none)
-		q := Quarantine{Fingerprint: f, Own: ends[len(ends)-1].host == t.host}
-		for _, e := range ends {
+		terminations := s.unclearedExcept(skipNone)
+		q := Quarantine{Fingerprint: f, Own: terminations[len(terminations)-1].host == t.host}
+		for _, e := range terminations {
 			q.Runs = append(q.Runs, e.run)
 		}
 		all = append(all, q)
@@ -108,25 +112,25 @@
 	return all
 }
 
-// evict forgets the least suspected requests beyond maxSuspects; t.mu is held.
+// evict removes the least suspected requests beyond maxSuspects; t.mu is held.
 func (t *Table) evict() {
 	for len(t.suspects) > maxSuspects {
-		var least Fingerprint
+		var lowest Fingerprint
 		found := false
 		for f, s := range t.suspects {
-			if !found || s.lessThan(t.suspects[least]) {
-				least, found = f, true
+			if !found || s.lessThan(t.suspects[lowest]) {
+				lowest, found = f, true
 			}
 		}
-		delete(t.suspects, least)
+		delete(t.suspects, lowest)
 	}
 }
 
-// lessThan orders suspects by the upstreams that they ended in turn, and then by their
-// last end.
+// lessThan orders suspects by their number of consecutive terminations, and then by the
+// time of their last termination.
 func (s *suspect) lessThan(o *suspect) bool {
-	if s.inTurn != o.inTurn {
-		return s.inTurn < o.inTurn
+	if s.consecutiveCount != o.consecutiveCount {
+		return s.consecutiveCount < o.consecutiveCount
 	}
 	return s.last.Before(o.last)
 }
--- a/internal/poison/doc.go
+++ b/internal/poison/doc.go
@@ -1,19 +1,20 @@
-// Package poison finds requests that end the upstreams that run them (poison
-// requests), and says from when on they are refused (quarantined).
+// Package poison detects requests that terminate the upstreams that run them (poison
+// requests), and decides when they are refused (quarantined).
 //
-// An upstream that ends takes all that it runs with it: one guilty request and many
-// innocent ones. So each is suspected only, and a Table collects for each, by its
-// Fingerprint, the ends of upstreams under it that all hosts saw. A request is
-// quarantined once it has ended maxRounds upstreams one after the other
-// (suspect.go), while no other request explains these ends better (decide.go). A
-// response clears it, as a poison request never gets one.
+// When an upstream's process terminates, all requests that it is running fail: the poison
+// request and any number of innocent ones. Each of them is therefore only suspected. A
+// Table collects, by the request's Fingerprint, the terminations of upstreams that all
+// hosts saw while the upstreams ran the request. A request is quarantined once it has
+// terminated quarantineThreshold upstreams one after the other (suspect.go), unless
+// another request explains these terminations better (decide.go). A response clears a
+// request, because a poison request never gets one.
 //
-// The package owns these suspicions and the decision. It is plain state with a lock:
-// what counts as an upstream's end is up to its callers, which also carry reports
-// between hosts (Since, Merge). Suspicions only grow and are only ever cleared, so that
-// hosts may merge reports in any order and more than once.
+// The package owns the suspicions and the decision. It is plain state with a lock. Its
+// callers determine which failures are terminations, and carry reports between hosts
+// (Since, Merge). Terminations are only ever added and cleared, so that hosts may merge
+// reports in any order and more than once.
 //
-// The idea of counting at the message, for whoever delivers it next, is the delivery
-// limit of quorum queues (docs/design/poison.md); here no leader counts, and an end
-// counts in place of a delivery.
+// The design follows the delivery limit of quorum queues, which count the deliveries of
+// each message across consumers (docs/design/poison.md). Here, terminations are counted
+// instead of deliveries, and no leader counts.
 package poison
--- a/internal/poison/fingerprint.go
+++ b/internal/poison/fingerprint.go
@@ -8,19 +8,20 @@
 	"github.com/rotisserie/eris"
 )
 
-// Fingerprint identifies a request by its content: two requests with one
-// fingerprint are the same request, whatever ids they carry. It is the first half of
-// a SHA-256 digest, so that nobody can make a request that is taken for another
-// account's.
+// Fingerprint identifies a request by its content: two requests with the same fingerprint
+// are the same request, whatever request ids they carry. It is the first half of a SHA-256
+// digest, so that nobody can forge a request with the fingerprint of another account's
+// request.
 type Fingerprint [16]byte
 
-// String gives the fingerprint in hexadecimal.
+// String returns the fingerprint as 32 hexadecimal digits.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ErrNoFingerprint is the error of a text that is none.
+// ErrNoFingerprint is returned by ParseFingerprint if the text is not a fingerprint.
 var ErrNoFingerprint = eris.New("a fingerprint has 32 hexadecimal digits")
 
-// ParseFingerprint reads what String gives.
+// ParseFingerprint parses the output of String. It returns ErrNoFingerprint for any other
+// text.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	b, err := hex.DecodeString(text)
 	if err != nil || len(b) != len(Fingerprint{}) {
@@ -29,29 +30,29 @@
 	return Fingerprint(b), nil
 }
 
-// Content is what a request is compared by.
+// Content is the part of a request that its fingerprint covers.
 type Content struct {
-	// Credential tells who sent it; empty where it carries none.
+	// Credential identifies the client account; empty if the request carries none.
 	Credential string
 	// Method is the HTTP method, Host the value of the Host header, and Target the
-	// path and query as the client wrote them.
+	// path and query as the client sent them.
 	Method, Host, Target string
 	Body                 []byte
 }
 
-// Fingerprint returns the content's fingerprint. Each part is preceded by its length,
-// so that no two contents are alike when their parts are joined.
+// Fingerprint returns the content's fingerprint. Each field is hashed with its length before
+// it, so that bytes moved from one field to the next give another fingerprint.
 func (c Content) Fingerprint() Fingerprint {
 	h := sha256.New()
-	part := func(p []byte) {
+	writeField := func(p []byte) {
 		var length [8]byte
 		binary.BigEndian.PutUint64(length[:], uint64(len(p)))
 		h.Write(length[:]) // a hash returns no error
 		h.Write(p)
 	}
 	for _, text := range [...]string{c.Credential, c.Method, c.Host, c.Target} {
-		part([]byte(text))
+		writeField([]byte(text))
 	}
-	part(c.Body)
+	writeField(c.Body)
 	return Fingerprint(h.Sum(nil)[:len(Fingerprint{})])
 }
--- a/internal/poison/fingerprint_test.go
+++ b/internal/poison/fingerprint_test.go
@@ -6,16 +6,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFingerprintComparesAllParts(t *testing.T) {
+func TestFingerprintCoversAllFields(t *testing.T) {
 	content := Content{Credential: "c", Method: "GET", Host: "h", Target: "/t", Body: []byte("b")}
 	for name, other := range map[string]Content{
-		"credential":     {Credential: "d", Method: "GET", Host: "h", Target: "/t", Body: []byte("b")},
-		"method":         {Credential: "c", Method: "PUT", Host: "h", Target: "/t", Body: []byte("b")},
-		"host":           {Credential: "c", Method: "GET", Host: "i", Target: "/t", Body: []byte("b")},
-		"target":         {Credential: "c", Method: "GET", Host: "h", Target: "/u", Body: []byte("b")},
-		"body":           {Credential: "c", Method: "GET", Host: "h", Target: "/t", Body: []byte("c")},
-		"no body":        {Credential: "c", Method: "GET", Host: "h", Target: "/t"},
-		"shifted border": {Credential: "c", Method: "GET", Host: "h/", Target: "t", Body: []byte("b")},
+		"credential":           {Credential: "d", Method: "GET", Host: "h", Target: "/t", Body: []byte("b")},
+		"method":               {Credential: "c", Method: "PUT", Host: "h", Target: "/t", Body: []byte("b")},
+		"host":                 {Credential: "c", Method: "GET", Host: "i", Target: "/t", Body: []byte("b")},
+		"target":               {Credential: "c", Method: "GET", Host: "h", Target: "/u", Body: []byte("b")},
+		"body":                 {Credential: "c", Method: "GET", Host: "h", Target: "/t", Body: []byte("c")},
+		"no body":              {Credential: "c", Method: "GET", Host: "h", Target: "/t"},
+		"moved field boundary": {Credential: "c", Method: "GET", Host: "h/", Target: "t", Body: []byte("b")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			require.NotEqual(t, content.Fingerprint(), other.Fingerprint())
@@ -25,11 +25,11 @@
 	require.Len(t, content.Fingerprint().String(), 32)
 }
 
-func TestAFingerprintIsReadBack(t *testing.T) {
+func TestParseFingerprint(t *testing.T) {
 	f := Content{Target: "/t"}.Fingerprint()
-	read, err := ParseFingerprint(f.String())
+	parsed, err := ParseFingerprint(f.String())
 	require.NoError(t, err)
-	require.Equal(t, f, read)
+	require.Equal(t, f, parsed)
 	for _, text := range []string{"", "zz", f.String()[2:], f.String() + "00"} {
 		_, err := ParseFingerprint(text)
 		require.ErrorIs(t, err, ErrNoFingerprint, text)
--- a/internal/poison/harness_test.go
+++ b/internal/poison/harness_test.go
@@ -4,52 +4,55 @@
 	"time"
 )
 
-// observed records what a table tells.
-type observed struct {
+// recorder records the notifications of a table.
+type recorder struct {
 	changes     int
 	quarantined []Quarantine
 	released    []Fingerprint
-	ended       map[string]time.Time
+	terminated  map[string]time.Time
 }
 
-func (o *observed) SuspicionsChanged() { o.changes++ }
-func (o *observed) Ended(run string, at time.Time) {
-	if o.ended == nil {
-		o.ended = map[string]time.Time{}
+func (o *recorder) SuspicionsChanged() { o.changes++ }
+func (o *recorder) Ended(run string, at time.Time) {
+	if o.terminated == nil {
+		o.terminated = map[string]time.Time{}
 	}
-	o.ended[run] = at
+	o.terminated[run] = at
 }
-func (o *observed) Quarantined(q Quarantine)       { o.quarantined = append(o.quarantined, q) }
-func (o *observed) Released(f Fingerprint, _ bool) { o.released = append(o.released, f) }
+func (o *recorder) Quarantined(q Quarantine)       { o.quarantined = append(o.quarantined, q) }
+func (o *recorder) Released(f Fingerprint, _ bool) { o.released = append(o.released, f) }
 
-// began is when the tests' processes started.
-var began = time.Now()
+// processStart is when the tests' processes started.
+var processStart = time.Now()
 
-// at gives a time of the tests, in milliseconds.
-func at(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
+// at returns the time that many milliseconds after processStart.
+func at(ms int) time.Time { return processStart.Add(time.Duration(ms) * time.Millisecond) }
 
-// printOf gives a fingerprint by a name.
-func printOf(name string) Fingerprint { return Content{Target: name}.Fingerprint() }
+// fingerprintOf returns the fingerprint of the named request.
+func fingerprintOf(name string) Fingerprint { return Content{Target: name}.Fingerprint() }
 
-// newTable makes the table of a process.
-func newTable(process string) (*Table, *observed) {
-	o := &observed{}
-	return NewTable(process, began, o), o
+// newTable returns the table of a process, and the recorder of its notifications.
+func newTable(process string) (*Table, *recorder) {
+	o := &recorder{}
+	return NewTable(process, processStart, o), o
 }
 
-// attempt is an attempt that ended with its upstream, in milliseconds.
+// attempt is an attempt whose upstream terminated. began and ended are in milliseconds after
+// processStart.
 type attempt struct {
 	run          string
 	began, ended int
 }
 
+// record records the termination of the upstream in a table.
 func (a attempt) record(t *Table, f Fingerprint) {
 	t.RecordEnd(f, Attempt{Run: a.run, Began: at(a.began), Ended: at(a.ended)})
 }
 
-// pass gives one table what it does not have of another's, delay milliseconds after a
-// time, as a heartbeat does. It returns up to which the receiver has it.
-func pass(from, to *Table, since int64, now, delay int) int64 {
+// sendUpdate sends the changes of one table after a sequence number to another table, as a
+// heartbeat does. They arrive delay milliseconds after now. It returns the sequence number up
+// to which the receiver has the changes.
+func sendUpdate(from, to *Table, since int64, now, delay int) int64 {
 	reports, upTo := from.Since(since, at(now))
 	to.Merge(reports, at(now+delay))
 	return upTo
--- a/internal/poison/share.go
+++ b/internal/poison/share.go
@@ -6,39 +6,40 @@
 	"time"
 )
 
-// News is what one host sends another of its suspicions (msgpack).
+// News is an update of suspicions that one host sends another (msgpack).
 type News struct {
-	// Reports are the sender's changes after those that the receiver has, up to the
-	// number UpTo.
+	// Reports are the sender's changes that the receiver does not have yet, up to the
+	// sequence number UpTo.
 	Reports []Report `msgpack:"p,omitempty"`
 	UpTo    int64    `msgpack:"u,omitempty"`
-	// Has is up to which the sender has the receiver's changes.
+	// Has is the sequence number up to which the sender has the receiver's changes.
 	Has int64 `msgpack:"x,omitempty"`
 }
 
-// Marks are how far two hosts have each other's changes; zero is none.
+// Marks are the sequence numbers up to which two hosts have each other's changes; zero is
+// none.
 type Marks struct {
-	// Has is what the other says to have of this host's, and Merged what this host has
-	// of the other's.
+	// Has is up to which the other host has acknowledged this host's changes, and Merged
+	// up to which this host has the other's.
 	Has, Merged int64
 }
 
-// News returns what another host does not have yet, by its own words: nothing is lost
-// with a message, a host that has just started or was cut off gets all, and nothing is
-// sent while nothing changes.
+// News returns an update with the changes that another host has not acknowledged. A lost
+// message therefore loses no change, a host that has just started or was unreachable
+// receives everything, and no reports are sent while nothing changes.
 func (t *Table) News(m Marks, now time.Time) News {
 	reports, upTo := t.Since(m.Has, now)
 	return News{Reports: reports, UpTo: upTo, Has: m.Merged}
 }
 
-// Take merges what another host sent, and then returns how far the two are. A message
-// that is made before it returns must not claim more.
+// Take merges an update of another host, and then returns the new marks. Until Take has
+// returned, no message may acknowledge the changes of the update.
 func (t *Table) Take(n News, now time.Time) Marks {
 	t.Merge(n.Reports, now)
 	return Marks{Has: n.Has, Merged: n.UpTo}
 }
 
-// Merge adds what another host knows.
+// Merge adds the terminations that another host reports.
 func (t *Table) Merge(reports []Report, now time.Time) {
 	if len(reports) == 0 {
 		return
@@ -47,7 +48,7 @@
 		changed := false
 		for _, r := range reports {
 			for _, reported := range r.Ends {
-				if e, ok := reported.end(now); ok {
+				if e, ok := reported.termination(now); ok {
 					changed = t.add(r.Fingerprint, e, now) || changed
 				}
 			}
@@ -56,9 +57,9 @@
 	})
 }
 
-// Since returns what has changed after a sequence number, the earliest change first,
-// and the number up to which that is all. Any number that was not returned by this
-// table stands for nothing: all is returned.
+// Since returns the suspects that changed after a sequence number, the earliest change
+// first and at most maxReports, and the number up to which the reports are complete. A
+// number that this table has not returned is treated as one before the first change.
 func (t *Table) Since(sequence int64, now time.Time) (reports []Report, upTo int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -86,10 +87,10 @@
 	return reports, upTo
 }
 
-// report returns what is known of a request; t.mu is held.
+// report returns the terminations of a suspect; t.mu is held.
 func (t *Table) report(f Fingerprint, now time.Time) Report {
 	r := Report{Fingerprint: f}
-	for _, e := range t.suspects[f].ends {
+	for _, e := range t.suspects[f].terminations {
 		r.Ends = append(r.Ends, e.report(now))
 	}
 	return r
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -13,89 +13,94 @@
 )
 
 const (
-	// maxSuspects bounds the requests that are suspected at a time, whoever sends
-	// them: 100 KB. Those that ended the fewest upstreams are forgotten first.
+	// maxSuspects bounds the requests that are suspected at a time, over all clients: about
+	// 100 KB. Those with the fewest consecutive terminations are evicted first.
 	maxSuspects = 256
-	// maxReports bounds the reports in one message between hosts: some 8 KB. What is
-	// left follows with the next message.
+	// maxReports bounds the reports in one message between hosts: some 8 KB. The next
+	// message has the remaining ones.
 	maxReports = 64
-	// newPerSecond bounds the requests a second that become suspects, at each host. When
-	// many upstreams are killed at once, hundreds of innocent requests end with them, and
-	// each report would reach each host from all hosts that it hears. A poison request
-	// that is left out comes again, with all that is known of it: some ten upstreams a
-	// second may end under the requests that they run.
-	newPerSecond = 64
-	// newBurst is how many may become suspects at once: two seconds' worth. Chosen with
-	// newPerSecond.
-	newBurst = 128
+	// newSuspectRate bounds the requests per second that become suspects, at each host.
+	// When many upstreams are killed at once, hundreds of innocent requests fail with
+	// them, and each host would receive each report from all hosts that send it
+	// heartbeats. A poison request that is left out is sent again by its client, and each
+	// report of it carries all terminations that the sender knows. The rate suffices for
+	// some ten upstreams a second that terminate under the requests that they run.
+	newSuspectRate = 64
+	// newSuspectBurst is how many requests may become suspects at once: two seconds' worth
+	// of newSuspectRate.
+	newSuspectBurst = 128
 )
 
-// Attempt is an attempt of a request that ended with its upstream.
+// Attempt is an attempt of a request that failed because its upstream terminated.
 type Attempt struct {
-	// Run is the upstream's run.
-	Run          string
+	// Run is the upstream's run that terminated.
+	Run string
+	// Began and Ended are when the attempt began and ended.
 	Began, Ended time.Time
 }
 
 // Quarantine describes a quarantined request.
 type Quarantine struct {
 	Fingerprint Fingerprint
-	// Runs are the runs of upstreams that ended under it.
+	// Runs are the runs of upstreams that terminated under the request, the earliest first.
 	Runs []string
-	// Own is set if this host saw the last of them end, and so decided first.
+	// Own is set if this host saw the last of these terminations, and therefore decided
+	// first.
 	Own bool
-	// Report is what is known of it, as of the decision.
+	// Report has the request's terminations as of the decision.
 	Report Report
 }
 
-// Observer is told of changes. Its methods are called without the table's lock.
+// Observer is notified of changes. Its methods are called without the table's lock.
 type Observer interface {
-	// SuspicionsChanged means that other hosts should learn of a change soon.
+	// SuspicionsChanged means that a change should be sent to other hosts soon.
 	SuspicionsChanged()
-	// Ended means that an upstream has ended; it may be told more than once.
+	// Ended means that an upstream has terminated. It may be called more than once for the
+	// same run.
 	Ended(run string, at time.Time)
-	// Quarantined and Released mean that a request is refused from now on, or no
-	// longer; own if that was decided here.
+	// Quarantined and Released mean that a request is refused from now on, or is no longer
+	// refused. own is set if this host decided so first.
 	Quarantined(Quarantine)
 	Released(f Fingerprint, own bool)
 }
 
-// Table has the requests that are suspected. It is safe for concurrent use.
+// Table holds the suspected requests. It is safe for concurrent use.
 type Table struct {
 	host     string
 	started  time.Time
 	observer Observer
-	// active is the number of suspects of which an end counts. While it is zero, no
-	// request has to be compared with any.
+	// active is the number of suspects with an uncleared termination. While it is zero, no
+	// request has to be compared with the suspects.
 	active atomic.Int64
 
-	// newSuspects bounds how many requests become suspects.
+	// newSuspects limits the rate at which requests become suspects.
 	newSuspects *rate.Limiter
 
 	mu       sync.Mutex
 	suspects map[Fingerprint]*suspect
-	// sequence numbers the changes, from first on. first is random, so that what a
-	// host says to have of an earlier process's changes is never taken for this one's.
+	// sequence is the number of the last change; the numbers start after first. first is
+	// random, so that an acknowledgment of an earlier process's changes is never mistaken
+	// for one of this process's changes.
 	first, sequence int64
-	// ended are the ends that the observer is not told of yet.
-	ended []*end
+	// unreported are the terminations of which the observer has not been notified yet.
+	unreported []*termination
 }
 
-// NewTable makes a table for the process of a name, which differs for each start of a
+// NewTable returns a table for the named process. The name must differ for each start of a
 // host.
 func NewTable(process string, started time.Time, o Observer) *Table {
 	first := rand.Int64N(math.MaxInt64 / 2)
 	return &Table{
-		host: process, started: started, observer: o, newSuspects: rate.NewLimiter(newPerSecond, newBurst),
+		host: process, started: started, observer: o, newSuspects: rate.NewLimiter(newSuspectRate, newSuspectBurst),
 		suspects: map[Fingerprint]*suspect{}, first: first, sequence: first,
 	}
 }
 
-// Empty reports whether no request is suspected. Then none needs a fingerprint, which
-// keeps the cost off requests while no upstream ends.
+// Empty reports whether no request is suspected. In this case no request needs a
+// fingerprint, so that requests bear no such cost while no upstream terminates.
 func (t *Table) Empty() bool { return t.active.Load() == 0 }
 
-// Counts returns how many requests are suspected, and how many of them quarantined.
+// Counts returns how many requests are suspected, and how many of them are quarantined.
 func (t *Table) Counts() (suspected, quarantined int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,7 +115,7 @@
 	return suspected, quarantined
 }
 
-// List returns the quarantined requests, in the order of their fingerprints.
+// List returns the quarantined requests by ascending fingerprint.
 func (t *Table) List() []Quarantine {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -119,7 +124,7 @@
 	return all
 }
 
-// Quarantines returns what is known of the quarantined requests.
+// Quarantines returns the reports of the quarantined requests.
 func (t *Table) Quarantines(now time.Time) []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -130,8 +135,8 @@
 	return reports
 }
 
-// Suspected reports whether an upstream has ended under the request, and it got no
-// response since.
+// Suspected reports whether an upstream has terminated under the request, and the request
+// got no response since.
 func (t *Table) Suspected(f Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -139,60 +144,61 @@
 	return s != nil && s.active()
 }
 
-// Quarantined reports whether the request is to be refused.
+// Quarantined reports whether the request must be refused.
 func (t *Table) Quarantined(f Fingerprint, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.suspects[f]
-	return s != nil && s.quarantined && now.Sub(s.last) < quarantineTime
+	return s != nil && s.quarantined && now.Sub(s.last) < quarantinePeriod
 }
 
-// RecordEnd records that an upstream ended under a request.
+// RecordEnd records that an upstream terminated under a request.
 func (t *Table) RecordEnd(f Fingerprint, a Attempt) {
 	t.change(true, func() bool {
-		added := &end{run: a.Run, host: t.host, began: a.Began.Sub(t.started), ended: a.Ended.Sub(t.started), at: a.Ended}
+		added := &termination{run: a.Run, host: t.host, began: a.Began.Sub(t.started), ended: a.Ended.Sub(t.started), at: a.Ended}
 		return t.add(f, added, a.Ended)
 	})
 }
 
-// RecordResponse records that an upstream responded to a request. A poison request
-// gets no response, so that all earlier ends of upstreams are not its doing.
+// RecordResponse records that an upstream responded to a request. A poison request gets no
+// response, so that this request has caused none of its earlier terminations.
 func (t *Table) RecordResponse(f Fingerprint) { t.Release(f) }
 
-// Release clears a request, on all hosts. Three more ends quarantine it again.
+// Release clears a request, on all hosts. quarantineThreshold more terminations quarantine
+// it again.
 func (t *Table) Release(f Fingerprint) {
 	t.change(true, func() bool {
 		s := t.suspects[f]
 		if s == nil || !s.clear() {
 			return false
 		}
-		t.touch(s)
+		t.markChanged(s)
 		return true
 	})
 }
 
-// Suspended has all ends be longer ago by the time for which the machine was suspended.
+// Suspended makes all terminations older by the time for which the machine was suspended.
 func (t *Table) Suspended(gap time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.suspects {
-		for _, e := range s.ends {
+		for _, e := range s.terminations {
 			e.at = e.at.Add(-gap)
 		}
-		s.sum()
+		s.updateCounts()
 	}
 }
 
-// CleanUp forgets what no longer counts.
+// CleanUp drops terminations that are too old to be used, and suspects without any.
 func (t *Table) CleanUp(now time.Time) {
 	t.change(false, func() bool {
 		changed := false
 		for f, s := range t.suspects {
-			if s.forget(now) {
-				s.sum()
+			if s.dropExpired(now) {
+				s.updateCounts()
 				changed = true
 			}
-			if len(s.ends) == 0 {
+			if len(s.terminations) == 0 {
 				delete(t.suspects, f)
 			}
 		}
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -14,29 +14,29 @@
 		attempts    []attempt
 		quarantined bool
 	}{
-		{"two in turn", []attempt{{"a", 0, 50}, {"b", 50, 100}}, false},
-		{"three in turn", []attempt{{"a", 0, 50}, {"b", 50, 100}, {"c", 100, 150}}, true},
-		{"three in turn, noted late and in another order", []attempt{{"c", 100, 150}, {"a", 0, 50}, {"b", 50, 100}}, true},
+		{"two one after the other", []attempt{{"a", 0, 50}, {"b", 50, 100}}, false},
+		{"three one after the other", []attempt{{"a", 0, 50}, {"b", 50, 100}, {"c", 100, 150}}, true},
+		{"three one after the other, recorded late and in another order", []attempt{{"c", 100, 150}, {"a", 0, 50}, {"b", 50, 100}}, true},
 		{"one run three times", []attempt{{"a", 0, 50}, {"a", 60, 70}, {"a", 80, 90}}, false},
 		{"twelve killed together", together(12), false},
 		{"killed together twice, the second time all retries", append(together(5), attempt{"x", 50, 100}, attempt{"y", 50, 100}), false},
 		{"one long attempt beside short ones", []attempt{{"a", 0, 500}, {"b", 10, 60}, {"c", 70, 120}}, false},
-		{"three in turn beside a long one", []attempt{{"a", 0, 500}, {"b", 10, 60}, {"c", 70, 120}, {"d", 130, 200}}, true},
+		{"three one after the other beside a long one", []attempt{{"a", 0, 500}, {"b", 10, 60}, {"c", 70, 120}, {"d", 130, 200}}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			table, seen := newTable("h")
+			table, events := newTable("h")
 			for _, a := range c.attempts {
-				a.record(table, printOf("f"))
+				a.record(table, fingerprintOf("f"))
 			}
-			require.Equal(t, c.quarantined, table.Quarantined(printOf("f"), at(600)))
-			require.Equal(t, c.quarantined, len(seen.quarantined) == 1, "it is told once")
-			require.True(t, table.Suspected(printOf("f")))
-			require.False(t, table.Suspected(printOf("other")))
+			require.Equal(t, c.quarantined, table.Quarantined(fingerprintOf("f"), at(600)))
+			require.Equal(t, c.quarantined, len(events.quarantined) == 1, "the observer is notified once")
+			require.True(t, table.Suspected(fingerprintOf("f")))
+			require.False(t, table.Suspected(fingerprintOf("other")))
 		})
 	}
 }
 
-// together are attempts that upstreams killed at one moment ran.
+// together returns attempts on n upstreams that were killed at the same time.
 func together(n int) []attempt {
 	var all []attempt
 	for i := range n {
@@ -47,27 +47,27 @@
 
 func TestAResponseClearsARequest(t *testing.T) {
 	table, _ := newTable("h")
-	f := printOf("popular")
+	f := fingerprintOf("popular")
 	for i := range 40 {
 		attempt{fmt.Sprint(2 * i), 100 * i, 100*i + 20}.record(table, f)
 		attempt{fmt.Sprint(2*i + 1), 100*i + 20, 100*i + 40}.record(table, f)
 		require.False(t, table.Empty())
 		table.RecordResponse(f)
 		require.False(t, table.Quarantined(f, at(100*i+50)))
-		require.True(t, table.Empty(), "nothing is compared any more")
+		require.True(t, table.Empty(), "requests are no longer compared with suspects")
 	}
 }
 
-func TestAReleasedRequestNeedsThreeMoreEnds(t *testing.T) {
-	table, seen := newTable("h")
-	f := printOf("f")
+func TestAReleasedRequestNeedsThreeMoreTerminations(t *testing.T) {
+	table, events := newTable("h")
+	f := fingerprintOf("f")
 	for i := range 3 {
 		attempt{fmt.Sprint("a", i), 100 * i, 100*i + 50}.record(table, f)
 	}
 	require.True(t, table.Quarantined(f, at(300)))
 	table.Release(f)
 	require.False(t, table.Quarantined(f, at(300)))
-	require.Equal(t, []Fingerprint{f}, seen.released)
+	require.Equal(t, []Fingerprint{f}, events.released)
 	for i := range 3 {
 		require.False(t, table.Quarantined(f, at(400)))
 		attempt{fmt.Sprint("b", i), 400 + 100*i, 450 + 100*i}.record(table, f)
@@ -75,10 +75,11 @@
 	require.True(t, table.Quarantined(f, at(700)))
 }
 
-// A request shared three upstreams with a poison request, as both had the same first
-// and second upstream for their keys and their clients came back at the same time.
+// A request may share three upstreams with a poison request, because both have the same first
+// and second upstream for their keys and their clients retry at the same time. It must not be
+// quarantined.
 func TestARequestThatOnlySharedUpstreamsIsNotQuarantined(t *testing.T) {
-	guilty, innocent := printOf("guilty"), printOf("innocent")
+	guilty, innocent := fingerprintOf("guilty"), fingerprintOf("innocent")
 	table, _ := newTable("h")
 	for i := range 3 {
 		a := attempt{fmt.Sprint(i), 100 * i, 100*i + 50}
@@ -91,15 +92,15 @@
 	require.True(t, table.Quarantined(guilty, at(400)))
 	require.False(t, table.Quarantined(innocent, at(400)))
 
-	t.Run("but two that share four are", func(t *testing.T) {
+	t.Run("two requests that share four are quarantined", func(t *testing.T) {
 		attempt{"3", 300, 350}.record(table, innocent)
 		require.True(t, table.Quarantined(guilty, at(400)))
 		require.True(t, table.Quarantined(innocent, at(400)))
-		attempt{"4", 400, 450}.record(table, guilty) // it was under way
-		require.False(t, table.Quarantined(innocent, at(500)), "the next end tells which")
+		attempt{"4", 400, 450}.record(table, guilty) // it was in flight when guilty was quarantined
+		require.False(t, table.Quarantined(innocent, at(500)), "the next termination shows which is innocent")
 	})
-	t.Run("and a second poison request is, too", func(t *testing.T) {
-		other := printOf("other")
+	t.Run("a second poison request is quarantined, too", func(t *testing.T) {
+		other := fingerprintOf("other")
 		for i := range 3 {
 			attempt{fmt.Sprint("x", i), 1000 + 100*i, 1050 + 100*i}.record(table, other)
 		}
@@ -108,62 +109,62 @@
 	})
 }
 
-func TestHostsAddUpWhatTheySaw(t *testing.T) {
-	a, seenByA := newTable("a")
+func TestHostsMergeTheirTerminations(t *testing.T) {
+	a, eventsOfA := newTable("a")
 	b, _ := newTable("b")
 	c, _ := newTable("c")
-	f := printOf("f")
+	f := fingerprintOf("f")
 	attempt{"1", 0, 50}.record(a, f)
 	attempt{"2", 200, 250}.record(b, f)
 	attempt{"3", 400, 450}.record(c, f)
-	pass(a, b, 0, 460, 40)
-	pass(b, c, 0, 540, 40)
-	require.True(t, c.Quarantined(f, at(600)), "a host passes on what others told it")
+	sendUpdate(a, b, 0, 460, 40)
+	sendUpdate(b, c, 0, 540, 40)
+	require.True(t, c.Quarantined(f, at(600)), "a host forwards the terminations that others reported")
 	require.False(t, a.Quarantined(f, at(600)))
-	pass(c, a, 0, 600, 40)
-	require.Equal(t, map[string]time.Time{"1": at(50), "2": at(330), "3": at(490)}, seenByA.ended, "all learn of each end")
+	sendUpdate(c, a, 0, 600, 40)
+	require.Equal(t, map[string]time.Time{"1": at(50), "2": at(330), "3": at(490)}, eventsOfA.terminated, "each host learns of all terminations")
 	require.True(t, a.Quarantined(f, at(700)))
 	a.RecordResponse(f)
-	pass(a, b, 0, 700, 40)
-	pass(b, c, 0, 800, 40)
+	sendUpdate(a, b, 0, 700, 40)
+	sendUpdate(b, c, 0, 800, 40)
 	for _, host := range []*Table{a, b, c} {
 		require.False(t, host.Quarantined(f, at(900)))
 		require.True(t, host.Empty())
 	}
 }
 
-// Reports are late, each by another time, so that ends at one moment seem to be one
-// after the other.
+// Reports have different transit times, so that terminations at the same time seem to be one
+// after the other. They must be counted once.
 func TestUpstreamsKilledTogetherCountOnceAtAllHosts(t *testing.T) {
-	f := printOf("popular")
+	f := fingerprintOf("popular")
 	sum, _ := newTable("sum")
 	for i, delay := range []int{0, 30, 60, 90, 45, 75} {
 		host, _ := newTable(fmt.Sprint(i))
 		attempt{fmt.Sprint("run-", i), 40, 50}.record(host, f)
-		pass(host, sum, 0, 60, delay)
+		sendUpdate(host, sum, 0, 60, delay)
 	}
 	require.False(t, sum.Quarantined(f, at(200)))
 }
 
-// Two attempts of one try follow each other within a millisecond; all hosts must see
-// that, though reports of them take different times.
-func TestTheOrderThatOneHostSawHoldsEverywhere(t *testing.T) {
-	f := printOf("f")
+// Attempts of one request may follow each other within a millisecond. All hosts must see that
+// they are consecutive, although the reports have different transit times.
+func TestConsecutiveAttemptsOfAHostAreConsecutiveAtAllHosts(t *testing.T) {
+	f := fingerprintOf("f")
 	a, _ := newTable("a")
 	b, _ := newTable("b")
 	var has int64
 	for i, delay := range []int{60, 20, 5} {
 		attempt{fmt.Sprint(i), 70 * i, 70 * (i + 1)}.record(a, f)
-		has = pass(a, b, has, 70*(i+1), delay)
+		has = sendUpdate(a, b, has, 70*(i+1), delay)
 	}
 	require.True(t, a.Quarantined(f, at(300)))
 	require.True(t, b.Quarantined(f, at(300)))
 }
 
 func TestReportsMayBeLostRepeatedAndLate(t *testing.T) {
-	f := printOf("f")
+	f := fingerprintOf("f")
 	a, _ := newTable("a")
-	b, told := newTable("b")
+	b, events := newTable("b")
 	for i := range 3 {
 		attempt{fmt.Sprint(i), 100 * i, 100*i + 50}.record(a, f)
 	}
@@ -177,18 +178,18 @@
 		b.Merge(first, at(400))
 		b.Merge(second, at(400))
 	}
-	require.False(t, b.Quarantined(f, at(400)), "what was cleared stays cleared")
-	require.Equal(t, 1, told.changes, "what is no news is not passed on")
+	require.False(t, b.Quarantined(f, at(400)), "cleared terminations stay cleared")
+	require.Equal(t, 1, events.changes, "reports without changes are not forwarded")
 	reports, _ := b.Since(0, at(400))
-	require.Len(t, reports, 1, "it is passed on to a host that has not heard of it")
+	require.Len(t, reports, 1, "the suspect is reported to a host that has not seen it")
 }
 
-func TestANumberOfAnotherProcessStandsForNothing(t *testing.T) {
+func TestASequenceNumberOfAnotherProcessReturnsAllReports(t *testing.T) {
 	a, _ := newTable("a")
-	attempt{"1", 0, 50}.record(a, printOf("f"))
+	attempt{"1", 0, 50}.record(a, fingerprintOf("f"))
 	_, upTo := a.Since(0, at(100))
 	restarted, _ := newTable("a2")
-	attempt{"2", 0, 50}.record(restarted, printOf("g"))
+	attempt{"2", 0, 50}.record(restarted, fingerprintOf("g"))
 	reports, other := restarted.Since(upTo, at(100))
 	require.Len(t, reports, 1)
 	require.NotEqual(t, upTo, other)
@@ -197,43 +198,43 @@
 	require.Equal(t, other, same)
 }
 
-func TestAManyTimesRepeatedQuarantineIsTriedAgain(t *testing.T) {
+func TestARequestIsTriedAgainAfterItsQuarantine(t *testing.T) {
 	table, _ := newTable("h")
-	f := printOf("f")
+	f := fingerprintOf("f")
 	for i := range 3 {
 		attempt{fmt.Sprint(i), 100 * i, 100*i + 50}.record(table, f)
 	}
-	later := at(250).Add(quarantineTime)
+	later := at(250).Add(quarantinePeriod)
 	require.True(t, table.Quarantined(f, later.Add(-time.Millisecond)))
 	require.False(t, table.Quarantined(f, later))
 	table.RecordEnd(f, Attempt{Run: "again", Began: later, Ended: later.Add(50 * time.Millisecond)})
-	require.True(t, table.Quarantined(f, later.Add(time.Second)), "one more end suffices")
-	table.CleanUp(at(200).Add(forgetAfter))
-	require.Empty(t, table.List(), "two of the ends no longer count")
-	table.CleanUp(later.Add(forgetAfter + time.Second))
+	require.True(t, table.Quarantined(f, later.Add(time.Second)), "one more termination suffices")
+	table.CleanUp(at(200).Add(terminationRetention))
+	require.Empty(t, table.List(), "two of the terminations are too old")
+	table.CleanUp(later.Add(terminationRetention + time.Second))
 	require.True(t, table.Empty())
 	require.Empty(t, table.suspects)
 }
 
-// Somebody who sends many requests that each end an upstream does not crowd out one
-// that has ended three.
+// A client that sends many requests that each terminate one upstream must not evict a request
+// that has terminated three.
 func TestSuspectsAreBounded(t *testing.T) {
 	table, _ := newTable("h")
 	for i := range 3 {
-		attempt{fmt.Sprint(i), 100 * i, 100*i + 50}.record(table, printOf("guilty"))
+		attempt{fmt.Sprint(i), 100 * i, 100*i + 50}.record(table, fingerprintOf("guilty"))
 	}
 	for i := range 3 * maxSuspects {
-		attempt{fmt.Sprint("r", i), 1000 + 20*i, 1001 + 20*i}.record(table, printOf(fmt.Sprint("filler-", i)))
+		attempt{fmt.Sprint("r", i), 1000 + 20*i, 1001 + 20*i}.record(table, fingerprintOf(fmt.Sprint("filler-", i)))
 	}
 	require.Len(t, table.suspects, maxSuspects)
-	require.True(t, table.Quarantined(printOf("guilty"), at(20000)))
-	require.True(t, table.Suspected(printOf(fmt.Sprint("filler-", 3*maxSuspects-1))), "the latest are kept")
+	require.True(t, table.Quarantined(fingerprintOf("guilty"), at(20000)))
+	require.True(t, table.Suspected(fingerprintOf(fmt.Sprint("filler-", 3*maxSuspects-1))), "the latest are kept")
 
-	t.Run("and so are ends and messages", func(t *testing.T) {
-		for i := range 2 * maxEnds {
-			attempt{fmt.Sprint("more-", i), 20000 + 100*i, 20050 + 100*i}.record(table, printOf("guilty"))
+	t.Run("terminations and messages are bounded", func(t *testing.T) {
+		for i := range 2 * maxTerminations {
+			attempt{fmt.Sprint("more-", i), 20000 + 100*i, 20050 + 100*i}.record(table, fingerprintOf("guilty"))
 		}
-		require.Len(t, table.suspects[printOf("guilty")].ends, maxEnds)
+		require.Len(t, table.suspects[fingerprintOf("guilty")].terminations, maxTerminations)
 		other, _ := newTable("other")
 		var has int64
 		for messages := 0; ; messages++ {
@@ -248,33 +249,34 @@
 			has = upTo
 		}
 		require.Len(t, other.suspects, maxSuspects)
-		require.True(t, other.Quarantined(printOf("guilty"), at(40000)))
+		require.True(t, other.Quarantined(fingerprintOf("guilty"), at(40000)))
 	})
 }
 
-// A zone is lost, or half of all upstreams are killed at once: a thousand requests end
-// with them, and each would be told to each host by each that it hears.
-func TestFewOfManyRequestsThatEndTogetherAreSuspected(t *testing.T) {
+// When a zone is lost, or half of all upstreams are killed at once, a thousand requests fail
+// with them. If all became suspects, each host would receive each of them from every host
+// that sends it heartbeats.
+func TestFewOfManyRequestsThatFailTogetherAreSuspected(t *testing.T) {
 	table, _ := newTable("h")
-	attempt{"first", 0, 50}.record(table, printOf("guilty"))
+	attempt{"first", 0, 50}.record(table, fingerprintOf("guilty"))
 	for i := range 1000 {
-		attempt{fmt.Sprint("r", i%200), 40, 100}.record(table, printOf(fmt.Sprint("innocent-", i)))
+		attempt{fmt.Sprint("r", i%200), 40, 100}.record(table, fingerprintOf(fmt.Sprint("innocent-", i)))
 	}
-	require.LessOrEqual(t, len(table.suspects), newBurst+newPerSecond/10)
-	attempt{"second", 110, 160}.record(table, printOf("guilty"))
-	attempt{"third", 170, 220}.record(table, printOf("guilty"))
-	require.True(t, table.Quarantined(printOf("guilty"), at(300)), "one that is known is followed on")
-	attempt{"later", 1000, 1050}.record(table, printOf("newcomer"))
-	require.True(t, table.Suspected(printOf("newcomer")), "and a second later others are")
+	require.LessOrEqual(t, len(table.suspects), newSuspectBurst+newSuspectRate/10)
+	attempt{"second", 110, 160}.record(table, fingerprintOf("guilty"))
+	attempt{"third", 170, 220}.record(table, fingerprintOf("guilty"))
+	require.True(t, table.Quarantined(fingerprintOf("guilty"), at(300)), "further terminations of an existing suspect are recorded")
+	attempt{"later", 1000, 1050}.record(table, fingerprintOf("newcomer"))
+	require.True(t, table.Suspected(fingerprintOf("newcomer")), "a second later, other requests become suspects")
 }
 
-func TestReportsThatMakeNoSenseAreIgnored(t *testing.T) {
-	long := string(make([]byte, maxName+1))
-	table, told := newTable("h")
-	table.Merge([]Report{{Fingerprint: printOf("f"), Ends: []End{
+func TestInvalidReportsAreIgnored(t *testing.T) {
+	long := string(make([]byte, maxNameBytes+1))
+	table, events := newTable("h")
+	table.Merge([]Report{{Fingerprint: fingerprintOf("f"), Ends: []End{
 		{Host: "x", Ended: 1}, {Run: long, Host: "x", Ended: 1}, {Run: "r", Host: long, Ended: 1},
-		{Run: "r", Host: "x", Began: 2, Ended: 1}, {Run: "r", Host: "x", Age: -1}, {Run: "r", Host: "x", Age: forgetAfter.Milliseconds()},
+		{Run: "r", Host: "x", Began: 2, Ended: 1}, {Run: "r", Host: "x", Age: -1}, {Run: "r", Host: "x", Age: terminationRetention.Milliseconds()},
 	}}}, at(0))
 	require.Empty(t, table.suspects)
-	require.Zero(t, told.changes)
+	require.Zero(t, events.changes)
 }
