--- a/internal/gateway/eventlog/events.go
+++ b/internal/gateway/eventlog/events.go
@@ -243,9 +243,9 @@
 		Int64("born", r.Born).Int64("version", version).Float64("cold_ms", ms(r.ColdLeft)).Msg("upstream: state changed")
 }
 
-// Limited logs that an upstream has named a limit, or another one than before, in requests
+// LimitChanged logs that an upstream has named a limit, or another one than before, in requests
 // a second over all hosts, and counts it.
-func (l *Log) Limited(run upstream.Run, perSecond float64) {
+func (l *Log) LimitChanged(run upstream.Run, perSecond float64) {
 	l.metrics.Count(`cairndock_notices_total{kind="limit"}`)
 	l.stateEvent(EventNotice).Str("upstream", string(run)).Str("kind", "limit").Float64("per_second", perSecond).Msg("upstream: takes so much from all hosts")
 }
--- a/internal/gateway/notice/table.go
+++ b/internal/gateway/notice/table.go
@@ -53,9 +53,9 @@
 // Reporter is notified of changes of the notices in force. Its methods are called without
 // the table's lock.
 type Reporter interface {
-	// Limited means that an upstream has announced a limit, in requests per second, that
+	// LimitChanged means that an upstream has announced a limit, in requests per second, that
 	// is new or differs from the previous one.
-	Limited(run upstream.Run, perSecond float64)
+	LimitChanged(run upstream.Run, perSecond float64)
 	// Leaves means that an upstream is leaving.
 	Leaves(run upstream.Run)
 	// Rests means that an upstream wants no request from this host for a time.
@@ -143,7 +143,7 @@
 	if !changed {
 		return func() {}
 	}
-	return func() { t.reporter.Limited(run, perSecond) }
+	return func() { t.reporter.LimitChanged(run, perSecond) }
 }
 
 // Withheld is the reason why an upstream receives no request now. Of the reasons Leaving,
--- a/internal/gateway/notice/table_test.go
+++ b/internal/gateway/notice/table_test.go
@@ -21,7 +21,7 @@
 // recorder records the notifications of a table.
 type recorder struct{ events []string }
 
-func (r *recorder) Limited(run upstream.Run, _ float64) {
+func (r *recorder) LimitChanged(run upstream.Run, _ float64) {
 	r.events = append(r.events, "limited "+string(run))
 }
 func (r *recorder) LimitEnded(run upstream.Run) { r.events = append(r.events, "ended "+string(run)) }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -66,8 +66,10 @@
 	return g.fleet.WarmUpQuota(upstream, region, rate*limits.WarmUpOvershoot+limits.WarmUpSlack)
 }
 
-// Limited logs an upstream's limit.
-func (g *Gateway) Limited(run upstream.Run, perSecond float64) { g.log.Limited(run, perSecond) }
+// LimitChanged logs an upstream's limit.
+func (g *Gateway) LimitChanged(run upstream.Run, perSecond float64) {
+	g.log.LimitChanged(run, perSecond)
+}
 
 // LimitEnded logs that an upstream has no limit any more.
 func (g *Gateway) LimitEnded(run upstream.Run) { g.log.LimitEnded(run) }
