--- a/internal/gateway/eventlog/events.go
+++ b/internal/gateway/eventlog/events.go
@@ -256,8 +256,8 @@
 	l.stateEvent(EventNotice).Str("upstream", string(run)).Str("kind", "leaving").Msg("upstream: leaves, gets no new work")
 }
 
-// Rests logs that an upstream wants no request of this host for a time, and counts it.
-func (l *Log) Rests(run upstream.Run, d time.Duration) {
+// BackoffRequested logs that an upstream wants no request of this host for a time, and counts it.
+func (l *Log) BackoffRequested(run upstream.Run, d time.Duration) {
 	l.metrics.Count(`cairndock_notices_total{kind="rest"}`)
 	l.stateEvent(EventNotice).Str("upstream", string(run)).Str("kind", "rest").Float64("for_ms", ms(d)).Msg("upstream: wants no request of this host for a time")
 }
--- a/internal/gateway/fleet/limitshare_test.go
+++ b/internal/gateway/fleet/limitshare_test.go
@@ -87,10 +87,10 @@
 
 type noReports struct{}
 
-func (noReports) LimitChanged(upstream.Run, float64) {}
-func (noReports) LimitEnded(upstream.Run)            {}
-func (noReports) Leaves(upstream.Run)                {}
-func (noReports) Rests(upstream.Run, time.Duration)  {}
+func (noReports) LimitChanged(upstream.Run, float64)           {}
+func (noReports) LimitEnded(upstream.Run)                      {}
+func (noReports) Leaves(upstream.Run)                          {}
+func (noReports) BackoffRequested(upstream.Run, time.Duration) {}
 
 // Hosts end and start all the time, and go on at once. Their processes start without
 // tokens, so that no four seconds see more than the platform allows; no restart is excused.
--- a/internal/gateway/notice/table.go
+++ b/internal/gateway/notice/table.go
@@ -58,8 +58,8 @@
 	LimitChanged(run upstream.Run, perSecond float64)
 	// Leaves means that an upstream is leaving.
 	Leaves(run upstream.Run)
-	// Rests means that an upstream wants no request from this host for a time.
-	Rests(run upstream.Run, d time.Duration)
+	// BackoffRequested means that an upstream wants no request from this host for a time.
+	BackoffRequested(run upstream.Run, d time.Duration)
 	// LimitEnded means that an upstream has no limit any more.
 	LimitEnded(run upstream.Run)
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -82,10 +82,10 @@
 	g.fleet.SendSoonToAll()
 }
 
-// Rests logs that an upstream wants no request for a time, and has other hosts hear of it
+// BackoffRequested logs that an upstream wants no request for a time, and has other hosts hear of it
 // out of turn: each would be refused by it first.
-func (g *Gateway) Rests(run upstream.Run, d time.Duration) {
-	g.log.Rests(run, d)
+func (g *Gateway) BackoffRequested(run upstream.Run, d time.Duration) {
+	g.log.BackoffRequested(run, d)
 	g.fleet.SendSoonToAll()
 }
 
