--- a/internal/gateway/fleet/limitshare_test.go
+++ b/internal/gateway/fleet/limitshare_test.go
@@ -89,7 +89,7 @@
 
 func (noReports) LimitChanged(upstream.Run, float64)           {}
 func (noReports) LimitEnded(upstream.Run)                      {}
-func (noReports) Leaves(upstream.Run)                          {}
+func (noReports) LeavingAnnounced(upstream.Run)                {}
 func (noReports) BackoffRequested(upstream.Run, time.Duration) {}
 
 // Hosts end and start all the time, and go on at once. Their processes start without
--- a/internal/gateway/notice/table.go
+++ b/internal/gateway/notice/table.go
@@ -56,8 +56,8 @@
 	// LimitChanged means that an upstream has announced a limit, in requests per second, that
 	// is new or differs from the previous one.
 	LimitChanged(run upstream.Run, perSecond float64)
-	// Leaves means that an upstream is leaving.
-	Leaves(run upstream.Run)
+	// LeavingAnnounced means that an upstream is leaving.
+	LeavingAnnounced(run upstream.Run)
 	// BackoffRequested means that an upstream wants no request from this host for a time.
 	BackoffRequested(run upstream.Run, d time.Duration)
 	// LimitEnded means that an upstream has no limit any more.
--- a/internal/gateway/notice/table_test.go
+++ b/internal/gateway/notice/table_test.go
@@ -25,7 +25,9 @@
 	r.events = append(r.events, "limited "+string(run))
 }
 func (r *recorder) LimitEnded(run upstream.Run) { r.events = append(r.events, "ended "+string(run)) }
-func (r *recorder) Leaves(run upstream.Run)     { r.events = append(r.events, "leaves "+string(run)) }
+func (r *recorder) LeavingAnnounced(run upstream.Run) {
+	r.events = append(r.events, "leaves "+string(run))
+}
 func (r *recorder) BackoffRequested(run upstream.Run, _ time.Duration) {
 	r.events = append(r.events, "rests "+string(run))
 }
--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -90,7 +90,7 @@
 	state *routing.State
 }
 
-func (r noticeReporter) Leaves(run upstream.Run) {
+func (r noticeReporter) LeavingAnnounced(run upstream.Run) {
 	r.Log.Leaves(run)
 	r.state.MarkLeaving(run)
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -74,9 +74,9 @@
 // LimitEnded logs that an upstream has no limit any more.
 func (g *Gateway) LimitEnded(run upstream.Run) { g.log.LimitEnded(run) }
 
-// Leaves has an upstream that leaves get no new work, and other hosts hear of it out of
+// LeavingAnnounced has an upstream that leaves get no new work, and other hosts hear of it out of
 // turn: they may have no response of it for long.
-func (g *Gateway) Leaves(run upstream.Run) {
+func (g *Gateway) LeavingAnnounced(run upstream.Run) {
 	g.log.Leaves(run)
 	g.state.MarkLeaving(run)
 	g.fleet.SendSoonToAll()
