--- a/internal/gateway/eventlog/events.go
+++ b/internal/gateway/eventlog/events.go
@@ -250,8 +250,8 @@
 	l.stateEvent(EventNotice).Str("upstream", string(run)).Str("kind", "limit").Float64("per_second", perSecond).Msg("upstream: takes so much from all hosts")
 }
 
-// Leaves logs that an upstream says that it leaves, and counts it.
-func (l *Log) Leaves(run upstream.Run) {
+// LeavingAnnounced logs that an upstream says that it leaves, and counts it.
+func (l *Log) LeavingAnnounced(run upstream.Run) {
 	l.metrics.Count(`cairndock_notices_total{kind="leaving"}`)
 	l.stateEvent(EventNotice).Str("upstream", string(run)).Str("kind", "leaving").Msg("upstream: leaves, gets no new work")
 }
--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -91,7 +91,7 @@
 }
 
 func (r noticeReporter) LeavingAnnounced(run upstream.Run) {
-	r.Log.Leaves(run)
+	r.Log.LeavingAnnounced(run)
 	r.state.MarkLeaving(run)
 }
 
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -77,7 +77,7 @@
 // LeavingAnnounced has an upstream that leaves get no new work, and other hosts hear of it out of
 // turn: they may have no response of it for long.
 func (g *Gateway) LeavingAnnounced(run upstream.Run) {
-	g.log.Leaves(run)
+	g.log.LeavingAnnounced(run)
 	g.state.MarkLeaving(run)
 	g.fleet.SendSoonToAll()
 }
