--- a/internal/gateway/notice/table.go
+++ b/internal/gateway/notice/table.go
@@ -50,9 +50,9 @@
 	Hosts int
 }
 
-// Reporter is notified of changes of the notices in force. Its methods are called without
+// Observer is notified of changes of the notices in force. Its methods are called without
 // the table's lock.
-type Reporter interface {
+type Observer interface {
 	// LimitChanged means that an upstream has announced a limit, in requests per second, that
 	// is new or differs from the previous one.
 	LimitChanged(run upstream.Run, perSecond float64)
@@ -68,7 +68,7 @@
 type Table struct {
 	host     string
 	shares   Shares
-	reporter Reporter
+	reporter Observer
 
 	// size is the number of notices. The choice of an upstream reads it without the lock.
 	size   atomic.Int32
@@ -82,7 +82,7 @@
 }
 
 // NewTable returns an empty table for the named host.
-func NewTable(host string, shares Shares, reporter Reporter) *Table {
+func NewTable(host string, shares Shares, reporter Observer) *Table {
 	return &Table{host: host, shares: shares, reporter: reporter, limits: map[upstream.Run]*limit{}, leaving: map[upstream.Run]*leavingRun{}, backoffUntil: map[upstream.Run]time.Time{}, backoffElsewhereUntil: map[upstream.Run]time.Time{}}
 }
 
