--- a/internal/gateway/notice/notice.go
+++ b/internal/gateway/notice/notice.go
@@ -7,9 +7,9 @@
 	// Leaving means that the upstream takes no new work and will end. It stays set for the
 	// rest of the run.
 	Leaving bool
-	// Rest is the time for which the upstream wants no request from this host; zero is
+	// Backoff is the time for which the upstream wants no request from this host; zero is
 	// none. Only a refusal carries it.
-	Rest time.Duration
+	Backoff time.Duration
 	// Limit is the maximum rate of requests that the upstream takes from all hosts
 	// together.
 	Limit Limit
@@ -46,7 +46,7 @@
 
 // WithRest returns the notice of an upstream that wants no request for a time.
 func (n Notice) WithRest(d time.Duration) Notice {
-	n.Rest = d
+	n.Backoff = d
 	return n
 }
 
--- a/internal/gateway/notice/table.go
+++ b/internal/gateway/notice/table.go
@@ -101,8 +101,8 @@
 	if n.Leaving {
 		t.markLeaving(run, now)
 	}
-	if n.Rest > 0 {
-		t.setBackoff(run, n.Rest, now)
+	if n.Backoff > 0 {
+		t.setBackoff(run, n.Backoff, now)
 	}
 	if n.Limit.presence == malformed || n.Limit.presence == absent && t.size.Load() == 0 {
 		return
