--- a/internal/gateway/notice/notice.go
+++ b/internal/gateway/notice/notice.go
@@ -44,8 +44,8 @@
 	return n
 }
 
-// WithRest returns the notice of an upstream that wants no request for a time.
-func (n Notice) WithRest(d time.Duration) Notice {
+// WithBackoff returns the notice of an upstream that wants no request for a time.
+func (n Notice) WithBackoff(d time.Duration) Notice {
 	n.Backoff = d
 	return n
 }
--- a/internal/gateway/notice/table_test.go
+++ b/internal/gateway/notice/table_test.go
@@ -207,7 +207,7 @@
 	rec, now := &recorder{}, time.Now()
 	table := notice.NewTable("h", fixedShare(1), rec)
 	after := func(d time.Duration) time.Time { return now.Add(d) }
-	backoff := func(d time.Duration) notice.Notice { return notice.Notice{}.WithRest(d) }
+	backoff := func(d time.Duration) notice.Notice { return notice.Notice{}.WithBackoff(d) }
 	table.Observe(a.Run(), backoff(3*time.Second), now, now)
 	table.Observe(a.Run(), backoff(time.Second), now, after(500*time.Millisecond))
 	table.Observe(a.Run(), notice.Notice{}, after(time.Second), after(time.Second))
--- a/internal/gateway/proxy/wire_test.go
+++ b/internal/gateway/proxy/wire_test.go
@@ -85,7 +85,7 @@
 		n = n.WithLimit(notice.LimitOf(limit))
 	}
 	if rest, err := time.ParseDuration(h.Get(headerRest)); err == nil {
-		n = n.WithRest(rest)
+		n = n.WithBackoff(rest)
 	}
 	if h.Get(headerLeaving) != "" {
 		n = n.WithLeaving()
