--- a/internal/gateway/notice/table.go
+++ b/internal/gateway/notice/table.go
@@ -151,9 +151,9 @@
 type Withheld struct {
 	// Upstream is the upstream's id; empty if the upstream may receive a request.
 	Upstream string
-	// Leaving is set if the upstream is leaving, and Resting if it wants no request for a
+	// Leaving is set if the upstream is leaving, and BackingOff if it wants no request for a
 	// time. The fields of the limit are zero in both cases.
-	Leaving, Resting bool
+	Leaving, BackingOff bool
 	// PerSecond is the limit. Share is this host's share of its Tokens.
 	PerSecond     float64
 	Share, Tokens int
@@ -174,7 +174,7 @@
 		return Withheld{Upstream: u.ID, Leaving: true, For: -1}
 	}
 	if left := t.backoffUntil[u.Run()].Sub(now); left > 0 {
-		return Withheld{Upstream: u.ID, Resting: true, For: left}
+		return Withheld{Upstream: u.ID, BackingOff: true, For: left}
 	}
 	l := t.inForce(u.Run())
 	if l == nil {
--- a/internal/gateway/proxy/refuse.go
+++ b/internal/gateway/proxy/refuse.go
@@ -79,7 +79,7 @@
 		return ""
 	case w.Last.Leaving:
 		return w.Last.Upstream + " leaves"
-	case w.Last.Resting:
+	case w.Last.BackingOff:
 		return fmt.Sprintf("%s wants none of this host for %d ms", w.Last.Upstream, w.Last.For.Milliseconds())
 	}
 	return fmt.Sprintf("%s takes %g a second of all hosts, %d of %d tokens are this host's", w.Last.Upstream, w.Last.PerSecond, w.Last.Share, w.Last.Tokens)
