--- a/internal/gateway/balance/balance.go
+++ b/internal/gateway/balance/balance.go
@@ -31,8 +31,8 @@
 type Notices interface {
 	// Withheld returns why an upstream gets no request now; the zero value if it may.
 	Withheld(u *upstream.Upstream, now time.Time) notice.Withheld
-	// RestsElsewhere reports whether an upstream wants none of another host.
-	RestsElsewhere(run upstream.Run, now time.Time) bool
+	// BackoffElsewhere reports whether an upstream wants none of another host.
+	BackoffElsewhere(run upstream.Run, now time.Time) bool
 	// Take counts a request for which an upstream was chosen.
 	Take(u *upstream.Upstream, now time.Time)
 }
@@ -74,7 +74,7 @@
 
 func (noNotices) Withheld(*upstream.Upstream, time.Time) notice.Withheld { return notice.Withheld{} }
 func (noNotices) Take(*upstream.Upstream, time.Time)                     {}
-func (noNotices) RestsElsewhere(upstream.Run, time.Time) bool            { return false }
+func (noNotices) BackoffElsewhere(upstream.Run, time.Time) bool          { return false }
 
 // Suspended has load reports be older by the time for which the machine was suspended.
 // What was sent to cold upstreams is not: it counts for longer than it has to.
@@ -179,7 +179,7 @@
 
 // avoided reports whether an upstream is ejected, or refuses another host.
 func (b *Balancer) avoided(u *upstream.Upstream, now time.Time) bool {
-	return b.detector.Ejected(u.Run(), now) || b.notices.RestsElsewhere(u.Run(), now)
+	return b.detector.Ejected(u.Run(), now) || b.notices.BackoffElsewhere(u.Run(), now)
 }
 
 // order is the one of the upstreams for a request with a key's hash.
--- a/internal/gateway/notice/rest.go
+++ b/internal/gateway/notice/rest.go
@@ -30,9 +30,9 @@
 	t.updateSize()
 }
 
-// RestsElsewhere reports whether a run wants no request from another host now. It would
+// BackoffElsewhere reports whether a run wants no request from another host now. It would
 // probably refuse requests of this host as well.
-func (t *Table) RestsElsewhere(run upstream.Run, now time.Time) bool {
+func (t *Table) BackoffElsewhere(run upstream.Run, now time.Time) bool {
 	if t.size.Load() == 0 {
 		return false
 	}
