--- a/internal/gateway/notice/report.go
+++ b/internal/gateway/notice/report.go
@@ -31,9 +31,9 @@
 type Report struct {
 	Run     upstream.Run `msgpack:"u"`
 	Leaving bool         `msgpack:"x,omitempty"`
-	// RestMS is the remaining backoff, in milliseconds. Zero means that the report is not
+	// BackoffMS is the remaining backoff, in milliseconds. Zero means that the report is not
 	// about a backoff.
-	RestMS int64 `msgpack:"r,omitempty"`
+	BackoffMS int64 `msgpack:"r,omitempty"`
 	// PerSecond is the limit, in requests per second. It is used only if Leaving, RestMS
 	// and Ended are all unset.
 	PerSecond float64 `msgpack:"l,omitempty"`
@@ -59,7 +59,7 @@
 	}
 	for run, until := range t.backoffUntil {
 		if left := until.Sub(now).Milliseconds(); left > 0 {
-			reports = append(reports, Report{Run: run, RestMS: left})
+			reports = append(reports, Report{Run: run, BackoffMS: left})
 		}
 	}
 	for run, l := range t.limits {
@@ -80,8 +80,8 @@
 			t.markLeaving(r.Run, now)
 			continue
 		}
-		if r.RestMS > 0 {
-			t.setBackoffElsewhere(r.Run, time.Duration(min(r.RestMS, maxBackoffElsewhere.Milliseconds()))*time.Millisecond, now)
+		if r.BackoffMS > 0 {
+			t.setBackoffElsewhere(r.Run, time.Duration(min(r.BackoffMS, maxBackoffElsewhere.Milliseconds()))*time.Millisecond, now)
 			continue
 		}
 		t.mu.Lock()
