--- a/internal/gateway/notice/notice.go
+++ b/internal/gateway/notice/notice.go
@@ -34,9 +34,9 @@
 // LimitOf is a limit in requests per second, which must not be negative.
 func LimitOf(perSecond float64) Limit { return Limit{presence: present, perSecond: perSecond} }
 
-// UnclearLimit is a limit that cannot be parsed. It changes nothing: the previous limit
+// MalformedLimit is a limit that cannot be parsed. It changes nothing: the previous limit
 // stays in force.
-func UnclearLimit() Limit { return Limit{presence: malformed} }
+func MalformedLimit() Limit { return Limit{presence: malformed} }
 
 // WithLeaving returns the notice with Leaving set.
 func (n Notice) WithLeaving() Notice {
--- a/internal/gateway/notice/table_test.go
+++ b/internal/gateway/notice/table_test.go
@@ -120,7 +120,7 @@
 		{"a delayed response does not raise it", []observation{{limited(5), 0, 10}, {limited(8), 5, 30}}, 5},
 		{"a delayed response does not restore an ended limit", []observation{{limited(5), 0, 10}, {none, 20, 30}, {limited(5), 25, 35}}, -1},
 		{"a later limit replaces an ended one", []observation{{limited(5), 0, 10}, {none, 20, 30}, {limited(5), 31, 40}}, 5},
-		{"a malformed limit changes nothing", []observation{{limited(5), 0, 10}, {none.WithLimit(notice.UnclearLimit()), 20, 30}}, 5},
+		{"a malformed limit changes nothing", []observation{{limited(5), 0, 10}, {none.WithLimit(notice.MalformedLimit()), 20, 30}}, 5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table := newTable(0)
