--- a/internal/gateway/fleet/suspicions_test.go
+++ b/internal/gateway/fleet/suspicions_test.go
@@ -17,8 +17,8 @@
 // observer does with suspicions what a gateway does.
 type observer struct{ fleet *Fleet }
 
-func (o *observer) SuspicionsChanged()    { o.fleet.SendSoonToAll() }
-func (*observer) Ended(string, time.Time) {}
+func (o *observer) SuspicionsChanged()                 { o.fleet.SendSoonToAll() }
+func (*observer) UpstreamTerminated(string, time.Time) {}
 
 func (o *observer) Quarantined(q poison.Quarantine) {
 	if q.Own {
--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -80,7 +80,7 @@
 
 func (r suspicionReporter) Released(f poison.Fingerprint, _ bool) { r.Log.Released(f) }
 
-func (r suspicionReporter) Ended(run string, at time.Time) {
+func (r suspicionReporter) UpstreamTerminated(run string, at time.Time) {
 	r.detector.RecordEnded(upstream.Run(run), at)
 }
 
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -38,8 +38,10 @@
 // SuspicionsChanged sends the other hosts what changed out of turn.
 func (g *Gateway) SuspicionsChanged() { g.fleet.SendSoonToAll() }
 
-// Ended has requests avoid a run of an upstream that has ended.
-func (g *Gateway) Ended(run string, at time.Time) { g.detector.RecordEnded(upstream.Run(run), at) }
+// UpstreamTerminated has requests avoid a run of an upstream that has ended.
+func (g *Gateway) UpstreamTerminated(run string, at time.Time) {
+	g.detector.RecordEnded(upstream.Run(run), at)
+}
 
 // Quarantined logs that a request is refused, and stores it if this host was first.
 func (g *Gateway) Quarantined(q poison.Quarantine) {
--- a/internal/poison/change.go
+++ b/internal/poison/change.go
@@ -63,7 +63,7 @@
 func (t *Table) notify(terminated []*termination, added []Quarantine, released map[Fingerprint]bool, own bool) {
 	t.observer.SuspicionsChanged()
 	for _, e := range terminated {
-		t.observer.Ended(e.run, e.at)
+		t.observer.UpstreamTerminated(e.run, e.at)
 	}
 	for _, q := range added {
 		t.observer.Quarantined(q)
--- a/internal/poison/harness_test.go
+++ b/internal/poison/harness_test.go
@@ -13,7 +13,7 @@
 }
 
 func (o *recorder) SuspicionsChanged() { o.changes++ }
-func (o *recorder) Ended(run string, at time.Time) {
+func (o *recorder) UpstreamTerminated(run string, at time.Time) {
 	if o.terminated == nil {
 		o.terminated = map[string]time.Time{}
 	}
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -55,9 +55,9 @@
 type Observer interface {
 	// SuspicionsChanged means that a change should be sent to other hosts soon.
 	SuspicionsChanged()
-	// Ended means that an upstream has terminated. It may be called more than once for the
+	// UpstreamTerminated means that an upstream has terminated. It may be called more than once for the
 	// same run.
-	Ended(run string, at time.Time)
+	UpstreamTerminated(run string, at time.Time)
 	// Quarantined and Released mean that a request is refused from now on, or is no longer
 	// refused. own is set if this host decided so first.
 	Quarantined(Quarantine)
--- a/internal/selector/entry/heartbeats/heartbeats_test.go
+++ b/internal/selector/entry/heartbeats/heartbeats_test.go
@@ -50,10 +50,10 @@
 // nobody observes suspicions.
 type nobody struct{}
 
-func (nobody) SuspicionsChanged()                {}
-func (nobody) Ended(string, time.Time)           {}
-func (nobody) Quarantined(poison.Quarantine)     {}
-func (nobody) Released(poison.Fingerprint, bool) {}
+func (nobody) SuspicionsChanged()                   {}
+func (nobody) UpstreamTerminated(string, time.Time) {}
+func (nobody) Quarantined(poison.Quarantine)        {}
+func (nobody) Released(poison.Fingerprint, bool)    {}
 
 // newExchanger is costa-a-1. Up counts the peers that came within reach.
 func newExchanger(t *testing.T, m *membership, s *states) (e *Exchanger, calls *[]string, up *int) {
--- a/internal/selector/entry/suspicions.go
+++ b/internal/selector/entry/suspicions.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Ended does nothing: the slots of an upstream that fails are back when it responds.
-func (o *suspicionObserver) Ended(string, time.Time) {}
+// UpstreamTerminated does nothing: the slots of an upstream that fails are back when it responds.
+func (o *suspicionObserver) UpstreamTerminated(string, time.Time) {}
 
 // Quarantined logs that a request is refused.
 func (o *suspicionObserver) Quarantined(q poison.Quarantine) {
--- a/internal/selector/entry/suspicions/suspicions_test.go
+++ b/internal/selector/entry/suspicions/suspicions_test.go
@@ -22,10 +22,10 @@
 
 type nobody struct{}
 
-func (nobody) SuspicionsChanged()                {}
-func (nobody) Ended(string, time.Time)           {}
-func (nobody) Quarantined(poison.Quarantine)     {}
-func (nobody) Released(poison.Fingerprint, bool) {}
+func (nobody) SuspicionsChanged()                   {}
+func (nobody) UpstreamTerminated(string, time.Time) {}
+func (nobody) Quarantined(poison.Quarantine)        {}
+func (nobody) Released(poison.Fingerprint, bool)    {}
 
 // sender ends each request in the same way.
 type sender struct {
