--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -65,8 +65,8 @@
 // as such a request may come to any.
 type Suspicions interface {
 	// News returns what another host does not have yet, and Take merges what it sent.
-	News(m poison.Marks, now time.Time) poison.News
-	Take(n poison.News, now time.Time) poison.Marks
+	News(m poison.Marks, now time.Time) poison.Update
+	Take(n poison.Update, now time.Time) poison.Marks
 	// Merge adds what the registry has.
 	Merge(reports []poison.Report, now time.Time)
 	// Quarantines returns what is known of the quarantined requests.
--- a/internal/gateway/fleet/heartbeat.go
+++ b/internal/gateway/fleet/heartbeat.go
@@ -17,7 +17,7 @@
 	Query hostQuery `msgpack:"a,omitempty"`
 	Hosts []Host    `msgpack:"l,omitempty"`
 	// Suspicions are the sender's that the receiver does not have yet.
-	Suspicions poison.News `msgpack:"p,omitempty"`
+	Suspicions poison.Update `msgpack:"p,omitempty"`
 }
 
 // heartbeatLoop sends the heartbeats that are due and reports dead peers until
--- a/internal/poison/share.go
+++ b/internal/poison/share.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// News is an update of suspicions that one host sends another (msgpack).
-type News struct {
+// Update is an update of suspicions that one host sends another (msgpack).
+type Update struct {
 	// Reports are the sender's changes that the receiver does not have yet, up to the
 	// sequence number UpTo.
 	Reports []Report `msgpack:"p,omitempty"`
@@ -27,14 +27,14 @@
 // News returns an update with the changes that another host has not acknowledged. A lost
 // message therefore loses no change, a host that has just started or was unreachable
 // receives everything, and no reports are sent while nothing changes.
-func (t *Table) News(m Marks, now time.Time) News {
+func (t *Table) News(m Marks, now time.Time) Update {
 	reports, upTo := t.Since(m.Has, now)
-	return News{Reports: reports, UpTo: upTo, Has: m.Merged}
+	return Update{Reports: reports, UpTo: upTo, Has: m.Merged}
 }
 
 // Take merges an update of another host, and then returns the new marks. Until Take has
 // returned, no message may acknowledge the changes of the update.
-func (t *Table) Take(n News, now time.Time) Marks {
+func (t *Table) Take(n Update, now time.Time) Marks {
 	t.Merge(n.Reports, now)
 	return Marks{Has: n.Has, Merged: n.UpTo}
 }
--- a/internal/selector/entry/heartbeats/suspicions.go
+++ b/internal/selector/entry/heartbeats/suspicions.go
@@ -12,8 +12,8 @@
 // as such a request may come to any.
 type Suspicions interface {
 	// News returns what another host does not have yet, and Take merges what it sent.
-	News(m poison.Marks, now time.Time) poison.News
-	Take(n poison.News, now time.Time) poison.Marks
+	News(m poison.Marks, now time.Time) poison.Update
+	Take(n poison.Update, now time.Time) poison.Marks
 }
 
 // exchanged has how far this host and each other one, by its name, have each other's
--- a/internal/selector/member/heartbeat.go
+++ b/internal/selector/member/heartbeat.go
@@ -103,7 +103,7 @@
 	UpstreamStatuses []UpstreamStatus `msgpack:"g,omitempty"`
 	Successors       []Successor      `msgpack:"t,omitempty"`
 	// Suspicions are the sender's that the receiver does not have yet.
-	Suspicions poison.News `msgpack:"x,omitempty"`
+	Suspicions poison.Update `msgpack:"x,omitempty"`
 }
 
 // HashContacts gives a hash of the hosts that a zone names. Hosts of all versions
