--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -64,8 +64,8 @@
 // Suspicions are what hosts know of requests that end upstreams. All hosts share them,
 // as such a request may come to any.
 type Suspicions interface {
-	// News returns what another host does not have yet, and Take merges what it sent.
-	News(m poison.Marks, now time.Time) poison.Update
+	// UpdateFor returns what another host does not have yet, and Take merges what it sent.
+	UpdateFor(m poison.Marks, now time.Time) poison.Update
 	Take(n poison.Update, now time.Time) poison.Marks
 	// Merge adds what the registry has.
 	Merge(reports []poison.Report, now time.Time)
--- a/internal/gateway/fleet/suspicions.go
+++ b/internal/gateway/fleet/suspicions.go
@@ -20,7 +20,7 @@
 		marks = p.suspicions
 	}
 	f.mu.Unlock()
-	b.Suspicions = f.options.Suspicions.News(marks, time.Now())
+	b.Suspicions = f.options.Suspicions.UpdateFor(marks, time.Now())
 	return b
 }
 
--- a/internal/poison/share.go
+++ b/internal/poison/share.go
@@ -24,10 +24,10 @@
 	Has, Merged int64
 }
 
-// News returns an update with the changes that another host has not acknowledged. A lost
+// UpdateFor returns an update with the changes that another host has not acknowledged. A lost
 // message therefore loses no change, a host that has just started or was unreachable
 // receives everything, and no reports are sent while nothing changes.
-func (t *Table) News(m Marks, now time.Time) Update {
+func (t *Table) UpdateFor(m Marks, now time.Time) Update {
 	reports, upTo := t.Since(m.Has, now)
 	return Update{Reports: reports, UpTo: upTo, Has: m.Merged}
 }
--- a/internal/selector/entry/heartbeats/suspicions.go
+++ b/internal/selector/entry/heartbeats/suspicions.go
@@ -11,8 +11,8 @@
 // Suspicions are what hosts know of requests that end upstreams. All hosts share them,
 // as such a request may come to any.
 type Suspicions interface {
-	// News returns what another host does not have yet, and Take merges what it sent.
-	News(m poison.Marks, now time.Time) poison.Update
+	// UpdateFor returns what another host does not have yet, and Take merges what it sent.
+	UpdateFor(m poison.Marks, now time.Time) poison.Update
 	Take(n poison.Update, now time.Time) poison.Marks
 }
 
@@ -28,7 +28,7 @@
 	e.exchanged.mu.Lock()
 	marks := e.exchanged.hosts[to]
 	e.exchanged.mu.Unlock()
-	hb.Suspicions = e.Suspicions.News(marks, time.Now())
+	hb.Suspicions = e.Suspicions.UpdateFor(marks, time.Now())
 }
 
 // mergeSuspicions merges what a heartbeat brought.
