--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -66,7 +66,7 @@
 type Suspicions interface {
 	// UpdateFor returns what another host does not have yet, and Take merges what it sent.
 	UpdateFor(m poison.Marks, now time.Time) poison.Update
-	Take(n poison.Update, now time.Time) poison.Marks
+	MergeUpdate(n poison.Update, now time.Time) poison.Marks
 	// Merge adds what the registry has.
 	Merge(reports []poison.Report, now time.Time)
 	// Quarantines returns what is known of the quarantined requests.
--- a/internal/gateway/fleet/suspicions.go
+++ b/internal/gateway/fleet/suspicions.go
@@ -29,7 +29,7 @@
 	if f.options.Suspicions == nil {
 		return
 	}
-	marks := f.options.Suspicions.Take(b.Suspicions, now)
+	marks := f.options.Suspicions.MergeUpdate(b.Suspicions, now)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if p := f.members.peers[b.Host.Name]; p != nil && p.host.Incarnation == b.Host.Incarnation {
--- a/internal/poison/share.go
+++ b/internal/poison/share.go
@@ -32,9 +32,9 @@
 	return Update{Reports: reports, UpTo: upTo, Has: m.Merged}
 }
 
-// Take merges an update of another host, and then returns the new marks. Until Take has
+// MergeUpdate merges an update of another host, and then returns the new marks. Until MergeUpdate has
 // returned, no message may acknowledge the changes of the update.
-func (t *Table) Take(n Update, now time.Time) Marks {
+func (t *Table) MergeUpdate(n Update, now time.Time) Marks {
 	t.Merge(n.Reports, now)
 	return Marks{Has: n.Has, Merged: n.UpTo}
 }
--- a/internal/selector/entry/heartbeats/suspicions.go
+++ b/internal/selector/entry/heartbeats/suspicions.go
@@ -11,9 +11,9 @@
 // Suspicions are what hosts know of requests that end upstreams. All hosts share them,
 // as such a request may come to any.
 type Suspicions interface {
-	// UpdateFor returns what another host does not have yet, and Take merges what it sent.
+	// UpdateFor returns what another host does not have yet, and MergeUpdate merges what it sent.
 	UpdateFor(m poison.Marks, now time.Time) poison.Update
-	Take(n poison.Update, now time.Time) poison.Marks
+	MergeUpdate(n poison.Update, now time.Time) poison.Marks
 }
 
 // exchanged has how far this host and each other one, by its name, have each other's
@@ -33,7 +33,7 @@
 
 // mergeSuspicions merges what a heartbeat brought.
 func (e *Exchanger) mergeSuspicions(hb member.Heartbeat) {
-	marks := e.Suspicions.Take(hb.Suspicions, time.Now())
+	marks := e.Suspicions.MergeUpdate(hb.Suspicions, time.Now())
 	e.exchanged.mu.Lock()
 	defer e.exchanged.mu.Unlock()
 	if e.exchanged.hosts == nil {
