--- a/internal/poison/share.go
+++ b/internal/poison/share.go
@@ -19,16 +19,16 @@
 // Marks are the sequence numbers up to which two hosts have each other's changes; zero is
 // none.
 type Marks struct {
-	// Has is up to which the other host has acknowledged this host's changes, and Merged
+	// Acked is up to which the other host has acknowledged this host's changes, and Merged
 	// up to which this host has the other's.
-	Has, Merged int64
+	Acked, Merged int64
 }
 
 // UpdateFor returns an update with the changes that another host has not acknowledged. A lost
 // message therefore loses no change, a host that has just started or was unreachable
 // receives everything, and no reports are sent while nothing changes.
 func (t *Table) UpdateFor(m Marks, now time.Time) Update {
-	reports, upTo := t.Since(m.Has, now)
+	reports, upTo := t.Since(m.Acked, now)
 	return Update{Reports: reports, UpTo: upTo, Has: m.Merged}
 }
 
@@ -36,7 +36,7 @@
 // returned, no message may acknowledge the changes of the update.
 func (t *Table) MergeUpdate(n Update, now time.Time) Marks {
 	t.Merge(n.Reports, now)
-	return Marks{Has: n.Has, Merged: n.UpTo}
+	return Marks{Acked: n.Has, Merged: n.UpTo}
 }
 
 // Merge adds the terminations that another host reports.
