--- a/internal/poison/share.go
+++ b/internal/poison/share.go
@@ -12,8 +12,8 @@
 	// sequence number UpTo.
 	Reports []Report `msgpack:"p,omitempty"`
 	UpTo    int64    `msgpack:"u,omitempty"`
-	// Has is the sequence number up to which the sender has the receiver's changes.
-	Has int64 `msgpack:"x,omitempty"`
+	// Acked is the sequence number up to which the sender has the receiver's changes.
+	Acked int64 `msgpack:"x,omitempty"`
 }
 
 // Marks are the sequence numbers up to which two hosts have each other's changes; zero is
@@ -29,14 +29,14 @@
 // receives everything, and no reports are sent while nothing changes.
 func (t *Table) UpdateFor(m Marks, now time.Time) Update {
 	reports, upTo := t.Since(m.Acked, now)
-	return Update{Reports: reports, UpTo: upTo, Has: m.Merged}
+	return Update{Reports: reports, UpTo: upTo, Acked: m.Merged}
 }
 
 // MergeUpdate merges an update of another host, and then returns the new marks. Until MergeUpdate has
 // returned, no message may acknowledge the changes of the update.
 func (t *Table) MergeUpdate(n Update, now time.Time) Marks {
 	t.Merge(n.Reports, now)
-	return Marks{Acked: n.Has, Merged: n.UpTo}
+	return Marks{Acked: n.Acked, Merged: n.UpTo}
 }
 
 // Merge adds the terminations that another host reports.
