--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -65,8 +65,8 @@
 // as such a request may come to any.
 type Suspicions interface {
 	// UpdateFor returns what another host does not have yet, and Take merges what it sent.
-	UpdateFor(m poison.Marks, now time.Time) poison.Update
-	MergeUpdate(n poison.Update, now time.Time) poison.Marks
+	UpdateFor(m poison.Watermarks, now time.Time) poison.Update
+	MergeUpdate(n poison.Update, now time.Time) poison.Watermarks
 	// Merge adds what the registry has.
 	Merge(reports []poison.Report, now time.Time)
 	// Quarantines returns what is known of the quarantined requests.
--- a/internal/gateway/fleet/host.go
+++ b/internal/gateway/fleet/host.go
@@ -115,7 +115,7 @@
 	// such peers are logged as lost and regained.
 	getsHeartbeats bool
 	// suspicions are how far the peer and this host have each other's.
-	suspicions poison.Marks
+	suspicions poison.Watermarks
 }
 
 // alive reports whether a heartbeat arrived within deadAfter. A peer that is
--- a/internal/gateway/fleet/rewrite_test.go
+++ b/internal/gateway/fleet/rewrite_test.go
@@ -40,10 +40,12 @@
 // quarantines are Suspicions that have some quarantines only.
 type quarantines []poison.Report
 
-func (quarantines) UpdateFor(poison.Marks, time.Time) poison.Update   { return poison.Update{} }
-func (quarantines) MergeUpdate(poison.Update, time.Time) poison.Marks { return poison.Marks{} }
-func (quarantines) Merge([]poison.Report, time.Time)                  {}
-func (q quarantines) Quarantines(time.Time) []poison.Report           { return q }
+func (quarantines) UpdateFor(poison.Watermarks, time.Time) poison.Update { return poison.Update{} }
+func (quarantines) MergeUpdate(poison.Update, time.Time) poison.Watermarks {
+	return poison.Watermarks{}
+}
+func (quarantines) Merge([]poison.Report, time.Time)        {}
+func (q quarantines) Quarantines(time.Time) []poison.Report { return q }
 
 // restorable is a host that watches a table of a store that comes back from copies.
 type restorable struct {
--- a/internal/gateway/fleet/suspicions.go
+++ b/internal/gateway/fleet/suspicions.go
@@ -14,7 +14,7 @@
 	if f.options.Suspicions == nil {
 		return b
 	}
-	var marks poison.Marks
+	var marks poison.Watermarks
 	f.mu.Lock()
 	if p := f.members.peers[to]; p != nil {
 		marks = p.suspicions
--- a/internal/poison/share.go
+++ b/internal/poison/share.go
@@ -16,9 +16,9 @@
 	Acked int64 `msgpack:"x,omitempty"`
 }
 
-// Marks are the sequence numbers up to which two hosts have each other's changes; zero is
+// Watermarks are the sequence numbers up to which two hosts have each other's changes; zero is
 // none.
-type Marks struct {
+type Watermarks struct {
 	// Acked is up to which the other host has acknowledged this host's changes, and Merged
 	// up to which this host has the other's.
 	Acked, Merged int64
@@ -27,16 +27,16 @@
 // UpdateFor returns an update with the changes that another host has not acknowledged. A lost
 // message therefore loses no change, a host that has just started or was unreachable
 // receives everything, and no reports are sent while nothing changes.
-func (t *Table) UpdateFor(m Marks, now time.Time) Update {
+func (t *Table) UpdateFor(m Watermarks, now time.Time) Update {
 	reports, upTo := t.Since(m.Acked, now)
 	return Update{Reports: reports, UpTo: upTo, Acked: m.Merged}
 }
 
 // MergeUpdate merges an update of another host, and then returns the new marks. Until MergeUpdate has
 // returned, no message may acknowledge the changes of the update.
-func (t *Table) MergeUpdate(n Update, now time.Time) Marks {
+func (t *Table) MergeUpdate(n Update, now time.Time) Watermarks {
 	t.Merge(n.Reports, now)
-	return Marks{Acked: n.Acked, Merged: n.UpTo}
+	return Watermarks{Acked: n.Acked, Merged: n.UpTo}
 }
 
 // Merge adds the terminations that another host reports.
--- a/internal/selector/entry/heartbeats/suspicions.go
+++ b/internal/selector/entry/heartbeats/suspicions.go
@@ -12,15 +12,15 @@
 // as such a request may come to any.
 type Suspicions interface {
 	// UpdateFor returns what another host does not have yet, and MergeUpdate merges what it sent.
-	UpdateFor(m poison.Marks, now time.Time) poison.Update
-	MergeUpdate(n poison.Update, now time.Time) poison.Marks
+	UpdateFor(m poison.Watermarks, now time.Time) poison.Update
+	MergeUpdate(n poison.Update, now time.Time) poison.Watermarks
 }
 
 // exchanged has how far this host and each other one, by its name, have each other's
 // suspicions.
 type exchanged struct {
 	mu    sync.Mutex
-	hosts map[string]poison.Marks
+	hosts map[string]poison.Watermarks
 }
 
 // addSuspicions adds to a heartbeat what its receiver does not have yet.
@@ -37,7 +37,7 @@
 	e.exchanged.mu.Lock()
 	defer e.exchanged.mu.Unlock()
 	if e.exchanged.hosts == nil {
-		e.exchanged.hosts = map[string]poison.Marks{}
+		e.exchanged.hosts = map[string]poison.Watermarks{}
 	}
 	e.exchanged.hosts[hb.Contact.Host] = marks
 }
