--- a/internal/gateway/fleet/suspicions_test.go
+++ b/internal/gateway/fleet/suspicions_test.go
@@ -55,7 +55,7 @@
 
 func (h suspiciousHost) recordEnd(f poison.Fingerprint, run string) {
 	now := time.Now()
-	h.table.RecordEnd(f, poison.Attempt{Run: run, Began: now.Add(-20 * time.Millisecond), Ended: now})
+	h.table.RecordTermination(f, poison.Attempt{Run: run, Began: now.Add(-20 * time.Millisecond), Ended: now})
 }
 
 // quarantine has the host see three upstreams end in turn under a request.
--- a/internal/gateway/proxy/suspicion.go
+++ b/internal/gateway/proxy/suspicion.go
@@ -66,7 +66,7 @@
 	}
 	fingerprint := f.fingerprint()
 	f.proxy.Log.UpstreamEnded(u.ID, fingerprint.String(), f.route.Name, f.request.Target, f.address)
-	f.proxy.Suspicions.RecordEnd(fingerprint, end)
+	f.proxy.Suspicions.RecordTermination(fingerprint, end)
 }
 
 // expectsToRun reports whether an attempt's upstream is still registered as the run
--- a/internal/poison/harness_test.go
+++ b/internal/poison/harness_test.go
@@ -46,7 +46,7 @@
 
 // record records the termination of the upstream in a table.
 func (a attempt) record(t *Table, f Fingerprint) {
-	t.RecordEnd(f, Attempt{Run: a.run, Began: at(a.began), Ended: at(a.ended)})
+	t.RecordTermination(f, Attempt{Run: a.run, Began: at(a.began), Ended: at(a.ended)})
 }
 
 // sendUpdate sends the changes of one table after a sequence number to another table, as a
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -152,8 +152,8 @@
 	return s != nil && s.quarantined && now.Sub(s.last) < quarantinePeriod
 }
 
-// RecordEnd records that an upstream terminated under a request.
-func (t *Table) RecordEnd(f Fingerprint, a Attempt) {
+// RecordTermination records that an upstream terminated under a request.
+func (t *Table) RecordTermination(f Fingerprint, a Attempt) {
 	t.change(true, func() bool {
 		added := &termination{run: a.Run, host: t.host, began: a.Began.Sub(t.started), ended: a.Ended.Sub(t.started), at: a.Ended}
 		return t.add(f, added, a.Ended)
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -207,7 +207,7 @@
 	later := at(250).Add(quarantinePeriod)
 	require.True(t, table.Quarantined(f, later.Add(-time.Millisecond)))
 	require.False(t, table.Quarantined(f, later))
-	table.RecordEnd(f, Attempt{Run: "again", Began: later, Ended: later.Add(50 * time.Millisecond)})
+	table.RecordTermination(f, Attempt{Run: "again", Began: later, Ended: later.Add(50 * time.Millisecond)})
 	require.True(t, table.Quarantined(f, later.Add(time.Second)), "one more termination suffices")
 	table.CleanUp(at(200).Add(terminationRetention))
 	require.Empty(t, table.List(), "two of the terminations are too old")
--- a/internal/selector/entry/heartbeats/heartbeats_test.go
+++ b/internal/selector/entry/heartbeats/heartbeats_test.go
@@ -159,7 +159,7 @@
 	a, _, _ := newExchanger(t, &membership{}, &states{})
 	b, _, _ := newExchanger(t, &membership{}, &states{})
 	f := poison.Content{Target: "/x"}.Fingerprint()
-	a.Suspicions.(*poison.Table).RecordEnd(f, poison.Attempt{Run: "up-1", Began: time.Now(), Ended: time.Now()})
+	a.Suspicions.(*poison.Table).RecordTermination(f, poison.Attempt{Run: "up-1", Began: time.Now(), Ended: time.Now()})
 	lost := a.request(member.Contact{Host: "costa-a-2", Zone: "costa-a"})
 	require.Len(t, lost.Suspicions.Reports, 1)
 	again := a.request(member.Contact{Host: "costa-a-2", Zone: "costa-a"})
--- a/internal/selector/entry/suspicions/suspicions.go
+++ b/internal/selector/entry/suspicions/suspicions.go
@@ -116,7 +116,7 @@
 			return
 		}
 		g.Log.Warn().Str("upstream", end.Run).Str("fingerprint", f.String()).Str("target", req.Target).Msg("suspicions: an upstream ended under a request")
-		g.Table.RecordEnd(f, end)
+		g.Table.RecordTermination(f, end)
 	}
 	if g.Table.Suspected(f) {
 		look()
