--- a/internal/poison/report.go
+++ b/internal/poison/report.go
@@ -8,18 +8,18 @@
 // Report has the terminations of one suspect that a host knows. It is sent to other hosts
 // (msgpack) and, if the suspect is quarantined, stored (JSON).
 type Report struct {
-	Fingerprint Fingerprint `msgpack:"f" json:"fingerprint"`
-	Ends        []End       `msgpack:"e" json:"ends"`
+	Fingerprint Fingerprint   `msgpack:"f" json:"fingerprint"`
+	Ends        []Termination `msgpack:"e" json:"ends"`
 }
 
 // Counts reports whether at least one of the terminations is not too old to be used.
 func (r Report) Counts() bool {
-	return slices.ContainsFunc(r.Ends, func(e End) bool { return e.Age < terminationRetention.Milliseconds() })
+	return slices.ContainsFunc(r.Ends, func(e Termination) bool { return e.Age < terminationRetention.Milliseconds() })
 }
 
-// End is the termination of one run of an upstream while it ran a request. Its times are in
+// Termination is the termination of one run of an upstream while it ran a request. Its times are in
 // milliseconds.
-type End struct {
+type Termination struct {
 	// Run is the run that terminated.
 	Run string `msgpack:"r" json:"run"`
 	// Host names the process that saw the termination. Began and Ended are when this
@@ -34,8 +34,8 @@
 }
 
 // report converts a termination to a report that is created now.
-func (e *termination) report(now time.Time) End {
-	return End{
+func (e *termination) report(now time.Time) Termination {
+	return Termination{
 		Run: e.run, Host: e.host, Began: e.began.Milliseconds(), Ended: e.ended.Milliseconds(),
 		Age: max(0, now.Sub(e.at).Milliseconds()), Cleared: e.cleared,
 	}
@@ -43,7 +43,7 @@
 
 // termination converts a reported termination; ok is false if it is too old to be used or
 // invalid.
-func (r End) termination(now time.Time) (_ *termination, ok bool) {
+func (r Termination) termination(now time.Time) (_ *termination, ok bool) {
 	if r.Run == "" || len(r.Run) > maxNameBytes || len(r.Host) > maxNameBytes || r.Age < 0 || r.Age >= terminationRetention.Milliseconds() || r.Ended < r.Began {
 		return nil, false
 	}
