--- a/internal/gateway/fleet/quarantine.go
+++ b/internal/gateway/fleet/quarantine.go
@@ -28,9 +28,9 @@
 func (q StoredQuarantine) aged(now time.Time) poison.Report {
 	older := max(0, now.UnixMilli()-q.StoredAt)
 	r := poison.Report{Fingerprint: q.Report.Fingerprint}
-	for _, e := range q.Report.Ends {
+	for _, e := range q.Report.Terminations {
 		e.Age += older
-		r.Ends = append(r.Ends, e)
+		r.Terminations = append(r.Terminations, e)
 	}
 	return r
 }
--- a/internal/gateway/fleet/suspicions_test.go
+++ b/internal/gateway/fleet/suspicions_test.go
@@ -161,7 +161,7 @@
 func TestAnOldStoredQuarantineIsRemoved(t *testing.T) {
 	r := newFakeRegistry()
 	f := poison.Content{Target: "/x"}.Fingerprint()
-	old := StoredQuarantine{StoredAt: time.Now().Add(-2 * time.Hour).UnixMilli(), Report: poison.Report{Fingerprint: f, Ends: []poison.Termination{{Run: "a"}, {Run: "b"}, {Run: "c"}}}}
+	old := StoredQuarantine{StoredAt: time.Now().Add(-2 * time.Hour).UnixMilli(), Report: poison.Report{Fingerprint: f, Terminations: []poison.Termination{{Run: "a"}, {Run: "b"}, {Run: "c"}}}}
 	require.NoError(t, r.Quarantine(t.Context(), "west", old))
 	a := startSuspiciousHost(t, r, host("a", "west-0", "west"))
 	require.Eventually(t, func() bool { return r.quarantined() == 0 }, 3*time.Second, 5*time.Millisecond)
--- a/internal/poison/report.go
+++ b/internal/poison/report.go
@@ -8,13 +8,13 @@
 // Report has the terminations of one suspect that a host knows. It is sent to other hosts
 // (msgpack) and, if the suspect is quarantined, stored (JSON).
 type Report struct {
-	Fingerprint Fingerprint   `msgpack:"f" json:"fingerprint"`
-	Ends        []Termination `msgpack:"e" json:"ends"`
+	Fingerprint  Fingerprint   `msgpack:"f" json:"fingerprint"`
+	Terminations []Termination `msgpack:"e" json:"ends"`
 }
 
 // Counts reports whether at least one of the terminations is not too old to be used.
 func (r Report) Counts() bool {
-	return slices.ContainsFunc(r.Ends, func(e Termination) bool { return e.Age < terminationRetention.Milliseconds() })
+	return slices.ContainsFunc(r.Terminations, func(e Termination) bool { return e.Age < terminationRetention.Milliseconds() })
 }
 
 // Termination is the termination of one run of an upstream while it ran a request. Its times are in
--- a/internal/poison/share.go
+++ b/internal/poison/share.go
@@ -47,7 +47,7 @@
 	t.change(false, func() bool {
 		changed := false
 		for _, r := range reports {
-			for _, reported := range r.Ends {
+			for _, reported := range r.Terminations {
 				if e, ok := reported.termination(now); ok {
 					changed = t.add(r.Fingerprint, e, now) || changed
 				}
@@ -91,7 +91,7 @@
 func (t *Table) report(f Fingerprint, now time.Time) Report {
 	r := Report{Fingerprint: f}
 	for _, e := range t.suspects[f].terminations {
-		r.Ends = append(r.Ends, e.report(now))
+		r.Terminations = append(r.Terminations, e.report(now))
 	}
 	return r
 }
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -273,7 +273,7 @@
 func TestInvalidReportsAreIgnored(t *testing.T) {
 	long := string(make([]byte, maxNameBytes+1))
 	table, events := newTable("h")
-	table.Merge([]Report{{Fingerprint: fingerprintOf("f"), Ends: []Termination{
+	table.Merge([]Report{{Fingerprint: fingerprintOf("f"), Terminations: []Termination{
 		{Host: "x", Ended: 1}, {Run: long, Host: "x", Ended: 1}, {Run: "r", Host: long, Ended: 1},
 		{Run: "r", Host: "x", Began: 2, Ended: 1}, {Run: "r", Host: "x", Age: -1}, {Run: "r", Host: "x", Age: terminationRetention.Milliseconds()},
 	}}}, at(0))
