--- a/internal/gateway/fleet/quarantine.go
+++ b/internal/gateway/fleet/quarantine.go
@@ -99,7 +99,7 @@
 	now := time.Now()
 	for _, q := range stored {
 		r := q.aged(now)
-		if !r.Counts() {
+		if !r.Current() {
 			_ = f.options.Registry.Release(ctx, region, r.Fingerprint) // the next reader tries again
 			continue
 		}
--- a/internal/poison/report.go
+++ b/internal/poison/report.go
@@ -12,8 +12,8 @@
 	Terminations []Termination `msgpack:"e" json:"ends"`
 }
 
-// Counts reports whether at least one of the terminations is not too old to be used.
-func (r Report) Counts() bool {
+// Current reports whether at least one of the terminations is not too old to be used.
+func (r Report) Current() bool {
 	return slices.ContainsFunc(r.Terminations, func(e Termination) bool { return e.Age < terminationRetention.Milliseconds() })
 }
 
