--- a/internal/poison/fingerprint.go
+++ b/internal/poison/fingerprint.go
@@ -17,15 +17,15 @@
 // String returns the fingerprint as 32 hexadecimal digits.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ErrNoFingerprint is returned by ParseFingerprint if the text is not a fingerprint.
-var ErrNoFingerprint = eris.New("a fingerprint has 32 hexadecimal digits")
+// ErrInvalidFingerprint is returned by ParseFingerprint if the text is not a fingerprint.
+var ErrInvalidFingerprint = eris.New("a fingerprint has 32 hexadecimal digits")
 
 // ParseFingerprint parses the output of String. It returns ErrNoFingerprint for any other
 // text.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	b, err := hex.DecodeString(text)
 	if err != nil || len(b) != len(Fingerprint{}) {
-		return Fingerprint{}, ErrNoFingerprint
+		return Fingerprint{}, ErrInvalidFingerprint
 	}
 	return Fingerprint(b), nil
 }
--- a/internal/poison/fingerprint_test.go
+++ b/internal/poison/fingerprint_test.go
@@ -32,6 +32,6 @@
 	require.Equal(t, f, parsed)
 	for _, text := range []string{"", "zz", f.String()[2:], f.String() + "00"} {
 		_, err := ParseFingerprint(text)
-		require.ErrorIs(t, err, ErrNoFingerprint, text)
+		require.ErrorIs(t, err, ErrInvalidFingerprint, text)
 	}
 }
