--- a/internal/gateway/upstream/registry.go
+++ b/internal/gateway/upstream/registry.go
@@ -166,7 +166,7 @@
 		// has no start time, so that the process may have restarted.
 		delete(r.leaving, run)
 	}
-	in.Draining = in.Draining || r.Leaves(run)
+	in.Draining = in.Draining || r.IsLeaving(run)
 	past := last.past.without(run)
 	if last.run != "" && last.run != run {
 		past = past.with(last.run)
@@ -192,8 +192,8 @@
 	}
 }
 
-// Leaves reports whether a run announced in a response that it is leaving.
-func (r *Registry) Leaves(run Run) bool {
+// IsLeaving reports whether a run announced in a response that it is leaving.
+func (r *Registry) IsLeaving(run Run) bool {
 	_, ok := r.leaving[run]
 	return ok
 }
