--- a/internal/gateway/routing/upstreams.go
+++ b/internal/gateway/routing/upstreams.go
@@ -105,7 +105,7 @@
 
 // stateOf is the state in the log of an upstream that was put.
 func (s *State) stateOf(r upstream.Registration) string {
-	if s.registry.Drains(r.ID) {
+	if s.registry.IsDraining(r.ID) {
 		return stateDraining
 	}
 	return stateReady
--- a/internal/gateway/upstream/registry.go
+++ b/internal/gateway/upstream/registry.go
@@ -198,8 +198,8 @@
 	return ok
 }
 
-// Drains reports whether an upstream's last known run was draining.
-func (r *Registry) Drains(id string) bool { return r.lastRun(id).draining }
+// IsDraining reports whether an upstream's last known run was draining.
+func (r *Registry) IsDraining(id string) bool { return r.lastRun(id).draining }
 
 // lastRun returns the state of an upstream's last run, which may have been removed recently;
 // the zero value if there is none.
--- a/internal/gateway/upstream/restored_test.go
+++ b/internal/gateway/upstream/restored_test.go
@@ -15,7 +15,7 @@
 	r.Put(draining("i-1", "z"), now)
 	require.True(t, r.PutReverted(ready("i-1", "z"), now))
 	require.Empty(t, ids(r.Set()))
-	require.True(t, r.Drains("i-1"))
+	require.True(t, r.IsDraining("i-1"))
 	require.True(t, r.PutReverted(ready("i-1", "z"), now.Add(time.Second)), "the store is restored twice")
 	require.Empty(t, ids(r.Set()))
 	r.Put(draining("i-1", "z"), now.Add(2*time.Second))
