--- a/internal/gateway/routing/upstreams.go
+++ b/internal/gateway/routing/upstreams.go
@@ -159,7 +159,7 @@
 func (s *State) applyLate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, registration := range s.registry.ApplyLate(time.Now()) {
+	for _, registration := range s.registry.ApplyDeferred(time.Now()) {
 		s.log.Upstream(registration.ID, registration, stateLateUsed, 0)
 	}
 	s.publish()
--- a/internal/gateway/upstream/registry.go
+++ b/internal/gateway/upstream/registry.go
@@ -146,8 +146,8 @@
 	return true
 }
 
-// ApplyLate applies the deferred entries whose time has come, and returns them.
-func (r *Registry) ApplyLate(now time.Time) []Registration {
+// ApplyDeferred applies the deferred entries whose time has come, and returns them.
+func (r *Registry) ApplyDeferred(now time.Time) []Registration {
 	var applied []Registration
 	for _, e := range r.deferred {
 		if !now.Before(e.until) {
--- a/internal/gateway/upstream/restored_test.go
+++ b/internal/gateway/upstream/restored_test.go
@@ -41,9 +41,9 @@
 			r.Remove("i-1", now, time.Time{})
 			require.False(t, r.PutReverted(ready("i-1", "z"), now))
 			c.next(r)
-			r.ApplyLate(now.Add(upstream.RestoreGrace - 1))
+			r.ApplyDeferred(now.Add(upstream.RestoreGrace - 1))
 			require.Equal(t, c.during, ids(r.Set()))
-			r.ApplyLate(now.Add(upstream.RestoreGrace))
+			r.ApplyDeferred(now.Add(upstream.RestoreGrace))
 			require.Equal(t, c.after, ids(r.Set()))
 		})
 	}
