--- a/internal/gateway/routing/upstreams.go
+++ b/internal/gateway/routing/upstreams.go
@@ -91,7 +91,7 @@
 	if s.registry.Put(r, now) {
 		return s.stateOf(r)
 	}
-	time.AfterFunc(upstream.LateGrace, s.applyLate)
+	time.AfterFunc(upstream.StaleEntryGrace, s.applyLate)
 	return stateLate
 }
 
--- a/internal/gateway/upstream/registry.go
+++ b/internal/gateway/upstream/registry.go
@@ -26,12 +26,12 @@
 	// leavingRetention is how long the registry keeps that a run is leaving. It exceeds the
 	// time that any upstream takes to terminate.
 	leavingRetention = time.Hour
-	// LateGrace is how long an entry of an earlier run is ignored. If the entry was
+	// StaleEntryGrace is how long an entry of an earlier run is ignored. If the entry was
 	// delayed, the present run writes its own again by then, because upstreams write theirs
 	// every 1 to 1.5 s. If not, the earlier run is the present one after all, and another
 	// writer had overwritten its entry. The value is below the 2 s within which a drain
 	// must be in force.
-	LateGrace = 1600 * time.Millisecond
+	StaleEntryGrace = 1600 * time.Millisecond
 	// maxPastRuns is how many earlier runs of an upstream are kept, so that a delayed entry
 	// of one of them is not mistaken for a restart. Entries are delayed by seconds, and a
 	// process that restarts more than four times in a few seconds serves nothing anyway.
@@ -123,7 +123,7 @@
 // delayed, Put defers it until ApplyLate and returns false.
 func (r *Registry) Put(in Registration, now time.Time) bool {
 	if r.lastRun(in.ID).past.contains(in.Run()) {
-		r.deferred[in.ID] = deferredEntry{in, now.Add(LateGrace)}
+		r.deferred[in.ID] = deferredEntry{in, now.Add(StaleEntryGrace)}
 		return false
 	}
 	r.put(in, now)
--- a/internal/gateway/upstream/registry_test.go
+++ b/internal/gateway/upstream/registry_test.go
@@ -240,7 +240,7 @@
 	require.False(t, r.Put(delayed, now), "also after the entry was deleted")
 	require.True(t, r.Put(startedAt("a", 20), now))
 	require.Equal(t, map[upstream.Run]bool{"a@20": true}, r.Set().Runs())
-	require.Empty(t, r.ApplyDeferred(now.Add(upstream.LateGrace)), "the present run has written again")
+	require.Empty(t, r.ApplyDeferred(now.Add(upstream.StaleEntryGrace)), "the present run has written again")
 }
 
 // Another writer overwrites an upstream's entry with a valid one, and the upstream writes its
@@ -255,8 +255,8 @@
 		other.Address = "elsewhere"
 		require.True(t, r.Put(other, now))
 		require.False(t, r.Put(startedAt("a", 10), now), "it may be delayed")
-		require.Empty(t, r.ApplyDeferred(now.Add(upstream.LateGrace-1)))
-		require.Len(t, r.ApplyDeferred(now.Add(upstream.LateGrace)), 1)
+		require.Empty(t, r.ApplyDeferred(now.Add(upstream.StaleEntryGrace-1)))
+		require.Len(t, r.ApplyDeferred(now.Add(upstream.StaleEntryGrace)), 1)
 		u, ok := r.Set().Get("a")
 		require.True(t, ok)
 		require.Equal(t, upstream.Run("a@10"), u.Run())
