--- a/internal/gateway/balance/balance_test.go
+++ b/internal/gateway/balance/balance_test.go
@@ -127,7 +127,7 @@
 	c := choose(t, b, q)
 	b.ObserveLoad(old, 4, 4, now)
 	again := *old
-	again.Born = 20
+	again.StartedAt = 20
 	q.Upstreams = []*upstream.Upstream{&again}
 	next := choose(t, b, q)
 	require.Zero(t, next.Load)
--- a/internal/gateway/eventlog/events.go
+++ b/internal/gateway/eventlog/events.go
@@ -240,7 +240,7 @@
 // whose row was deleted has neither service nor zone in the log.
 func (l *Log) Upstream(id string, r upstream.Registration, state string, version int64) {
 	l.stateEvent(EventUpstream).Str("upstream", id).Str("service", r.Service).Str("zone", r.Zone).Str("state", state).
-		Int64("born", r.Born).Int64("version", version).Float64("cold_ms", ms(r.ColdLeft)).Msg("upstream: state changed")
+		Int64("born", r.StartedAt).Int64("version", version).Float64("cold_ms", ms(r.ColdLeft)).Msg("upstream: state changed")
 }
 
 // LimitChanged logs that an upstream has named a limit, or another one than before, in requests
--- a/internal/gateway/notice/table_test.go
+++ b/internal/gateway/notice/table_test.go
@@ -37,7 +37,7 @@
 }
 
 func up(id string, startedAt int64) *upstream.Upstream {
-	return &upstream.Upstream{Registration: upstream.Registration{ID: id, Born: startedAt}}
+	return &upstream.Upstream{Registration: upstream.Registration{ID: id, StartedAt: startedAt}}
 }
 
 var a = up("a", 0)
--- a/internal/gateway/upstream/registry.go
+++ b/internal/gateway/upstream/registry.go
@@ -161,7 +161,7 @@
 // put adds or updates an upstream at once.
 func (r *Registry) put(in Registration, now time.Time) {
 	run, last := in.Run(), r.lastRun(in.ID)
-	if last.run == "" && in.Born == 0 {
+	if last.run == "" && in.StartedAt == 0 {
 		// The upstream is new, or was removed longer than removedRetention ago. Its entry
 		// has no start time, so that the process may have restarted.
 		delete(r.leaving, run)
--- a/internal/gateway/upstream/registry_test.go
+++ b/internal/gateway/upstream/registry_test.go
@@ -185,7 +185,7 @@
 // startedAt returns the entry of an upstream whose process started at a time.
 func startedAt(id string, at int64) upstream.Registration {
 	in := ready(id, "z")
-	in.Born = at
+	in.StartedAt = at
 	return in
 }
 
@@ -287,12 +287,12 @@
 	r.Put(ready("a", "z"), now.Add(50*time.Second))
 	require.Equal(t, []string{"b"}, ids(r.Set()), "its row is written again after it was deleted")
 	next := ready("a", "z")
-	next.Born = 7
+	next.StartedAt = 7
 	r.Put(next, now)
 	require.Equal(t, []string{"a", "b"}, ids(r.Set()), "another run under the id is not leaving")
 	r.MarkLeaving("c@9", now)
 	registered := ready("c", "z")
-	registered.Born = 9
+	registered.StartedAt = 9
 	r.Put(registered, now)
 	require.Equal(t, []string{"a", "b"}, ids(r.Set()), "the announcement came before its row was read")
 }
@@ -302,7 +302,7 @@
 func TestARunWithoutAStartTimeThatRegistersAgainLateHasRestarted(t *testing.T) {
 	r, now := newRegistry(), time.Now()
 	withStart := ready("b", "z")
-	withStart.Born = 7
+	withStart.StartedAt = 7
 	for _, in := range []upstream.Registration{ready("a", "z"), withStart} {
 		r.Put(in, now)
 		r.MarkLeaving(in.Run(), now)
--- a/internal/gateway/upstream/upstream.go
+++ b/internal/gateway/upstream/upstream.go
@@ -20,11 +20,11 @@
 	// ID identifies the upstream. A process that restarts may keep it; Born then
 	// distinguishes its runs.
 	ID string
-	// Born is when the process started, by its own clock, in Unix milliseconds; zero
+	// StartedAt is when the process started, by its own clock, in Unix milliseconds; zero
 	// if the entry does not contain it. It is compared for equality only, because a
 	// later run has a lower time if the clock was set back.
-	Born    int64
-	Service string
+	StartedAt int64
+	Service   string
 	// Address is where the upstream listens. After the upstream has terminated, an
 	// upstream of another service may use the same address.
 	Address string
@@ -45,10 +45,10 @@
 
 // Run returns the run that registered.
 func (r Registration) Run() Run {
-	if r.Born == 0 {
+	if r.StartedAt == 0 {
 		return Run(r.ID)
 	}
-	return Run(r.ID + "@" + strconv.FormatInt(r.Born, 10))
+	return Run(r.ID + "@" + strconv.FormatInt(r.StartedAt, 10))
 }
 
 // Upstream is a registered upstream with the state that the host derived for it. It is
