--- a/internal/gateway/notice/leaving.go
+++ b/internal/gateway/notice/leaving.go
@@ -24,6 +24,6 @@
 	}
 	t.mu.Unlock()
 	if !known {
-		t.reporter.LeavingAnnounced(run)
+		t.observer.LeavingAnnounced(run)
 	}
 }
--- a/internal/gateway/notice/report.go
+++ b/internal/gateway/notice/report.go
@@ -34,8 +34,8 @@
 	// BackoffMS is the remaining backoff, in milliseconds. Zero means that the report is not
 	// about a backoff.
 	BackoffMS int64 `msgpack:"r,omitempty"`
-	// PerSecond is the limit, in requests per second. It is used only if Leaving, RestMS
-	// and Ended are all unset.
+	// PerSecond is the limit, in requests per second. It is used only if Leaving,
+	// BackoffMS and Ended are all unset.
 	PerSecond float64 `msgpack:"l,omitempty"`
 	Ended     bool    `msgpack:"e,omitempty"`
 	// AgeMS is the time since the state was learned, in milliseconds.
@@ -107,5 +107,5 @@
 	if alreadyEnded {
 		return func() {}
 	}
-	return func() { t.reporter.LimitEnded(r.Run) }
+	return func() { t.observer.LimitEnded(r.Run) }
 }
--- a/internal/gateway/notice/rest.go
+++ b/internal/gateway/notice/rest.go
@@ -18,7 +18,7 @@
 	t.updateSize()
 	t.mu.Unlock()
 	if !backingOff {
-		t.reporter.BackoffRequested(run, d)
+		t.observer.BackoffRequested(run, d)
 	}
 }
 
--- a/internal/gateway/notice/table.go
+++ b/internal/gateway/notice/table.go
@@ -53,8 +53,8 @@
 // Observer is notified of changes of the notices in force. Its methods are called without
 // the table's lock.
 type Observer interface {
-	// LimitChanged means that an upstream has announced a limit, in requests per second, that
-	// is new or differs from the previous one.
+	// LimitChanged means that an upstream has announced a limit, in requests per second,
+	// that is new or differs from the previous one.
 	LimitChanged(run upstream.Run, perSecond float64)
 	// LeavingAnnounced means that an upstream is leaving.
 	LeavingAnnounced(run upstream.Run)
@@ -68,7 +68,7 @@
 type Table struct {
 	host     string
 	shares   Shares
-	reporter Observer
+	observer Observer
 
 	// size is the number of notices. The choice of an upstream reads it without the lock.
 	size   atomic.Int32
@@ -82,8 +82,8 @@
 }
 
 // NewTable returns an empty table for the named host.
-func NewTable(host string, shares Shares, reporter Observer) *Table {
-	return &Table{host: host, shares: shares, reporter: reporter, limits: map[upstream.Run]*limit{}, leaving: map[upstream.Run]*leavingRun{}, backoffUntil: map[upstream.Run]time.Time{}, backoffElsewhereUntil: map[upstream.Run]time.Time{}}
+func NewTable(host string, shares Shares, observer Observer) *Table {
+	return &Table{host: host, shares: shares, observer: observer, limits: map[upstream.Run]*limit{}, leaving: map[upstream.Run]*leavingRun{}, backoffUntil: map[upstream.Run]time.Time{}, backoffElsewhereUntil: map[upstream.Run]time.Time{}}
 }
 
 // updateSize sets size to the number of notices; t.mu is held.
@@ -122,7 +122,7 @@
 	switch {
 	case announced.presence == absent && limited && later:
 		l.end(now, now)
-		return func() { t.reporter.LimitEnded(run) }
+		return func() { t.observer.LimitEnded(run) }
 	case announced.presence == absent, !later && l.ended, !later && announced.perSecond > l.perSecond:
 		return func() {}
 	}
@@ -143,11 +143,11 @@
 	if !changed {
 		return func() {}
 	}
-	return func() { t.reporter.LimitChanged(run, perSecond) }
+	return func() { t.observer.LimitChanged(run, perSecond) }
 }
 
 // Withheld is the reason why an upstream receives no request now. Of the reasons Leaving,
-// Resting and the limit, only the first that applies is set.
+// BackingOff and the limit, only the first that applies is set.
 type Withheld struct {
 	// Upstream is the upstream's id; empty if the upstream may receive a request.
 	Upstream string
--- a/internal/gateway/notice/table_test.go
+++ b/internal/gateway/notice/table_test.go
@@ -26,10 +26,10 @@
 }
 func (r *recorder) LimitEnded(run upstream.Run) { r.events = append(r.events, "ended "+string(run)) }
 func (r *recorder) LeavingAnnounced(run upstream.Run) {
-	r.events = append(r.events, "leaves "+string(run))
+	r.events = append(r.events, "leaving "+string(run))
 }
 func (r *recorder) BackoffRequested(run upstream.Run, _ time.Duration) {
-	r.events = append(r.events, "rests "+string(run))
+	r.events = append(r.events, "backoff "+string(run))
 }
 
 func newTable(share int) *notice.Table {
@@ -193,7 +193,7 @@
 	require.Equal(t, "a", table.Withheld(a, now.Add(51*time.Minute)).Upstream)
 	require.False(t, table.MaySend(a, now), "a request that waited")
 	require.True(t, passes(table, up("a", 7), now))
-	require.Equal(t, []string{"leaves a"}, rec.events, "notified once")
+	require.Equal(t, []string{"leaving a"}, rec.events, "notified once")
 
 	other := notice.NewTable("o", fixedShare(1), rec)
 	other.Merge(table.Reports(now), now)
@@ -226,7 +226,7 @@
 	require.False(t, passes(table, a, after(2*time.Second)))
 	table.Retain(func(upstream.Run) bool { return true }, after(3*time.Second))
 	table.Observe(a.Run(), backoff(time.Second), after(3*time.Second), after(3*time.Second))
-	require.Equal(t, []string{"rests a", "rests a"}, rec.events, "each backoff once")
+	require.Equal(t, []string{"backoff a", "backoff a"}, rec.events, "each backoff once")
 }
 
 // An upstream's row may be missing for a while, such as when another writer overwrites it.
--- a/internal/gateway/upstream/registry.go
+++ b/internal/gateway/upstream/registry.go
@@ -120,7 +120,7 @@
 func (r *Registry) MarkSynced() { r.synced = true }
 
 // Put adds or updates an upstream. If the entry is of an earlier run and may have been
-// delayed, Put defers it until ApplyLate and returns false.
+// delayed, Put defers it until ApplyDeferred and returns false.
 func (r *Registry) Put(in Registration, now time.Time) bool {
 	if r.lastRun(in.ID).past.contains(in.Run()) {
 		r.deferred[in.ID] = deferredEntry{in, now.Add(StaleEntryGrace)}
@@ -132,7 +132,7 @@
 
 // PutReverted is Put for an entry of a store that was restored from an older copy. A run that
 // was draining stays draining. An entry of an earlier run, or of an upstream that was removed
-// since the copy was made, is deferred until ApplyLate, because the upstream may have
+// since the copy was made, is deferred until ApplyDeferred, because the upstream may have
 // terminated and another upstream may use its address.
 func (r *Registry) PutReverted(in Registration, now time.Time) bool {
 	last := r.lastRun(in.ID)
--- a/internal/gateway/upstream/upstream.go
+++ b/internal/gateway/upstream/upstream.go
@@ -17,7 +17,7 @@
 // Registration is the entry that an upstream writes about itself, for one run of its
 // process.
 type Registration struct {
-	// ID identifies the upstream. A process that restarts may keep it; Born then
+	// ID identifies the upstream. A process that restarts may keep it; StartedAt then
 	// distinguishes its runs.
 	ID string
 	// StartedAt is when the process started, by its own clock, in Unix milliseconds; zero
--- a/internal/poison/bench_test.go
+++ b/internal/poison/bench_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func BenchmarkRecordEndInFullTable(b *testing.B) {
+func BenchmarkRecordTerminationInFullTable(b *testing.B) {
 	table, _ := newTable("h")
 	for i := range maxSuspects {
 		attempt{fmt.Sprint(i), 20 * i, 20*i + 1}.record(table, fingerprintOf(fmt.Sprint(i)))
--- a/internal/poison/fingerprint.go
+++ b/internal/poison/fingerprint.go
@@ -20,8 +20,8 @@
 // ErrInvalidFingerprint is returned by ParseFingerprint if the text is not a fingerprint.
 var ErrInvalidFingerprint = eris.New("a fingerprint has 32 hexadecimal digits")
 
-// ParseFingerprint parses the output of String. It returns ErrNoFingerprint for any other
-// text.
+// ParseFingerprint parses the output of String. It returns ErrInvalidFingerprint for any
+// other text.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	b, err := hex.DecodeString(text)
 	if err != nil || len(b) != len(Fingerprint{}) {
--- a/internal/poison/share.go
+++ b/internal/poison/share.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Update is an update of suspicions that one host sends another (msgpack).
+// Update has the changes of suspicions that one host sends another (msgpack).
 type Update struct {
 	// Reports are the sender's changes that the receiver does not have yet, up to the
 	// sequence number UpTo.
@@ -27,16 +27,16 @@
 // UpdateFor returns an update with the changes that another host has not acknowledged. A lost
 // message therefore loses no change, a host that has just started or was unreachable
 // receives everything, and no reports are sent while nothing changes.
-func (t *Table) UpdateFor(m Watermarks, now time.Time) Update {
-	reports, upTo := t.Since(m.Acked, now)
-	return Update{Reports: reports, UpTo: upTo, Acked: m.Merged}
+func (t *Table) UpdateFor(w Watermarks, now time.Time) Update {
+	reports, upTo := t.Since(w.Acked, now)
+	return Update{Reports: reports, UpTo: upTo, Acked: w.Merged}
 }
 
-// MergeUpdate merges an update of another host, and then returns the new marks. Until MergeUpdate has
-// returned, no message may acknowledge the changes of the update.
-func (t *Table) MergeUpdate(n Update, now time.Time) Watermarks {
-	t.Merge(n.Reports, now)
-	return Watermarks{Acked: n.Acked, Merged: n.UpTo}
+// MergeUpdate merges an update of another host, and then returns the new watermarks. Until
+// MergeUpdate has returned, no message may acknowledge the changes of the update.
+func (t *Table) MergeUpdate(u Update, now time.Time) Watermarks {
+	t.Merge(u.Reports, now)
+	return Watermarks{Acked: u.Acked, Merged: u.UpTo}
 }
 
 // Merge adds the terminations that another host reports.
--- a/internal/poison/suspect.go
+++ b/internal/poison/suspect.go
@@ -77,7 +77,7 @@
 // all suspects, which follows each change, only examines those with enough terminations. A
 // host with a sixth of a core receives reports of hundreds of terminations at once when a
 // zone is lost. With 256 suspects a change took 59 us without these counts, and 15 and
-// 27 us with them (BenchmarkRecordEndInFullTable).
+// 27 us with them (BenchmarkRecordTerminationInFullTable).
 func (s *suspect) updateCounts() {
 	uncleared := s.unclearedExcept(skipNone)
 	s.unclearedCount, s.consecutiveCount, s.last = len(uncleared), consecutive(uncleared), time.Time{}
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -55,8 +55,8 @@
 type Observer interface {
 	// SuspicionsChanged means that a change should be sent to other hosts soon.
 	SuspicionsChanged()
-	// UpstreamTerminated means that an upstream has terminated. It may be called more than once for the
-	// same run.
+	// UpstreamTerminated means that an upstream has terminated. It may be called more than
+	// once for the same run.
 	UpstreamTerminated(run string, at time.Time)
 	// Quarantined and Released mean that a request is refused from now on, or is no longer
 	// refused. own is set if this host decided so first.
