--- a/internal/gateway/balance/balance.go
+++ b/internal/gateway/balance/balance.go
@@ -33,8 +33,8 @@
 	// Withheld returns why an upstream must get no request now, or the zero value if it
 	// may get one.
 	Withheld(u *upstream.Upstream, now time.Time) notice.Withheld
-	// RestsElsewhere reports whether an upstream has asked another host to back off.
-	RestsElsewhere(run upstream.Run, now time.Time) bool
+	// BackoffElsewhere reports whether an upstream has asked another host to back off.
+	BackoffElsewhere(run upstream.Run, now time.Time) bool
 	// Take counts a request for which an upstream was chosen.
 	Take(u *upstream.Upstream, now time.Time)
 }
@@ -78,7 +78,7 @@
 
 func (noNotices) Withheld(*upstream.Upstream, time.Time) notice.Withheld { return notice.Withheld{} }
 func (noNotices) Take(*upstream.Upstream, time.Time)                     {}
-func (noNotices) RestsElsewhere(upstream.Run, time.Time) bool            { return false }
+func (noNotices) BackoffElsewhere(upstream.Run, time.Time) bool          { return false }
 
 // Suspended ages the load reports by gap, the time for which the machine was suspended.
 // Requests sent to cold upstreams are not aged: they only use up quota for longer than
@@ -185,7 +185,7 @@
 
 // avoided reports whether an upstream is ejected or refuses requests of another host.
 func (b *Balancer) avoided(u *upstream.Upstream, now time.Time) bool {
-	return b.detector.Ejected(u.Run(), now) || b.notices.RestsElsewhere(u.Run(), now)
+	return b.detector.Ejected(u.Run(), now) || b.notices.BackoffElsewhere(u.Run(), now)
 }
 
 // order returns the order of upstreams for a request whose key has the given hash.
--- a/internal/gateway/eventlog/events.go
+++ b/internal/gateway/eventlog/events.go
@@ -240,24 +240,24 @@
 // whose row was deleted has neither service nor zone in the log.
 func (l *Log) Upstream(id string, r upstream.Registration, state string, version int64) {
 	l.stateEvent(EventUpstream).Str("upstream", id).Str("service", r.Service).Str("zone", r.Zone).Str("state", state).
-		Int64("born", r.Born).Int64("version", version).Float64("cold_ms", ms(r.ColdLeft)).Msg("upstream: state changed")
+		Int64("born", r.StartedAt).Int64("version", version).Float64("cold_ms", ms(r.ColdLeft)).Msg("upstream: state changed")
 }
 
-// Limited logs that an upstream has named a limit, or another one than before, in requests
+// LimitChanged logs that an upstream has named a limit, or another one than before, in requests
 // a second over all hosts, and counts it.
-func (l *Log) Limited(run upstream.Run, perSecond float64) {
+func (l *Log) LimitChanged(run upstream.Run, perSecond float64) {
 	l.metrics.Count(`cairndock_notices_total{kind="limit"}`)
 	l.stateEvent(EventNotice).Str("upstream", string(run)).Str("kind", "limit").Float64("per_second", perSecond).Msg("upstream: takes so much from all hosts")
 }
 
-// Leaves logs that an upstream says that it leaves, and counts it.
-func (l *Log) Leaves(run upstream.Run) {
+// LeavingAnnounced logs that an upstream says that it leaves, and counts it.
+func (l *Log) LeavingAnnounced(run upstream.Run) {
 	l.metrics.Count(`cairndock_notices_total{kind="leaving"}`)
 	l.stateEvent(EventNotice).Str("upstream", string(run)).Str("kind", "leaving").Msg("upstream: leaves, gets no new work")
 }
 
-// Rests logs that an upstream wants no request of this host for a time, and counts it.
-func (l *Log) Rests(run upstream.Run, d time.Duration) {
+// BackoffRequested logs that an upstream wants no request of this host for a time, and counts it.
+func (l *Log) BackoffRequested(run upstream.Run, d time.Duration) {
 	l.metrics.Count(`cairndock_notices_total{kind="rest"}`)
 	l.stateEvent(EventNotice).Str("upstream", string(run)).Str("kind", "rest").Float64("for_ms", ms(d)).Msg("upstream: wants no request of this host for a time")
 }
--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -64,9 +64,9 @@
 // Suspicions are the requests that are suspected of terminating upstreams. All hosts
 // share them, because such a request may reach any host.
 type Suspicions interface {
-	// News returns what another host does not have yet, and Take merges what it sent.
-	News(m poison.Marks, now time.Time) poison.News
-	Take(n poison.News, now time.Time) poison.Marks
+	// UpdateFor returns what another host does not have yet, and MergeUpdate merges what it sent.
+	UpdateFor(m poison.Watermarks, now time.Time) poison.Update
+	MergeUpdate(n poison.Update, now time.Time) poison.Watermarks
 	// Merge adds reports that were read from the registry.
 	Merge(reports []poison.Report, now time.Time)
 	// Quarantines returns the reports of the quarantined requests.
--- a/internal/gateway/fleet/host.go
+++ b/internal/gateway/fleet/host.go
@@ -118,7 +118,7 @@
 	getsHeartbeats bool
 	// suspicions record which suspicions the peer and this host have received from each
 	// other.
-	suspicions poison.Marks
+	suspicions poison.Watermarks
 }
 
 // alive reports whether a heartbeat was received within deadTimeout. A peer that is only
--- a/internal/gateway/fleet/limitshare_test.go
+++ b/internal/gateway/fleet/limitshare_test.go
@@ -87,10 +87,10 @@
 
 type noopObserver struct{}
 
-func (noopObserver) Limited(upstream.Run, float64)     {}
-func (noopObserver) LimitEnded(upstream.Run)           {}
-func (noopObserver) Leaves(upstream.Run)               {}
-func (noopObserver) Rests(upstream.Run, time.Duration) {}
+func (noopObserver) LimitChanged(upstream.Run, float64)           {}
+func (noopObserver) LimitEnded(upstream.Run)                      {}
+func (noopObserver) LeavingAnnounced(upstream.Run)                {}
+func (noopObserver) BackoffRequested(upstream.Run, time.Duration) {}
 
 // Hosts stop and restart all the time and continue at once. Their processes start
 // without tokens, so that no period of four seconds exceeds the platform's bound, with
--- a/internal/gateway/fleet/quarantine.go
+++ b/internal/gateway/fleet/quarantine.go
@@ -30,9 +30,9 @@
 func (q StoredQuarantine) aged(now time.Time) poison.Report {
 	older := max(0, now.UnixMilli()-q.StoredAt)
 	r := poison.Report{Fingerprint: q.Report.Fingerprint}
-	for _, e := range q.Report.Ends {
+	for _, e := range q.Report.Terminations {
 		e.Age += older
-		r.Ends = append(r.Ends, e)
+		r.Terminations = append(r.Terminations, e)
 	}
 	return r
 }
@@ -103,7 +103,7 @@
 	now := time.Now()
 	for _, q := range stored {
 		r := q.aged(now)
-		if !r.Counts() {
+		if !r.Current() {
 			_ = f.options.Registry.Release(ctx, region, r.Fingerprint) // the next host that reads the list retries
 			continue
 		}
--- a/internal/gateway/fleet/rewrite_test.go
+++ b/internal/gateway/fleet/rewrite_test.go
@@ -40,10 +40,12 @@
 // quarantines are Suspicions that consist of quarantines only.
 type quarantines []poison.Report
 
-func (quarantines) News(poison.Marks, time.Time) poison.News { return poison.News{} }
-func (quarantines) Take(poison.News, time.Time) poison.Marks { return poison.Marks{} }
-func (quarantines) Merge([]poison.Report, time.Time)         {}
-func (q quarantines) Quarantines(time.Time) []poison.Report  { return q }
+func (quarantines) UpdateFor(poison.Watermarks, time.Time) poison.Update { return poison.Update{} }
+func (quarantines) MergeUpdate(poison.Update, time.Time) poison.Watermarks {
+	return poison.Watermarks{}
+}
+func (quarantines) Merge([]poison.Report, time.Time)        {}
+func (q quarantines) Quarantines(time.Time) []poison.Report { return q }
 
 // restorableHost is a host that watches a table of a store that is restored from copies.
 type restorableHost struct {
--- a/internal/gateway/fleet/suspicions_test.go
+++ b/internal/gateway/fleet/suspicions_test.go
@@ -17,8 +17,8 @@
 // observer handles the events of suspicions as a gateway does.
 type observer struct{ fleet *Fleet }
 
-func (o *observer) SuspicionsChanged()    { o.fleet.TriggerAllHeartbeats() }
-func (*observer) Ended(string, time.Time) {}
+func (o *observer) SuspicionsChanged()                 { o.fleet.TriggerAllHeartbeats() }
+func (*observer) UpstreamTerminated(string, time.Time) {}
 
 func (o *observer) Quarantined(q poison.Quarantine) {
 	if q.Own {
@@ -55,7 +55,7 @@
 
 func (h hostWithSuspicions) recordTermination(f poison.Fingerprint, run string) {
 	now := time.Now()
-	h.table.RecordEnd(f, poison.Attempt{Run: run, Began: now.Add(-20 * time.Millisecond), Ended: now})
+	h.table.RecordTermination(f, poison.Attempt{Run: run, Began: now.Add(-20 * time.Millisecond), Ended: now})
 }
 
 // quarantine lets the host see a request terminate three upstreams in turn.
@@ -161,7 +161,7 @@
 func TestAnOldStoredQuarantineIsRemoved(t *testing.T) {
 	r := newFakeRegistry()
 	f := poison.Content{Target: "/x"}.Fingerprint()
-	old := StoredQuarantine{StoredAt: time.Now().Add(-2 * time.Hour).UnixMilli(), Report: poison.Report{Fingerprint: f, Ends: []poison.End{{Run: "a"}, {Run: "b"}, {Run: "c"}}}}
+	old := StoredQuarantine{StoredAt: time.Now().Add(-2 * time.Hour).UnixMilli(), Report: poison.Report{Fingerprint: f, Terminations: []poison.Termination{{Run: "a"}, {Run: "b"}, {Run: "c"}}}}
 	require.NoError(t, r.Quarantine(t.Context(), "west", old))
 	a := startHostWithSuspicions(t, r, host("a", "west-0", "west"))
 	require.Eventually(t, func() bool { return r.quarantined() == 0 }, 3*time.Second, 5*time.Millisecond)
--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -80,7 +80,7 @@
 
 func (r suspicionReporter) Released(f poison.Fingerprint, _ bool) { r.Log.Released(f) }
 
-func (r suspicionReporter) Ended(run string, at time.Time) {
+func (r suspicionReporter) UpstreamTerminated(run string, at time.Time) {
 	r.detector.RecordTermination(upstream.Run(run), at)
 }
 
@@ -90,8 +90,8 @@
 	state *routing.State
 }
 
-func (r noticeReporter) Leaves(run upstream.Run) {
-	r.Log.Leaves(run)
+func (r noticeReporter) LeavingAnnounced(run upstream.Run) {
+	r.Log.LeavingAnnounced(run)
 	r.state.MarkLeaving(run)
 }
 
--- a/internal/gateway/proxy/refuse.go
+++ b/internal/gateway/proxy/refuse.go
@@ -79,7 +79,7 @@
 		return ""
 	case w.Last.Leaving:
 		return w.Last.Upstream + " is leaving"
-	case w.Last.Resting:
+	case w.Last.BackingOff:
 		return fmt.Sprintf("%s accepts no requests from this host for %d ms", w.Last.Upstream, w.Last.For.Milliseconds())
 	}
 	return fmt.Sprintf("%s accepts %g requests per second from all hosts, this host has %d of %d tokens", w.Last.Upstream, w.Last.PerSecond, w.Last.Share, w.Last.Tokens)
--- a/internal/gateway/proxy/suspicion.go
+++ b/internal/gateway/proxy/suspicion.go
@@ -70,7 +70,7 @@
 	}
 	fingerprint := f.fingerprint()
 	f.proxy.Log.UpstreamEnded(u.ID, fingerprint.String(), f.route.Name, f.request.Target, f.address)
-	f.proxy.Suspicions.RecordEnd(fingerprint, observed)
+	f.proxy.Suspicions.RecordTermination(fingerprint, observed)
 }
 
 // isExpectedToRun reports whether the upstream of an attempt is still registered with the
--- a/internal/gateway/routing/upstreams.go
+++ b/internal/gateway/routing/upstreams.go
@@ -94,7 +94,7 @@
 	if s.registry.Put(r, now) {
 		return s.stateOf(r)
 	}
-	time.AfterFunc(upstream.LateGrace, s.applyLate)
+	time.AfterFunc(upstream.StaleEntryGrace, s.applyLate)
 	return stateLate
 }
 
@@ -109,7 +109,7 @@
 
 // stateOf returns the state for the log of an upstream whose registration was put.
 func (s *State) stateOf(r upstream.Registration) string {
-	if s.registry.Drains(r.ID) {
+	if s.registry.IsDraining(r.ID) {
 		return stateDraining
 	}
 	return stateReady
@@ -163,7 +163,7 @@
 func (s *State) applyLate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, registration := range s.registry.ApplyLate(time.Now()) {
+	for _, registration := range s.registry.ApplyDeferred(time.Now()) {
 		s.log.Upstream(registration.ID, registration, stateLateUsed, 0)
 	}
 	s.publish()
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -38,8 +38,8 @@
 // SuspicionsChanged sends the other hosts what changed out of turn.
 func (g *Gateway) SuspicionsChanged() { g.fleet.TriggerAllHeartbeats() }
 
-// Ended has requests avoid a run of an upstream that has ended.
-func (g *Gateway) Ended(run string, at time.Time) {
+// UpstreamTerminated has requests avoid a run of an upstream that has ended.
+func (g *Gateway) UpstreamTerminated(run string, at time.Time) {
 	g.detector.RecordTermination(upstream.Run(run), at)
 }
 
@@ -68,24 +68,26 @@
 	return g.fleet.WarmUpQuota(upstream, region, rate*limits.WarmUpOvershoot+limits.WarmUpSlack)
 }
 
-// Limited logs an upstream's limit.
-func (g *Gateway) Limited(run upstream.Run, perSecond float64) { g.log.Limited(run, perSecond) }
+// LimitChanged logs an upstream's limit.
+func (g *Gateway) LimitChanged(run upstream.Run, perSecond float64) {
+	g.log.LimitChanged(run, perSecond)
+}
 
 // LimitEnded logs that an upstream has no limit any more.
 func (g *Gateway) LimitEnded(run upstream.Run) { g.log.LimitEnded(run) }
 
-// Leaves has an upstream that leaves get no new work, and other hosts hear of it out of
+// LeavingAnnounced has an upstream that leaves get no new work, and other hosts hear of it out of
 // turn: they may have no response of it for long.
-func (g *Gateway) Leaves(run upstream.Run) {
-	g.log.Leaves(run)
+func (g *Gateway) LeavingAnnounced(run upstream.Run) {
+	g.log.LeavingAnnounced(run)
 	g.state.MarkLeaving(run)
 	g.fleet.TriggerAllHeartbeats()
 }
 
-// Rests logs that an upstream wants no request for a time, and has other hosts hear of it
+// BackoffRequested logs that an upstream wants no request for a time, and has other hosts hear of it
 // out of turn: each would be refused by it first.
-func (g *Gateway) Rests(run upstream.Run, d time.Duration) {
-	g.log.Rests(run, d)
+func (g *Gateway) BackoffRequested(run upstream.Run, d time.Duration) {
+	g.log.BackoffRequested(run, d)
 	g.fleet.TriggerAllHeartbeats()
 }
 
--- a/internal/selector/entry/heartbeats/heartbeats_test.go
+++ b/internal/selector/entry/heartbeats/heartbeats_test.go
@@ -50,10 +50,10 @@
 // nobody observes suspicions.
 type nobody struct{}
 
-func (nobody) SuspicionsChanged()                {}
-func (nobody) Ended(string, time.Time)           {}
-func (nobody) Quarantined(poison.Quarantine)     {}
-func (nobody) Released(poison.Fingerprint, bool) {}
+func (nobody) SuspicionsChanged()                   {}
+func (nobody) UpstreamTerminated(string, time.Time) {}
+func (nobody) Quarantined(poison.Quarantine)        {}
+func (nobody) Released(poison.Fingerprint, bool)    {}
 
 // newExchanger is costa-a-1. Up counts the peers that came within reach.
 func newExchanger(t *testing.T, m *membership, s *states) (e *Exchanger, calls *[]string, up *int) {
@@ -159,7 +159,7 @@
 	a, _, _ := newExchanger(t, &membership{}, &states{})
 	b, _, _ := newExchanger(t, &membership{}, &states{})
 	f := poison.Content{Target: "/x"}.Fingerprint()
-	a.Suspicions.(*poison.Table).RecordEnd(f, poison.Attempt{Run: "up-1", Began: time.Now(), Ended: time.Now()})
+	a.Suspicions.(*poison.Table).RecordTermination(f, poison.Attempt{Run: "up-1", Began: time.Now(), Ended: time.Now()})
 	lost := a.request(member.Contact{Host: "costa-a-2", Zone: "costa-a"})
 	require.Len(t, lost.Suspicions.Reports, 1)
 	again := a.request(member.Contact{Host: "costa-a-2", Zone: "costa-a"})
