--- a/internal/peer/call.go
+++ b/internal/peer/call.go
@@ -9,18 +9,19 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// callOverhead is about how many bytes the frames of a call add to its request
-// and response: an open, a reply and an end frame. Estimated from the frames'
-// fields, not measured.
+// callOverhead is the estimated number of bytes that the frames of a call add
+// to its request and response: an open, a reply and an end frame. It is derived
+// from the fields of these frames.
 const callOverhead = 40
 
-// Call sends a request without a body to a peer and decodes its response.
+// Call sends a request without a body to a peer and decodes the response.
 func Call[T any](ctx context.Context, m *Mesh, addr string, kind Kind, request any) (T, error) {
 	response, _, err := CallSized[T](ctx, m, addr, kind, request)
 	return response, err
 }
 
-// CallSized is Call that also returns about how many bytes were exchanged.
+// CallSized is like Call, but also returns the approximate number of bytes
+// exchanged.
 func CallSized[T any](ctx context.Context, m *Mesh, addr string, kind Kind, request any) (T, int, error) {
 	var zero T
 	payload, err := Encode(request)
@@ -35,7 +36,8 @@
 	return v, len(payload) + len(response) + callOverhead, err
 }
 
-// call opens a stream without a body and returns its response.
+// call sends a request without a body on a new stream and returns the encoded
+// response.
 func (m *Mesh) call(ctx context.Context, addr string, kind Kind, payload []byte) ([]byte, error) {
 	s, err := m.Open(ctx, addr, kind, payload)
 	if err != nil {
@@ -44,15 +46,15 @@
 	defer s.Close()
 	stop := context.AfterFunc(ctx, func() { _ = s.Close() })
 	defer stop()
-	// A response without a body ends as well; reading to the end shows whether
-	// it is complete.
+	// A response without a body has an end frame too. Reading up to it verifies
+	// that the response is complete.
 	if _, err := io.Copy(io.Discard, s); err != nil {
 		return nil, err
 	}
 	return s.Payload, nil
 }
 
-// Encode returns a message as a frame's payload.
+// Encode encodes a message as the payload of a frame.
 func Encode(v any) ([]byte, error) {
 	var body bytes.Buffer
 	enc := msgpack.NewEncoder(&body)
@@ -61,7 +63,7 @@
 	return body.Bytes(), eris.Wrap(err, "encode message")
 }
 
-// Decode reads a message from a frame's payload.
+// Decode decodes a message from the payload of a frame.
 func Decode[T any](b []byte) (T, error) {
 	var v T
 	err := msgpack.Unmarshal(b, &v)
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -13,92 +13,98 @@
 )
 
 var (
-	// ErrNotSent reports that the request did not run. Not a byte of it left this
-	// host: there is no connection to the peer, or it broke before, or the request
-	// makes no frame (see Mesh.connect and conn.writeLocked). Or the peer said that
-	// it takes no more (see conn.goAway).
+	// ErrNotSent reports that the request did not run. Either no byte of it
+	// left this host, because there is no connection to the peer, the
+	// connection broke before the request was written, or the request cannot be
+	// encoded as a frame (see Mesh.connect and conn.writeLocked). Or the peer
+	// reported that it does not accept the stream (see conn.goAway).
 	ErrNotSent = eris.New("not sent")
-	// ErrLost reports that the connection broke, or the time ran out, after the
-	// request may have left.
+	// ErrLost reports that the connection broke or the context ended after the
+	// request may have left this host.
 	ErrLost = eris.New("connection lost")
 	// errIncomplete reports that a stream ended before its response or before
 	// the end of its body.
-	errIncomplete = eris.New("body is not whole")
+	errIncomplete = eris.New("response or body is incomplete")
 )
 
 const (
-	// readBuffer is a connection's buffer for reading, in bytes. A host has a
-	// connection each way with every peer that gets heartbeats, and a larger
-	// frame is read past the buffer, so more would only hold memory: 64 KB to
-	// 4 KB took the peak of a host with eight peers from 12.0 to 11.8 MB.
+	// readBuffer is the size of the read buffer of a connection in bytes. A
+	// host has a connection in each direction with every peer that gets
+	// heartbeats. A larger frame is read past the buffer, so a larger buffer
+	// would only use more memory: 4 KB instead of 64 KB reduced the peak of a
+	// host with eight peers from 12.0 to 11.8 MB.
 	readBuffer = 4 << 10
-	// readOutTime is how long a connection is still read after a write to it
-	// failed. A peer that closes right after its response makes a credit frame
-	// fail, and the response must not be lost with it.
-	readOutTime = time.Second
-	// maxWrite is how many bytes are written at once. A peer must take them
-	// within silenceTimeout, a large frame on a slow link may take longer.
-	maxWrite = 64 << 10
+	// drainReadTimeout is how long a connection is still read after a write to
+	// it failed. If a peer closes the connection right after its response,
+	// writing a credit frame fails, but the response must not be lost.
+	drainReadTimeout = time.Second
+	// maxWriteSize is the maximum number of bytes written at once. A peer must
+	// accept each write within silenceTimeout, while a large frame on a slow
+	// link may take longer in total.
+	maxWriteSize = 64 << 10
 )
 
-// conn is one connection to a peer, on which both ends open streams.
+// conn is a connection to a peer, on which both ends may open streams.
 type conn struct {
 	net     net.Conn
 	remote  Hello
 	handler Handler
 
-	// writing holds the token of the one goroutine that writes to net, which is
-	// taken before mu. A channel, since waiting for it ends with a request's
-	// context: another write may be stuck.
-	writing chan struct{}
-	out     []byte
-	// unwritable is set after a failed write, as half a frame may have left.
-	unwritable atomic.Bool
+	// writeToken holds the token of the only goroutine that may write to net.
+	// The token is acquired before mu. It is a channel, so that waiting for it
+	// can end with the context of a request while another write is stuck.
+	writeToken chan struct{}
+	out        []byte
+	// writeFailed is set after a failed write, because a partial frame may have
+	// been sent.
+	writeFailed atomic.Bool
 
 	mu sync.Mutex
-	// nextID is the ID of the last stream opened here.
-	nextID uint64
-	// lastPeerID is the ID of the last stream that the peer opened.
+	// lastID is the ID of the last stream opened by this host.
+	lastID uint64
+	// lastPeerID is the ID of the last stream opened by the peer.
 	lastPeerID uint64
-	// streams are those opened here, and serving those opened by the peer.
+	// streams are the open streams that this host opened, and serving are those
+	// that the peer opened.
 	streams map[uint64]*Stream
 	serving map[uint64]*Responder
-	// retired is set when new requests use another connection; this one closes
-	// when its last stream ends.
+	// retired is set when new requests use another connection. The connection
+	// closes when its last stream ends.
 	retired bool
-	// goingAway is set when no more streams of the peer are taken.
+	// goingAway is set when streams opened by the peer are no longer accepted.
 	goingAway bool
-	// failed is why the connection broke; nil while it works.
+	// failed is the reason why the connection broke, or nil while it works.
 	failed error
-	// closed is closed when it breaks.
+	// closed is closed when the connection breaks.
 	closed chan struct{}
 	wg     sync.WaitGroup
 
 	keepAlive keepAlive
 }
 
-// newConn does the handshake on a network connection, made or accepted, and
-// starts to serve the peer's streams. It closes the connection on an error.
+// newConn performs the handshake on a dialed or accepted network connection and
+// starts to serve it. It closes the network connection if the handshake fails.
 func newConn(ctx context.Context, nc net.Conn, self Hello, h Handler, r role) (*conn, error) {
-	c, reader, err := greet(ctx, nc, self, h, r)
+	c, reader, err := establish(ctx, nc, self, h, r)
 	if err == nil {
-		c.begin(ctx, reader)
+		c.startReading(ctx, reader)
 	}
 	return c, err
 }
 
-// greet is newConn without its start: no stream is served until begin is called.
-func greet(ctx context.Context, nc net.Conn, self Hello, h Handler, r role) (*conn, *bufio.Reader, error) {
+// establish performs the handshake of newConn. No frame is read after the Hello
+// until startReading is called.
+func establish(ctx context.Context, nc net.Conn, self Hello, h Handler, r role) (*conn, *bufio.Reader, error) {
 	c := &conn{
-		net:     nc,
-		writing: make(chan struct{}, 1),
-		handler: h,
-		streams: map[uint64]*Stream{},
-		serving: map[uint64]*Responder{},
-		closed:  make(chan struct{}),
+		net:        nc,
+		writeToken: make(chan struct{}, 1),
+		handler:    h,
+		streams:    map[uint64]*Stream{},
+		serving:    map[uint64]*Responder{},
+		closed:     make(chan struct{}),
 	}
 	c.keepAlive.role = r
-	reader := bufio.NewReaderSize(listener{nc, &c.keepAlive.heard}, readBuffer)
+	reader := bufio.NewReaderSize(activityReader{nc, &c.keepAlive.received}, readBuffer)
 	if err := c.handshake(ctx, self, reader); err != nil {
 		_ = nc.Close()
 		return nil, nil, eris.Wrap(err, "handshake")
@@ -106,21 +112,21 @@
 	return c, reader, nil
 }
 
-// begin starts to read frames.
-func (c *conn) begin(ctx context.Context, reader *bufio.Reader) {
+// startReading starts the read loop and the keep-alive checks.
+func (c *conn) startReading(ctx context.Context, reader *bufio.Reader) {
 	c.wg.Add(1)
 	go c.readLoop(context.WithoutCancel(ctx), reader)
 	c.startKeepAlive()
 }
 
-// close breaks the connection and every stream on it, and waits for the
-// handlers of the peer's streams.
+// close breaks the connection with all its streams and waits for the handlers
+// of the streams that the peer opened.
 func (c *conn) close() {
 	c.fail(ErrLost)
 	c.wg.Wait()
 }
 
-// fail breaks the connection and every stream on it.
+// fail breaks the connection with all its streams.
 func (c *conn) fail(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,8 +152,9 @@
 	}
 }
 
-// retire leaves the connection to its open streams, and breaks it when there are
-// none: their responses may be on the way, whatever another request waited for.
+// retire stops using the connection for new requests and closes it once it has
+// no open streams. Their responses may still arrive, even if another request on
+// the connection timed out.
 func (c *conn) retire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -155,55 +162,57 @@
 	c.closeIfUnused()
 }
 
-// closeIfUnused breaks a retired connection without streams; c.mu is held.
+// closeIfUnused closes a retired connection without open streams; c.mu is held.
 func (c *conn) closeIfUnused() {
 	if c.retired && len(c.streams) == 0 {
 		c.failLocked(ErrLost)
 	}
 }
 
-// usable reports whether new requests may use the connection. One that can't be
-// written to is only read to its end.
+// usable reports whether new requests may use the connection. After a failed
+// write, the connection is only read until it ends.
 func (c *conn) usable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.failed == nil && !c.retired && !c.unwritable.Load()
+	return c.failed == nil && !c.retired && !c.writeFailed.Load()
 }
 
-// err returns why the connection broke; nil while it works.
+// err returns the reason why the connection broke, or nil while it works.
 func (c *conn) err() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.failed
 }
 
-// write sends a frame. The error is ErrNotSent if nothing of it left this host.
+// write sends a frame. The error is ErrNotSent if no byte of the frame left
+// this host.
 func (c *conn) write(f *frame) error {
-	c.writing <- struct{}{}
-	defer func() { <-c.writing }()
+	c.writeToken <- struct{}{}
+	defer func() { <-c.writeToken }()
 	return c.writeLocked(f)
 }
 
-// writeLocked is write with the token of c.writing held.
+// writeLocked is write with the write token held.
 func (c *conn) writeLocked(f *frame) error {
 	buf, err := appendFrame(c.out[:0], f)
 	if err != nil {
 		return eris.Wrap(ErrNotSent, err.Error())
 	}
 	c.out = buf
-	if c.unwritable.Load() || c.err() != nil {
+	if c.writeFailed.Load() || c.err() != nil {
 		return ErrNotSent
 	}
-	for part := range slices.Chunk(buf, maxWrite) {
+	for chunk := range slices.Chunk(buf, maxWriteSize) {
 		if f.Type != frameHello { // the handshake has its own deadline
-			// An error means that the connection is closed, which Write reports.
+			// An error means that the connection is closed, which Write reports
+			// as well.
 			_ = c.net.SetWriteDeadline(time.Now().Add(silenceTimeout))
 		}
-		if _, err := c.net.Write(part); err != nil {
-			c.unwritable.Store(true)
+		if _, err := c.net.Write(chunk); err != nil {
+			c.writeFailed.Store(true)
 			// An error means that the connection is closed, which the read loop
-			// notices.
-			_ = c.net.SetReadDeadline(time.Now().Add(readOutTime))
+			// detects.
+			_ = c.net.SetReadDeadline(time.Now().Add(drainReadTimeout))
 			return ErrLost
 		}
 	}
@@ -211,9 +220,9 @@
 }
 
 // open opens a stream and waits for its response. The error is ErrNotSent if
-// the request did not run. The stream must be closed.
+// the request did not run. The caller must close the stream.
 func (c *conn) open(ctx context.Context, kind Kind, payload []byte) (*Stream, error) {
-	s, err := c.start(ctx, kind, payload)
+	s, err := c.startStream(ctx, kind, payload)
 	if err != nil {
 		return nil, err
 	}
@@ -225,34 +234,35 @@
 	}
 	if s.Payload == nil {
 		s.Close()
-		return nil, s.err // set before replied was closed, and never again
+		return nil, s.err // set before replied was closed, and not changed afterwards
 	}
 	return s, nil
 }
 
-// cancel tells the peer that nobody waits for a stream, without holding up the
-// caller, whose time is over: another write may be stuck.
+// cancel tells the peer that the stream is no longer read. It does not block,
+// because the context of the request may have ended and another write may be
+// stuck.
 func (c *conn) cancel(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.failed != nil { // which cancels the stream at the peer too
+	if c.failed != nil { // the peer cancels the stream when the connection breaks
 		return
 	}
 	c.wg.Go(func() {
-		// The error is dropped: the connection is then broken.
+		// An error is ignored, because the connection is then broken.
 		_ = c.write(&frame{Type: frameCancel, ID: id})
 	})
 }
 
-// start sends a stream's first frame. The ID is taken while no one else writes,
-// so that IDs rise on the wire.
-func (c *conn) start(ctx context.Context, kind Kind, payload []byte) (*Stream, error) {
+// startStream registers a stream and sends its open frame. The ID is assigned
+// with the write token held, so that IDs are sent in ascending order.
+func (c *conn) startStream(ctx context.Context, kind Kind, payload []byte) (*Stream, error) {
 	select {
-	case c.writing <- struct{}{}:
-		defer func() { <-c.writing }()
+	case c.writeToken <- struct{}{}:
+		defer func() { <-c.writeToken }()
 	case <-ctx.Done():
 	}
-	if ctx.Err() != nil { // also where both were ready
+	if ctx.Err() != nil { // select may have chosen the token although the context had ended
 		return nil, ErrNotSent
 	}
 	s, err := c.register()
@@ -260,22 +270,22 @@
 		return nil, err
 	}
 	if err := c.writeLocked(&frame{Type: frameOpen, ID: s.id, Kind: kind, Data: payload}); err != nil {
-		s.forget()
+		s.remove()
 		return nil, err
 	}
 	return s, nil
 }
 
-// register adds a new stream of this host.
+// register adds a new stream opened by this host.
 func (c *conn) register() (*Stream, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.failed != nil || c.retired {
 		return nil, ErrNotSent
 	}
-	c.nextID++
-	s := newStream(c, c.nextID)
+	c.lastID++
+	s := newStream(c, c.lastID)
 	c.streams[s.id] = s
-	c.expectFrames()
+	c.startFrequentChecks()
 	return s, nil
 }
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,26 +1,31 @@
-// Package peer carries requests between hosts: framed msgpack over TCP, many
-// streams on one connection.
+// Package peer carries requests between hosts as msgpack frames over TCP. One
+// connection carries many streams.
 //
-// A frame is a length of 4 bytes, big endian, and a msgpack array. A connection
-// begins with a Hello each way. Either end then opens streams: a request, one
-// response, and a body of any length after it.
+// A frame is a length of 4 bytes, big endian, followed by a msgpack array. A
+// connection starts with a Hello in each direction. Either end may then open
+// streams. A stream is a request, one response, and a body of any length after
+// the response.
 //
-// It guarantees that
-//   - ErrNotSent is proof: not a byte of the request left this host, or the peer
-//     said that it did not take it. So it did not run and may be sent elsewhere.
-//     Any other error leaves that open.
-//   - a body is read whole or ends with an error. Frames of a body carry their
-//     offset and its end the total, so that frames that are lost, repeated, out
-//     of order or of another stream never pass for the body.
-//   - a stream never holds more than the flow-control window in memory, and one
-//     that is read slowly does not hold up the others of its connection.
-//   - a response goes only to the request that it belongs to: the ID of a stream
-//     is never used again on its connection.
+// The package guarantees that
 //
-// It owns the connections (Mesh), makes them on demand and dials a peer that
-// cannot be reached at most every redialPause. It pings the peers of open streams,
-// and each end closes a connection that went silent (silenceTimeout). A host that
-// stops tells its peers to open no more streams (Mesh.GoAway). It does not retry
-// requests and does not encrypt: Transport does.
-// Both `cairndock serve` and `cairndock gateway` use it.
+//   - ErrNotSent proves that the request did not run: no byte of it left this
+//     host, or the peer reported that it did not accept the stream. The request
+//     may therefore be sent elsewhere. Any other error leaves open whether the
+//     request ran.
+//   - a body is either read completely or ends with an error. Body frames carry
+//     their offset, and the end frame carries the total length. Frames that are
+//     lost, repeated, out of order or of another stream therefore never make up
+//     a body that looks complete.
+//   - a stream never holds more than the flow-control window in memory, and a
+//     stream that is read slowly does not delay the others on its connection.
+//   - a response is delivered only to its own request, because a stream ID is
+//     never reused on a connection.
+//
+// Mesh owns the connections. It makes them on demand and dials an unreachable
+// peer at most once per redialDelay. It pings peers while streams to them are
+// open, and each end closes a connection on which nothing was received for too
+// long (see silenceTimeout). A host that stops tells its peers to open no more
+// streams (Mesh.GoAway). The package neither retries requests nor encrypts
+// connections; encryption is up to the Transport. Both `cairndock serve` and
+// `cairndock gateway` use the package.
 package peer
--- a/internal/peer/drop_test.go
+++ b/internal/peer/drop_test.go
@@ -10,12 +10,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A heartbeat that timed out drops the connection, and every other stream on it
-// ended with an error, client's requests among them, though their responses were
-// on the way.
-func TestADroppedConnectionServesTheStreamsUnderWay(t *testing.T) {
+// A heartbeat that times out drops the connection. Every other stream on it,
+// including requests of clients, used to end with an error although its
+// response was on the way.
+func TestADroppedConnectionServesItsOpenStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, client := memoryMeshes(t, &waitHandler{takes: 5 * time.Second})
+		n, client := memoryMeshes(t, &waitHandler{delay: 5 * time.Second})
 		call := func() error {
 			_, err := Call[string](t.Context(), client, "", KindForward, "x")
 			return err
@@ -47,10 +47,11 @@
 	})
 }
 
-// A dropped connection that is silent ends its streams as any other does.
+// A dropped connection that goes silent must end its streams like any other
+// connection.
 func TestADroppedConnectionThatIsSilentIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, client := memoryMeshes(t, &waitHandler{takes: time.Hour})
+		n, client := memoryMeshes(t, &waitHandler{delay: time.Hour})
 		done := make(chan error, 1)
 		go func() {
 			_, err := Call[string](context.Background(), client, "", KindForward, "x")
@@ -63,16 +64,16 @@
 		select {
 		case err := <-done:
 			require.ErrorIs(t, err, ErrLost)
-			require.LessOrEqual(t, time.Since(began), (maxSilent+2)*pingEvery)
+			require.LessOrEqual(t, time.Since(began), (closeThreshold+2)*pingInterval)
 		case <-time.After(time.Minute):
-			t.Error("the stream waits for ever")
+			t.Error("the stream never ends")
 		}
 	})
 }
 
-// A request had taken the connection up, and before its first byte was written
-// another goroutine closed it: the request failed, though a new connection would
-// have carried it.
+// A request had chosen a connection, and another goroutine closed the
+// connection before the first byte of the request was written. The request
+// failed although a new connection would have carried it.
 func TestARequestWhoseConnectionIsClosedBeforeItIsSentDials(t *testing.T) {
 	for name, closeConn := range map[string]func(m *Mesh, c *conn){
 		"broken":  func(_ *Mesh, c *conn) { c.fail(errors.New("closed")) },
@@ -87,12 +88,12 @@
 				}
 				require.NoError(t, call())
 				c := client.dialed[""].conn.Load()
-				c.writing <- struct{}{} // the request waits here, with the connection taken
+				c.writeToken <- struct{}{} // blocks the request after it has chosen the connection
 				done := make(chan error, 1)
 				go func() { done <- call() }()
 				synctest.Wait()
 				closeConn(client, c)
-				<-c.writing
+				<-c.writeToken
 				require.NoError(t, <-done)
 				require.Equal(t, 2, n.Dials())
 			})
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -10,54 +10,58 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// maxFrame is the largest frame in bytes, without its length. A larger one is
-// not sent, and closes the connection if received.
+// maxFrame is the maximum size of a frame in bytes, without its length prefix.
+// A larger frame is not sent, and closes the connection if it is received.
 const maxFrame = 1 << 20
 
-// errFrame reports that a peer sent an invalid frame.
-var errFrame = eris.New("bad frame")
+// errInvalidFrame reports that a peer sent an invalid frame.
+var errInvalidFrame = eris.New("invalid frame")
 
-// frameType is on the wire.
+// frameType is the type of a frame. Its values are part of the peer protocol.
 type frameType uint8
 
 const (
-	// frameHello is the first frame each way; Data is a Hello.
+	// frameHello is the first frame in each direction. Data is a Hello.
 	frameHello frameType = iota + 1
-	// frameOpen opens a stream with a request: Kind, Data.
+	// frameOpen opens a stream with a request in Kind and Data.
 	frameOpen
-	// frameReply is a stream's one response: Data.
+	// frameReply carries the only response of a stream in Data.
 	frameReply
-	// frameBody is a part of the body: Data, and Offset, where it begins.
+	// frameBody carries a chunk of the body in Data. Offset is the position of
+	// the chunk in the body.
 	frameBody
-	// frameEnd ends the body; Offset is its length.
+	// frameEnd ends the body. Offset is the total length of the body.
 	frameEnd
-	// frameFail ends the stream without a response or with half a body.
+	// frameFail ends the stream without a response or with an incomplete body.
 	frameFail
 	// frameCancel reports that the opener no longer reads the stream.
 	frameCancel
-	// frameCredit permits Offset more bytes of body.
+	// frameCredit permits the peer to send Offset more bytes of the body.
 	frameCredit
-	// framePing asks for a framePong at once. Both are of no stream.
+	// framePing requests a framePong at once. Neither belongs to a stream.
 	framePing
 	framePong
-	// frameGoAway reports that of the streams that the peer opened, none above ID
-	// is or will be served. Only the accepting end sends it, to peers whose Hello
-	// says that they know it.
+	// frameGoAway reports that, of the streams opened by the peer, none with an
+	// ID above this ID is or will be served. Only the accepting end sends it,
+	// and only to peers whose Hello announces support for it.
 	frameGoAway
 )
 
-// frame is the unit on the wire, an array of its fields in this order.
+// frame is the unit of the peer protocol. It is encoded as an array of its
+// fields in this order.
 type frame struct {
 	Type frameType
-	// ID is the stream's. Each end numbers the streams that it opens upwards
-	// from 1; a frame's type says whose stream it is.
+	// ID is the ID of the stream. Each end numbers the streams that it opens in
+	// ascending order from 1. The type of a frame tells which end opened the
+	// stream.
 	ID     uint64
 	Kind   Kind
 	Offset int64
 	Data   []byte
 }
 
-// appendFrame appends a frame with its length to a buffer.
+// appendFrame appends the length prefix and the encoded frame to buf. It fails
+// if the frame is larger than maxFrame.
 func appendFrame(buf []byte, f *frame) ([]byte, error) {
 	var body bytes.Buffer
 	enc := msgpack.NewEncoder(&body)
@@ -67,12 +71,13 @@
 		return nil, eris.Wrap(err, "encode frame")
 	}
 	if body.Len() > maxFrame {
-		return nil, eris.Wrapf(errFrame, "%d bytes are too many", body.Len())
+		return nil, eris.Wrapf(errInvalidFrame, "%d bytes exceed the maximum frame size", body.Len())
 	}
 	buf = binary.BigEndian.AppendUint32(buf, uint32(body.Len()))
 	return append(buf, body.Bytes()...), nil
 }
 
+// readFrame reads and decodes one frame.
 func readFrame(r *bufio.Reader) (frame, error) {
 	var size [4]byte
 	if _, err := io.ReadFull(r, size[:]); err != nil {
@@ -80,7 +85,7 @@
 	}
 	n := binary.BigEndian.Uint32(size[:])
 	if n == 0 || n > maxFrame {
-		return frame{}, eris.Wrapf(errFrame, "length %d", n)
+		return frame{}, eris.Wrapf(errInvalidFrame, "length %d", n)
 	}
 	body := make([]byte, n)
 	if _, err := io.ReadFull(r, body); err != nil {
@@ -89,16 +94,17 @@
 	return decodeFrame(body)
 }
 
+// decodeFrame decodes a frame without its length prefix and validates it.
 func decodeFrame(body []byte) (frame, error) {
 	var f frame
 	if err := msgpack.Unmarshal(body, &f); err != nil {
-		return f, eris.Wrap(errFrame, err.Error())
+		return f, eris.Wrap(errInvalidFrame, err.Error())
 	}
 	if f.Type < frameHello || f.Type > frameGoAway {
-		return f, eris.Wrapf(errFrame, "type %d", f.Type)
+		return f, eris.Wrapf(errInvalidFrame, "type %d", f.Type)
 	}
 	if f.Offset < 0 {
-		return f, eris.Wrapf(errFrame, "offset %d", f.Offset)
+		return f, eris.Wrapf(errInvalidFrame, "offset %d", f.Offset)
 	}
 	return f, nil
 }
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -23,7 +23,7 @@
 		require.NoError(t, err)
 		_, err = c.Write(bad)
 		require.NoError(t, err)
-		_, err = io.Copy(io.Discard, c) // ends once the server closes
+		_, err = io.Copy(io.Discard, c) // ends when the server closes the connection
 		if err != nil {
 			require.ErrorContains(t, err, "reset", name)
 		}
--- a/internal/peer/goaway.go
+++ b/internal/peer/goaway.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// servedPoll is the time between two looks whether the streams of peers have
-	// ended.
-	servedPoll = 20 * time.Millisecond
-	// leaveTimeout is how long Mesh.Close waits for peers that were told to go
-	// elsewhere to close their connections. Closing with unread bytes may discard
-	// what tells them.
-	leaveTimeout = time.Second
+	// servingPollInterval is the interval at which GoAway checks whether the
+	// streams opened by peers have ended.
+	servingPollInterval = 20 * time.Millisecond
+	// disconnectTimeout is how long Mesh.Close waits for peers that received a
+	// go-away to close their connections. Closing a connection with unread
+	// bytes may discard the go-away frame before the peer reads it.
+	disconnectTimeout = time.Second
 )
 
-// GoAway tells peers that this host takes no more streams, accepts no more
-// connections, and waits until the streams that peers opened before have ended,
-// or ctx ends. A stream opened later gets ErrNotSent at its opener. Peers of an
-// older version are told nothing and served as before. Streams of this host are
-// not concerned.
+// GoAway tells peers that this host accepts no more streams, stops accepting
+// connections, and waits until the streams that peers opened before have ended
+// or ctx ends. The opener of a later stream gets ErrNotSent. Peers of an older
+// version are not notified and are served as before. Streams opened by this
+// host are not affected.
 func (m *Mesh) GoAway(ctx context.Context) {
 	m.mu.Lock()
 	m.goingAway = true
@@ -30,42 +30,42 @@
 		c.goAway()
 	}
 	m.mu.Unlock()
-	for m.serves() && pause.For(ctx, servedPoll) {
+	for m.isServing() && pause.For(ctx, servingPollInterval) {
 	}
 }
 
-// serves reports whether a stream that a peer opened has not ended. It counts
-// from the reading of its frame on, before the handler runs.
-func (m *Mesh) serves() bool {
+// isServing reports whether a stream opened by a peer is still being served. A
+// stream counts as soon as its open frame is read, before the handler runs.
+func (m *Mesh) isServing() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for c := range m.accepted {
-		if c.serves() {
+		if c.isServing() {
 			return true
 		}
 	}
 	return false
 }
 
-// awaitLeave waits until the peers of connections that serve nothing more have
-// closed them, for leaveTimeout at most.
-func awaitLeave(conns []*conn) {
-	over := time.After(leaveTimeout)
+// awaitDisconnect waits until peers have closed the connections that serve no
+// more streams, for at most disconnectTimeout.
+func awaitDisconnect(conns []*conn) {
+	timeout := time.After(disconnectTimeout)
 	for _, c := range conns {
-		if !c.isLeft() {
+		if !c.isDrained() {
 			continue
 		}
 		select {
 		case <-c.closed:
-		case <-over:
+		case <-timeout:
 			return
 		}
 	}
 }
 
-// goAway refuses the streams that the peer opens from now on, and tells it which
-// was the last to be taken. Both happen in one step with the reading of frames,
-// which makes it proof that the later ones did not run.
+// goAway refuses the streams that the peer opens from now on and tells the peer
+// the ID of the last accepted stream. The lock also covers the reading of
+// frames, so the ID proves that later streams did not run.
 func (c *conn) goAway() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,30 +75,31 @@
 	c.goingAway = true
 	last := c.lastPeerID
 	c.wg.Go(func() {
-		// The error is dropped: the connection is then broken, which the peer
-		// notices.
+		// An error is ignored, because the connection is then broken, which the
+		// peer detects.
 		_ = c.write(&frame{Type: frameGoAway, ID: last})
 	})
 }
 
-// serves reports whether a stream that the peer opened has not ended.
-func (c *conn) serves() bool {
+// isServing reports whether a stream opened by the peer is still being served.
+func (c *conn) isServing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.serving) > 0
 }
 
-// isLeft reports whether the peer was told to go elsewhere and has all its
+// isDrained reports whether the peer was sent a go-away and has all its
 // responses.
-func (c *conn) isLeft() bool {
+func (c *conn) isDrained() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.goingAway && len(c.serving) == 0
 }
 
-// peerGoesAway leaves the connection to the streams that the peer took: those up
-// to an ID. The others did not run.
-func (c *conn) peerGoesAway(last uint64) {
+// handleGoAway retires the connection when the peer goes away. Streams up to
+// the ID last were accepted by the peer and continue. Later streams did not
+// run.
+func (c *conn) handleGoAway(last uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.retired = true
--- a/internal/peer/goaway_test.go
+++ b/internal/peer/goaway_test.go
@@ -12,7 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pipes is a transport of pipes to one listener, whose close leaves the pipes open.
+// pipes is a transport of in-memory pipes to one listener. Closing the listener
+// leaves the pipes open.
 type pipes struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -47,7 +48,7 @@
 	}
 }
 
-// rawPeer is a peer whose frames a test reads and writes itself.
+// rawPeer is a peer whose frames the test reads and writes itself.
 type rawPeer struct {
 	net.Conn
 	t      *testing.T
@@ -56,7 +57,7 @@
 
 func newRawPeer(t *testing.T, c net.Conn) *rawPeer { return &rawPeer{c, t, bufio.NewReader(c)} }
 
-// greet exchanges hellos.
+// greet exchanges Hellos.
 func (r *rawPeer) greet(h Hello) {
 	h.Version = protocolVersion
 	payload, err := Encode(h)
@@ -73,8 +74,9 @@
 	return f
 }
 
-// goingServer is a mesh that listens, and a raw peer that has dialed it.
-func goingServer(t *testing.T, h Handler) (*Mesh, *rawPeer) {
+// newServerWithRawPeer returns a mesh that listens, and a raw peer that has
+// dialed the mesh.
+func newServerWithRawPeer(t *testing.T, h Handler) (*Mesh, *rawPeer) {
 	p := newPipes()
 	server := NewMesh(Hello{Host: "server"}, p, h)
 	_, err := server.Listen("")
@@ -88,12 +90,14 @@
 	return newRawPeer(t, c)
 }
 
-// A host stopped while a request was under way and others came. Those that it read
-// after its wait were cut with the connection, as such that may have run.
+// A host stops while one stream is open and its peers open more. Streams opened
+// before the go-away must finish, and later ones must get ErrNotSent. Without
+// the go-away, the later streams ended with the connection and counted as
+// possibly run.
 func TestStreamsOpenedBeforeAGoAwayEndAndLaterOnesDidNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPipes()
-		server := NewMesh(Hello{Host: "server"}, p, &waitHandler{takes: 5 * time.Second})
+		server := NewMesh(Hello{Host: "server"}, p, &waitHandler{delay: 5 * time.Second})
 		_, err := server.Listen("")
 		require.NoError(t, err)
 		client := NewMesh(Hello{Host: "client"}, p, echoHandler{})
@@ -104,72 +108,74 @@
 			done <- err
 		}()
 		time.Sleep(time.Second)
-		gone := make(chan struct{})
+		drained := make(chan struct{})
 		go func() {
 			server.GoAway(t.Context())
-			close(gone)
+			close(drained)
 		}()
 		synctest.Wait()
 		_, err = Call[string](t.Context(), client, "", KindForward, "x")
 		require.ErrorIs(t, err, ErrNotSent)
-		require.Equal(t, time.Second, time.Since(began), "at once")
+		require.Equal(t, time.Second, time.Since(began), "the error is returned immediately")
 		_, err = p.Dial(t.Context(), "")
 		require.ErrorIs(t, err, net.ErrClosed, "the listener is closed")
-		<-gone
-		require.InDelta(t, 5*time.Second, time.Since(began), float64(servedPoll))
+		<-drained
+		require.InDelta(t, 5*time.Second, time.Since(began), float64(servingPollInterval))
 		require.NoError(t, <-done)
 		before := time.Now()
 		server.Close()
-		require.Zero(t, time.Since(before), "the peer has left")
+		require.Zero(t, time.Since(before), "the peer has closed its connection")
 	})
 }
 
-// A frame that was read counts before its handler runs, and the one after it is
-// refused: between them there is none that is neither served nor refused.
+// An open frame that was read counts as served before its handler runs, and the
+// next one after the go-away is refused. No stream may fall between the two.
 func TestAStreamIsTakenOrRefusedWhereItsFrameIsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := &waitHandler{takes: time.Minute}
-		server, raw := goingServer(t, h)
+		h := &waitHandler{delay: time.Minute}
+		server, raw := newServerWithRawPeer(t, h)
 		raw.greet(Hello{Host: "raw", KeepAlive: true, GoAway: true})
 		raw.write(&frame{Type: frameOpen, ID: 7, Kind: KindForward})
 		synctest.Wait()
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		server.GoAway(ctx)
-		require.True(t, server.serves())
+		require.True(t, server.isServing())
 		require.Equal(t, frame{Type: frameGoAway, ID: 7}, raw.read())
 		raw.write(&frame{Type: frameOpen, ID: 8, Kind: KindForward})
 		synctest.Wait()
 		require.EqualValues(t, 1, h.serving.Load())
-		server.GoAway(ctx) // says nothing twice
+		server.GoAway(ctx) // sends no second go-away
 		require.NoError(t, raw.Close())
 		server.Close()
 	})
 }
 
-// A stop looked whether anything was served before the handler of a stream that had
-// been read was scheduled, and cut it while it reported that it cut none.
+// A stop checked for open streams before the handler of a stream whose frame
+// had been read was scheduled. It cut the stream and reported that it had cut
+// none.
 func TestAStreamCountsBeforeItsHandlerRuns(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	c := &conn{serving: map[uint64]*Responder{}, handler: &waitHandler{takes: time.Hour}}
+	c := &conn{serving: map[uint64]*Responder{}, handler: &waitHandler{delay: time.Hour}}
 	for id := range uint64(100) {
 		c.serve(ctx, frame{Type: frameOpen, ID: id + 1})
 		c.mu.Lock()
 		require.Len(t, c.serving, int(id+1))
 		c.mu.Unlock()
 	}
-	require.True(t, c.serves())
+	require.True(t, c.isServing())
 	cancel()
 	c.wg.Wait()
-	require.False(t, c.serves())
+	require.False(t, c.isServing())
 }
 
-// A peer that connects while the host stops is told so before anything of it is
-// read: its handshake was under way when the others were told.
+// A peer connects while the host stops, and its handshake is under way when the
+// other peers get the go-away. It must get a go-away before any of its frames
+// is read.
 func TestAConnectionInItsHandshakeAtAGoAwayIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := &waitHandler{takes: time.Minute}
-		server, raw := goingServer(t, h)
+		h := &waitHandler{delay: time.Minute}
+		server, raw := newServerWithRawPeer(t, h)
 		synctest.Wait()
 		server.GoAway(t.Context())
 		raw.greet(Hello{Host: "raw", KeepAlive: true, GoAway: true})
@@ -182,18 +188,19 @@
 	})
 }
 
-// In a rolling update, a peer of the version before does not know the frame, which
-// would break its connection with all that is under way. It is served as before.
+// During a rolling update, a peer of the previous version does not know the
+// go-away frame. Receiving it would break the connection with all its open
+// streams, so the peer must be served as before.
 func TestAPeerOfAnOlderVersionIsServedAfterAGoAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		server, raw := goingServer(t, &waitHandler{takes: time.Second})
+		server, raw := newServerWithRawPeer(t, &waitHandler{delay: time.Second})
 		raw.greet(Hello{Host: "old", KeepAlive: true})
 		raw.write(&frame{Type: frameOpen, ID: 1, Kind: KindForward})
 		synctest.Wait()
-		gone := make(chan struct{})
+		drained := make(chan struct{})
 		go func() {
 			server.GoAway(t.Context())
-			close(gone)
+			close(drained)
 		}()
 		synctest.Wait()
 		raw.write(&frame{Type: frameOpen, ID: 2, Kind: KindForward})
@@ -202,12 +209,12 @@
 			got = append(got, raw.read().Type)
 		}
 		require.ElementsMatch(t, []frameType{frameReply, frameReply, frameEnd, frameEnd}, got)
-		<-gone
+		<-drained
 		server.Close()
 	})
 }
 
-// olderHello is the hello that the version before knows.
+// olderHello is the Hello of the previous version.
 type olderHello struct {
 	Version   string `msgpack:"v"`
 	Host      string `msgpack:"h"`
@@ -222,9 +229,10 @@
 	require.Equal(t, olderHello{protocolVersion, "new", true}, got)
 }
 
-// The opener of a stream that the peer did not take knows so at once, while the
-// connection serves the one that the peer took, and then closes.
-func TestAnOpenerThatIsToldToGoAwayKeepsWhatThePeerTook(t *testing.T) {
+// The opener of a stream that the peer did not accept gets ErrNotSent
+// immediately. The connection continues to serve the accepted stream and then
+// closes.
+func TestAGoAwayKeepsTheStreamsThatThePeerAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		here, there := net.Pipe()
 		raw := newRawPeer(t, there)
@@ -237,7 +245,7 @@
 			go func() {
 				s, err := c.open(t.Context(), KindForward, nil)
 				if err == nil {
-					_, err = io.Copy(io.Discard, s) // to its end, after which nothing is canceled
+					_, err = io.Copy(io.Discard, s) // up to its end, so that Close sends no cancel
 					_ = s.Close()
 				}
 				result <- err
@@ -256,11 +264,11 @@
 	})
 }
 
-// The peer reads slowly, and the connection was closed before it had read that its
-// stream was refused.
-func TestACloseLetsAPeerReadThatItWasRefused(t *testing.T) {
+// A peer reads slowly. Close must not close the connection before the peer has
+// read the go-away that refuses its stream.
+func TestCloseWaitsUntilAPeerHasReadTheGoAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		server, raw := goingServer(t, &waitHandler{})
+		server, raw := newServerWithRawPeer(t, &waitHandler{})
 		raw.greet(Hello{Host: "slow", KeepAlive: true, GoAway: true})
 		synctest.Wait()
 		server.GoAway(t.Context())
@@ -269,23 +277,23 @@
 			server.Close()
 			close(closed)
 		}()
-		time.Sleep(leaveTimeout / 2)
+		time.Sleep(disconnectTimeout / 2)
 		require.Equal(t, frameGoAway, raw.read().Type)
 		require.NoError(t, raw.Close())
 		<-closed
 	})
 }
 
-// Peers that are dead don't hold up a stop for long, and what is beyond the stop's window is
-// cut.
+// Dead peers must not delay a stop for long, and streams that outlast the drain
+// timeout are cut.
 func TestACloseAfterAGoAwayIsBounded(t *testing.T) {
-	for name, takes := range map[string]time.Duration{"nothing under way": 0, "a stream under way": time.Hour} {
+	for name, delay := range map[string]time.Duration{"nothing under way": 0, "a stream under way": time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				server, raw := goingServer(t, &waitHandler{takes: takes})
+				server, raw := newServerWithRawPeer(t, &waitHandler{delay: delay})
 				raw.greet(Hello{Host: "dead", KeepAlive: true, GoAway: true})
 				dialRaw(t, server).greet(Hello{Host: "dead too", KeepAlive: true, GoAway: true})
-				if takes > 0 {
+				if delay > 0 {
 					raw.write(&frame{Type: frameOpen, ID: 1, Kind: KindForward})
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
@@ -294,7 +302,7 @@
 				began := time.Now()
 				server.GoAway(ctx)
 				server.Close()
-				require.LessOrEqual(t, time.Since(began), leaveTimeout+100*time.Millisecond)
+				require.LessOrEqual(t, time.Since(began), disconnectTimeout+100*time.Millisecond)
 			})
 		})
 	}
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -11,32 +11,35 @@
 const (
 	// protocolVersion must be the same at both ends of a connection.
 	protocolVersion = "cairndock/1"
-	// handshakeTimeout bounds the exchange of Hellos.
+	// handshakeTimeout limits the exchange of Hellos.
 	handshakeTimeout = 3 * time.Second
 )
 
-// Hello is the first message in each direction of a connection: who sends it.
+// Hello is the first message in each direction of a connection. It identifies
+// the sender.
 type Hello struct {
 	// Version is set by this package.
 	Version     string `msgpack:"v"`
 	Host        string `msgpack:"h"`
 	Zone        string `msgpack:"z"`
 	Incarnation string `msgpack:"i"`
-	// KeepAlive says that the sender answers pings. It is set by this package;
-	// hosts of an older version do not know it.
+	// KeepAlive reports whether the sender responds to pings. This package sets
+	// it. Hosts of an older version do not send it.
 	KeepAlive bool `msgpack:"k,omitempty"`
-	// GoAway says that the sender may be told to open no more streams. It is set
-	// and known as KeepAlive is.
+	// GoAway reports whether the sender understands a go-away frame. This
+	// package sets it. Hosts of an older version do not send it.
 	GoAway bool `msgpack:"g,omitempty"`
 }
 
-// handshake exchanges Hellos and sets c.remote. Its own is sent while it reads
-// the peer's, as both ends send first and a write may block until it is read.
+// handshake exchanges Hellos and sets c.remote. It sends its own Hello while it
+// reads that of the peer, because both ends send first and a write may block
+// until the peer reads.
 func (c *conn) handshake(ctx context.Context, self Hello, reader *bufio.Reader) error {
 	if err := c.net.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return err
 	}
-	// The request that waits for the connection may have less time.
+	// The request that waits for the connection may have less time than the
+	// handshake.
 	stop := context.AfterFunc(ctx, func() { _ = c.net.Close() })
 	defer stop()
 	self.Version, self.KeepAlive, self.GoAway = protocolVersion, true, true
@@ -54,13 +57,13 @@
 		return err
 	}
 	if f.Type != frameHello {
-		return eris.Wrap(errFrame, "no hello")
+		return eris.Wrap(errInvalidFrame, "no hello")
 	}
 	if c.remote, err = Decode[Hello](f.Data); err != nil {
 		return err
 	}
 	if c.remote.Version != protocolVersion {
-		return eris.Wrapf(errFrame, "version %q", c.remote.Version)
+		return eris.Wrapf(errInvalidFrame, "version %q", c.remote.Version)
 	}
 	if !stop() { // the connection is being closed
 		return context.Cause(ctx)
--- a/internal/peer/keepalive.go
+++ b/internal/peer/keepalive.go
@@ -8,45 +8,52 @@
 	"github.com/rotisserie/eris"
 )
 
-// A connection may go silent for good without a reset, while new ones work. TCP
-// does not show it where a middle box acknowledges, nor where the peer's process
-// is stuck. So the end that dialed sends pings, which the peer answers at once; it
-// leaves a connection on which it hears nothing, and each end closes it later. Only the dialing
-// end opens streams, and it pings as long as one is open: a peer or body that
-// takes long is not silent.
+// A connection may go silent permanently without a reset, while new connections
+// to the same peer work. TCP does not detect this if a middlebox acknowledges
+// the segments or if the process of the peer is stuck. The dialing end
+// therefore sends pings, to which the peer responds at once. If nothing is
+// received, the dialing end first stops using the connection for new requests,
+// and each end closes it later. Only the dialing end opens streams, and it
+// pings as long as a stream is open, so a peer or body that takes long does not
+// count as silent.
 const (
-	// pingEvery is the time between two pings while a stream is open.
-	pingEvery = 500 * time.Millisecond
-	// maxUnanswered is how many pings in a row may bring nothing in pingEvery
-	// before new requests use another connection. Counted, not timed, as a host
-	// that was paused must not take its own pause for the peer's silence.
-	maxUnanswered = 4
-	// maxSilent is how many it may be, 10 s, before the streams that are open end
-	// too: a peer that was paused for some seconds still answers them.
-	maxSilent = 20
-	// silenceTimeout is what the two make from the opening of a stream on, which
-	// is pingEvery before the first ping. After as long a silence, 2.5 s, a
-	// gateway's peer counts as dead, too. It is also the time in which a peer
-	// must take a part of a frame.
-	silenceTimeout = (1 + maxUnanswered) * pingEvery
-	// idlePingEvery is the time between two pings without a stream, so that a
-	// silent connection is mostly found before a request needs it.
-	idlePingEvery = 15 * time.Second
-	// acceptedCheckEvery is how often the accepting end looks whether something
-	// came: the end that waits for a response finds a silence sooner.
-	acceptedCheckEvery = 2500 * time.Millisecond
-	// servingTimeout is how long nothing may come while a stream is served: ten
-	// pings, so that a slow opener is not cut off.
-	servingTimeout = 2 * acceptedCheckEvery
-	// acceptedTimeout is how long nothing may come at all: three pings of
-	// idlePingEvery.
-	acceptedTimeout = 18 * acceptedCheckEvery
+	// pingInterval is the interval between pings while a stream is open.
+	pingInterval = 500 * time.Millisecond
+	// retireThreshold is the number of consecutive pings without any bytes
+	// received within pingInterval after which new requests use another
+	// connection. Pings are counted instead of measuring time, because a host
+	// that was paused must not mistake its own pause for silence of the peer.
+	retireThreshold = 4
+	// closeThreshold is the number of such pings (10 s) after which the
+	// connection is closed and its open streams end. It is higher than
+	// retireThreshold because a peer that was paused for some seconds still
+	// responds to these streams.
+	closeThreshold = 20
+	// silenceTimeout is the time from the opening of a stream until the
+	// connection is retired. The first ping is sent one pingInterval after the
+	// opening. A gateway also considers a peer dead after the same time without
+	// a message, 2.5 s. It is also the write timeout for each chunk of a frame.
+	silenceTimeout = (1 + retireThreshold) * pingInterval
+	// idlePingInterval is the interval between pings without an open stream, so
+	// that a silent connection is usually detected before a request needs it.
+	idlePingInterval = 15 * time.Second
+	// acceptedCheckInterval is the interval at which the accepting end checks
+	// whether bytes were received. It is longer than pingInterval because the
+	// end that waits for a response detects silence sooner.
+	acceptedCheckInterval = 2500 * time.Millisecond
+	// servingTimeout is the maximum time without received bytes while a stream
+	// is served. It is ten ping intervals, so that a slow opener is not cut
+	// off.
+	servingTimeout = 2 * acceptedCheckInterval
+	// acceptedTimeout is the maximum time without received bytes while no
+	// stream is served. It is three times idlePingInterval.
+	acceptedTimeout = 18 * acceptedCheckInterval
 )
 
-// errSilent reports that nothing came on a connection for too long.
-var errSilent = eris.New("connection is silent")
+// errSilent reports that nothing was received on a connection for too long.
+var errSilent = eris.New("no bytes received within the keep-alive timeout")
 
-// role is which end of a connection this host is.
+// role tells which end of a connection this host is.
 type role uint8
 
 const (
@@ -54,43 +61,44 @@
 	accepted
 )
 
-// keepAlive finds out that a connection is silent.
+// keepAlive detects that a connection is silent.
 type keepAlive struct {
 	role role
-	// heard is set when bytes came, and cleared by each check.
-	heard atomic.Bool
+	// received is set when bytes were received and cleared by each check.
+	received atomic.Bool
 
-	// conn.mu guards what follows.
+	// conn.mu guards the fields below.
 
-	// timer runs conn.checkSilence; nil for a peer without keep-alive.
+	// timer runs conn.checkSilence. It is nil if the peer does not support
+	// keep-alive.
 	timer *time.Timer
-	// frequent is set while the dialing end checks each pingEvery.
+	// frequent is set while the dialing end checks once per pingInterval.
 	frequent bool
-	// missed is how many checks in a row heard nothing, at the dialing end only
-	// such as had a ping to be answered.
+	// missed is the number of consecutive checks without received bytes. At the
+	// dialing end, only checks after a completed ping are counted.
 	missed int
-	// pinging is set while a ping is being written, and pinged when one was since
-	// the last check. One that waits behind another frame is no silence: that
-	// write has its own bound.
+	// pinging is set while a ping is being written, and pinged when a ping was
+	// written since the last check. A ping that waits behind another frame does
+	// not count as silence, because that write has its own timeout.
 	pinging, pinged bool
 }
 
-// listener reads from a connection and notes that something came.
-type listener struct {
+// activityReader reads from a connection and records that bytes were received.
+type activityReader struct {
 	io.Reader
-	heard *atomic.Bool
+	received *atomic.Bool
 }
 
 // Read implements io.Reader.
-func (l listener) Read(p []byte) (int, error) {
-	n, err := l.Reader.Read(p)
+func (r activityReader) Read(p []byte) (int, error) {
+	n, err := r.Reader.Read(p)
 	if n > 0 {
-		l.heard.Store(true)
+		r.received.Store(true)
 	}
 	return n, err
 }
 
-// startKeepAlive begins the checks once the peer is known to answer pings.
+// startKeepAlive starts the checks if the peer supports keep-alive.
 func (c *conn) startKeepAlive() {
 	if !c.remote.KeepAlive {
 		return
@@ -100,39 +108,41 @@
 	if c.failed != nil {
 		return
 	}
-	every := idlePingEvery
+	interval := idlePingInterval
 	if c.keepAlive.role == accepted {
-		every = acceptedCheckEvery
+		interval = acceptedCheckInterval
 	}
-	c.keepAlive.timer = time.AfterFunc(every, c.checkSilence)
+	c.keepAlive.timer = time.AfterFunc(interval, c.checkSilence)
 }
 
-// expectFrames makes the checks frequent as a stream is opened; c.mu is held.
-func (c *conn) expectFrames() {
+// startFrequentChecks switches to checks at pingInterval when a stream is
+// opened; c.mu is held.
+func (c *conn) startFrequentChecks() {
 	k := &c.keepAlive
 	if k.timer == nil || k.frequent {
 		return
 	}
 	k.frequent = true
-	k.heard.Store(false)
-	k.timer.Reset(pingEvery)
+	k.received.Store(false)
+	k.timer.Reset(pingInterval)
 }
 
-// expectNothing ends the frequent checks when the last stream has ended, if the
-// peer was heard since the last of them; c.mu is held. Otherwise they go on until
-// it is known whether the connection works, however short its streams are.
-func (c *conn) expectNothing() {
+// stopFrequentChecks ends the frequent checks after the last stream has ended
+// if bytes were received since the last check; c.mu is held. Otherwise the
+// checks continue until it is known whether the connection works, even if its
+// streams are very short.
+func (c *conn) stopFrequentChecks() {
 	k := &c.keepAlive
-	if !k.frequent || len(c.streams) > 0 || !k.heard.Load() {
+	if !k.frequent || len(c.streams) > 0 || !k.received.Load() {
 		return
 	}
 	k.frequent = false
 	k.missed = 0
-	k.timer.Reset(idlePingEvery)
+	k.timer.Reset(idlePingInterval)
 }
 
-// checkSilence counts a check without a byte, and closes the connection when
-// there were too many.
+// checkSilence counts the checks without received bytes, and retires or closes
+// the connection when there were too many.
 func (c *conn) checkSilence() {
 	c.mu.Lock()
 	if c.failed != nil {
@@ -140,9 +150,9 @@
 		return
 	}
 	k := &c.keepAlive
-	heard := k.heard.Swap(false)
+	received := k.received.Swap(false)
 	switch {
-	case heard:
+	case received:
 		k.missed = 0
 	case k.pinged || k.role == accepted:
 		k.missed++
@@ -153,7 +163,7 @@
 		c.fail(errSilent)
 		return
 	}
-	if k.role == dialed && k.missed >= maxUnanswered {
+	if k.role == dialed && k.missed >= retireThreshold {
 		c.retired = true
 		c.closeIfUnused()
 	}
@@ -161,64 +171,65 @@
 		c.mu.Unlock()
 		return
 	}
-	ping := c.scheduleCheck(heard)
+	ping := c.scheduleCheck(received)
 	c.mu.Unlock()
 	if ping {
 		c.ping()
 	}
 }
 
-// maxMissed is how many checks in a row may hear nothing; c.mu is held.
+// maxMissed returns the number of consecutive checks without received bytes
+// after which the connection is closed; c.mu is held.
 func (c *conn) maxMissed() int {
 	switch {
 	case c.keepAlive.role == dialed:
-		return maxSilent
+		return closeThreshold
 	case len(c.serving) > 0:
-		return int(servingTimeout / acceptedCheckEvery)
+		return int(servingTimeout / acceptedCheckInterval)
 	default:
-		return int(acceptedTimeout / acceptedCheckEvery)
+		return int(acceptedTimeout / acceptedCheckInterval)
 	}
 }
 
-// scheduleCheck sets the timer for the next check and reports whether to ping;
-// c.mu is held. A ping without a stream makes the checks frequent until something
-// is heard.
-func (c *conn) scheduleCheck(heard bool) (ping bool) {
+// scheduleCheck sets the timer for the next check and reports whether to send a
+// ping; c.mu is held. A ping without an open stream makes the checks frequent
+// until bytes are received.
+func (c *conn) scheduleCheck(received bool) (ping bool) {
 	k := &c.keepAlive
 	if k.role == accepted {
-		k.timer.Reset(acceptedCheckEvery)
+		k.timer.Reset(acceptedCheckInterval)
 		return false
 	}
-	if k.frequent && len(c.streams) == 0 && heard {
+	if k.frequent && len(c.streams) == 0 && received {
 		k.frequent = false
-		k.timer.Reset(idlePingEvery)
+		k.timer.Reset(idlePingInterval)
 		return false
 	}
 	k.frequent = true
-	k.timer.Reset(pingEvery)
+	k.timer.Reset(pingInterval)
 	if k.pinging {
 		return false
 	}
 	k.pinging = true
-	c.wg.Add(1) // the read loop still runs, as the connection has not failed
+	c.wg.Add(1) // the read loop still runs, because the connection has not failed
 	return true
 }
 
-// ping sends a ping, for which scheduleCheck has set pinging and added to wg.
+// ping sends a ping. scheduleCheck has set pinging and added to wg for it.
 func (c *conn) ping() {
 	defer c.wg.Done()
-	// The error is dropped: the connection is then broken, which the read loop
-	// notices.
+	// An error is ignored, because the connection is then broken, which the
+	// read loop detects.
 	_ = c.write(&frame{Type: framePing})
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.keepAlive.pinging, c.keepAlive.pinged = false, true
 }
 
-// pong answers a ping without holding up the read loop, which calls it.
+// pong responds to a ping without blocking the read loop that calls it.
 func (c *conn) pong() {
 	c.wg.Go(func() {
-		// The error is dropped as in ping.
+		// An error is ignored for the same reason as in ping.
 		_ = c.write(&frame{Type: framePong})
 	})
 }
--- a/internal/peer/largeframe_test.go
+++ b/internal/peer/largeframe_test.go
@@ -12,8 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A request with little time waited behind another's large frame, of which the
-// peer took a part in each of its time-outs: its cancel had to be written too.
+// A request with little time left waited behind a large frame of another
+// request. The peer read a chunk of that frame within each write timeout, and
+// the cancel of the request had to wait for the frame too.
 func TestARequestBehindALargeFrameEndsInItsOwnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		here, there := net.Pipe()
@@ -27,7 +28,7 @@
 			r := bufio.NewReaderSize(there, 16)
 			_, _ = readFrame(r)
 			_, _ = readFrame(r)
-			go func() { // answers pings in effect: something comes all the time
+			go func() { // bytes arrive continuously, as if pings were answered
 				for writeRaw(there, &frame{Type: framePong}) == nil {
 					time.Sleep(500 * time.Millisecond)
 				}
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -14,23 +14,24 @@
 )
 
 const (
-	// dialTimeout bounds the making of a connection.
+	// dialTimeout limits the time to establish a connection, including the
+	// handshake.
 	dialTimeout = 2 * time.Second
-	// redialPause is the time after a failed dial in which requests to the peer
-	// fail at once.
-	redialPause = 500 * time.Millisecond
+	// redialDelay is the time after a failed dial during which requests to the
+	// peer fail immediately.
+	redialDelay = 500 * time.Millisecond
 )
 
-// Transport makes and accepts network connections: TCP, with mutual TLS where
-// the settings ask for it, or a fake.
+// Transport makes and accepts network connections. Implementations use plain
+// TCP, mutual TLS if the settings require it, or an in-memory network in tests.
 type Transport interface {
 	Dial(ctx context.Context, addr string) (net.Conn, error)
 	Listen(addr string) (net.Listener, error)
 }
 
-// Mesh is a host's connections to its peers: one for each address that requests
-// are sent to, and those that peers have made. Its methods may be used
-// concurrently.
+// Mesh manages the connections of a host to its peers: one connection for each
+// address that requests are sent to, and the connections that peers have made.
+// Its methods are safe for concurrent use.
 type Mesh struct {
 	self      Hello
 	transport Transport
@@ -39,36 +40,39 @@
 	mu       sync.Mutex
 	dialed   map[string]*dialedPeer
 	accepted map[*conn]struct{}
-	// retired are connections that were dialed, and serve the last of their
-	// streams beside the one that is in dialed.
+	// retired are dialed connections that were replaced in the dialed map and
+	// still serve their open streams.
 	retired map[*conn]struct{}
-	// goingAway is set when no more streams of peers are taken.
+	// goingAway is set when streams opened by peers are no longer accepted.
 	goingAway bool
 	closed    bool
 	listener  net.Listener
 	wg        sync.WaitGroup
 }
 
-// dialedPeer is the connection to one address.
+// dialedPeer holds the connection to one address.
 type dialedPeer struct {
 	conn atomic.Pointer[conn]
-	// dialing holds the token of the one caller that dials. It guards what
-	// follows. A channel, since waiting for it ends with the caller's context.
-	dialing chan struct{}
-	// failure is why the last dial failed, or empty, and failedAt when. It is
-	// not the error itself: wrapping an error of package eris changes it, and
-	// each caller gets one of its own.
+	// dialToken holds the token of the only goroutine that may dial. It guards
+	// failure and failedAt. It is a channel, so that waiting for it can end
+	// with the context of the request.
+	dialToken chan struct{}
+	// failure is the message of the last dial error, or empty, and failedAt is
+	// the time of that error. The error itself is not kept, because wrapping an
+	// error of package eris modifies it. Each request therefore gets an error
+	// of its own.
 	failure  string
 	failedAt time.Time
 }
 
 // NewMesh returns a mesh that identifies itself as self. The handler serves the
-// streams of peers.
+// streams that peers open.
 func NewMesh(self Hello, t Transport, h Handler) *Mesh {
 	return &Mesh{self: self, transport: t, handler: h, dialed: map[string]*dialedPeer{}, accepted: map[*conn]struct{}{}, retired: map[*conn]struct{}{}}
 }
 
-// Listen accepts connections at an address, and returns the address in use.
+// Listen starts to accept connections at an address and returns the actual
+// address.
 func (m *Mesh) Listen(addr string) (string, error) {
 	l, err := m.transport.Listen(addr)
 	if err != nil {
@@ -94,11 +98,11 @@
 }
 
 // serveConn serves an accepted connection until it breaks. A failed handshake
-// is not logged: whoever connected notices it.
+// is not logged, because the peer that connected reports it.
 func (m *Mesh) serveConn(nc net.Conn) {
 	defer m.wg.Done()
 	ctx := context.Background()
-	c, reader, err := greet(ctx, nc, m.self, m.handler, accepted)
+	c, reader, err := establish(ctx, nc, m.self, m.handler, accepted)
 	if err != nil {
 		return
 	}
@@ -112,7 +116,7 @@
 	if m.goingAway {
 		c.goAway()
 	}
-	c.begin(ctx, reader) // nothing is read that goAway has not seen
+	c.startReading(ctx, reader) // after goAway, so that no stream is read before the peer is refused
 	m.mu.Unlock()
 	<-c.closed
 	c.wg.Wait()
@@ -122,7 +126,7 @@
 }
 
 // Open opens a stream to a peer and waits for its response. The error is
-// ErrNotSent if the request did not run. The stream must be closed.
+// ErrNotSent if the request did not run. The caller must close the stream.
 func (m *Mesh) Open(ctx context.Context, addr string, kind Kind, payload []byte) (*Stream, error) {
 	c, err := m.connect(ctx, addr)
 	if err != nil {
@@ -132,16 +136,16 @@
 	if err == nil || !errors.Is(err, ErrNotSent) || c.usable() {
 		return s, err
 	}
-	// The connection was closed between the two calls, perhaps for another
-	// request's sake, or the peer goes away. Nothing ran, so another connection
-	// may carry the request.
+	// The connection was closed between the two calls, possibly because of
+	// another request, or the peer sent a go-away. The request did not run, so
+	// it may be sent on another connection.
 	if c, err = m.connect(ctx, addr); err != nil {
 		return nil, err
 	}
 	return c.open(ctx, kind, payload)
 }
 
-// connect returns the connection to a peer, and makes it if there is none. The
+// connect returns the connection to a peer and dials if there is none. The
 // error is always ErrNotSent.
 func (m *Mesh) connect(ctx context.Context, addr string) (*conn, error) {
 	m.mu.Lock()
@@ -151,7 +155,7 @@
 	}
 	p := m.dialed[addr]
 	if p == nil {
-		p = &dialedPeer{dialing: make(chan struct{}, 1)}
+		p = &dialedPeer{dialToken: make(chan struct{}, 1)}
 		m.dialed[addr] = p
 	}
 	m.mu.Unlock()
@@ -159,26 +163,27 @@
 }
 
 func (p *dialedPeer) connect(ctx context.Context, m *Mesh, addr string) (*conn, error) {
-	if c := p.working(); c != nil {
+	if c := p.usableConn(); c != nil {
 		return c, nil
 	}
 	select {
-	case p.dialing <- struct{}{}:
-		defer func() { <-p.dialing }()
+	case p.dialToken <- struct{}{}:
+		defer func() { <-p.dialToken }()
 	case <-ctx.Done():
 		return nil, ErrNotSent
 	}
-	if c := p.working(); c != nil { // another caller has dialed meanwhile
+	if c := p.usableConn(); c != nil { // another goroutine dialed in the meantime
 		return c, nil
 	}
-	if p.failure != "" && time.Since(p.failedAt) < redialPause {
+	if p.failure != "" && time.Since(p.failedAt) < redialDelay {
 		return nil, eris.Wrap(ErrNotSent, p.failure)
 	}
 	began := time.Now()
 	c, err := m.dial(ctx, addr)
 	if err != nil {
-		// A caller with little time left says nothing of the peer.
-		if ctx.Err() == nil || time.Since(began) >= redialPause {
+		// If the context ended early, a failed dial does not show that the peer
+		// is unreachable.
+		if ctx.Err() == nil || time.Since(began) >= redialDelay {
 			p.failure, p.failedAt = err.Error(), time.Now()
 		}
 		return nil, eris.Wrap(ErrNotSent, err.Error())
@@ -190,7 +195,7 @@
 	return c, nil
 }
 
-// retire keeps a connection that was replaced until it breaks.
+// retire keeps a replaced connection until its streams end or it breaks.
 func (m *Mesh) retire(c *conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -208,8 +213,9 @@
 	c.retire()
 }
 
-// working returns the connection if there is one that new requests may use.
-func (p *dialedPeer) working() *conn {
+// usableConn returns the connection if new requests may use it, and nil
+// otherwise.
+func (p *dialedPeer) usableConn() *conn {
 	if c := p.conn.Load(); c != nil && c.usable() {
 		return c
 	}
@@ -236,9 +242,9 @@
 	return c, nil
 }
 
-// Drop gives up the connection to a peer that no longer responds. The next
-// request makes a new one. Open streams of other requests keep the old one until
-// they end, or it breaks or is found to be silent.
+// Drop retires the connection to a peer that no longer responds. The next
+// request makes a new connection. Streams of other requests continue on the old
+// connection until they end, or until it breaks or is found to be silent.
 func (m *Mesh) Drop(addr string) {
 	m.mu.Lock()
 	p := m.dialed[addr]
@@ -251,8 +257,9 @@
 	}
 }
 
-// Close breaks all connections and waits for the handlers. No connection is made
-// or accepted after it. After GoAway it first gives peers time to leave.
+// Close closes all connections and waits for the handlers. No connection is
+// made or accepted afterwards. After GoAway, it first gives peers time to close
+// their connections.
 func (m *Mesh) Close() {
 	m.mu.Lock()
 	m.closed = true
@@ -261,7 +268,7 @@
 	conns = slices.AppendSeq(conns, maps.Keys(m.retired))
 	dialed := slices.Collect(maps.Values(m.dialed))
 	m.mu.Unlock()
-	awaitLeave(conns)
+	awaitDisconnect(conns)
 	for _, p := range dialed {
 		if c := p.conn.Load(); c != nil {
 			conns = append(conns, c)
@@ -273,12 +280,12 @@
 	m.wg.Wait()
 }
 
-// closeListener accepts no more connections; m.mu is held. A peer that dials is
-// refused, which proves that its request did not run.
+// closeListener closes the listener; m.mu is held. A peer that dials afterwards
+// is refused, which proves that its request did not run.
 func (m *Mesh) closeListener() {
 	if m.listener == nil {
 		return
 	}
-	_ = m.listener.Close() // an error means that it is closed
+	_ = m.listener.Close() // an error means that it is already closed
 	m.listener = nil
 }
--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -17,8 +17,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// echoHandler responds with the payload and then a body of the same. A
-// KindConfirm it holds until it is cancelled.
+// echoHandler responds with the payload, followed by a body with the same
+// bytes. It blocks on a KindConfirm until the stream is cancelled.
 type echoHandler struct{ cancelled chan struct{} }
 
 func (h echoHandler) ServePeer(ctx context.Context, _ Hello, kind Kind, payload []byte, w *Responder) {
@@ -41,7 +41,8 @@
 
 func (tcpTransport) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
 
-// connectedMeshes returns a client and the address of a server with a handler.
+// connectedMeshes returns a client mesh and the address of a server mesh with a
+// handler.
 func connectedMeshes(t *testing.T, h Handler) (*Mesh, string) {
 	server := NewMesh(Hello{Host: "server"}, tcpTransport{}, h)
 	addr, err := server.Listen("127.0.0.1:0")
@@ -78,7 +79,7 @@
 	}
 }
 
-func TestTheHandlerIsCancelledWhenTheOpenerGivesUp(t *testing.T) {
+func TestTheHandlerIsCanceledWhenTheOpenerTimesOut(t *testing.T) {
 	h := echoHandler{cancelled: make(chan struct{})}
 	client, addr := connectedMeshes(t, h)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
@@ -88,8 +89,8 @@
 	<-h.cancelled
 }
 
-// overfillHandler writes two windows of body, of which the second must wait for
-// credit, and gives the error of that.
+// overfillHandler writes two windows of body, the second of which must wait for
+// credit, and sends the error of the second write to second.
 type overfillHandler struct{ second chan error }
 
 func (h overfillHandler) ServePeer(_ context.Context, _ Hello, _ Kind, _ []byte, w *Responder) {
@@ -126,9 +127,10 @@
 	require.ErrorIs(t, err, ErrNotSent)
 }
 
-// A gateway's two watchers ask the same peer side by side, which can't be
-// reached, and wrap the error that they get. Both got the same one, which
-// package eris changes when it is wrapped: the race detector ended a host.
+// Two watchers of a gateway query the same unreachable peer concurrently and
+// wrap the errors that they get. When both got the same error value, the race
+// detector terminated the host, because wrapping an error of package eris
+// modifies it.
 func TestCallersOfAPeerThatCantBeReachedGetErrorsOfTheirOwn(t *testing.T) {
 	client, _ := connectedMeshes(t, echoHandler{})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/peer/paused_test.go
+++ b/internal/peer/paused_test.go
@@ -11,7 +11,7 @@
 )
 
 // pausedTransport accepts connections whose reads return late while the process
-// is paused; the kernel takes what arrives.
+// is paused. The kernel buffers the bytes that arrive.
 type pausedTransport struct {
 	Transport
 	until *atomic.Int64
@@ -54,12 +54,12 @@
 func (h pausedHandler) ServePeer(_ context.Context, _ Hello, _ Kind, _ []byte, w *Responder) {
 	time.Sleep(300 * time.Millisecond)
 	waitUntil(h.until)
-	_ = w.Send("done") // the peer sees the loss itself
+	_ = w.Send("done") // the peer detects a lost response
 }
 
-// A peer that is paused for some seconds answers what it was sent before. Silence
-// for 2.5 s ended the request, which may not be sent again, though its response
-// came soon after.
+// A peer that is paused for some seconds must still respond to earlier
+// requests. A silence of 2.5 s used to end such a request, which may not be
+// sent again, although its response arrived soon after.
 func TestAPeerThatWasPausedAnswersWhatItWasSent(t *testing.T) {
 	var until atomic.Int64
 	tcp := TCP((&net.Dialer{}).DialContext)
--- a/internal/peer/readloop.go
+++ b/internal/peer/readloop.go
@@ -9,10 +9,11 @@
 
 // Handler serves the streams that peers open.
 type Handler interface {
-	// ServePeer serves one stream, concurrently with others. It sends one
-	// response at most and ends the stream by Responder.End, Send or Fail; if it
-	// returns without, the peer waits until its own time is up. The context ends
-	// when the peer cancels the stream or the connection breaks.
+	// ServePeer serves one stream, concurrently with others. It sends at most
+	// one response and ends the stream with Responder.End, Send or Fail. If it
+	// returns without ending the stream, the opener waits until its own
+	// timeout. The context ends when the peer cancels the stream or the
+	// connection breaks.
 	ServePeer(ctx context.Context, from Hello, kind Kind, payload []byte, w *Responder)
 }
 
@@ -31,8 +32,8 @@
 	}
 }
 
-// receive passes a frame to its stream. A frame of a stream that has ended here
-// came late and is dropped.
+// receive dispatches a frame to its stream. A frame for a stream that has
+// already ended at this end is ignored.
 func (c *conn) receive(ctx context.Context, f frame) error {
 	switch f.Type {
 	case frameOpen:
@@ -53,21 +54,22 @@
 		}
 	case framePing:
 		c.pong()
-	case framePong: // that it came was noted
+	case framePong: // activityReader has recorded it
 	case frameGoAway:
 		if c.keepAlive.role != dialed {
-			return eris.Wrap(errFrame, "go-away from the end that dialed")
+			return eris.Wrap(errInvalidFrame, "go-away frame from the dialing end")
 		}
-		c.peerGoesAway(f.ID)
+		c.handleGoAway(f.ID)
 	default:
-		return eris.Wrapf(errFrame, "type %d out of place", f.Type)
+		return eris.Wrapf(errInvalidFrame, "unexpected frame type %d", f.Type)
 	}
 	return nil
 }
 
-// serve starts the handler for a stream that the peer opened. An ID that is not
-// above all earlier ones is of a repeated frame, which is dropped. So is one that
-// comes after goAway, which says so to the peer.
+// serve starts the handler for a stream that the peer opened. An open frame
+// whose ID is not above all earlier IDs is a repetition and is ignored. An open
+// frame after goAway is ignored too, because the peer learns from the go-away
+// frame that the stream did not run.
 func (c *conn) serve(ctx context.Context, f frame) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/peer/responder.go
+++ b/internal/peer/responder.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Responder responds to one stream that a peer opened.
+// Responder sends the response to a stream that a peer opened.
 type Responder struct {
 	conn   *conn
 	id     uint64
@@ -14,9 +14,9 @@
 
 	mu    sync.Mutex
 	ready sync.Cond
-	// credit is how many bytes of body the peer takes now.
+	// credit is the number of body bytes that the peer currently accepts.
 	credit int64
-	// sent is how many bytes of body were sent.
+	// sent is the number of body bytes that were sent.
 	sent int64
 }
 
@@ -27,7 +27,8 @@
 	return r
 }
 
-// receive takes one frame of the peer. Write notices a cancel by the context.
+// receive processes a cancel or credit frame from the peer. A cancel ends the
+// context, which Write observes.
 func (r *Responder) receive(f frame) {
 	if f.Type == frameCancel {
 		r.cancel()
@@ -39,14 +40,14 @@
 	r.ready.Broadcast()
 }
 
-// Reply sends the stream's response, after which a body may follow.
+// Reply sends the response of the stream. A body may follow.
 func (r *Responder) Reply(payload []byte) error {
 	return r.conn.write(&frame{Type: frameReply, ID: r.id, Data: payload})
 }
 
 // Send encodes a message, sends it as the response and ends the stream. The
-// error is ErrNotSent if the message is larger than a frame; the peer then gets
-// no response.
+// error is ErrNotSent if the message exceeds the maximum frame size; the peer
+// then gets no response.
 func (r *Responder) Send(v any) error {
 	payload, err := Encode(v)
 	if err != nil {
@@ -58,8 +59,8 @@
 	return r.End()
 }
 
-// Write sends a part of the body once the peer's window has room for it. It
-// fails when the stream's context ends.
+// Write sends a chunk of the body as soon as the flow-control window of the
+// peer permits it. It fails when the context of the stream ends.
 func (r *Responder) Write(p []byte) (int, error) {
 	stop := context.AfterFunc(r.ctx, func() {
 		r.mu.Lock()
@@ -77,7 +78,8 @@
 	return len(p), nil
 }
 
-// reserve waits for credit for a part of the body and returns its offset.
+// reserve waits for enough credit for a chunk of the body and returns the
+// offset of the chunk.
 func (r *Responder) reserve(size int64) (offset int64, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -93,7 +95,7 @@
 	return offset, nil
 }
 
-// End ends the stream and marks its body as whole.
+// End ends the stream and marks its body as complete.
 func (r *Responder) End() error {
 	r.mu.Lock()
 	total := r.sent
@@ -101,8 +103,8 @@
 	return r.conn.write(&frame{Type: frameEnd, ID: r.id, Offset: total})
 }
 
-// Fail ends the stream without a response or with an incomplete body. The
-// peer's Open or Read returns an error.
+// Fail ends the stream without a response or with an incomplete body. Open or
+// Read at the peer returns an error.
 func (r *Responder) Fail() error {
 	return r.conn.write(&frame{Type: frameFail, ID: r.id})
 }
--- a/internal/peer/silence_test.go
+++ b/internal/peer/silence_test.go
@@ -14,7 +14,7 @@
 	"cairndock/internal/gateway/dial/dialtest"
 )
 
-// memoryTransport is a Transport on a network in memory.
+// memoryTransport is a Transport on an in-memory network.
 type memoryTransport struct{ *dialtest.Network }
 
 func (t memoryTransport) Dial(ctx context.Context, addr string) (net.Conn, error) {
@@ -23,7 +23,8 @@
 
 func (t memoryTransport) Listen(string) (net.Listener, error) { return t.Network, nil }
 
-// memoryMeshes returns a network and a client on it of a server with a handler.
+// memoryMeshes returns an in-memory network and a client mesh. A server mesh
+// with the handler listens on the network.
 func memoryMeshes(t *testing.T, h Handler) (*dialtest.Network, *Mesh) {
 	n := dialtest.New()
 	server := NewMesh(Hello{Host: "server"}, memoryTransport{n}, h)
@@ -37,9 +38,9 @@
 	return n, client
 }
 
-// waitHandler responds after a time, and counts the streams that it serves.
+// waitHandler responds after a delay and counts the streams being served.
 type waitHandler struct {
-	takes   time.Duration
+	delay   time.Duration
 	serving atomic.Int64
 }
 
@@ -48,15 +49,15 @@
 	defer h.serving.Add(-1)
 	select {
 	case <-ctx.Done():
-	case <-time.After(h.takes):
-		_ = w.Send("done") // the peer sees the loss itself
+	case <-time.After(h.delay):
+		_ = w.Send("done") // the peer detects a lost response
 	}
 }
 
-// Open connections go silent for good while new ones work. Only a failed
-// heartbeat dropped a connection, and a host that gets its peer's heartbeats
-// sends none: its polls of that relay timed out on one silent connection for
-// ever.
+// Open connections go silent permanently while new ones work. Only a failed
+// heartbeat dropped a connection, and a host that receives the heartbeats of
+// its peer sends none. Its polls of that relay therefore timed out on one
+// silent connection indefinitely.
 func TestASilentConnectionToAPeerIsReplaced(t *testing.T) {
 	for _, timeout := range []time.Duration{300 * time.Millisecond, 700 * time.Millisecond, 1400 * time.Millisecond} {
 		t.Run(timeout.String(), func(t *testing.T) {
@@ -76,8 +77,8 @@
 					time.Sleep(100 * time.Millisecond)
 				}
 				dialed, _ := n.Silent()
-				t.Logf("%d polls lost, %v until one was answered, %d silent connections left", lost, time.Since(began), dialed)
-				// A poll that is waiting then has its own time.
+				t.Logf("%d polls lost, %v until a response, %d silent connections left", lost, time.Since(began), dialed)
+				// A poll that is waiting at that time ends at its own timeout.
 				require.LessOrEqual(t, time.Since(began), silenceTimeout+timeout)
 				require.Zero(t, dialed)
 			})
@@ -85,10 +86,10 @@
 	}
 }
 
-// A caller without a deadline waited for ever, for the response or for the rest
-// of a body.
+// A request without a deadline used to wait indefinitely for the response or
+// for the rest of a body.
 func TestASilentStreamEnds(t *testing.T) {
-	for name, h := range map[string]Handler{"response": &waitHandler{takes: time.Hour}, "body": overfillHandler{second: make(chan error, 1)}} {
+	for name, h := range map[string]Handler{"response": &waitHandler{delay: time.Hour}, "body": overfillHandler{second: make(chan error, 1)}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n, client := memoryMeshes(t, h)
@@ -108,26 +109,27 @@
 				select {
 				case err := <-ended:
 					require.ErrorIs(t, err, ErrLost)
-					require.LessOrEqual(t, time.Since(began), (maxSilent+2)*pingEvery)
+					require.LessOrEqual(t, time.Since(began), (closeThreshold+2)*pingInterval)
 				case <-time.After(time.Minute):
-					t.Error("the stream waits for ever")
+					t.Error("the stream never ends")
 				}
 			})
 		})
 	}
 }
 
-// The end that serves a stream holds a handler for it. It kept handler and
-// connection for ever when the peer had gone without a sign.
+// The end that serves a stream runs a handler for it. Handler and connection
+// used to remain indefinitely when the peer disappeared without closing the
+// connection.
 func TestAStreamOfASilentPeerIsCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := &waitHandler{takes: time.Hour}
+		h := &waitHandler{delay: time.Hour}
 		n, client := memoryMeshes(t, h)
-		go func() { _, _ = Call[string](t.Context(), client, "", KindForward, "x") }() // fails
+		go func() { _, _ = Call[string](t.Context(), client, "", KindForward, "x") }() // returns an error
 		time.Sleep(time.Second)
 		require.EqualValues(t, 1, h.serving.Load())
 		n.Silence()
-		time.Sleep(servingTimeout + acceptedCheckEvery)
+		time.Sleep(servingTimeout + acceptedCheckInterval)
 		synctest.Wait()
 		_, accepted := n.Silent()
 		require.Zero(t, h.serving.Load())
@@ -140,27 +142,28 @@
 		n, client := memoryMeshes(t, &waitHandler{})
 		_, err := Call[string](t.Context(), client, "", KindChanges, "x")
 		require.NoError(t, err)
-		time.Sleep(10 * time.Minute) // it is kept while the peer is there
+		time.Sleep(10 * time.Minute) // the connection is kept while the peer responds
 		require.Equal(t, 1, n.Dials())
 		n.Silence()
 		dialed, accepted := n.Silent()
 		require.Equal(t, 2, dialed+accepted)
-		time.Sleep(idlePingEvery + silenceTimeout)
+		time.Sleep(idlePingInterval + silenceTimeout)
 		synctest.Wait()
 		dialed, _ = n.Silent()
 		require.Zero(t, dialed)
-		time.Sleep(acceptedTimeout + acceptedCheckEvery - idlePingEvery - silenceTimeout)
+		time.Sleep(acceptedTimeout + acceptedCheckInterval - idlePingInterval - silenceTimeout)
 		synctest.Wait()
 		_, accepted = n.Silent()
 		require.Zero(t, accepted)
 	})
 }
 
-// A peer that takes long, or a reader that takes the body slowly, is not silent.
+// A peer that takes long to respond, or a reader that reads the body slowly,
+// must not count as silent.
 func TestASlowPeerKeepsItsConnection(t *testing.T) {
 	t.Run("response", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			n, client := memoryMeshes(t, &waitHandler{takes: time.Minute})
+			n, client := memoryMeshes(t, &waitHandler{delay: time.Minute})
 			_, err := Call[string](t.Context(), client, "", KindForward, "x")
 			require.NoError(t, err)
 			require.Equal(t, 1, n.Dials())
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -8,35 +8,36 @@
 )
 
 const (
-	// window is how many bytes of a stream's body may be sent and not yet read.
-	// It bounds the memory that a slow reader holds.
+	// window is the maximum number of bytes of a body that are sent but not yet
+	// read. It limits the memory that a stream with a slow reader uses.
 	window = 256 << 10
-	// creditAfter is how many bytes are read before the peer gets credit for
-	// them, so that a short body costs no frame.
-	creditAfter = window / 4
+	// creditThreshold is the number of bytes that are read before the peer gets
+	// credit for them, so that a short body needs no credit frame.
+	creditThreshold = window / 4
 )
 
-// Stream is a stream opened by this host: its response and then its body. One
-// goroutine may read it while another closes it.
+// Stream is a stream opened by this host. It provides the response and then the
+// body. One goroutine may read it while another closes it.
 type Stream struct {
 	// Payload is the response.
 	Payload []byte
 
 	conn *conn
 	id   uint64
-	// replied is closed when the response has come or the stream has failed.
+	// replied is closed when the response was received or the stream has
+	// failed.
 	replied chan struct{}
 
 	mu    sync.Mutex
 	ready sync.Cond
-	// chunks are the parts of the body that were received and not yet read.
+	// chunks are the chunks of the body that were received but not yet read.
 	chunks [][]byte
-	// received, consumed and credited are positions in the body: up to which
-	// it was received, read, and credited to the peer.
+	// received, consumed and credited are positions in the body up to which it
+	// was received, read and credited to the peer.
 	received int64
 	consumed int64
 	credited int64
-	// ended is set when the whole body was received.
+	// ended is set when the complete body was received.
 	ended bool
 	err   error
 }
@@ -47,7 +48,7 @@
 	return s
 }
 
-// receive takes one frame of the peer.
+// receive processes a frame from the peer.
 func (s *Stream) receive(f frame) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,7 +63,7 @@
 		s.receiveBody(f)
 	case frameEnd:
 		if f.Offset != s.received {
-			s.failLocked(eris.Wrapf(errIncomplete, "ended at %d of %d bytes", s.received, f.Offset))
+			s.failLocked(eris.Wrapf(errIncomplete, "body ended after %d of %d bytes", s.received, f.Offset))
 			return
 		}
 		s.ended = true
@@ -71,7 +72,7 @@
 	}
 }
 
-// receiveReply sets the response; s.mu is held. A repeated one is dropped.
+// receiveReply sets the response; s.mu is held. A repeated response is ignored.
 func (s *Stream) receiveReply(payload []byte) {
 	if s.Payload != nil {
 		return
@@ -83,9 +84,9 @@
 	close(s.replied)
 }
 
-// receiveBody appends a part of the body; s.mu is held. A part that does not
-// begin where the last one ended is a repeated one or shows that one is
-// missing.
+// receiveBody appends a chunk of the body; s.mu is held. A chunk at a lower
+// offset than expected is a repeated frame and is ignored. A chunk at a higher
+// offset shows that a frame is missing.
 func (s *Stream) receiveBody(f frame) {
 	switch {
 	case f.Offset < s.received:
@@ -93,14 +94,15 @@
 	case f.Offset > s.received:
 		s.failLocked(eris.Wrapf(errIncomplete, "bytes %d to %d are missing", s.received, f.Offset))
 	case f.Offset+int64(len(f.Data))-s.consumed > window:
-		s.failLocked(eris.Wrap(errFrame, "more than the window"))
+		s.failLocked(eris.Wrap(errInvalidFrame, "body exceeds the flow-control window"))
 	default:
 		s.received += int64(len(f.Data))
 		s.chunks = append(s.chunks, f.Data)
 	}
 }
 
-// failLocked ends the stream with an error unless it has ended; s.mu is held.
+// failLocked ends the stream with an error unless it has already ended; s.mu is
+// held.
 func (s *Stream) failLocked(err error) {
 	if s.err != nil || s.ended {
 		return
@@ -118,19 +120,20 @@
 	s.ready.Broadcast()
 }
 
-// Read reads the body. It returns io.EOF only after the whole of it; any other
-// error means that the body is incomplete.
+// Read reads the body. It returns io.EOF only after the complete body. Any
+// other error means that the body is incomplete.
 func (s *Stream) Read(p []byte) (int, error) {
 	n, credit, err := s.read(p)
 	if credit > 0 {
-		// The error is dropped: the connection is then broken, and the rest of
-		// the body ends with an error.
+		// An error is ignored, because the connection is then broken and the
+		// rest of the body ends with an error.
 		_ = s.conn.write(&frame{Type: frameCredit, ID: s.id, Offset: credit})
 	}
 	return n, err
 }
 
-// read also returns the credit in bytes that the peer is due.
+// read reads from the received chunks and also returns the credit in bytes to
+// send to the peer.
 func (s *Stream) read(p []byte) (n int, credit int64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,33 +151,33 @@
 	if s.chunks[0] = s.chunks[0][n:]; len(s.chunks[0]) == 0 {
 		s.chunks = s.chunks[1:]
 	}
-	if due := s.consumed - s.credited; due >= creditAfter {
+	if due := s.consumed - s.credited; due >= creditThreshold {
 		s.credited = s.consumed
 		credit = due
 	}
 	return n, credit, nil
 }
 
-// Close ends the stream. If the body has not been received to its end, the peer
-// is asked to stop sending it. It always returns nil.
+// Close ends the stream. If the body was not received completely, the peer is
+// asked to stop sending it. Close always returns nil.
 func (s *Stream) Close() error {
 	s.mu.Lock()
-	open := !s.ended && s.err == nil
+	unfinished := !s.ended && s.err == nil
 	s.failLocked(errIncomplete)
 	s.ready.Broadcast()
 	s.mu.Unlock()
-	if open {
+	if unfinished {
 		s.conn.cancel(s.id)
 	}
-	s.forget()
+	s.remove()
 	return nil
 }
 
-// forget removes the stream from its connection.
-func (s *Stream) forget() {
+// remove removes the stream from its connection.
+func (s *Stream) remove() {
 	s.conn.mu.Lock()
 	defer s.conn.mu.Unlock()
 	delete(s.conn.streams, s.id)
-	s.conn.expectNothing()
+	s.conn.stopFrequentChecks()
 	s.conn.closeIfUnused()
 }
--- a/internal/peer/stream_test.go
+++ b/internal/peer/stream_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// scriptedStream opens a stream at a peer that responds with the given frames.
+// scriptedStream opens a stream to a peer that responds with the given frames.
 func scriptedStream(t *testing.T, frames ...frame) *Stream {
 	here, there := net.Pipe()
 	go func() {
@@ -54,8 +54,8 @@
 	return err
 }
 
-// Frames may come late, twice, out of order, for other streams or not at all. A
-// body is read whole or fails.
+// Frames may be late, repeated, out of order, of other streams or missing. A
+// body must be read completely or end with an error.
 func TestBodiesAreWholeOrBroken(t *testing.T) {
 	reply := frame{Type: frameReply, Data: []byte("head")}
 	ab, cd := frame{Type: frameBody, Data: []byte("ab")}, frame{Type: frameBody, Data: []byte("cd"), Offset: 2}
--- a/internal/peer/stuck_test.go
+++ b/internal/peer/stuck_test.go
@@ -15,23 +15,25 @@
 	"cairndock/internal/pause"
 )
 
-// stuckPeer is the other end of a connection to a peer whose process is stuck:
-// it says hello, if it still did, and reads nothing after that.
+// stuckPeer is the other end of a connection to a peer whose process is stuck.
+// It sends a Hello, reads the Hello of the other end and then reads nothing
+// more.
 func stuckPeer(c net.Conn, hello Hello) {
 	hello.Version = protocolVersion
 	payload, _ := Encode(hello) // a struct of strings can be encoded
 	go func() { _ = writeRaw(c, &frame{Type: frameHello, Data: payload}) }()
-	_, _ = readFrame(bufio.NewReaderSize(c, 16)) // the other's hello
+	_, _ = readFrame(bufio.NewReaderSize(c, 16)) // the Hello of the other end
 }
 
-// A peer of an older version sends no pings and answers none.
+// A peer of an older version neither sends pings nor responds to them, so the
+// connection must not be closed for silence.
 func TestAPeerWithoutKeepAliveIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		here, there := net.Pipe()
 		defer func() { require.NoError(t, there.Close()) }()
 		go func() {
 			stuckPeer(there, Hello{Host: "old"})
-			_, _ = io.Copy(io.Discard, there) // reads on, and answers nothing
+			_, _ = io.Copy(io.Discard, there) // keeps reading without a response
 		}()
 		c, err := newConn(t.Context(), here, Hello{Host: "client"}, echoHandler{}, dialed)
 		require.NoError(t, err)
@@ -45,10 +47,10 @@
 	})
 }
 
-// A peer that is stuck takes no bytes either. A heartbeat of 0.7 s was held for
-// 10 s by the write of its first frame, before its own time-out was looked at,
-// and the connection was dropped only then.
-func TestAPeerThatTakesNoBytesHoldsARequestBriefly(t *testing.T) {
+// A stuck peer does not read any bytes. The write of the first frame used to
+// block a heartbeat with a timeout of 0.7 s for 10 s, and only then was the
+// timeout checked and the connection dropped.
+func TestAPeerThatReadsNothingDoesNotBlockARequestPastItsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		here, there := net.Pipe()
 		defer func() { require.NoError(t, there.Close()) }()
@@ -61,14 +63,14 @@
 		defer cancel()
 		_, err = c.open(ctx, KindHeartbeat, nil)
 		require.ErrorIs(t, err, ErrLost)
-		t.Logf("held for %v", time.Since(began))
+		t.Logf("blocked for %v", time.Since(began))
 		require.LessOrEqual(t, time.Since(began), silenceTimeout)
 	})
 }
 
-// Dialing takes 100 ms here. A request that had less time left failed, and each
-// other request to the peer failed with it for the next half second.
-func TestARequestWithLittleTimeLeftDoesNotBarItsPeer(t *testing.T) {
+// Dialing takes 100 ms in this test. A request with less time left failed, and
+// for the next half second every other request to the peer failed with it.
+func TestADialThatEndsWithItsRequestCausesNoRedialDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := dialtest.New()
 		server := NewMesh(Hello{Host: "server"}, memoryTransport{n}, &waitHandler{})
@@ -96,9 +98,9 @@
 	return t.memoryTransport.Dial(ctx, addr)
 }
 
-// While one request's frame is stuck, the others waited for it whatever their own
-// time-outs were.
-func TestARequestBehindAStuckOneEndsInItsOwnTime(t *testing.T) {
+// While the frame of one request was stuck, other requests waited for it past
+// their own timeouts.
+func TestARequestBehindAStuckWriteEndsAtItsOwnTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		here, there := net.Pipe()
 		defer func() { require.NoError(t, there.Close()) }()
@@ -106,7 +108,7 @@
 		c, err := newConn(t.Context(), here, Hello{Host: "client"}, echoHandler{}, dialed)
 		require.NoError(t, err)
 		defer c.close()
-		go func() { _, _ = c.open(t.Context(), KindForward, nil) }() // fails
+		go func() { _, _ = c.open(t.Context(), KindForward, nil) }() // returns an error
 		synctest.Wait()
 		began := time.Now()
 		ctx, cancel := context.WithTimeout(t.Context(), 700*time.Millisecond)
@@ -117,7 +119,7 @@
 	})
 }
 
-// pipeTransport dials pipes, of which a function serves the other ends.
+// pipeTransport dials in-memory pipes and passes their other ends to serve.
 type pipeTransport struct {
 	memoryTransport
 	serve func(net.Conn)
@@ -129,9 +131,9 @@
 	return here, nil
 }
 
-// A connection that a write had failed on was read for another second, for
-// responses under way. For that time each new request to the peer failed, and
-// none dialed.
+// After a failed write, the connection is read for another second to receive
+// open responses. During this second, new requests to the peer used to fail
+// without a new dial.
 func TestAConnectionThatCannotBeWrittenToIsReplacedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dials := 0
@@ -147,20 +149,21 @@
 			require.ErrorIs(t, err, ErrLost)
 		}
 		require.Equal(t, 2, dials)
-		time.Sleep(readOutTime) // until the first one's read loop has ended
+		time.Sleep(drainReadTimeout) // until the read loop of the first connection has ended
 	})
 }
 
-// A slow link takes long for a large frame, and the connection works all the
-// same. The bound was for the whole frame, and broke it after 10 s.
+// A slow link takes long to transfer a large frame, although the connection
+// works. The write timeout covered the whole frame and broke the connection
+// after 10 s.
 func TestALargeFrameOnASlowLinkIsWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		here, there := net.Pipe()
 		defer func() { require.NoError(t, there.Close()) }()
 		go func() {
 			stuckPeer(there, Hello{Host: "slow", KeepAlive: true})
-			for part := make([]byte, maxWrite); ; time.Sleep(time.Second) {
-				if _, err := io.ReadFull(there, part); err != nil {
+			for chunk := make([]byte, maxWriteSize); ; time.Sleep(time.Second) {
+				if _, err := io.ReadFull(there, chunk); err != nil {
 					return
 				}
 			}
@@ -168,14 +171,14 @@
 		c, err := newConn(t.Context(), here, Hello{Host: "client"}, echoHandler{}, dialed)
 		require.NoError(t, err)
 		defer c.close()
-		s, err := c.start(t.Context(), KindForward, make([]byte, maxFrame-64))
+		s, err := c.startStream(t.Context(), KindForward, make([]byte, maxFrame-64))
 		require.NoError(t, err)
 		require.NoError(t, s.Close())
 	})
 }
 
-// The kernel of a peer that is stuck accepts connections, and no hello comes. A
-// request waited 3 s for it, whatever its own time-out was.
+// The kernel of a stuck peer accepts connections, but no Hello is sent. A
+// request waited 3 s for the handshake, regardless of its own timeout.
 func TestAHandshakeEndsWithTheRequestThatWaitsForIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := dialtest.New()
--- a/internal/peer/tcp.go
+++ b/internal/peer/tcp.go
@@ -7,17 +7,18 @@
 	"github.com/rotisserie/eris"
 )
 
-// TCP is the transport without TLS. It dials by a DialContext, such as that of
-// a net.Dialer, which decides how soon a silent cut breaks a connection.
+// TCP is the transport without TLS. Its value is a DialContext function, such
+// as that of a net.Dialer, which determines how soon a connection without
+// acknowledgements breaks.
 type TCP func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dial connects to a peer.
+// Dial connects to a peer at a TCP address.
 func (t TCP) Dial(ctx context.Context, address string) (net.Conn, error) {
 	c, err := t(ctx, "tcp", address)
 	return c, eris.Wrap(err, "dial peer")
 }
 
-// Listen listens for peers.
+// Listen listens for peers at a TCP address.
 func (TCP) Listen(address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	return l, eris.Wrap(err, "listen")
