--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,9 +1,10 @@
-// Package verdict says of a failed request whether an upstream may have run it.
+// Package verdict defines whether an upstream may have run a failed request,
+// and why the request failed.
 //
-// The verdict decides what may follow: a request that did not run may be sent
-// again, and its client may be sure of it; one that may have run is sent again only
-// if it is idempotent. Both programs, serve and gateway, use the same verdicts and
-// reasons; each has its own encoding of them for clients.
+// The verdict decides what may follow. A request that did not run may be sent
+// again, and the client can rely on this. A request that may have run is sent
+// again only if it is idempotent. Both programs, serve and gateway, use the
+// same verdicts and reasons, but each encodes them for clients in its own way.
 package verdict
 
 import (
@@ -13,23 +14,23 @@
 	"time"
 )
 
-// Verdict is what is known about a request's execution.
+// Verdict is what is known about the execution of a request.
 type Verdict uint8
 
 const (
-	// NotRun is proof that no upstream began the request.
+	// NotRun means it is proven that no upstream began to run the request.
 	NotRun Verdict = iota + 1
-	// MayHaveRun is anything less than proof: a byte may have reached an
-	// upstream.
+	// MayHaveRun means that there is no proof either way: an upstream may have
+	// received a byte of the request.
 	MayHaveRun
-	// Ran is proof that an upstream ran the request.
+	// Ran means it is proven that an upstream ran the request.
 	Ran
 )
 
 // Header is the name of the HTTP header that carries a verdict.
 const Header = "Cairndock-Verdict"
 
-// String gives the verdict's name in headers, logs and metrics.
+// String returns the name of the verdict in headers, logs and metrics.
 func (v Verdict) String() string {
 	switch v {
 	case NotRun:
@@ -41,71 +42,74 @@
 	}
 }
 
-// Reason says why a request got no response of an upstream.
+// Reason is the cause why a request got no response from an upstream.
 type Reason string
 
-// The reasons of both programs. Their texts are in logs, metrics and problem
-// bodies, so they never change.
+// The reasons of both programs. Their values appear in logs, metrics and
+// problem bodies, so they never change.
 const (
 	// NotReady: the host has just started and has no configuration yet.
 	NotReady Reason = "not-ready"
 	// Stopping: the host's planned stop ended the request before it was sent.
 	Stopping Reason = "stopping"
-	// BadRequest: the request is malformed, or its body broke off.
+	// BadRequest: the request is malformed, or its body ended early.
 	BadRequest Reason = "bad-request"
-	// BodyTooLarge: the body is above the size limit.
+	// BodyTooLarge: the body exceeds the size limit.
 	BodyTooLarge Reason = "body-too-large"
-	// HeaderTooLarge: the header is above the size limit.
+	// HeaderTooLarge: the header exceeds the size limit.
 	HeaderTooLarge Reason = "header-too-large"
-	// BodyStalled: the client did not send the whole body in time.
+	// BodyStalled: the client did not send the complete body in time.
 	BodyStalled Reason = "body-stalled"
 	// Full: every upstream that may serve the request is at its limit.
 	Full Reason = "full"
-	// NoUpstream: no upstream may serve the request; all are gone, draining,
-	// evacuated or in regions that are not allowed.
+	// NoUpstream: no upstream may serve the request, because all are
+	// deregistered, draining, evacuated or in regions that are not allowed.
 	NoUpstream Reason = "no-upstream"
-	// DeadlineLapsed: the deadline passed before a response came.
+	// DeadlineLapsed: the deadline passed before a response was received.
 	DeadlineLapsed Reason = "deadline-lapsed"
-	// Superseded: another attempt of the request was answered first.
+	// Superseded: another attempt of the request got a response first.
 	Superseded Reason = "superseded"
 	// CallerLeft: the client closed its connection or canceled the request.
 	CallerLeft Reason = "caller-left"
 	// UpstreamFailed: the upstream's response is missing, malformed or unsigned.
 	UpstreamFailed Reason = "upstream-failed"
-	// UpstreamShed: the upstream rejected the request, with proof.
+	// UpstreamShed: the upstream rejected the request and proved that it did
+	// not run.
 	UpstreamShed Reason = "upstream-shed"
-	// UpstreamDeclined: the upstream rejected the request, with proof, though it
-	// reported free capacity.
+	// UpstreamDeclined: the upstream rejected the request and proved that it
+	// did not run, although the upstream had reported free capacity.
 	UpstreamDeclined Reason = "upstream-declined"
-	// AnswerTruncated: the response ended before its whole length.
+	// AnswerTruncated: the response ended before its full length.
 	AnswerTruncated Reason = "answer-truncated"
 
-	// Quarantined: upstreams ended when they ran the same request, one after the
-	// other, so that it is sent to none.
+	// Quarantined: several upstreams terminated one after the other while they
+	// ran this request, so it is not sent to any upstream.
 	Quarantined Reason = "quarantined"
-	// UnknownRoute: no route matches host and path.
+	// UnknownRoute: no route matches the host and path of the request.
 	UnknownRoute Reason = "unknown-route"
-	// UnknownKey: the request's key is missing, repeated or of no client account.
+	// UnknownKey: the request's API key is missing, repeated or belongs to no
+	// client account.
 	UnknownKey Reason = "unknown-key"
-	// KeyUnconfirmed: the host has not heard for too long whether keys were taken
-	// away, and is set to serve none then.
+	// KeyUnconfirmed: the host has not learned for too long whether API keys
+	// were revoked, and it is configured to serve no requests in that case.
 	KeyUnconfirmed Reason = "key-unconfirmed"
-	// OverLimit: the client account is over its limit of requests, as far as this host
-	// knows.
+	// OverLimit: the client account exceeds its request limit, as far as this
+	// host knows.
 	OverLimit Reason = "over-limit"
-	// Warming: the upstreams with capacity are cold and have used their warm-up
-	// quota.
+	// Warming: the upstreams with free capacity are cold and have used up their
+	// warm-up quota.
 	Warming Reason = "warming"
-	// Withheld: the upstreams that may serve the request say that they take none now.
+	// Withheld: the upstreams that may serve the request report that they
+	// accept no requests at present.
 	Withheld Reason = "withheld"
-	// Unreachable: no connection to the upstream could be made in time.
+	// Unreachable: no connection to the upstream was established in time.
 	Unreachable Reason = "unreachable"
 	// ConnectionRefused: nothing listens at the upstream's address.
 	ConnectionRefused Reason = "connection-refused"
-	// Misdirected: another upstream has the address now.
+	// Misdirected: the address now belongs to another upstream.
 	Misdirected Reason = "misdirected"
 	// Interrupted: the host's planned stop ended the request while an upstream
-	// may have been at work on it.
+	// may have been running it.
 	Interrupted Reason = "interrupted"
 
 	// UnknownService: no such service is configured.
@@ -118,22 +122,24 @@
 	TicketConflict Reason = "ticket-conflict"
 	// TicketRunning: the ticket's request is still running.
 	TicketRunning Reason = "ticket-running"
-	// TicketUnknown: whether the ticket's request ran is not known, mostly since
-	// the host that issued the ticket is gone or can't be reached.
+	// TicketUnknown: it is not known whether the request of the ticket ran,
+	// usually because the host that issued the ticket no longer exists or is
+	// unreachable.
 	TicketUnknown Reason = "ticket-unknown"
-	// AnswerNotKept: the ticket's request ran, and its response is not kept.
+	// AnswerNotKept: the request of the ticket ran, but its response was not
+	// stored.
 	AnswerNotKept Reason = "answer-not-kept"
-	// Capped: the rules' caps leave no share for the request.
+	// Capped: the caps of the rules leave no share for the request.
 	Capped Reason = "capped"
-	// PeerStopping: the other host that was asked is stopping.
+	// PeerStopping: the peer that received the request is stopping.
 	PeerStopping Reason = "peer-stopping"
-	// PeerFailed: the host that the request was forwarded to failed.
+	// PeerFailed: the peer that the request was forwarded to failed.
 	PeerFailed Reason = "peer-failed"
 )
 
-// Status gives the reason's HTTP status; 502 for one that is not listed. It is
-// what serve sends. What the gateway sends depends on the verdict too and is
-// decided in package platform.
+// Status returns the HTTP status that serve sends for the reason, or 502 for a
+// reason that is not listed. The status that the gateway sends also depends on
+// the verdict and is determined in package platform.
 func (r Reason) Status() int {
 	switch r {
 	case BadRequest, BadTimeout, BadTicket:
@@ -163,46 +169,51 @@
 	}
 }
 
-// Error is a failed request together with its verdict.
+// Error describes a failed request and its verdict.
 type Error struct {
-	// Verdict says whether the request may have run.
+	// Verdict is whether the request may have run.
 	Verdict Verdict
 	// Reason is the machine-readable cause.
 	Reason Reason
-	// Detail is one short sentence for the log and for people.
+	// Detail is one short sentence for logs and readers.
 	Detail string
-	// RetryAfter is when the client should retry; zero gives no advice.
+	// RetryAfter is the delay after which the client should retry, or zero for
+	// no advice.
 	RetryAfter time.Duration
-	// Upstream is the upstream that the request was last sent to, or empty.
+	// Upstream is the name of the upstream that the request was last sent to,
+	// or empty.
 	Upstream string
 }
 
-// New makes an Error.
+// New returns an Error whose Detail is formatted from format and args.
 func New(v Verdict, r Reason, format string, args ...any) *Error {
 	return &Error{Verdict: v, Reason: r, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *Error) Error() string {
 	return string(e.Reason) + " (" + e.Verdict.String() + "): " + e.Detail
 }
 
-// WithRetryAfter gives a copy with the time after which to retry.
+// WithRetryAfter returns a copy of the error with the delay after which to
+// retry.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// WithUpstream gives a copy with the upstream that the request was sent to.
+// WithUpstream returns a copy of the error with the upstream that the request
+// was sent to.
 func (e *Error) WithUpstream(name string) *Error {
 	c := *e
 	c.Upstream = name
 	return &c
 }
 
-// From finds the Error inside err. Any other error proves nothing, so its
-// request may have run.
+// From returns the Error in the chain of err, or nil if err is nil. Any other
+// error proves nothing, so From returns an Error with MayHaveRun and
+// UpstreamFailed for it.
 func From(err error) *Error {
 	if err == nil {
 		return nil
