--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// phase is what a connection is doing.
+// phase is the current activity of a connection.
 type phase uint8
 
 const (
-	// fresh was accepted, and nothing was read from it yet.
+	// fresh: the connection was accepted, and nothing was read from it yet.
 	fresh phase = iota
-	// reading waits for the rest of a request's header.
+	// reading: the connection waits for the rest of a request header.
 	reading
-	// serving has a request whose header was read.
+	// serving: a request whose header was read is being served.
 	serving
-	// idle waits for the next request.
+	// idle: the connection waits for the next request.
 	idle
 )
 
-// conn ends its own reads when its phase lasts longer than the limits allow, or
-// when it is between requests and the server drains.
+// conn is an accepted connection. It ends its own reads when its phase exceeds
+// the limits, or when it is between requests and the server drains.
 type conn struct {
 	net.Conn
 	server *Server
@@ -33,20 +33,23 @@
 	phase phase
 	// since is when the phase began.
 	since time.Time
-	// triedLast is set when the phase is over and what had arrived was read.
-	triedLast bool
-	// readAhead is set when the first byte of the next request was read while
-	// one was served.
+	// finalReadDone is set when the phase has exceeded its limit and the final
+	// read of bytes that had already arrived was made.
+	finalReadDone bool
+	// readAhead is set when the first byte of the next request was read while a
+	// request was being served.
 	readAhead bool
-	// deadline is the http.Server's own for reads; zero is none.
+	// deadline is the read deadline set by the http.Server; zero means none.
 	deadline time.Time
-	// closed is set when the connection was closed at this end.
+	// closed is set when this end closed the connection.
 	closed bool
 }
 
-// Read reads what the client sends. It fails with os.ErrDeadlineExceeded, and
-// has read nothing, when the phase is over. Then it closes the connection: to a
-// part of a header the http.Server would respond as to a malformed one.
+// Read reads from the client. When the phase has exceeded its limit and no
+// bytes have arrived, Read closes the connection and returns
+// os.ErrDeadlineExceeded. It closes the connection itself because the
+// http.Server would respond to a partial header with an error for a malformed
+// request.
 func (c *conn) Read(p []byte) (int, error) {
 	for {
 		if err := c.setReadDeadline(); err != nil {
@@ -54,14 +57,14 @@
 		}
 		n, err := c.Conn.Read(p)
 		if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-			phaseOver, serverOver := c.over()
-			if serverOver {
+			phaseExpired, serverExpired := c.expired()
+			if serverExpired {
 				return 0, err
 			}
-			if !phaseOver {
-				continue // the limits have grown since the deadline was set
+			if !phaseExpired {
+				continue // the limits were raised after the deadline was set
 			}
-			n, err = c.readLast(p, err)
+			n, err = c.readFinal(p, err)
 		}
 		if n > 0 {
 			c.noteRead(len(p))
@@ -70,79 +73,83 @@
 	}
 }
 
-// readLast reads what had arrived when the phase was over: a read whose deadline
-// has passed does not look, and a host that was held up would reset a request
-// that came in time. It does so once a phase. With nothing there it closes the
-// connection and returns the error over.
-func (c *conn) readLast(p []byte, over error) (int, error) {
-	if c.tryLast() {
-		_ = c.Conn.SetReadDeadline(time.Now().Add(lastRead)) // Read reports an error
+// readFinal reads bytes that had already arrived when the phase exceeded its
+// limit. A read whose deadline has passed does not return such bytes, so a host
+// that was delayed would reset a request that arrived in time. The final read
+// is made once per phase. If there are no bytes, readFinal closes the
+// connection and returns deadlineErr.
+func (c *conn) readFinal(p []byte, deadlineErr error) (int, error) {
+	if c.startFinalRead() {
+		_ = c.Conn.SetReadDeadline(time.Now().Add(finalReadTimeout)) // an error is also returned by Read
 		if n, err := c.Conn.Read(p); n > 0 {
 			return n, err
 		}
 	}
-	_ = c.Conn.Close() // nobody waits for a response on it
-	return 0, over
+	_ = c.Conn.Close() // no request on it waits for a response
+	return 0, deadlineErr
 }
 
-// tryLast reports whether the phase may have its last read.
-func (c *conn) tryLast() bool {
+// startFinalRead reports whether the phase may still make its final read, and
+// records that it was made.
+func (c *conn) startFinalRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	tried := c.triedLast
-	c.triedLast = true
-	return !tried
+	done := c.finalReadDone
+	c.finalReadDone = true
+	return !done
 }
 
-// noteRead follows what the connection does by what was read from it. The server
-// reports a request only after it has read the whole header; while it serves one
-// it reads a single byte ahead, to notice that the client leaves.
+// noteRead updates the phase after a read into a buffer of the given size. The
+// http.Server reports a request only after it has read the complete header.
+// While it serves a request, it reads a single byte ahead to detect that the
+// client disconnects.
 func (c *conn) noteRead(size int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch c.phase {
 	case fresh, idle:
-		c.begin(reading)
+		c.setPhase(reading)
 	case serving:
 		c.readAhead = size == 1
 	case reading:
 	}
 }
 
-// begin begins a phase; c.mu is held.
-func (c *conn) begin(p phase) { c.phase, c.since, c.triedLast = p, time.Now(), false }
+// setPhase starts a phase; c.mu is held.
+func (c *conn) setPhase(p phase) { c.phase, c.since, c.finalReadDone = p, time.Now(), false }
 
-// enter follows the server's view of the connection, and reports whether it was
-// closed already.
-func (c *conn) enter(state http.ConnState) (closed bool) {
+// applyState updates the phase to the connection state of the http.Server and
+// reports whether this end had already closed the connection.
+func (c *conn) applyState(state http.ConnState) (closed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case state == http.StateActive:
-		c.begin(serving)
+		c.setPhase(serving)
 	case state == http.StateIdle && c.readAhead:
-		c.begin(reading)
+		c.setPhase(reading)
 	case state == http.StateIdle:
-		c.begin(idle)
+		c.setPhase(idle)
 	}
 	c.readAhead = false
 	return c.closed
 }
 
-// end is when the reads of the current phase end; zero is never. c.mu is held.
-func (c *conn) end() time.Time {
+// phaseDeadline returns when the reads of the current phase end; zero means
+// never. c.mu is held.
+func (c *conn) phaseDeadline() time.Time {
 	draining, drainedAt := c.server.drainBegan()
 	switch {
 	case c.phase == serving:
 		return time.Time{}
 	case c.phase == fresh && draining:
-		return c.since.Add(drainFresh)
+		return c.since.Add(drainFreshGrace)
 	case c.phase == idle && draining:
-		return drainedAt.Add(drainIdle)
+		return drainedAt.Add(drainIdleGrace)
 	case c.phase == reading && draining:
-		return later(drainedAt, c.since).Add(min(drainHeader, c.server.limits().header()))
-	case c.phase == idle && c.server.starved.Load():
-		return c.since.Add(min(starvedIdle, c.server.limits().idle()))
+		return later(drainedAt, c.since).Add(min(drainHeaderTimeout, c.server.limits().header()))
+	case c.phase == idle && c.server.inShortage.Load():
+		return c.since.Add(min(shortageIdleTimeout, c.server.limits().idle()))
 	case c.phase == idle:
 		return c.since.Add(c.server.limits().idle())
 	default:
@@ -157,34 +164,34 @@
 	return a
 }
 
-// readDeadline is the earlier of the phase's end and the http.Server's own
-// deadline; zero is none. c.mu is held.
+// readDeadline returns the earlier of the deadlines of the phase and of the
+// http.Server; zero means none. c.mu is held.
 func (c *conn) readDeadline() time.Time {
-	end := c.end()
-	if end.IsZero() || !c.deadline.IsZero() && c.deadline.Before(end) {
+	phaseDeadline := c.phaseDeadline()
+	if phaseDeadline.IsZero() || !c.deadline.IsZero() && c.deadline.Before(phaseDeadline) {
 		return c.deadline
 	}
-	return end
+	return phaseDeadline
 }
 
-// setReadDeadline puts the deadline in force, also for a read that waits.
+// setReadDeadline applies the read deadline, also to a read in progress.
 func (c *conn) setReadDeadline() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.Conn.SetReadDeadline(c.readDeadline())
 }
 
-// over reports whether the phase's end has passed, and the http.Server's own
-// deadline.
-func (c *conn) over() (phaseOver, serverOver bool) {
+// expired reports whether the deadline of the phase has passed, and whether
+// that of the http.Server has.
+func (c *conn) expired() (phaseExpired, serverExpired bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	passed := func(t time.Time) bool { return !t.IsZero() && !now.Before(t) }
-	return passed(c.end()), passed(c.deadline)
+	return passed(c.phaseDeadline()), passed(c.deadline)
 }
 
-// SetReadDeadline sets the http.Server's own deadline.
+// SetReadDeadline sets the read deadline of the http.Server.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,7 +199,7 @@
 	return c.Conn.SetReadDeadline(c.readDeadline())
 }
 
-// SetDeadline sets the http.Server's own deadline of reads and that of writes.
+// SetDeadline sets the read deadline of the http.Server and the write deadline.
 func (c *conn) SetDeadline(t time.Time) error {
 	if err := c.Conn.SetWriteDeadline(t); err != nil {
 		return err
@@ -200,8 +207,9 @@
 	return c.SetReadDeadline(t)
 }
 
-// CloseWrite tells the client that nothing follows a response whose request was
-// not read whole; the http.Server reads on for a time before it closes.
+// CloseWrite signals to the client that nothing follows a response whose
+// request was not read completely. The http.Server continues to read for some
+// time before it closes the connection.
 func (c *conn) CloseWrite() error {
 	w, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
@@ -218,7 +226,7 @@
 	return c.Conn.Close()
 }
 
-// isServing reports whether a request is in the host's hands.
+// isServing reports whether a request on the connection is being served.
 func (c *conn) isServing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/httpserver/conn_test.go
+++ b/internal/httpserver/conn_test.go
@@ -11,16 +11,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A host that is short of processor time comes to a connection when its time is
-// over. What had arrived is read once, and then nothing more.
-func TestWhatArrivedInTimeIsReadLate(t *testing.T) {
+// A host that is short of processor time may read a connection only after the
+// limit of its phase. Bytes that arrived in time must be read once, and nothing
+// after them.
+func TestBytesThatArrivedInTimeAreReadLate(t *testing.T) {
 	for name, p := range map[string]phase{"fresh": fresh, "reading": reading, "idle": idle} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := New(Options{HTTP: &http.Server{}, Limits: func() Limits { return Limits{Header: time.Second, Idle: time.Second} }})
 				near, far := net.Pipe()
 				c := &conn{Conn: far, server: s}
-				c.begin(p)
+				c.setPhase(p)
 				written := make(chan error, 1)
 				go func() {
 					_, err := near.Write([]byte("ab"))
@@ -33,18 +34,18 @@
 				require.Equal(t, "a", string(buf[:n]))
 				if p == reading {
 					_, err = c.Read(buf)
-					require.ErrorIs(t, err, os.ErrDeadlineExceeded, "a client that sends bit by bit gains nothing")
+					require.ErrorIs(t, err, os.ErrDeadlineExceeded, "a client that sends its header in small pieces gets no extra time")
 					require.Error(t, <-written)
 					return
 				}
-				_, err = c.Read(buf) // it has the time of a header now
+				_, err = c.Read(buf) // the header timeout applies now
 				require.NoError(t, err)
 				require.NoError(t, <-written)
 
-				// And once in each phase: the next request, too, may come to a host
-				// that is late.
-				c.enter(http.StateActive)
-				c.enter(http.StateIdle)
+				// The final read is available once in each phase: the next
+				// request may also arrive at a delayed host.
+				c.applyState(http.StateActive)
+				c.applyState(http.StateIdle)
 				go func() { _, _ = near.Write([]byte("c")) }()
 				time.Sleep(2 * time.Second)
 				n, err = c.Read(buf)
--- a/internal/httpserver/doc.go
+++ b/internal/httpserver/doc.go
@@ -1,14 +1,17 @@
 // Package httpserver runs HTTP servers whose connections end only between
-// requests: whatever was read from a client is answered, also when the
-// connection's time is over or the host stops at that moment.
+// requests. A request that was read from a client gets a response even if the
+// connection times out or the host stops at the same moment.
 //
 // A timer, http.Server.Shutdown and http.Server.SetKeepAlivesEnabled close a
-// connection from another goroutine than the one that reads it, by what that one
-// noted last. It may have read a request since, which is then served, or dropped,
-// with nobody to answer to. Here only the goroutine that reads a connection ends
-// it: limits and Drain set the deadline of its reads, and a read gives either
-// bytes, which are served, or the end.
+// connection from another goroutine than the one that reads it, based on the
+// last state that the reading goroutine recorded. That goroutine may have read
+// another request in the meantime. The request is then served without a way to
+// send the response, or dropped. In this package, only the goroutine that reads
+// a connection ends it. Limits and Drain set the read deadline of the
+// connection, and a read returns either bytes, which are served, or the end of
+// the connection.
 //
-// The package owns accepted connections, what each is doing, and how long it may
-// take. It relies on http.Server for the protocol, and on its ConnState hook.
+// The package owns the accepted connections, their phases and the limits on the
+// duration of these phases. It relies on http.Server for the protocol and uses
+// its ConnState and ConnContext hooks.
 package httpserver
--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -15,49 +15,50 @@
 	"cairndock/internal/pause"
 )
 
-// Options are the parts of a Server. Only HTTP is required.
+// Options configures a Server. Only HTTP is required.
 type Options struct {
-	// HTTP is the server to run. Its hooks ConnState and ConnContext, and its
-	// time-outs of headers and idle connections, are the package's.
+	// HTTP is the server to run. The package sets its ConnState and ConnContext
+	// hooks and enforces the timeouts of headers and idle connections itself.
 	HTTP *http.Server
-	// Limits gives the limits in force, which may change: longer ones hold also for
-	// connections that wait already, shorter ones from their next request on.
-	// Without it the defaults hold.
+	// Limits returns the limits in force, which may change. A longer limit also
+	// applies to connections that already wait, and a shorter limit applies to
+	// a connection from its next request on. Without Limits, the defaults
+	// apply.
 	Limits func() Limits
-	// Cut is told of each request that was read and whose connection the host
-	// closed all the same. It is called for none but those that Close breaks off.
+	// Cut is called for each request that was read but whose connection the
+	// host closed before the response was complete. Only Close causes this.
 	Cut func()
-	// Accepting is told when connections can't be accepted, with the error, and
-	// when they can again, with nil.
+	// Accepting is called with the error when connections cannot be accepted
+	// for lack of a resource, and with nil when they can be accepted again.
 	Accepting func(err error)
 }
 
-// Server runs an http.Server. Its methods may be called concurrently.
+// Server runs an http.Server. Its methods are safe for concurrent use.
 type Server struct {
 	http   *http.Server
 	limits func() Limits
 	cut    func()
-	// accepting is Options.Accepting, and starved is set while connections can't
-	// be accepted.
-	accepting func(error)
-	starved   atomic.Bool
-	// shortAt is when an accept last failed for want of a resource.
-	shortAt atomic.Pointer[time.Time]
-	// drainAt is when Drain was first called; nil before.
+	// accepting is Options.Accepting. inShortage is set while connections
+	// cannot be accepted for lack of a resource.
+	accepting  func(error)
+	inShortage atomic.Bool
+	// lastShortageAt is when an accept last failed for lack of a resource.
+	lastShortageAt atomic.Pointer[time.Time]
+	// drainAt is when Drain was first called, or nil if it was not called.
 	drainAt atomic.Pointer[time.Time]
 
 	mu        sync.Mutex
 	listeners []net.Listener
-	// listening is set until a drain has closed the listeners, and serving is
-	// how many of them are still accepted from.
-	listening bool
-	serving   int
-	conns     map[*conn]struct{}
-	// drained is closed when the server drains and has no connection.
+	// listening is set until a drain has closed the listeners. acceptLoops is the
+	// number of listeners whose accept loop still runs.
+	listening   bool
+	acceptLoops int
+	conns       map[*conn]struct{}
+	// drained is closed when the server drains and has no connections left.
 	drained chan struct{}
 }
 
-// New makes a server that does not listen yet.
+// New returns a server that does not listen yet.
 func New(o Options) *Server {
 	s := &Server{http: o.HTTP, limits: o.Limits, cut: o.Cut, accepting: o.Accepting, listening: true, conns: map[*conn]struct{}{}, drained: make(chan struct{})}
 	if s.limits == nil {
@@ -70,12 +71,13 @@
 		s.accepting = func(error) {}
 	}
 	s.http.Handler = s.closeWhenDraining(s.http.Handler)
-	s.http.ConnState = s.follow
+	s.http.ConnState = s.connStateChanged
 	s.http.ConnContext = withConn
 	return s
 }
 
-// closeWhenDraining tells clients not to take up their connection again.
+// closeWhenDraining asks clients of a draining server to close their connection
+// after the response.
 func (s *Server) closeWhenDraining(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if draining, _ := s.drainBegan(); draining {
@@ -85,8 +87,9 @@
 	})
 }
 
-// Serve serves a listener, over TLS if there is a configuration of it, until
-// Drain or Close, and then returns nil. Its error is the listener's.
+// Serve accepts connections from l, over TLS if config is not nil, until Drain
+// or Close is called, and then returns nil. Any other error is that of the
+// listener.
 func (s *Server) Serve(l net.Listener, config *tls.Config) error {
 	if !s.addListener(l) {
 		return l.Close()
@@ -103,7 +106,8 @@
 	return err
 }
 
-// addListener reports whether the server takes connections still.
+// addListener registers a listener and reports whether the server still accepts
+// connections.
 func (s *Server) addListener(l net.Listener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,14 +115,14 @@
 		return false
 	}
 	s.listeners = append(s.listeners, l)
-	s.serving++
+	s.acceptLoops++
 	return true
 }
 
 func (s *Server) doneServing() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.serving--
+	s.acceptLoops--
 	s.noteDrained()
 }
 
@@ -143,24 +147,24 @@
 	s.noteDrained()
 }
 
-// noteDrained tells Drain when nothing is left; s.mu is held. While a listener
-// is accepted from, a connection may be made that is not in conns yet, closed
-// listener or not.
+// noteDrained closes s.drained if the server has no listeners and connections
+// left; s.mu is held. While an accept loop runs, it may accept a connection
+// that is not in conns yet, even if its listener is closed.
 func (s *Server) noteDrained() {
-	if s.listening || s.serving > 0 || len(s.conns) > 0 {
+	if s.listening || s.acceptLoops > 0 || len(s.conns) > 0 {
 		return
 	}
 	select {
-	case <-s.drained: // it knows
+	case <-s.drained: // already closed
 	default:
 		close(s.drained)
 	}
 }
 
-// follow is the http.Server's ConnState hook.
-func (s *Server) follow(nc net.Conn, state http.ConnState) {
+// connStateChanged is the ConnState hook of the http.Server.
+func (s *Server) connStateChanged(nc net.Conn, state http.ConnState) {
 	c := unwrap(nc)
-	closed := c.enter(state)
+	closed := c.applyState(state)
 	switch {
 	case state == http.StateActive && closed:
 		s.cut()
@@ -169,8 +173,8 @@
 	}
 }
 
-// unwrap gives the connection below TLS. All that the http.Server has come from
-// listener.
+// unwrap returns the connection below TLS. All connections of the http.Server
+// are accepted by listener, so the type assertion holds.
 func unwrap(nc net.Conn) *conn {
 	if t, ok := nc.(*tls.Conn); ok {
 		nc = t.NetConn()
@@ -178,13 +182,13 @@
 	return nc.(*conn)
 }
 
-// Drain takes no new connections, ends those that are between requests, and
-// waits until the others have got their responses and ended too. Its error is
-// the context's. It may be called again.
+// Drain stops accepting connections, ends those that are between requests, and
+// waits until the others have got their responses and ended. It returns the
+// error of the context if the context ends first. It may be called again.
 func (s *Server) Drain(ctx context.Context) error {
 	now := time.Now()
 	if s.drainAt.CompareAndSwap(nil, &now) {
-		s.applyEnds()
+		s.applyReadDeadlines()
 		s.closeListeners(ctx)
 	}
 	select {
@@ -195,11 +199,12 @@
 	}
 }
 
-// applyEnds puts ends that have changed in force for the connections that wait,
-// as when the server drains. One that is accepted after it sees them by itself.
-func (s *Server) applyEnds() {
+// applyReadDeadlines updates the read deadlines of open connections, for
+// example when the server begins to drain. A connection accepted later gets the
+// new deadline with its first read.
+func (s *Server) applyReadDeadlines() {
 	s.mu.Lock()
-	conns := s.open()
+	conns := s.openConns()
 	s.mu.Unlock()
 	for _, c := range conns {
 		// An error means that the connection is closed.
@@ -207,11 +212,11 @@
 	}
 }
 
-// closeListeners closes the listeners after drainIdle, in which connections that
-// the kernel has made already are accepted: with the listener it would reset
-// them, and the requests that were sent on them.
+// closeListeners closes the listeners after drainIdleGrace, during which
+// connections that the kernel has already established are accepted. Closing a
+// listener earlier would reset these connections and the requests sent on them.
 func (s *Server) closeListeners(ctx context.Context) {
-	pause.For(ctx, drainIdle)
+	pause.For(ctx, drainIdleGrace)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.listeners {
@@ -221,35 +226,35 @@
 	s.noteDrained()
 }
 
-// open gives the connections that are open; s.mu is held.
-func (s *Server) open() []*conn {
+// openConns returns the open connections; s.mu is held.
+func (s *Server) openConns() []*conn {
 	return slices.Collect(maps.Keys(s.conns))
 }
 
-// Close closes the listeners and all connections at once, and breaks off what
-// is in flight.
+// Close immediately closes the listeners and all connections and aborts the
+// requests in flight.
 func (s *Server) Close() {
 	s.mu.Lock()
-	conns := s.open()
+	conns := s.openConns()
 	s.mu.Unlock()
 	for _, c := range conns {
 		if c.isServing() {
 			s.cut()
 		}
 	}
-	_ = s.http.Close() // what it could not close is gone already
+	_ = s.http.Close() // an error means that a connection was already closed
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of the connection of a request.
 type connKey struct{}
 
-// withConn is the http.Server's ConnContext hook.
+// withConn is the ConnContext hook of the http.Server.
 func withConn(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, unwrap(nc))
 }
 
 // ClosedHere reports whether this end closed the connection of the request with
-// a context.
+// the given context.
 func ClosedHere(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*conn)
 	return ok && c.isClosed()
--- a/internal/httpserver/httpserver_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -21,7 +21,7 @@
 	"cairndock/internal/httpserver"
 )
 
-// testServer is a server on loopback.
+// testServer is a server on the loopback interface.
 type testServer struct {
 	*httpserver.Server
 	t       *testing.T
@@ -31,7 +31,7 @@
 	served  chan error
 }
 
-// newServer starts a server, over TLS if there is a configuration of it.
+// newServer starts a server, over TLS if config is not nil.
 func newServer(t *testing.T, h http.HandlerFunc, config *tls.Config) *testServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,7 +48,7 @@
 	return s
 }
 
-// client is one client's connection.
+// client is the connection of a client.
 type client struct {
 	net.Conn
 	t      *testing.T
@@ -72,7 +72,7 @@
 	require.NoError(c.t, err)
 }
 
-// response reads a whole response.
+// response reads a complete response.
 func (c *client) response() *http.Response {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.reader, nil)
@@ -82,14 +82,15 @@
 	return resp
 }
 
-// requireEnd waits until the server closes the connection, with nothing sent.
+// requireEnd waits until the server closes the connection and checks that it
+// sent nothing.
 func (c *client) requireEnd() {
 	c.t.Helper()
 	_, err := c.reader.ReadByte()
 	require.ErrorIs(c.t, err, io.EOF)
 }
 
-// drain drains within a time.
+// drain drains the server with a timeout.
 func (s *testServer) drain(timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(s.t.Context(), timeout)
 	defer cancel()
@@ -110,7 +111,7 @@
 	_, err := net.Dial("tcp", s.address)
 	require.Error(t, err)
 	require.Zero(t, s.cut.Load())
-	require.NoError(t, s.drain(time.Second), "once more")
+	require.NoError(t, s.drain(time.Second), "a second call returns too")
 }
 
 func TestDrainWaitsForRequestsInFlight(t *testing.T) {
@@ -131,37 +132,38 @@
 	require.Zero(t, s.cut.Load())
 }
 
-// A new connection has its request on the way, and a part of a header its rest.
-func TestDrainReadsWhatHasBegun(t *testing.T) {
+// A drain must still read the first request on a new connection and the rest of
+// a partial header.
+func TestDrainReadsRequestsThatHaveBegun(t *testing.T) {
 	for name, before := range map[string]string{"a new connection": "", "a part of a header": request[:8]} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := newPipeServer(t, ok, httpserver.Limits{})
 				c := p.connect()
 				c.write(before)
-				time.Sleep(50 * time.Millisecond) // so that it is accepted and read
+				time.Sleep(50 * time.Millisecond) // until the connection is accepted and read
 				drained := make(chan error, 1)
 				go func() { drained <- p.Drain(t.Context()) }()
 				time.Sleep(100 * time.Millisecond)
 				c.write(request[len(before):])
 				resp := c.response()
-				require.True(t, resp.Close, "the client is told to leave")
+				require.True(t, resp.Close, "the response has Connection: close")
 				require.NoError(t, <-drained)
 			})
 		})
 	}
 }
 
-// A server reads one byte ahead while it serves a request, to notice that the
-// client leaves. The connection then has a request that has begun, and is not
-// idle.
+// The server reads one byte ahead while it serves a request, to detect that the
+// client disconnects. If that byte belongs to the next request, the connection
+// is not idle and a drain must wait for the request.
 func TestAByteThatWasReadAheadBeginsARequest(t *testing.T) {
 	sent := make(chan struct{}, 1)
 	s := newServer(t, func(w http.ResponseWriter, r *http.Request) {
 		ok(w, r)
 		_ = http.NewResponseController(w).Flush()
 		<-sent
-		time.Sleep(50 * time.Millisecond) // so that the byte is read
+		time.Sleep(50 * time.Millisecond) // until the byte is read
 	}, nil)
 	c := s.connect()
 	c.write(request)
@@ -173,7 +175,7 @@
 	require.NoError(t, err)
 	drained := make(chan error, 1)
 	go func() { drained <- s.drain(3 * time.Second) }()
-	time.Sleep(200 * time.Millisecond) // an idle connection has ended by now
+	time.Sleep(200 * time.Millisecond) // an idle connection would have ended by now
 	sent <- struct{}{}
 	c.write(request[1:])
 	c.response()
@@ -219,7 +221,7 @@
 	c.response()
 }
 
-// A request may take longer than every limit, and so may its body.
+// A request and its body may take longer than every limit.
 func TestLimitsLeaveARequestInFlight(t *testing.T) {
 	s := newServer(t, func(w http.ResponseWriter, r *http.Request) {
 		_, err := io.Copy(io.Discard, r.Body)
@@ -242,7 +244,7 @@
 	s := newServer(t, ok, &tls.Config{Certificates: certified.TLS.Certificates})
 	s.limits.Store(&httpserver.Limits{Idle: 200 * time.Millisecond})
 	plain := s.connect()
-	c := tls.Client(plain.Conn, &tls.Config{InsecureSkipVerify: true}) // of the test's own server
+	c := tls.Client(plain.Conn, &tls.Config{InsecureSkipVerify: true}) // the server belongs to the test
 	_, err := io.WriteString(c, request)
 	require.NoError(t, err)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -250,12 +252,12 @@
 	require.Equal(t, http.StatusOK, resp.StatusCode)
 	began := time.Now()
 	_, err = io.Copy(io.Discard, c)
-	require.Less(t, time.Since(began), time.Second, "the server ends it")
+	require.Less(t, time.Since(began), time.Second, "the server closes the connection")
 	require.NotErrorIs(t, err, context.DeadlineExceeded)
 	require.NoError(t, s.drain(time.Second))
 }
 
-func TestCloseCountsWhatItBreaksOff(t *testing.T) {
+func TestCloseCountsTheRequestsItAborts(t *testing.T) {
 	started := make(chan struct{})
 	s := newServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(started)
@@ -271,8 +273,8 @@
 	require.EqualValues(t, 1, s.cut.Load())
 }
 
-// queueListener has connections that wait to be accepted, and accepts late.
-// Closing it resets those that wait, as the kernel does.
+// queueListener queues connections and accepts them late. Closing it resets the
+// queued connections, as the kernel does.
 type queueListener struct {
 	waiting chan net.Conn
 	closed  chan struct{}
@@ -305,8 +307,8 @@
 
 func (l *queueListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// pipeServer is a server whose connections are in memory, for tests in a bubble
-// of the runtime's clock.
+// pipeServer is a server with in-memory connections, for tests in a synctest
+// bubble.
 type pipeServer struct {
 	*httpserver.Server
 	t        *testing.T
@@ -331,8 +333,9 @@
 	return &client{near, p.t, bufio.NewReader(near)}
 }
 
-// A client's connection may be made, and its request sent, before the server
-// has accepted it; a drain that closed the listener at once reset it.
+// A client's connection may be established and its request sent before the
+// server accepts the connection. A drain that closed the listener immediately
+// reset such connections.
 func TestDrainAcceptsWhatWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const waiting = 2
@@ -349,8 +352,8 @@
 	})
 }
 
-// statusOn sends a request on a connection and gives the response's status, or
-// 0 without a response.
+// statusOn sends a request on a connection and returns the status of the
+// response, or 0 without a response.
 func statusOn(c net.Conn) int {
 	defer func() { _ = c.Close() }()
 	if _, err := io.WriteString(c, request); err != nil {
@@ -364,9 +367,9 @@
 	return resp.StatusCode
 }
 
-// The server stops reading a body that is too large to be of use, responds, and
-// tells the client at once that nothing follows.
-func TestTheEndOfAResponseIsToldWhileItsBodyIsUnread(t *testing.T) {
+// The server responds without reading a body that is too large to be used, and
+// must signal the end of the response to the client immediately.
+func TestTheEndOfAResponseIsSignaledWhileItsBodyIsUnread(t *testing.T) {
 	s := newServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Connection", "close")
 		w.WriteHeader(http.StatusRequestEntityTooLarge)
@@ -376,10 +379,10 @@
 	began := time.Now()
 	require.Equal(t, http.StatusRequestEntityTooLarge, c.response().StatusCode)
 	c.requireEnd()
-	require.Less(t, time.Since(began), 400*time.Millisecond, "the server reads on for 500 ms before it closes")
+	require.Less(t, time.Since(began), 400*time.Millisecond, "the server continues to read for 500 ms before it closes the connection")
 }
 
-// shortListener has no descriptors at times.
+// shortListener simulates a shortage of descriptors while short is set.
 type shortListener struct {
 	*queueListener
 	short *atomic.Bool
@@ -390,8 +393,8 @@
 	return shortListener{q, &atomic.Bool{}}
 }
 
-// Accept looks for a connection each millisecond, and for a descriptor first, as
-// the kernel does.
+// Accept polls for a connection every millisecond. It checks for a free
+// descriptor first, as the kernel does.
 func (l shortListener) Accept() (net.Conn, error) {
 	for ; ; time.Sleep(time.Millisecond) {
 		if l.short.Load() {
@@ -407,12 +410,13 @@
 	}
 }
 
-// shortServer is a server with such a listener, and what it told.
+// shortServer is a server with a shortListener. It records the calls of
+// Options.Accepting.
 type shortServer struct {
 	*pipeServer
-	short *atomic.Bool
-	mu    sync.Mutex
-	told  []error
+	short    *atomic.Bool
+	mu       sync.Mutex
+	reported []error
 }
 
 func newShortServer(t *testing.T) *shortServer {
@@ -424,7 +428,7 @@
 		Accepting: func(err error) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.told = append(s.told, err)
+			s.reported = append(s.reported, err)
 		},
 	})
 	s.pipeServer = &pipeServer{Server: server, t: t, listener: l.queueListener}
@@ -432,20 +436,20 @@
 	return s
 }
 
-// states are what was told: short or not.
+// states returns for each recorded call whether it reported a shortage.
 func (s *shortServer) states() []bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var states []bool
-	for _, err := range s.told {
+	for _, err := range s.reported {
 		states = append(states, err != nil)
 	}
 	return states
 }
 
-// A server that is short of descriptors says so, ends connections that are idle,
-// and accepts as soon as it can.
-func TestAShortageOfDescriptorsIsToldAndRelieved(t *testing.T) {
+// A server that is short of descriptors must report the shortage once, close
+// idle connections, and accept again as soon as it can.
+func TestAShortageOfDescriptorsIsReportedAndRelieved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newShortServer(t)
 		idle := s.connect()
@@ -466,8 +470,8 @@
 	})
 }
 
-// No client comes to a host that says that it is not ready. It was found not
-// ready for good, as only a new connection ended a shortage.
+// No client connects to a host that reports that it is not ready. When only a
+// new connection could end a shortage, the host stayed not ready forever.
 func TestAShortageEndsWithoutANewConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newShortServer(t)
@@ -480,7 +484,8 @@
 	})
 }
 
-// At a full table each descriptor that is given back is taken at once.
+// While the descriptor table is full, each released descriptor is taken
+// immediately. This must count as one shortage.
 func TestAShortageThatComesAndGoesIsToldOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newShortServer(t)
@@ -495,7 +500,7 @@
 	})
 }
 
-// A client that sends only a part of a header must not hold up a stop.
+// A client that sends only part of a header must not delay a stop.
 func TestAPartOfAHeaderDoesNotHoldADrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPipeServer(t, ok, httpserver.Limits{Header: time.Minute})
--- a/internal/httpserver/httpservertest/late.go
+++ b/internal/httpserver/httpservertest/late.go
@@ -1,5 +1,5 @@
-// Package httpservertest has what tests of servers share: a listener that stands
-// for a host which is short of processor time.
+// Package httpservertest provides test helpers for servers: a listener that
+// simulates a host which is short of processor time.
 package httpservertest
 
 import (
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// LateListener accepts connections whose reads return late.
+// LateListener accepts connections whose reads return with a delay.
 type LateListener struct {
 	net.Listener
-	// Late is by how much, in nanoseconds.
+	// Late is the delay in nanoseconds.
 	Late *atomic.Int64
 }
 
@@ -24,8 +24,8 @@
 	return lateConn{c, l.Late}, nil
 }
 
-// lateConn returns what it read later: its reader has taken the bytes from the
-// kernel, but does not run.
+// lateConn delays the return of each read. It simulates a reader that has taken
+// the bytes from the kernel but is not scheduled.
 type lateConn struct {
 	net.Conn
 	late *atomic.Int64
--- a/internal/httpserver/listener.go
+++ b/internal/httpserver/listener.go
@@ -7,20 +7,21 @@
 	"time"
 )
 
-// listener makes accepted connections the server's.
+// listener registers accepted connections with the server.
 type listener struct {
 	net.Listener
 	server *Server
 }
 
 // Accept accepts a connection. While the process is short of descriptors or
-// memory it tries again each acceptRetry: the http.Server would wait up to a
-// second between two tries, in which clients wait on a host that says it is
-// ready.
+// memory, it retries every acceptRetryInterval. The http.Server would wait up
+// to a second between attempts, while clients wait on a host that reports that
+// it is ready.
 //
-// The kernel takes a descriptor before it looks for a connection. So a try that
-// waits shows as well that there is room, and a shortage ends also when no client
-// comes, as none does to a host that is not ready.
+// The kernel allocates a descriptor before it waits for a connection. An accept
+// that blocks therefore shows that descriptors are available again. A shortage
+// can thus end without a new connection, which matters because no client
+// connects to a host that is not ready.
 func (l listener) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.Listener.Accept()
@@ -31,46 +32,47 @@
 			return nil, err
 		}
 		l.server.noteShortage(err)
-		time.Sleep(acceptRetry)
+		time.Sleep(acceptRetryInterval)
 	}
 }
 
-// accept makes a connection the server's.
+// accept registers a network connection with the server.
 func (s *Server) accept(nc net.Conn) *conn {
 	c := &conn{Conn: nc, server: s}
-	c.begin(fresh)
+	c.setPhase(fresh)
 	s.add(c)
 	return c
 }
 
-// isShortage reports whether an accept failed for a resource that others may
-// give back.
+// isShortage reports whether an accept failed for lack of a resource that may
+// be released again.
 func isShortage(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
 		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
 }
 
-// noteShortage notes that an accept failed for want of a resource. Connections
-// that have been idle for starvedIdle end then, which gives back descriptors.
+// noteShortage records that an accept failed for lack of a resource. During a
+// shortage, connections that are idle for shortageIdleTimeout are closed, which
+// releases descriptors.
 func (s *Server) noteShortage(err error) {
 	now := time.Now()
-	s.shortAt.Store(&now)
-	if s.starved.Swap(true) {
+	s.lastShortageAt.Store(&now)
+	if s.inShortage.Swap(true) {
 		return
 	}
 	s.accepting(err)
-	s.applyEnds()
-	time.AfterFunc(shortageOver, s.endShortage)
+	s.applyReadDeadlines()
+	time.AfterFunc(shortageEndDelay, s.endShortage)
 }
 
-// endShortage ends a shortage when no accept has failed for shortageOver: at a
-// full table of descriptors each one that is given back would end it, and the
-// next accept begin it anew.
+// endShortage ends a shortage once no accept has failed for shortageEndDelay.
+// Without this delay, each descriptor that is released while the table is full
+// would end the shortage, and the next accept would start another one.
 func (s *Server) endShortage() {
-	if left := shortageOver - time.Since(*s.shortAt.Load()); left > 0 {
+	if left := shortageEndDelay - time.Since(*s.lastShortageAt.Load()); left > 0 {
 		time.AfterFunc(left, s.endShortage)
 		return
 	}
-	s.starved.Store(false)
+	s.inShortage.Store(false)
 	s.accepting(nil)
 }
--- a/internal/httpserver/timing.go
+++ b/internal/httpserver/timing.go
@@ -3,30 +3,32 @@
 import "time"
 
 const (
-	// drainIdle is how long connections are still accepted, and idle ones read,
-	// when the server drains, so that a request that has arrived is answered
-	// rather than reset with its connection: far above the time that a busy host
-	// takes to run a goroutine, and little beside a drain.
-	drainIdle = 50 * time.Millisecond
-	// drainFresh is how long after its accept a new connection is read when the
-	// server drains: its client sends the first request within a round trip, 70
-	// ms between the farthest regions. A longer time would take from that in
-	// which requests are finished.
-	drainFresh = 200 * time.Millisecond
-	// acceptRetry is the time between two tries to accept a connection while the
-	// process is short of descriptors or memory.
-	acceptRetry = 20 * time.Millisecond
-	// starvedIdle is how long a connection may be idle meanwhile: clients that
-	// come in quick succession keep theirs.
-	starvedIdle = time.Second
-	// shortageOver is for how long there must be room before a shortage is over.
-	shortageOver = time.Second
-	// lastRead is the deadline of a read of what has arrived already. It has to
-	// lie ahead when the read begins, also on a host that gets no processor time
-	// in between.
-	lastRead = 20 * time.Millisecond
-	// drainHeader is how long the rest of a header may take when the server
-	// drains: a client that sends a part of one must not hold up a stop: far
-	// above a round trip.
-	drainHeader = 500 * time.Millisecond
+	// drainIdleGrace is how long the server still accepts connections and reads
+	// idle ones after a drain begins, so that a request that has already
+	// arrived gets a response instead of a reset. It is far longer than a busy
+	// host needs to schedule a goroutine, and short compared with a drain.
+	drainIdleGrace = 50 * time.Millisecond
+	// drainFreshGrace is how long after its accept a new connection is read
+	// while the server drains. Its client sends the first request within a
+	// round trip, which takes 70 ms between the regions farthest apart. A
+	// longer time would reduce the time that is left to finish requests.
+	drainFreshGrace = 200 * time.Millisecond
+	// acceptRetryInterval is the interval between attempts to accept a
+	// connection while the process is short of descriptors or memory.
+	acceptRetryInterval = 20 * time.Millisecond
+	// shortageIdleTimeout is the idle timeout of connections during such a
+	// shortage. Clients that send requests in quick succession keep their
+	// connections.
+	shortageIdleTimeout = time.Second
+	// shortageEndDelay is how long no accept may fail before a shortage counts
+	// as ended.
+	shortageEndDelay = time.Second
+	// finalReadTimeout is the deadline of a read of bytes that have already
+	// arrived. The deadline must not pass before the read begins, even on a
+	// host whose process gets no processor time in between.
+	finalReadTimeout = 20 * time.Millisecond
+	// drainHeaderTimeout is how long the rest of a header may take while the
+	// server drains, because a client that sends only part of a header must not
+	// delay a stop. It is far longer than a round trip.
+	drainHeaderTimeout = 500 * time.Millisecond
 )
