--- a/internal/httpheader/httpheader.go
+++ b/internal/httpheader/httpheader.go
@@ -1,4 +1,4 @@
-// Package httpheader holds the rule on HTTP headers that both programs use.
+// Package httpheader selects the HTTP headers that both programs forward.
 package httpheader
 
 import (
@@ -6,15 +6,17 @@
 	"strings"
 )
 
-// hopHeaders hold for one connection only (RFC 9110 section 7.6.1); the first
-// proxies used Proxy-Connection in the same way.
+// hopHeaders are the headers that apply to a single connection (RFC 9110
+// section 7.6.1). Proxy-Connection is not in the standard, but early proxies
+// used it in the same way.
 var hopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// EndToEnd copies h without the headers that hold for one connection only: the
-// standard ones and those that Connection names.
+// EndToEnd returns a copy of h without the headers that apply to a single
+// connection: the standard ones and those that Connection names. The result is
+// never nil.
 func EndToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	if out == nil {
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time that may be cut short.
+// Package pause waits for a duration or until a context ends.
 package pause
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits for a time, or until the context ends. It reports whether the
-// whole time has passed.
+// For waits for the duration d or until the context ends. It reports whether
+// the full duration has passed.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/suspend/suspend.go
+++ b/internal/suspend/suspend.go
@@ -1,10 +1,12 @@
-// Package suspend tells how long the machine was suspended.
+// Package suspend detects how long the machine was suspended.
 //
-// A suspended machine stands still like a paused process, but its monotonic clock, by
-// which Go measures all times, stands still with it: whatever is believed by its age
-// looks younger by the whole suspension, and a deadline further away. Linux counts that
-// time in CLOCK_BOOTTIME alone. A Watch compares the two clocks when it is asked, which
-// its users do before they rely on an age, and has them correct what they keep.
+// A suspended machine stops like a paused process, but its monotonic clock,
+// which Go uses to measure durations, stops too. Data whose validity depends on
+// its age therefore appears younger by the duration of the suspension, and a
+// deadline appears further away. On Linux, only CLOCK_BOOTTIME includes the
+// time of suspension. A Watch compares the two clocks when Check is called.
+// Users call Check before they rely on an age, and their listeners correct the
+// times that they have stored.
 package suspend
 
 import (
@@ -15,17 +17,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells how long the machine was suspended since a fixed moment.
+// Clock measures how long the machine was suspended since a fixed moment.
 type Clock interface {
 	Suspended() time.Duration
 }
 
-// Machine is the clock of this machine.
+// Machine is the Clock of this machine.
 type Machine struct{}
 
-// Suspended returns for how long the machine was suspended since it started. It may be
-// too low for a moment, when the thread is preempted between the two readings, but never
-// too high. It is zero where the clocks can't be read, as on a kernel without them.
+// Suspended returns how long the machine was suspended since it started. The
+// result may briefly be too low if the thread is preempted between the two
+// clock readings, but it is never too high. It is zero if the clocks cannot be
+// read, as on a kernel without them.
 func (Machine) Suspended() time.Duration {
 	var boot, monotonic unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil {
@@ -34,15 +37,17 @@
 	return time.Duration(boot.Nano() - monotonic.Nano())
 }
 
-// minGap is the least suspension that counts: below it the readings scatter, and
-// nothing is believed for so short a time.
+// minGap is the minimum duration of a suspension to be reported. Below it, the
+// clock readings vary, and no stored data expires within such a short time.
 const minGap = 50 * time.Millisecond
 
-// Watch finds suspensions. It is safe for concurrent use.
+// Watch detects suspensions. It is safe for concurrent use after all listeners
+// are set.
 type Watch struct {
 	clock Clock
 	first time.Duration
-	// total is the time suspended since the watch was made, in nanoseconds.
+	// total is the detected suspension time since the watch was created, in
+	// nanoseconds.
 	total atomic.Int64
 
 	// mu is held while listeners are called.
@@ -50,15 +55,16 @@
 	listeners []func(gap time.Duration)
 }
 
-// NewWatch makes a watch of a clock. It counts from now on.
+// NewWatch returns a watch that detects suspensions from now on.
 func NewWatch(c Clock) *Watch { return &Watch{clock: c, first: c.Suspended()} }
 
-// OnGap has f called with the length of each suspension that is found. All listeners
-// are set before the watch is used.
+// OnGap registers f to be called with the duration of each detected suspension.
+// All listeners must be registered before the watch is used.
 func (w *Watch) OnGap(f func(gap time.Duration)) { w.listeners = append(w.listeners, f) }
 
-// Check looks for a suspension since the last call, and calls the listeners if there was
-// one. When it returns, also to another caller, they have been called.
+// Check detects whether the machine was suspended since the last call and calls
+// the listeners if so. When Check returns, the listeners have been called, even
+// if a concurrent call detected the suspension.
 func (w *Watch) Check() {
 	total := w.clock.Suspended() - w.first
 	if total-w.Total() < minGap {
@@ -68,7 +74,7 @@
 	defer w.mu.Unlock()
 	gap := total - w.Total()
 	if gap < minGap {
-		return // another caller has found it
+		return // a concurrent call has detected it
 	}
 	for _, f := range w.listeners {
 		f(gap)
@@ -76,5 +82,6 @@
 	w.total.Store(int64(total))
 }
 
-// Total is the time suspended since the watch was made, as far as Check found it.
+// Total returns the suspension time since the watch was created, as far as
+// Check has detected it.
 func (w *Watch) Total() time.Duration { return time.Duration(w.total.Load()) }
--- a/internal/suspend/suspend_test.go
+++ b/internal/suspend/suspend_test.go
@@ -12,7 +12,7 @@
 
 func TestEachSuspensionIsToldOnce(t *testing.T) {
 	clock := &suspendtest.Clock{}
-	clock.Suspend(time.Hour) // before the process started
+	clock.Suspend(time.Hour) // before the watch is created
 	w := suspend.NewWatch(clock)
 	var gaps []time.Duration
 	w.OnGap(func(gap time.Duration) { gaps = append(gaps, gap) })
--- a/internal/suspend/suspendtest/clock.go
+++ b/internal/suspend/suspendtest/clock.go
@@ -1,4 +1,4 @@
-// Package suspendtest has a clock that tests suspend.
+// Package suspendtest provides a clock for tests that simulate suspensions.
 package suspendtest
 
 import (
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// Clock is a suspend.Clock. The zero value was never suspended.
+// Clock is a suspend.Clock that tests control. The zero value reports no
+// suspension.
 type Clock struct{ suspended atomic.Int64 }
 
 // Suspended implements suspend.Clock.
 func (c *Clock) Suspended() time.Duration { return time.Duration(c.suspended.Load()) }
 
-// Suspend has the machine suspended for a time.
+// Suspend simulates a suspension of the machine for the duration d.
 func (c *Clock) Suspend(d time.Duration) { c.suspended.Add(int64(d)) }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,6 @@
-// Package telemetry sets up a process's logs, metrics and traces, as its settings
-// say. The gateway's log of requests and states is package eventlog.
+// Package telemetry sets up the logs, metrics and traces of a process from its
+// settings. Package eventlog writes the log of requests and state changes of
+// the gateway.
 package telemetry
 
 import (
@@ -21,24 +22,24 @@
 	"cairndock/internal/settings"
 )
 
-// Where traces are written; the values of the setting telemetry.traces.
+// Destinations of traces. They are the values of the setting telemetry.traces.
 const (
-	// tracesNone writes none.
+	// tracesNone writes no traces.
 	tracesNone = "none"
-	// tracesStdout writes them to the standard output as JSON.
+	// tracesStdout writes traces to the standard output as JSON.
 	tracesStdout = "stdout"
-	// tracesOTLP sends them to the endpoint of the settings.
+	// tracesOTLP sends traces to the OTLP endpoint of the settings.
 	tracesOTLP = "otlp"
 )
 
-// Default fills the section's defaults.
+// Default sets the defaults of the section.
 func Default(s *settings.Telemetry) {
 	s.LogLevel = cmp.Or(s.LogLevel, "info")
 	s.Traces = cmp.Or(s.Traces, tracesNone)
 	s.TraceShare = cmp.Or(s.TraceShare, 0.01)
 }
 
-// Check notes the section's faults.
+// Check adds the errors of the section to f.
 func Check(s settings.Telemetry, f *settings.Faults) {
 	_, err := zerolog.ParseLevel(s.LogLevel)
 	f.Require(err == nil, "telemetry.log_level", "must be debug, info, warn or error")
@@ -48,7 +49,7 @@
 	f.Require(s.TraceShare >= 0 && s.TraceShare <= 1, "telemetry.trace_share", "must be from 0 to 1")
 }
 
-// Level gives the least level that is logged: info for a name that Check
+// Level returns the minimum level that is logged, or info for a name that Check
 // rejects.
 func Level(name string) zerolog.Level {
 	level, err := zerolog.ParseLevel(name)
@@ -58,12 +59,12 @@
 	return level
 }
 
-// NewLogger makes a logger that writes JSON lines.
+// NewLogger returns a logger that writes JSON lines.
 func NewLogger(w io.Writer, level string) zerolog.Logger {
 	return zerolog.New(w).Level(Level(level)).With().Timestamp().Logger()
 }
 
-// NewProvider makes a trace provider. Its shutdown must be called.
+// NewProvider returns a trace provider. The caller must call its Shutdown.
 func NewProvider(ctx context.Context, s settings.Telemetry, out io.Writer) (*sdktrace.TracerProvider, error) {
 	var exporter sdktrace.SpanExporter
 	var err error
@@ -82,30 +83,30 @@
 	return sdktrace.NewTracerProvider(sdktrace.WithSampler(sampler), sdktrace.WithBatcher(exporter)), nil
 }
 
-// UseW3C makes traces pass between processes by the W3C Trace Context.
+// UseW3C propagates traces between processes by W3C Trace Context.
 func UseW3C() { otel.SetTextMapPropagator(propagation.TraceContext{}) }
 
-// Tracer gives the tracer of the system's own spans.
+// Tracer returns the tracer for cairndock's own spans.
 func Tracer(p trace.TracerProvider) trace.Tracer { return p.Tracer("cairndock") }
 
-// Metrics is one host's set of metrics.
+// Metrics is the set of metrics of a host.
 type Metrics struct{ set *metrics.Set }
 
-// NewMetrics makes an empty set.
+// NewMetrics returns an empty set.
 func NewMetrics() *Metrics { return &Metrics{set: metrics.NewSet()} }
 
-// Count adds one to a counter. The name may carry labels.
+// Count increments a counter. The name may include labels.
 func (m *Metrics) Count(name string) { m.set.GetOrCreateCounter(name).Inc() }
 
 // Add adds n to a counter.
 func (m *Metrics) Add(name string, n int) { m.set.GetOrCreateCounter(name).Add(n) }
 
-// Observe adds a value, in seconds, to a histogram.
+// Observe adds a value in seconds to a histogram.
 func (m *Metrics) Observe(name string, seconds float64) {
 	m.set.GetOrCreateHistogram(name).Update(seconds)
 }
 
-// Gauge registers a gauge that is read when metrics are.
+// Gauge registers a gauge that calls f whenever the metrics are written.
 func (m *Metrics) Gauge(name string, f func() float64) { m.set.GetOrCreateGauge(name, f) }
 
 // Write writes all metrics in the Prometheus text format.
--- a/internal/testmain/testmain.go
+++ b/internal/testmain/testmain.go
@@ -1,5 +1,5 @@
-// Package testmain has the TestMain bodies that several packages' tests share.
-// Only tests import it.
+// Package testmain provides TestMain bodies that the tests of several packages
+// share. Only tests import it.
 package testmain
 
 import (
@@ -9,11 +9,11 @@
 	"testing"
 )
 
-// rapidSeed is the seed of all property tests, chosen by its date.
+// rapidSeed is the seed of all property tests. Its value is arbitrary.
 const rapidSeed = "20261202"
 
-// FixedSeed runs a package's property tests with one seed, so that every run
-// has the same verdict. The package must import pgregory.net/rapid.
+// FixedSeed runs the property tests of a package with a fixed seed, so that
+// every run has the same result. The package must import pgregory.net/rapid.
 func FixedSeed(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", rapidSeed); err != nil {
@@ -22,10 +22,10 @@
 	os.Exit(m.Run())
 }
 
-// OneProcessor runs a package's tests on one processor. Time in a synctest
-// bubble is then the same in every run, and the race detector's state for a
-// bubble's timers is not used from two threads at once, which crashed it
-// (Go 1.26.8).
+// OneProcessor runs the tests of a package on one processor. Time in a synctest
+// bubble is then the same in every run. It also avoids a crash of the race
+// detector in Go 1.26.8, which occurs when two threads use its state for the
+// timers of a bubble concurrently.
 func OneProcessor(m *testing.M) {
 	runtime.GOMAXPROCS(1)
 	os.Exit(m.Run())
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,4 +1,4 @@
-// Package tomlfile reads TOML strictly and names the key of every fault.
+// Package tomlfile decodes TOML strictly and names the key of every error.
 package tomlfile
 
 import (
@@ -15,7 +15,7 @@
 // Duration is a time.Duration written as text, such as "1.5s".
 type Duration time.Duration
 
-// UnmarshalText reads a Go duration.
+// UnmarshalText parses a duration in the format of time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -25,23 +25,24 @@
 	return nil
 }
 
-// MarshalText writes a Go duration.
+// MarshalText formats the duration as time.Duration.String does.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// KeyError is one fault in a document or settings file.
+// KeyError is an error in a TOML document or settings file.
 type KeyError struct {
-	// Key is the path of the faulty value, such as rule["main"].share.
+	// Key is the path of the invalid value, such as rule["main"].share.
 	Key string
-	// Problem says what is wrong with it.
+	// Problem describes the error.
 	Problem string
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e KeyError) Error() string { return e.Key + ": " + e.Problem }
 
-// Decode reads TOML and names each unknown or mistyped key.
+// Decode decodes TOML into a value. It returns a KeyError for each unknown key,
+// joined by errors.Join, or for the first value that cannot be decoded.
 func Decode(data []byte, into any) error {
 	err := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields().Decode(into)
 	var missing *toml.StrictMissingError
