--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -25,9 +25,9 @@
 	// a connection from its next request on. Without Limits, the defaults
 	// apply.
 	Limits func() Limits
-	// Cut is called for each request that was read but whose connection the
-	// host closed before the response was complete. Only Close causes this.
-	Cut func()
+	// RequestCut is called for each request that was read but whose connection
+	// the host closed before the response was complete. Only Close causes this.
+	RequestCut func()
 	// Accepting is called with the error when connections cannot be accepted
 	// for lack of a resource, and with nil when they can be accepted again.
 	Accepting func(err error)
@@ -60,7 +60,7 @@
 
 // New returns a server that does not listen yet.
 func New(o Options) *Server {
-	s := &Server{http: o.HTTP, limits: o.Limits, cut: o.Cut, accepting: o.Accepting, listening: true, conns: map[*conn]struct{}{}, drained: make(chan struct{})}
+	s := &Server{http: o.HTTP, limits: o.Limits, cut: o.RequestCut, accepting: o.Accepting, listening: true, conns: map[*conn]struct{}{}, drained: make(chan struct{})}
 	if s.limits == nil {
 		s.limits = func() Limits { return Limits{} }
 	}
--- a/internal/httpserver/httpserver_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -39,9 +39,9 @@
 	s := &testServer{t: t, address: l.Addr().String(), served: make(chan error, 1)}
 	s.limits.Store(&httpserver.Limits{})
 	s.Server = httpserver.New(httpserver.Options{
-		HTTP:   &http.Server{Handler: h},
-		Limits: func() httpserver.Limits { return *s.limits.Load() },
-		Cut:    func() { s.cut.Add(1) },
+		HTTP:       &http.Server{Handler: h},
+		Limits:     func() httpserver.Limits { return *s.limits.Load() },
+		RequestCut: func() { s.cut.Add(1) },
 	})
 	t.Cleanup(s.Close)
 	go func() { s.served <- s.Serve(l, config) }()
