--- a/internal/gateway/proxy/server.go
+++ b/internal/gateway/proxy/server.go
@@ -34,7 +34,7 @@
 	return &Server{
 		proxy: p,
 		clients: httpserver.New(httpserver.Options{
-			HTTP: &http.Server{Handler: p, MaxHeaderBytes: maxHeader}, Limits: p.clientLimits, RequestCut: p.Log.Cut, Accepting: p.noteAccepting,
+			HTTP: &http.Server{Handler: p, MaxHeaderBytes: maxHeader}, Limits: p.clientLimits, RequestCut: p.Log.Cut, AcceptStateChanged: p.noteAccepting,
 		}),
 		failed: make(chan error, maxListeners),
 	}
--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -28,9 +28,10 @@
 	// RequestCut is called for each request that was read but whose connection
 	// the host closed before the response was complete. Only Close causes this.
 	RequestCut func()
-	// Accepting is called with the error when connections cannot be accepted
-	// for lack of a resource, and with nil when they can be accepted again.
-	Accepting func(err error)
+	// AcceptStateChanged is called with the error when connections cannot be
+	// accepted for lack of a resource, and with nil when they can be accepted
+	// again.
+	AcceptStateChanged func(err error)
 }
 
 // Server runs an http.Server. Its methods are safe for concurrent use.
@@ -38,10 +39,10 @@
 	http   *http.Server
 	limits func() Limits
 	cut    func()
-	// accepting is Options.Accepting. inShortage is set while connections
-	// cannot be accepted for lack of a resource.
-	accepting  func(error)
-	inShortage atomic.Bool
+	// acceptStateChanged is Options.AcceptStateChanged. inShortage is set while
+	// connections cannot be accepted for lack of a resource.
+	acceptStateChanged func(error)
+	inShortage         atomic.Bool
 	// lastShortageAt is when an accept last failed for lack of a resource.
 	lastShortageAt atomic.Pointer[time.Time]
 	// drainAt is when Drain was first called, or nil if it was not called.
@@ -60,15 +61,15 @@
 
 // New returns a server that does not listen yet.
 func New(o Options) *Server {
-	s := &Server{http: o.HTTP, limits: o.Limits, cut: o.RequestCut, accepting: o.Accepting, listening: true, conns: map[*conn]struct{}{}, drained: make(chan struct{})}
+	s := &Server{http: o.HTTP, limits: o.Limits, cut: o.RequestCut, acceptStateChanged: o.AcceptStateChanged, listening: true, conns: map[*conn]struct{}{}, drained: make(chan struct{})}
 	if s.limits == nil {
 		s.limits = func() Limits { return Limits{} }
 	}
 	if s.cut == nil {
 		s.cut = func() {}
 	}
-	if s.accepting == nil {
-		s.accepting = func(error) {}
+	if s.acceptStateChanged == nil {
+		s.acceptStateChanged = func(error) {}
 	}
 	s.http.Handler = s.closeWhenDraining(s.http.Handler)
 	s.http.ConnState = s.connStateChanged
--- a/internal/httpserver/httpserver_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -411,7 +411,7 @@
 }
 
 // shortServer is a server with a shortListener. It records the calls of
-// Options.Accepting.
+// Options.AcceptStateChanged.
 type shortServer struct {
 	*pipeServer
 	short    *atomic.Bool
@@ -425,7 +425,7 @@
 	s := &shortServer{short: l.short}
 	server := httpserver.New(httpserver.Options{
 		HTTP: &http.Server{Handler: http.HandlerFunc(ok)},
-		Accepting: func(err error) {
+		AcceptStateChanged: func(err error) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.reported = append(s.reported, err)
--- a/internal/httpserver/listener.go
+++ b/internal/httpserver/listener.go
@@ -60,7 +60,7 @@
 	if s.inShortage.Swap(true) {
 		return
 	}
-	s.accepting(err)
+	s.acceptStateChanged(err)
 	s.applyReadDeadlines()
 	time.AfterFunc(shortageEndDelay, s.endShortage)
 }
@@ -74,5 +74,5 @@
 		return
 	}
 	s.inShortage.Store(false)
-	s.accepting(nil)
+	s.acceptStateChanged(nil)
 }
