--- a/internal/gateway/proxy/server.go
+++ b/internal/gateway/proxy/server.go
@@ -34,7 +34,7 @@
 	return &Server{
 		proxy: p,
 		clients: httpserver.New(httpserver.Options{
-			HTTP: &http.Server{Handler: p, MaxHeaderBytes: maxHeaderBytes}, Limits: p.clientLimits, Cut: p.Log.Cut, Accepting: p.recordAccepting,
+			HTTP: &http.Server{Handler: p, MaxHeaderBytes: maxHeaderBytes}, Limits: p.clientLimits, RequestCut: p.Log.Cut, AcceptStateChanged: p.recordAccepting,
 		}),
 		failed: make(chan error, maxListeners),
 	}
