--- a/internal/gateway/proxy/account_test.go
+++ b/internal/gateway/proxy/account_test.go
@@ -14,7 +14,7 @@
 	"cairndock/internal/gateway/route"
 )
 
-// setAccounts puts routes with client accounts in force.
+// setAccounts applies a configuration with routes and client accounts.
 func (g *testGateway) setAccounts(accounts []account.Entry, rs ...route.Route) {
 	g.putOperatorRow("config", operatorRow{Version: g.version + 1, Routes: rs, Accounts: accounts})
 }
@@ -24,19 +24,20 @@
 	return account.Entry{Account: account.Account{Name: "rail"}, Keys: []string{"k-rail", "k-rail-2"}}
 }
 
-// publicRoute is a route that needs no account.
+// publicRoute is a route that requires no account.
 func publicRoute() route.Route {
 	r := testRoute(route.Repeatable)
 	r.Name, r.Prefix, r.Public = "public", "/public/", true
 	return r
 }
 
-// echoAccount responds with what the upstream was told of the client.
+// echoAccount responds with the account and the key that the upstream received.
 func echoAccount(c net.Conn, r *http.Request) {
 	reply(c, r, 200, "Genuine: 1\r\n", "account="+r.Header.Get(headerAccount)+" secret="+r.Header.Get(headerSecret))
 }
 
-// sendWith sends a request with header lines, of which a name may come several times.
+// sendWith sends a request with header lines: names and values in turn. A name may occur
+// several times.
 func (g *testGateway) sendWith(method, path string, lines ...string) (*http.Response, string) {
 	g.t.Helper()
 	r, err := http.NewRequestWithContext(g.t.Context(), method, g.server.URL+path, nil)
@@ -50,7 +51,7 @@
 	require.NoError(g.t, err)
 	defer func() { require.NoError(g.t, resp.Body.Close()) }()
 	body := make([]byte, 200)
-	n, _ := resp.Body.Read(body) // a short body comes at once
+	n, _ := resp.Body.Read(body) // a short body arrives in one read
 	return resp, string(body[:n])
 }
 
@@ -66,18 +67,18 @@
 	}{
 		{"its key", "/x/", []string{headerSecret, "k-rail"}, 200, "account=rail secret="},
 		{"another key of the account", "/x/", []string{headerSecret, "k-rail-2"}, 200, "account=rail secret="},
-		{"a name of the client's own", "/x/", []string{headerSecret, "k-rail", headerAccount, "yard"}, 200, "account=rail secret="},
+		{"an account header set by the client", "/x/", []string{headerSecret, "k-rail", headerAccount, "yard"}, 200, "account=rail secret="},
 		{"the header in small letters", "/x/", []string{"secret", "k-rail", "account", "yard"}, 200, "account=rail secret="},
 		{"no key", "/x/", nil, 401, ""},
 		{"an empty key", "/x/", []string{headerSecret, ""}, 401, ""},
 		{"an unknown key", "/x/", []string{headerSecret, "k-other"}, 401, ""},
 		{"its key twice", "/x/", []string{headerSecret, "k-rail", headerSecret, "k-rail"}, 401, ""},
 		{"two keys", "/x/", []string{headerSecret, "k-other", headerSecret, "k-rail"}, 401, ""},
-		{"a key in another spelling as well", "/x/", []string{headerSecret, "k-rail", "sEcReT", "k-other"}, 401, ""},
+		{"a second key under another spelling of the header", "/x/", []string{headerSecret, "k-rail", "sEcReT", "k-other"}, 401, ""},
 		{"a public route without a key", "/public/", nil, 200, "account= secret="},
 		{"a public route with an unknown key", "/public/", []string{headerSecret, "k-other", headerAccount, "yard"}, 200, "account= secret="},
 		{"a public route with its key", "/public/", []string{headerSecret, "k-rail"}, 200, "account=rail secret="},
-		{"no route comes before no key", "/nowhere/", nil, 404, ""},
+		{"a missing route is reported before a missing key", "/nowhere/", nil, 404, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			before := received.Load()
@@ -89,7 +90,7 @@
 			}
 			require.Equal(t, before, received.Load(), "nothing is sent")
 			require.Equal(t, "not-run", resp.Header.Get("Verdict"))
-			require.Equal(t, "0s", resp.Header.Get("Retry"), "coming back does not help")
+			require.Equal(t, "0s", resp.Header.Get("Retry"), "a retry does not help")
 		})
 	}
 	for _, secret := range []string{"k-rail", "k-other"} {
@@ -97,7 +98,7 @@
 	}
 }
 
-// Without accounts a key is a header like any other.
+// Without accounts, the key header is forwarded like any other header.
 func TestWithoutAccountsAKeyIsForwarded(t *testing.T) {
 	g := newTestGateway(t)
 	g.setRoutes(testRoute(route.Repeatable))
@@ -106,8 +107,9 @@
 	require.Equal(t, "account= secret=k-rail", body)
 }
 
-// A request was sent again with a key that had been taken away meanwhile.
-func TestAKeyThatWasTakenAwayIsNotSentAgain(t *testing.T) {
+// A key was revoked while its request was at an upstream that refused it. The request was
+// still sent to another upstream.
+func TestARequestWhoseKeyWasRevokedIsNotSentAgain(t *testing.T) {
 	g := newTestGateway(t)
 	rs := []route.Route{testRoute(route.Repeatable)}
 	g.setAccounts([]account.Entry{railAccount()}, rs...)
@@ -139,12 +141,12 @@
 		route, account []string
 		status         int
 	}{
-		{"no homes", nil, nil, 200},
-		{"the account's home", nil, []string{"r"}, 200},
-		{"both", []string{"r", "q"}, []string{"r"}, 200},
-		{"the account lives elsewhere", nil, []string{"q"}, 503},
-		{"the account may, the route may not", []string{"q"}, []string{"r"}, 503},
-		{"the route may, the account may not", []string{"r"}, []string{"q"}, 503},
+		{"no regions", nil, nil, 200},
+		{"the account's region", nil, []string{"r"}, 200},
+		{"a region of both", []string{"r", "q"}, []string{"r"}, 200},
+		{"the account is allowed in another region only", nil, []string{"q"}, 503},
+		{"allowed for the account, not for the route", []string{"q"}, []string{"r"}, 503},
+		{"allowed for the route, not for the account", []string{"r"}, []string{"q"}, 503},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newTestGateway(t)
@@ -177,24 +179,24 @@
 	require.Contains(t, g.log.String(), `"account":"rail","priority":0`)
 }
 
-// A host that is cut off does not hear that a key was taken away. Whether it serves on
-// is the operators' choice.
-func TestAHostThatHearsNothingAcceptsKeysAsItIsSet(t *testing.T) {
+// An isolated host does not learn that a key was revoked. MaxKeyAge sets how old its
+// configuration may be for keys to be accepted; zero sets no limit.
+func TestAnIsolatedHostAcceptsKeysUpToTheMaximumAge(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		most   time.Duration
+		maxAge time.Duration
 		age    time.Duration
 		status int
 	}{
 		{"any age", 0, time.Hour, 200},
-		{"confirmed lately", 5 * time.Second, 4 * time.Second, 200},
+		{"confirmed recently", 5 * time.Second, 4 * time.Second, 200},
 		{"not confirmed", 5 * time.Second, 6 * time.Second, 503},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newTestGateway(t)
 			g.setAccounts([]account.Entry{railAccount()}, testRoute(route.Repeatable), publicRoute())
 			received := g.addUpstream(healthy)
-			g.proxy.MaxKeyAge, g.proxy.ConfigAge = c.most, func() time.Duration { return c.age }
+			g.proxy.MaxKeyAge, g.proxy.ConfigAge = c.maxAge, func() time.Duration { return c.age }
 			resp, _ := g.sendWith(http.MethodGet, "/x/", headerSecret, "k-rail")
 			require.Equal(t, c.status, resp.StatusCode)
 			if c.status == 503 {
@@ -208,7 +210,7 @@
 	}
 }
 
-// An account at its limit gets 429, and no other account feels it.
+// An account over its limit gets 429. Requests of other accounts are not affected.
 func TestAnAccountOverItsLimitIsRefused(t *testing.T) {
 	g := newTestGateway(t)
 	a := railAccount()
@@ -230,7 +232,7 @@
 	require.NoError(t, err)
 	require.Positive(t, after)
 	require.Less(t, received.Load(), int64(10))
-	require.Positive(t, received.Load(), "what is within the limit runs")
+	require.Positive(t, received.Load(), "requests within the limit are served")
 	for range 10 {
 		resp, _ := g.sendWith(http.MethodGet, "/x/", headerSecret, "k-yard")
 		require.Equal(t, 200, resp.StatusCode)
@@ -239,9 +241,9 @@
 	require.Equal(t, 200, resp.StatusCode)
 }
 
-// Of several faults a request gets the error that comes first, and only one that is whole
-// takes a part of the limit.
-func TestWhichErrorARequestWithSeveralFaultsGets(t *testing.T) {
+// A request with several faults gets the error of the check that runs first. A request that
+// fails an earlier check does not use up its account's limit.
+func TestARequestWithSeveralFaultsGetsTheFirstError(t *testing.T) {
 	g := newTestGateway(t)
 	full := railAccount()
 	full.Account.Rate, full.Account.Burst = 0.001, 0
@@ -250,7 +252,7 @@
 	large := strings.Repeat("x", 1001)
 	first, _, err := g.send(t.Context(), http.MethodPost, "/x/", "", map[string]string{headerID: "id-1", headerSecret: "k-rail"})
 	require.NoError(t, err)
-	require.Equal(t, 200, first.StatusCode, "the only request that the limit has room for")
+	require.Equal(t, 200, first.StatusCode, "the only request within the limit")
 	for _, c := range []struct {
 		name, path, key, body string
 		status                int
--- a/internal/gateway/proxy/arrivals_test.go
+++ b/internal/gateway/proxy/arrivals_test.go
@@ -11,7 +11,7 @@
 	start := time.Unix(100, 0)
 	var a arrivals
 	require.Zero(t, a.rate(start))
-	for i := range 300 { // 100 a second
+	for i := range 300 { // 100 requests per second
 		a.add(start.Add(time.Duration(i) * 10 * time.Millisecond))
 	}
 	for _, c := range []struct {
--- a/internal/gateway/proxy/attempts_test.go
+++ b/internal/gateway/proxy/attempts_test.go
@@ -16,9 +16,9 @@
 	"cairndock/internal/gateway/route"
 )
 
-// Each way an upstream can fail, with one upstream that fails and one that is
-// healthy: a request that may run again is served all the same; any other runs
-// at most once, and its error says whether it may have run.
+// Covers each way in which an upstream can fail, with one failing and one healthy upstream.
+// A repeatable request is served by the healthy upstream. Any other request runs at most
+// once, and its error says whether it may have run.
 func TestOnlyWhatDidNotRunOrMayRunAgainIsSentAgain(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -39,7 +39,7 @@
 				g.setRoutes(testRoute(repeat))
 				failing := g.addUpstream(c.fail)
 				good := g.addUpstream(healthy)
-				// Until a key prefers the failing upstream.
+				// Repeat until a key prefers the failing upstream.
 				for key := 0; failing.Load() == 0 && key < 50; key++ {
 					text := strconv.Itoa(key)
 					before := good.Load()
@@ -70,11 +70,12 @@
 	resp, _ := g.get()
 	require.Equal(t, 503, resp.StatusCode)
 	require.Equal(t, "not-run", resp.Header.Get("Verdict"))
-	require.NotEqual(t, "0s", resp.Header.Get("Retry"), "the client learns when to return")
-	require.EqualValues(t, 2, a.Load()+b.Load(), "attempts bound the upstreams tried")
+	require.NotEqual(t, "0s", resp.Header.Get("Retry"), "the response says when to retry")
+	require.EqualValues(t, 2, a.Load()+b.Load(), "the route's attempts limit the upstreams tried")
 }
 
-func TestClientsRefusedForLoadReturnAtDifferentTimes(t *testing.T) {
+// Clients that are refused for load must not all retry at the same time.
+func TestRetryTimesOfClientsRefusedForLoadDiffer(t *testing.T) {
 	g := newTestGateway(t)
 	g.setRoutes(testRoute(route.Once))
 	g.addUpstream(shedding)
@@ -82,11 +83,11 @@
 	for range 8 {
 		resp, _ := g.get()
 		require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
-		again, err := time.ParseDuration(resp.Header.Get("Retry"))
+		retryAfter, err := time.ParseDuration(resp.Header.Get("Retry"))
 		require.NoError(t, err)
-		require.GreaterOrEqual(t, again, 350*time.Millisecond)
-		require.Less(t, again, 750*time.Millisecond)
-		times[again.String()] = true
+		require.GreaterOrEqual(t, retryAfter, 350*time.Millisecond)
+		require.Less(t, retryAfter, 750*time.Millisecond)
+		times[retryAfter.String()] = true
 	}
 	require.Greater(t, len(times), 4)
 }
@@ -104,9 +105,9 @@
 	require.Error(t, err)
 }
 
-// Of a request that failed after one attempt no line told that the retry budget of its host
-// had denied another one.
-func TestTheFinalLineTellsThatTheRetryBudgetDeniedAnAttempt(t *testing.T) {
+// When the retry budget denied a second attempt, no log line of the failed request
+// said so.
+func TestTheFinalLineReportsARetryThatTheBudgetDenied(t *testing.T) {
 	g := newGateway(t, noop.NewTracerProvider(), retry.Limits{Ratio: 1, Window: time.Minute})
 	g.setRoutes(testRoute(route.Repeatable))
 	g.addUpstream(resetting)
--- a/internal/gateway/proxy/classify_test.go
+++ b/internal/gateway/proxy/classify_test.go
@@ -13,8 +13,8 @@
 	"cairndock/internal/verdict"
 )
 
-// reporting is a refusal with a load report.
-func reporting(running, waiting int) exchange.ResponseInfo {
+// refusalWithLoad returns a refusal with a load report.
+func refusalWithLoad(running, waiting int) exchange.ResponseInfo {
 	return exchange.ResponseInfo{NotExecuted: true, Load: exchange.LoadReport{Known: true, Running: running, Waiting: waiting}}
 }
 
@@ -29,19 +29,19 @@
 		reason  verdict.Reason
 	}{
 		{"a signed success is forwarded", 200, signed, 0, ""},
-		{"a failure of the upstream's own is forwarded", 500, exchange.ResponseInfo{}, 0, ""},
+		{"an upstream's internal error is forwarded", 500, exchange.ResponseInfo{}, 0, ""},
 		{"a status that promises nothing is forwarded", 404, exchange.ResponseInfo{}, 0, ""},
-		{"a success without proof of origin is not", 204, exchange.ResponseInfo{}, verdict.MayHaveRun, verdict.UpstreamFailed},
-		{"the upstream's refusal did not run", 503, refused, verdict.NotRun, verdict.UpstreamShed},
-		{"a full one's too", 503, reporting(2, 0), verdict.NotRun, verdict.UpstreamShed},
-		{"one that others wait at is full", 503, reporting(1, 1), verdict.NotRun, verdict.UpstreamShed},
-		{"one with free capacity refused for another reason", 503, reporting(1, 0), verdict.NotRun, verdict.UpstreamDeclined},
-		{"its proof counts with any status", 400, refused, verdict.NotRun, verdict.UpstreamShed},
+		{"a success without proof of origin is not forwarded", 204, exchange.ResponseInfo{}, verdict.MayHaveRun, verdict.UpstreamFailed},
+		{"a request that the upstream refused did not run", 503, refused, verdict.NotRun, verdict.UpstreamShed},
+		{"an upstream at its capacity refused for load", 503, refusalWithLoad(2, 0), verdict.NotRun, verdict.UpstreamShed},
+		{"an upstream with waiting requests refused for load", 503, refusalWithLoad(1, 1), verdict.NotRun, verdict.UpstreamShed},
+		{"an upstream with free capacity refused for another reason", 503, refusalWithLoad(1, 0), verdict.NotRun, verdict.UpstreamDeclined},
+		{"the proof of a refusal is accepted with any status", 400, refused, verdict.NotRun, verdict.UpstreamShed},
 		{"503 is no proof", 503, signed, verdict.MayHaveRun, verdict.UpstreamFailed},
 		{"429 is no proof", 429, signed, verdict.MayHaveRun, verdict.UpstreamFailed},
 		{"408 is no proof", 408, signed, verdict.MayHaveRun, verdict.UpstreamFailed},
 		{"421 is no proof by itself", 421, signed, verdict.MayHaveRun, verdict.UpstreamFailed},
-		{"another upstream at the address did not run it", 421, exchange.ResponseInfo{Misdirected: true}, verdict.NotRun, verdict.Misdirected},
+		{"a request to an address of another upstream did not run", 421, exchange.ResponseInfo{Misdirected: true}, verdict.NotRun, verdict.Misdirected},
 	} {
 		t.Run(c.rule, func(t *testing.T) {
 			e := classify(c.status, c.info, 2)
@@ -95,8 +95,8 @@
 	}{
 		{"by the upstream", t.Context(), verdict.AnswerTruncated, outlier.Failed},
 		{"at the deadline", late, verdict.DeadlineLapsed, outlier.Failed},
-		{"as the client left", left, verdict.CallerLeft, outlier.Canceled},
-		{"as another attempt was answered", answered, verdict.Superseded, outlier.Canceled},
+		{"because the client left", left, verdict.CallerLeft, outlier.Canceled},
+		{"because another attempt was answered", answered, verdict.Superseded, outlier.Canceled},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := truncated(c.ctx, "i-1", errors.New("unexpected EOF"))
--- a/internal/gateway/proxy/clientconn_test.go
+++ b/internal/gateway/proxy/clientconn_test.go
@@ -14,7 +14,7 @@
 	"cairndock/internal/gateway/route"
 )
 
-// setClientLimits puts limits of clients' connections in force.
+// setClientLimits applies a configuration with limits for client connections.
 func (g *testGateway) setClientLimits(header, idle time.Duration) {
 	g.putOperatorRow("config", operatorRow{
 		Version: g.version + 1, Routes: []route.Route{testRoute(route.Repeatable)},
@@ -22,7 +22,7 @@
 	})
 }
 
-// connect opens a client's connection to a server of the gateway.
+// connect opens a client connection to a new server of the gateway.
 func (g *testGateway) connect() net.Conn {
 	g.t.Helper()
 	_, address := g.listen()
@@ -46,8 +46,9 @@
 	require.Equal(t, http.StatusOK, resp.StatusCode)
 }
 
-// closedAfter waits until the server closes a connection.
-func closedAfter(t *testing.T, c net.Conn) time.Duration {
+// timeUntilClosed waits until the server closes a connection, and returns how long that
+// took.
+func timeUntilClosed(t *testing.T, c net.Conn) time.Duration {
 	t.Helper()
 	began := time.Now()
 	require.NoError(t, c.SetReadDeadline(began.Add(5*time.Second)))
@@ -56,7 +57,7 @@
 	return time.Since(began)
 }
 
-func TestAClientsConnectionIsIdleAsLongAsTheConfigurationAllows(t *testing.T) {
+func TestAClientConnectionIsClosedAfterTheConfiguredIdleTimeout(t *testing.T) {
 	g := newTestGateway(t)
 	g.setClientLimits(time.Second, 300*time.Millisecond)
 	g.addUpstream(healthy)
@@ -65,10 +66,10 @@
 		time.Sleep(200 * time.Millisecond)
 		sendOn(t, c)
 	}
-	require.GreaterOrEqual(t, closedAfter(t, c), 290*time.Millisecond)
+	require.GreaterOrEqual(t, timeUntilClosed(t, c), 290*time.Millisecond)
 }
 
-// A client that knows the newer configuration may already rely on it.
+// A client that has the newer configuration may already rely on its idle timeout.
 func TestAnIdleConnectionFollowsANewerIdleTimeout(t *testing.T) {
 	g := newTestGateway(t)
 	g.setClientLimits(time.Second, 300*time.Millisecond)
@@ -80,7 +81,7 @@
 	sendOn(t, c)
 }
 
-func TestAHeaderThatStallsEndsItsConnection(t *testing.T) {
+func TestAStalledHeaderClosesItsConnection(t *testing.T) {
 	for name, before := range map[string]int{"on a new connection": 0, "after a request": 1} {
 		t.Run(name, func(t *testing.T) {
 			g := newTestGateway(t)
@@ -92,12 +93,12 @@
 			}
 			_, err := fmt.Fprint(c, rawRequest[:20])
 			require.NoError(t, err)
-			require.GreaterOrEqual(t, closedAfter(t, c), 190*time.Millisecond)
+			require.GreaterOrEqual(t, timeUntilClosed(t, c), 190*time.Millisecond)
 		})
 	}
 }
 
-// A request in flight is never cut by the limits of its connection.
+// The header and idle timeouts of a connection never abort a request in flight.
 func TestARequestInFlightOutlastsTheConnectionLimits(t *testing.T) {
 	g := newTestGateway(t)
 	g.setClientLimits(50*time.Millisecond, 50*time.Millisecond)
--- a/internal/gateway/proxy/cut_test.go
+++ b/internal/gateway/proxy/cut_test.go
@@ -15,39 +15,40 @@
 	"cairndock/internal/httpserver/httpservertest"
 )
 
-// Clients saw a kept connection closed with no response to a lookup that an
-// upstream had got. The host was short of processor time:
+// These tests guard against a race between a read and the close of a connection. Clients
+// saw a keep-alive connection closed with no response, although an upstream had received
+// the request. The race occurs when the host is short of processor time:
 //
-//  1. the connection's goroutine read the request's bytes from the kernel, and
-//     was not run again before it had noted that the connection was in use;
-//  2. the end of the idle time (or of the time for a header, or a planned stop)
-//     closed the connection, which still counted as idle;
-//  3. the goroutine ran again, parsed the request and sent it to an upstream.
+//  1. The connection's goroutine reads the request's bytes from the kernel. It is
+//     preempted before it marks the connection as in use.
+//  2. The idle timeout, the header timeout or a planned stop closes the connection,
+//     which is still marked as idle.
+//  3. The goroutine runs again, parses the request and sends it to an upstream.
 //
-// The evidence is the host's own log: the idle end had closed the connection 12
-// ms before the request was served, and the final line said that the client was
-// cut off. Whoever decides to end a connection must know what was read from it.
+// In the host's log, the idle timeout closed the connection 12 ms before the request was
+// served, and the final line reported that the client was cut off. Code that closes a
+// connection must know which bytes were read from it.
 
-// connectLate opens a connection to a server of the gateway and sends a first
-// request on it. From then on the server's reads return late.
-func (g *testGateway) connectLate(late time.Duration) (*proxy.Server, net.Conn) {
+// connectWithSlowReads opens a connection to a server of the gateway and sends a first
+// request on it. After that request, the server's reads return with a delay.
+func (g *testGateway) connectWithSlowReads(delay time.Duration) (*proxy.Server, net.Conn) {
 	g.t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(g.t, err)
 	s := proxy.NewServer(g.proxy)
 	g.t.Cleanup(s.Close)
-	var delay atomic.Int64
-	s.ServeClients(httpservertest.LateListener{Listener: l, Late: &delay})
+	var listenerDelay atomic.Int64
+	s.ServeClients(httpservertest.LateListener{Listener: l, Late: &listenerDelay})
 	c, err := net.Dial("tcp", l.Addr().String())
 	require.NoError(g.t, err)
 	g.t.Cleanup(func() { _ = c.Close() })
 	sendOn(g.t, c)
-	delay.Store(int64(late))
+	listenerDelay.Store(int64(delay))
 	return s, c
 }
 
-// requireAnswer reads the response to a request that was sent whole.
-func requireAnswer(t *testing.T, c net.Conn) {
+// requireResponse reads the response to a request that was sent completely.
+func requireResponse(t *testing.T, c net.Conn) {
 	t.Helper()
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(5*time.Second)))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -58,19 +59,19 @@
 	require.Equal(t, "whole", string(body))
 }
 
-// late is how long reads are delayed; the connection's end falls within it, with
-// some tenths of a second on either side for a busy machine.
-const late = time.Second
+// readDelay is how long reads are delayed. The close of the connection falls within the
+// delay, with some tenths of a second on either side for a busy machine.
+const readDelay = time.Second
 
 func TestARequestThatWasReadBeforeTheIdleEndIsAnswered(t *testing.T) {
 	t.Parallel()
 	g := newTestGateway(t)
 	g.setClientLimits(time.Minute, 500*time.Millisecond)
 	g.addUpstream(healthy)
-	_, c := g.connectLate(late)
+	_, c := g.connectWithSlowReads(readDelay)
 	_, err := io.WriteString(c, rawRequest)
 	require.NoError(t, err)
-	requireAnswer(t, c)
+	requireResponse(t, c)
 }
 
 func TestARequestThatWasReadBeforeTheHeadersEndIsAnswered(t *testing.T) {
@@ -78,13 +79,13 @@
 	g := newTestGateway(t)
 	g.setClientLimits(700*time.Millisecond, time.Minute)
 	g.addUpstream(healthy)
-	_, c := g.connectLate(late)
+	_, c := g.connectWithSlowReads(readDelay)
 	_, err := io.WriteString(c, rawRequest[:20])
 	require.NoError(t, err)
-	time.Sleep(late + 200*time.Millisecond)
+	time.Sleep(readDelay + 200*time.Millisecond)
 	_, err = io.WriteString(c, rawRequest[20:])
 	require.NoError(t, err)
-	requireAnswer(t, c)
+	requireResponse(t, c)
 }
 
 func TestARequestThatWasReadBeforeAStopClosesIdleConnectionsIsAnswered(t *testing.T) {
@@ -92,20 +93,20 @@
 	g := newTestGateway(t)
 	g.setClientLimits(time.Minute, time.Minute)
 	g.addUpstream(healthy)
-	s, c := g.connectLate(late)
+	s, c := g.connectWithSlowReads(readDelay)
 	aborted := make(chan int64, 1)
 	go func() { aborted <- s.Stop(t.Context(), 4*time.Second) }()
 	time.Sleep(1400 * time.Millisecond) // idle connections are closed at 1.8 s
 	_, err := io.WriteString(c, rawRequest)
 	require.NoError(t, err)
-	requireAnswer(t, c)
+	requireResponse(t, c)
 	require.Zero(t, <-aborted)
 }
 
-// slowAccept returns a connection some time after the kernel made it.
-type slowAccept struct{ net.Listener }
+// slowAcceptListener returns a connection 300 ms after the kernel accepted it.
+type slowAcceptListener struct{ net.Listener }
 
-func (l slowAccept) Accept() (net.Conn, error) {
+func (l slowAcceptListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
 		time.Sleep(300 * time.Millisecond)
@@ -113,8 +114,8 @@
 	return c, err
 }
 
-// A stop must not count as done while a connection has been accepted that no
-// one knows of yet.
+// A stop must not complete while the kernel has accepted a connection that Accept has not
+// returned yet.
 func TestARequestOnAConnectionThatIsBeingAcceptedAtAStopIsAnswered(t *testing.T) {
 	t.Parallel()
 	g := newTestGateway(t)
@@ -127,7 +128,7 @@
 	require.NoError(t, err)
 	s := proxy.NewServer(g.proxy)
 	t.Cleanup(s.Close)
-	s.ServeClients(slowAccept{l})
+	s.ServeClients(slowAcceptListener{l})
 	stopped := make(chan int64, 1)
 	go func() {
 		n := s.Stop(t.Context(), 2*time.Second)
@@ -140,6 +141,6 @@
 	t.Cleanup(func() { _ = c.Close() })
 	_, err = io.WriteString(c, rawRequest)
 	require.NoError(t, err)
-	requireAnswer(t, c)
+	requireResponse(t, c)
 	require.Zero(t, <-stopped)
 }
--- a/internal/gateway/proxy/export_test.go
+++ b/internal/gateway/proxy/export_test.go
@@ -5,9 +5,9 @@
 	"net/http"
 )
 
-// ServeClients accepts clients of a listener, as ListenClients does at an
+// ServeClients accepts client connections on a listener, as ListenClients does at an
 // address.
 func (s *Server) ServeClients(l net.Listener) { s.serve(s.clients, l) }
 
-// ServeOther serves a handler of a listener, as Listen does at an address.
+// ServeOther serves a handler on a listener, as Listen does at an address.
 func (s *Server) ServeOther(l net.Listener, h http.Handler) { s.serveOther(l, h) }
--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -43,8 +43,8 @@
 	"cairndock/internal/telemetry"
 )
 
-// This file has the harness of the tests: a proxy with its real parts, and
-// upstreams that respond with raw bytes. The protocol is in wire_test.go.
+// This file contains the test harness: a proxy with its real components, and upstreams that
+// respond with raw bytes. The tests' protocol is in wire_test.go.
 
 // logBuffer is a log that can be read while it is written.
 type logBuffer struct {
@@ -66,13 +66,13 @@
 	return l.b.String()
 }
 
-// reporter logs ejections and has no other hosts.
+// reporter logs ejections. It has no other hosts to notify.
 type reporter struct{ *eventlog.Log }
 
 func (reporter) FailureSeen()       {}
 func (reporter) SuspicionsChanged() {}
 
-// suspicionReporter has upstreams that ended avoided, as a gateway does.
+// suspicionReporter reports terminated upstreams to the outlier detector, as a gateway does.
 type suspicionReporter struct {
 	reporter
 	detector *outlier.Detector
@@ -84,7 +84,8 @@
 	r.detector.RecordEnded(upstream.Run(run), at)
 }
 
-// noticeReporter has upstreams that leave get no new work, as a gateway does.
+// noticeReporter marks leaving upstreams in the routing state, so that they get no new
+// requests, as a gateway does.
 type noticeReporter struct {
 	*eventlog.Log
 	state *routing.State
@@ -95,22 +96,22 @@
 	r.state.MarkLeaving(run)
 }
 
-// standardQuota is the warm-up quota of a testGateway that sets none.
+// standardQuota is the default warm-up quota of a testGateway, in requests.
 const standardQuota = 100
 
-// oneHost is a fleet of one host, with its warm-up quota.
+// oneHost is a fleet of one host with a warm-up quota.
 type oneHost struct{ quota atomic.Int64 }
 
 func (h *oneHost) WarmUpQuota(string, string, float64) warmup.Quota {
 	return warmup.Quota{Requests: int(h.quota.Load()), Hosts: 1}
 }
 
-// LimitShare gives the host all tokens of each limit.
+// LimitShare returns all tokens of a limit as the host's share.
 func (h *oneHost) LimitShare(_, _ string, tokens int) notice.Share {
 	return notice.Share{Tokens: tokens, Hosts: 1}
 }
 
-// aloneHost holds all shards of all limits.
+// aloneHost is the only host, which holds all shards of all limits.
 type aloneHost struct{}
 
 var alonePlace = &quota.Place{
@@ -132,20 +133,20 @@
 	log       *logBuffer
 	version   int64
 	upstreams int
-	// capacity is that of the upstreams which are added.
+	// capacity is the capacity of upstreams that are added, in requests.
 	capacity int
-	// cold is how long those upstreams are cold.
+	// cold is how long upstreams that are added stay cold.
 	cold time.Duration
-	// zone and region are theirs; to begin with the host's own.
+	// zone and region are the location of upstreams that are added; by default the host's
+	// own.
 	zone, region string
 	fleet        oneHost
-	// quarantinesUnknown is set while the host has not heard of quarantines.
+	// quarantinesUnknown is set while the host has not received the list of quarantines.
 	quarantinesUnknown atomic.Bool
 	suspicions         *poison.Table
-	// suspension is the machine's clock.
+	// suspension is the clock that reports how long the machine was suspended.
 	suspension suspendtest.Clock
-	// dialDelay is what a new connection to an upstream takes longer, in
-	// nanoseconds.
+	// dialDelay is added to the time of each dial to an upstream, in nanoseconds.
 	dialDelay atomic.Int64
 }
 
@@ -194,13 +195,13 @@
 	return g
 }
 
-// dial connects to an upstream, after dialDelay.
+// dial connects to an upstream after dialDelay.
 func (g *testGateway) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	time.Sleep(time.Duration(g.dialDelay.Load()))
 	return dial.New(200*time.Millisecond).DialContext(ctx, network, address)
 }
 
-// putOperatorRow writes a row of the operators' table.
+// putOperatorRow applies a row of the operators' table, with the next version.
 func (g *testGateway) putOperatorRow(key string, r operatorRow) {
 	g.version++
 	value, err := json.Marshal(r)
@@ -212,7 +213,7 @@
 	g.state.OperatorSink().Apply(watch.Update{Rows: []watch.Row{row}})
 }
 
-// setRoutes puts a configuration of routes in force.
+// setRoutes applies a configuration with routes.
 func (g *testGateway) setRoutes(rs ...route.Route) {
 	g.putOperatorRow("config", operatorRow{Version: g.version + 1, Routes: rs})
 }
@@ -222,14 +223,15 @@
 	return route.Route{Name: "r", Host: "a.example", Prefix: "/x/", Repeat: repeat, Attempts: 2, Timeout: 500 * time.Millisecond, Backends: []route.Backend{{Service: "s", Weight: 1}}}
 }
 
-// addUpstream adds an upstream of the service that most tests use.
+// addUpstream adds an upstream of service s, and returns the number of requests that it
+// received.
 func (g *testGateway) addUpstream(respond func(c net.Conn, r *http.Request)) *atomic.Int64 {
 	g.t.Helper()
 	return g.addUpstreamOf("s", g.capacity, respond)
 }
 
-// addClosableUpstream is addUpstream of an upstream that close ends, as the end of its
-// process does.
+// addClosableUpstream is like addUpstream. It sets close to a function that closes the
+// upstream's listener, as a termination of its process does.
 func (g *testGateway) addClosableUpstream(respond func(c net.Conn, r *http.Request), close *func()) *atomic.Int64 {
 	g.t.Helper()
 	count, l := g.listenUpstream("s", g.capacity, respond)
@@ -237,7 +239,7 @@
 	return count
 }
 
-// drainUpstreams has all upstreams say that they drain.
+// drainUpstreams sets all upstreams of service s to draining.
 func (g *testGateway) drainUpstreams() {
 	var rows []watch.Row
 	for _, u := range g.state.Upstreams().Service("s") {
@@ -251,7 +253,7 @@
 	g.state.UpstreamSink().Apply(watch.Update{Rows: rows})
 }
 
-// addUpstreamOf adds an upstream that responds to one request on each
+// addUpstreamOf adds an upstream of a service that responds to one request on each
 // connection, and returns the number of requests that it received.
 func (g *testGateway) addUpstreamOf(service string, capacity int, respond func(c net.Conn, r *http.Request)) *atomic.Int64 {
 	g.t.Helper()
@@ -259,6 +261,7 @@
 	return count
 }
 
+// listenUpstream is like addUpstreamOf, and also returns the upstream's listener.
 func (g *testGateway) listenUpstream(service string, capacity int, respond func(c net.Conn, r *http.Request)) (*atomic.Int64, net.Listener) {
 	g.t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -270,7 +273,7 @@
 	return &count, l
 }
 
-// serveUpstream responds to one request on each connection, and counts them.
+// serveUpstream responds to one request on each connection, and counts the requests.
 func serveUpstream(l net.Listener, count *atomic.Int64, respond func(c net.Conn, r *http.Request)) {
 	for {
 		c, err := l.Accept()
@@ -290,7 +293,7 @@
 	}
 }
 
-// register writes the row of a new upstream at an address.
+// register applies the row of a new upstream at an address.
 func (g *testGateway) register(service, address string, capacity int) {
 	g.t.Helper()
 	g.upstreams++
@@ -301,11 +304,13 @@
 	g.state.UpstreamSink().Apply(watch.Update{Rows: []watch.Row{{Key: id, Value: value, Version: g.version}}, Full: true})
 }
 
+// reply writes a response and asks the client to close the connection. header consists of
+// complete lines.
 func reply(c net.Conn, r *http.Request, status int, header, body string) {
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 %d X\r\nId: %s\r\nConnection: close\r\nContent-Length: %d\r\n%s\r\n%s", status, r.Header.Get(headerID), len(body), header, body)
 }
 
-// The upstreams of the tests, by how they respond.
+// The following functions are the ways in which the tests' upstreams respond.
 
 func healthy(c net.Conn, r *http.Request) { reply(c, r, 200, "Genuine: 1\r\n", "whole") }
 
@@ -319,7 +324,7 @@
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nGenuine: 1\r\nContent-Length: 50\r\n\r\nhalf", r.Header.Get(headerID))
 }
 
-// send sends a request and reads the whole response.
+// send sends a request and reads the complete response.
 func (g *testGateway) send(ctx context.Context, method, path, body string, header map[string]string) (*http.Response, string, error) {
 	g.t.Helper()
 	r, err := http.NewRequestWithContext(ctx, method, g.server.URL+path, strings.NewReader(body))
@@ -343,7 +348,7 @@
 	return g.send(ctx, method, path, body, map[string]string{headerID: "id-1"})
 }
 
-// get sends a request without a key that must have a response.
+// get sends a GET request without a key and requires a response.
 func (g *testGateway) get() (*http.Response, string) {
 	g.t.Helper()
 	resp, body, err := g.do(g.t.Context(), http.MethodGet, "/x/1?q=%2F", "")
@@ -351,8 +356,7 @@
 	return resp, body
 }
 
-// getKey sends a request with one of many ids and keys, and returns the status
-// of its response.
+// getKey sends a request whose id and key are n, and returns the status of its response.
 func (g *testGateway) getKey(n int) int {
 	g.t.Helper()
 	text := strconv.Itoa(n)
@@ -361,7 +365,7 @@
 	return resp.StatusCode
 }
 
-// listen makes a server of the gateway that accepts clients.
+// listen starts a server of the gateway that accepts clients.
 func (g *testGateway) listen() (s *proxy.Server, address string) {
 	g.t.Helper()
 	s = proxy.NewServer(g.proxy)
--- a/internal/gateway/proxy/hedge_test.go
+++ b/internal/gateway/proxy/hedge_test.go
@@ -19,42 +19,40 @@
 	"cairndock/internal/telemetry"
 )
 
-// Clients got 504 long before their deadline, from hosts that were stopping and
-// others, while an upstream was at work on their request:
+// These tests guard against a 504 long before the client's deadline, while an upstream is
+// still processing the request. Stopping hosts and other hosts returned such a 504:
 //
-//  1. the response was overdue, so the attempt was canceled;
-//  2. only then another upstream was looked for, and none had room, or the one
-//     that was found refused.
+//  1. The response was overdue, so the attempt was canceled.
+//  2. Only then was another upstream chosen. No upstream had free capacity, or the chosen
+//     upstream refused.
 //
-// The evidence is the host's log: an attempt with the detail "the response is
-// overdue, another upstream is tried", a final line with the same 0.3 ms later,
-// and no second attempt. An attempt that runs must not be given up before there
-// is a response from elsewhere.
+// The host's log had an attempt with the detail "the response is overdue, another upstream
+// is tried", a final line with the same detail 0.3 ms later, and no second attempt. A
+// running attempt must not be canceled before another upstream has responded.
 
-// overdueOnce responds at once until it is told to be late, and then 400 ms
-// late: longer than the least time after which a response is overdue.
-type overdueOnce struct{ late atomic.Bool }
+// delayableUpstream responds immediately until late is set, and then after 400 ms. This
+// delay exceeds the minimum time after which a response is overdue.
+type delayableUpstream struct{ late atomic.Bool }
 
-func (o *overdueOnce) respond(c net.Conn, r *http.Request) {
+func (o *delayableUpstream) respond(c net.Conn, r *http.Request) {
 	if o.late.Load() {
 		time.Sleep(400 * time.Millisecond)
 	}
 	healthy(c, r)
 }
 
-// newOverdueGateway is a gateway with one upstream, whose responses are late from
-// now on.
+// newOverdueGateway returns a gateway with one upstream, whose responses are now late.
 func newOverdueGateway(t *testing.T) (g *testGateway, requests *atomic.Int64) {
 	t.Helper()
 	g = newTestGateway(t)
-	var o overdueOnce
-	requests = g.addOverdue(&o, o.respond)
+	var o delayableUpstream
+	requests = g.addDelayable(&o, o.respond)
 	return g, requests
 }
 
-// addOverdue puts a route of three attempts in force and adds an upstream whose
-// responses become late once there is a latency baseline.
-func (g *testGateway) addOverdue(o *overdueOnce, respond func(net.Conn, *http.Request)) *atomic.Int64 {
+// addDelayable applies a route with three attempts and adds an upstream. The responses of
+// the upstream become late after a latency baseline exists.
+func (g *testGateway) addDelayable(o *delayableUpstream, respond func(net.Conn, *http.Request)) *atomic.Int64 {
 	g.t.Helper()
 	r := testRoute(route.Repeatable)
 	r.Timeout, r.Attempts = 20*time.Second, 3
@@ -67,8 +65,8 @@
 	return requests
 }
 
-// requireLogged waits until the log has some texts: an attempt that was
-// superseded ends after its request.
+// requireLogged waits until the log contains texts. It waits because a superseded attempt
+// ends after its request.
 func (g *testGateway) requireLogged(texts ...string) {
 	g.t.Helper()
 	for _, text := range texts {
@@ -93,24 +91,24 @@
 	require.Positive(t, refused.Load())
 }
 
-// The response that comes first is forwarded, and the upstream of the other
-// attempt learns that nobody waits for it. One of the two never responds, so that a
-// response can only be the other one's, however long a busy machine takes.
-func TestTheFirstOfTwoResponsesWins(t *testing.T) {
-	for name, overdueResponds := range map[string]bool{"the other upstream's": false, "the overdue one's": true} {
+// The first response is forwarded, and the other attempt is canceled at its upstream. One of
+// the two upstreams never responds, so that the response comes from the other upstream, even
+// on a busy machine.
+func TestTheFirstOfTwoResponsesIsForwarded(t *testing.T) {
+	for name, overdueResponds := range map[string]bool{"the other upstream's": false, "the overdue upstream's": true} {
 		t.Run(name, func(t *testing.T) {
 			g := newTestGateway(t)
-			var o overdueOnce
-			gone := make(chan struct{}, 100)
+			var o delayableUpstream
+			canceled := make(chan struct{}, 100)
 			untilCanceled := func(c net.Conn, _ *http.Request) {
 				_, _ = c.Read(make([]byte, 1))
-				gone <- struct{}{}
+				canceled <- struct{}{}
 			}
 			overdue, other := untilCanceled, healthy
 			if overdueResponds {
 				overdue, other = o.respond, untilCanceled
 			}
-			g.addOverdue(&o, func(c net.Conn, r *http.Request) {
+			g.addDelayable(&o, func(c net.Conn, r *http.Request) {
 				if !o.late.Load() {
 					healthy(c, r)
 					return
@@ -118,24 +116,23 @@
 				overdue(c, r)
 			})
 			g.addUpstream(other)
-			for key := 0; len(gone) == 0; key++ {
+			for key := 0; len(canceled) == 0; key++ {
 				require.Less(t, key, 50)
 				require.Equal(t, http.StatusOK, g.getKey(key))
-				time.Sleep(20 * time.Millisecond) // until the other one has learned
+				time.Sleep(20 * time.Millisecond) // until the other attempt is canceled
 			}
 		})
 	}
 }
 
-// A second upstream that refuses leaves an overdue request no worse than if it
-// had been sent nowhere else: a third one is tried.
+// When the second upstream refuses an overdue request, a third upstream is tried.
 func TestAHedgeThatIsRefusedIsFollowedByAnother(t *testing.T) {
 	for key := range 12 { // some prefer the upstreams in this order
 		t.Run(strconv.Itoa(key), func(t *testing.T) {
 			t.Parallel()
 			g := newTestGateway(t)
-			var o overdueOnce
-			g.addOverdue(&o, func(c net.Conn, r *http.Request) {
+			var o delayableUpstream
+			g.addDelayable(&o, func(c net.Conn, r *http.Request) {
 				if o.late.Load() {
 					_, _ = c.Read(make([]byte, 1)) // it never responds
 					return
@@ -149,12 +146,12 @@
 	}
 }
 
-// A response that arrives late and stalls is dropped for the one that is whole,
-// which says nothing of a deadline.
-func TestAStalledResponseIsSupersededByAWholeOne(t *testing.T) {
+// A response that arrives late and then stalls is dropped in favor of a complete response
+// from another upstream. The dropped attempt is not logged as past its deadline.
+func TestAStalledResponseIsSupersededByACompleteOne(t *testing.T) {
 	g := newTestGateway(t)
-	var o overdueOnce
-	g.addOverdue(&o, func(c net.Conn, r *http.Request) {
+	var o delayableUpstream
+	g.addDelayable(&o, func(c net.Conn, r *http.Request) {
 		if !o.late.Load() {
 			healthy(c, r)
 			return
@@ -177,12 +174,12 @@
 	require.NotContains(t, g.log.String(), "answer-truncated")
 }
 
-// A retry for which there is no upstream is not used up.
+// A hedge for which no upstream is left does not use up a retry of the budget.
 func TestAHedgeWithoutAnUpstreamCostsNoRetry(t *testing.T) {
-	// One retry is left, as a part of the limit is not used.
+	// One retry is available, because a part of the limit is held back.
 	g := newGateway(t, noop.NewTracerProvider(), retry.Limits{Window: time.Minute, Slack: 2})
-	var o overdueOnce
-	g.addOverdue(&o, o.respond)
+	var o delayableUpstream
+	g.addDelayable(&o, o.respond)
 	for range 3 {
 		require.Equal(t, http.StatusOK, g.getKey(1))
 	}
@@ -191,24 +188,24 @@
 		require.Less(t, key, 50)
 		g.getKey(key)
 	}
-	require.Equal(t, http.StatusOK, g.getKey(1), "the overdue one's")
+	require.Equal(t, http.StatusOK, g.getKey(1), "the response of the overdue upstream")
 }
 
-// Two attempts run at a time, and each upstream gets the span of its own.
-func TestTwoAttemptsAtATimeHaveSpansOfTheirOwn(t *testing.T) {
+// Two attempts run concurrently, and each upstream receives the span of its own attempt.
+func TestConcurrentAttemptsHaveSeparateSpans(t *testing.T) {
 	telemetry.UseW3C()
 	g := newTracedGateway(t, sdktrace.NewTracerProvider(sdktrace.WithSampler(sdktrace.AlwaysSample())))
-	var o overdueOnce
+	var o delayableUpstream
 	var spans sync.Map // by request and upstream
-	note := func(r *http.Request) {
+	recordSpan := func(r *http.Request) {
 		spans.Store(r.Header.Get(headerID)+r.Header.Get(headerTo), r.Header.Get("Traceparent"))
 	}
-	g.addOverdue(&o, func(c net.Conn, r *http.Request) {
-		note(r)
+	g.addDelayable(&o, func(c net.Conn, r *http.Request) {
+		recordSpan(r)
 		o.respond(c, r)
 	})
 	second := g.addUpstream(func(c net.Conn, r *http.Request) {
-		note(r)
+		recordSpan(r)
 		healthy(c, r)
 	})
 	for key := 100; ; key++ {
@@ -224,7 +221,7 @@
 	require.Positive(t, second.Load())
 }
 
-// An attempt has a goroutine of its own, in which a panic would end the process.
+// An attempt runs in its own goroutine, in which an unrecovered panic would end the process.
 func TestAnAttemptThatPanicsHasFailed(t *testing.T) {
 	g := newTestGateway(t)
 	g.setRoutes(testRoute(route.Once))
@@ -233,7 +230,7 @@
 	require.NoError(t, err)
 	require.Equal(t, http.StatusBadGateway, resp.StatusCode)
 	require.Equal(t, "may-have-run", resp.Header.Get("Verdict"))
-	g.requireLogged("as the test asks")
+	g.requireLogged("requested by the test")
 	require.Zero(t, requests.Load())
-	require.Equal(t, http.StatusOK, g.getKey(1), "its upstream has room")
+	require.Equal(t, http.StatusOK, g.getKey(1), "the upstream's capacity was released")
 }
--- a/internal/gateway/proxy/hedgerule_test.go
+++ b/internal/gateway/proxy/hedgerule_test.go
@@ -21,25 +21,27 @@
 	"cairndock/internal/telemetry"
 )
 
-// ignoreEjections is an outlier.Reporter.
+// ignoreEjections is an outlier.Reporter that does nothing.
 type ignoreEjections struct{}
 
 func (ignoreEjections) FailureSeen()             {}
 func (ignoreEjections) Ejected(outlier.Ejection) {}
 
-// What a granted hedge does is in hedge_test.go.
+// An overdue response is recorded once as a failure of its upstream, and may be hedged only
+// if the route and the budget allow a retry. The effects of a hedge are tested in
+// hedge_test.go.
 func TestAnOverdueResponseCountsOnceAndMayBeLeft(t *testing.T) {
 	for _, c := range []struct {
 		rule   string
 		repeat route.Repeat
-		// retries is what the budget allows.
+		// retries is the number of retries that the budget allows.
 		retries float64
-		// ended says that the attempt ended before the timer fired.
+		// ended is set when the attempt ended before the timer fired.
 		ended    bool
 		failures int
 	}{
-		{"an empty budget leaves it", route.Repeatable, 0, false, 1},
-		{"what may run only once is left", route.Once, 10, false, 1},
+		{"an empty budget allows no hedge", route.Repeatable, 0, false, 1},
+		{"a request that may run only once is not hedged", route.Once, 10, false, 1},
 		{"an attempt that ended is not overdue", route.Repeatable, 10, true, 0},
 	} {
 		t.Run(c.rule, func(t *testing.T) {
@@ -60,7 +62,7 @@
 				require.True(t, a.endWait())
 			}
 			s.hedge(a)
-			s.hedge(a) // once is enough
+			s.hedge(a) // the second call has no effect
 			require.Equal(t, []*attempt{a}, s.running, "no other attempt")
 			require.False(t, canceled)
 			require.Equal(t, []string{"i-1"}, f.tried)
@@ -74,12 +76,12 @@
 	}
 }
 
-// anyQuota is a balance.WarmUpQuotas.
+// anyQuota is a balance.WarmUpQuotas with a quota of one request.
 type anyQuota struct{}
 
 func (anyQuota) WarmUpQuota(string, string, float64) warmup.Quota { return warmup.Quota{Requests: 1} }
 
-// A response that came too late takes no room at its upstream any more.
+// A response that is dropped because it came too late releases its upstream's capacity.
 func TestAResponseThatIsDroppedReleasesItsUpstream(t *testing.T) {
 	detector := outlier.New(ignoreEjections{})
 	p := New(Options{Detector: detector, Balancer: balance.New(balance.Location{}, anyQuota{}, detector, balance.DefaultPolicy())})
@@ -94,7 +96,7 @@
 	a := &attempt{inflight: f, choice: c, cancel: cancel}
 	s.running = []*attempt{a}
 	closed := make(chan struct{})
-	body := closer{strings.NewReader(""), func() { close(closed) }}
+	body := notifyingBody{strings.NewReader(""), func() { close(closed) }}
 	s.results <- attemptResult{attempt: a, resp: &response{Response: &exchange.Response{Body: body}, choice: c}}
 	s.abandon()
 	require.True(t, isSuperseded(ctx))
@@ -106,13 +108,13 @@
 	}, time.Second, time.Millisecond)
 }
 
-// closer is a body.
-type closer struct {
+// notifyingBody is a body that calls a function when it is closed.
+type notifyingBody struct {
 	io.Reader
 	close func()
 }
 
-func (c closer) Close() error {
+func (c notifyingBody) Close() error {
 	c.close()
 	return nil
 }
--- a/internal/gateway/proxy/leave_test.go
+++ b/internal/gateway/proxy/leave_test.go
@@ -20,19 +20,19 @@
 )
 
 const (
-	// leavers is how many clients leave at once.
-	leavers = 200
-	// stopsWithin is how long after its client left an upstream may still work on
-	// a request that may run again; the platform allows half a second.
-	stopsWithin = 400 * time.Millisecond
+	// leavingClients is how many clients disconnect at once.
+	leavingClients = 200
+	// cancelTimeout is how long an upstream may still work on a repeatable request
+	// after the client left. The platform allows half a second.
+	cancelTimeout = 400 * time.Millisecond
 )
 
-// workload counts what upstreams work on. An upstream drops a request when its
+// workload counts the requests that upstreams work on. An upstream drops a request when its
 // connection closes.
 type workload struct{ started, working atomic.Int64 }
 
-// work works for a time, or until the connection closes, and reports whether it
-// came to its end.
+// work simulates work for d, or until the connection closes, and reports whether the work
+// was completed.
 func (l *workload) work(c net.Conn, d time.Duration) bool {
 	l.started.Add(1)
 	l.working.Add(1)
@@ -43,7 +43,8 @@
 	return err != nil && errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// workUntil works until it is released, and reports whether the connection is still open.
+// workUntil simulates work until released is closed, and reports whether the connection is
+// still open.
 func (l *workload) workUntil(c net.Conn, released <-chan struct{}) bool {
 	l.started.Add(1)
 	l.working.Add(1)
@@ -54,21 +55,21 @@
 	return errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// half sends the beginning of a response of a length.
+// half sends the header of a response with a content length, and the first bytes of its body.
 func half(c net.Conn, r *http.Request, sent, length int) {
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nGenuine: 1\r\nContent-Length: %d\r\n\r\n%s", r.Header.Get(headerID), length, strings.Repeat("x", sent))
 }
 
-// Whatever a request that may run again is doing when its client leaves, its
-// upstreams stop working on it and get nothing new for it.
+// When a client leaves, the upstreams of its repeatable request stop working on the request,
+// and the request is not sent again. The cases are the states that the request may be in.
 func TestUpstreamsStopWorkingForClientsThatLeft(t *testing.T) {
-	const forever = 20 * time.Second
+	const longWork = 20 * time.Second
 	for _, c := range []struct {
 		name    string
 		respond func(l *workload) func(net.Conn, *http.Request)
 	}{
 		{"waiting for the response", func(l *workload) func(net.Conn, *http.Request) {
-			return func(c net.Conn, _ *http.Request) { l.work(c, forever) }
+			return func(c net.Conn, _ *http.Request) { l.work(c, longWork) }
 		}},
 		{"sent again after a refusal", func(l *workload) func(net.Conn, *http.Request) {
 			var n atomic.Int64
@@ -77,32 +78,32 @@
 					shedding(c, r)
 					return
 				}
-				l.work(c, forever)
+				l.work(c, longWork)
 			}
 		}},
-		{"response being buffered", func(l *workload) func(net.Conn, *http.Request) {
+		{"buffering the response", func(l *workload) func(net.Conn, *http.Request) {
 			return func(c net.Conn, r *http.Request) {
 				half(c, r, 100, 1000)
-				l.work(c, forever)
+				l.work(c, longWork)
 			}
 		}},
-		{"response being forwarded", func(l *workload) func(net.Conn, *http.Request) {
+		{"forwarding the response", func(l *workload) func(net.Conn, *http.Request) {
 			return func(c net.Conn, r *http.Request) {
 				half(c, r, 100<<10, 1<<20)
-				l.work(c, forever)
+				l.work(c, longWork)
 			}
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var l workload
 			g := newLeavingGateway(t, route.Repeatable, c.respond(&l))
-			g.leave(&l, leavers/2)
+			g.sendAndLeave(&l, leavingClients/2)
 			requireIdle(t, &l)
 		})
 	}
 }
 
-// An overdue request is at two upstreams, and both stop.
+// An overdue request runs at two upstreams. Both stop when the client leaves.
 func TestBothUpstreamsOfAnOverdueRequestStopWhenTheClientLeaves(t *testing.T) {
 	var l workload
 	var slow atomic.Bool
@@ -119,15 +120,16 @@
 	slow.Store(true)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := g.sendMany(ctx, 20)
-	require.Eventually(t, func() bool { return l.started.Load() > 20 }, 5*time.Second, 5*time.Millisecond, "some are hedged")
+	require.Eventually(t, func() bool { return l.started.Load() > 20 }, 5*time.Second, 5*time.Millisecond, "some requests are hedged")
 	cancel()
 	done.Wait()
 	requireIdle(t, &l)
 }
 
-// What may not run again runs to its end, once. Upstreams work until all have been under
-// way together, however long a busy machine takes for that.
-func TestWhatMayRunOnceGoesOnWhenItsClientLeaves(t *testing.T) {
+// A request that may run only once is completed, exactly once, after its client left.
+// Upstreams work until all requests are in flight at the same time, so that the test does not
+// depend on the machine's speed.
+func TestANonRepeatableRequestContinuesWhenItsClientLeaves(t *testing.T) {
 	var l workload
 	var ended atomic.Int64
 	released := make(chan struct{})
@@ -137,27 +139,27 @@
 		}
 		healthy(c, r)
 	})
-	g.leave(&l, leavers)
-	time.Sleep(stopsWithin) // what is canceled would be by then
+	g.sendAndLeave(&l, leavingClients)
+	time.Sleep(cancelTimeout) // requests that are canceled have been canceled by then
 	close(released)
-	require.Eventually(t, func() bool { return ended.Load() == leavers }, 5*time.Second, 10*time.Millisecond)
-	require.EqualValues(t, leavers, l.started.Load())
+	require.Eventually(t, func() bool { return ended.Load() == leavingClients }, 5*time.Second, 10*time.Millisecond)
+	require.EqualValues(t, leavingClients, l.started.Load())
 }
 
-// newLeavingGateway has two large upstreams that respond alike.
+// newLeavingGateway returns a gateway with two large upstreams that respond alike.
 func newLeavingGateway(t *testing.T, repeat route.Repeat, respond func(net.Conn, *http.Request)) *testGateway {
 	t.Helper()
 	g := newTestGateway(t)
 	r := testRoute(repeat)
 	r.Timeout = time.Minute
 	g.setRoutes(r)
-	g.capacity = 10 * leavers
+	g.capacity = 10 * leavingClients
 	g.addUpstream(respond)
 	g.addUpstream(respond)
 	return g
 }
 
-// sendMany sends requests at once, each on a connection of its own.
+// sendMany sends n requests concurrently, each on its own connection.
 func (g *testGateway) sendMany(ctx context.Context, n int) *sync.WaitGroup {
 	var done sync.WaitGroup
 	for i := range n {
@@ -169,24 +171,24 @@
 	return &done
 }
 
-// leave sends requests whose clients leave once upstreams work on at least some.
-func (g *testGateway) leave(l *workload, some int) {
+// sendAndLeave sends requests whose clients leave when upstreams work on at least minWorking
+// of the requests.
+func (g *testGateway) sendAndLeave(l *workload, minWorking int) {
 	g.t.Helper()
 	ctx, cancel := context.WithCancel(g.t.Context())
-	done := g.sendMany(ctx, leavers)
-	require.Eventually(g.t, func() bool { return l.working.Load() >= int64(some) }, 30*time.Second, 5*time.Millisecond)
+	done := g.sendMany(ctx, leavingClients)
+	require.Eventually(g.t, func() bool { return l.working.Load() >= int64(minWorking) }, 30*time.Second, 5*time.Millisecond)
 	cancel()
 	done.Wait()
 }
 
-// requireIdle requires that upstreams work on nothing stopsWithin after the
-// clients left, and get nothing later. What was on the way may still arrive
-// before.
+// requireIdle requires that upstreams work on nothing when cancelTimeout has passed, and
+// receive no request after that. Requests that were already sent may arrive before.
 func requireIdle(t *testing.T, l *workload) {
 	t.Helper()
-	time.Sleep(stopsWithin)
-	require.Zero(t, l.working.Load(), "upstreams work on")
+	time.Sleep(cancelTimeout)
+	require.Zero(t, l.working.Load(), "upstreams still work")
 	started := l.started.Load()
-	time.Sleep(stopsWithin)
-	require.Equal(t, started, l.started.Load(), "something new was sent")
+	time.Sleep(cancelTimeout)
+	require.Equal(t, started, l.started.Load(), "a request was sent after its client left")
 }
--- a/internal/gateway/proxy/lifetime_test.go
+++ b/internal/gateway/proxy/lifetime_test.go
@@ -26,25 +26,25 @@
 	}
 }
 
-// A request that may run again is canceled at its upstream. Any other is left to
-// its end, but is never sent again.
+// When the client leaves, a repeatable request is canceled at its upstream. Any other request
+// continues there, but is never sent again.
 func TestAClientThatLeavesCancelsOnlyWhatMayRunAgain(t *testing.T) {
 	t.Run("repeatable", func(t *testing.T) {
 		g := newTestGateway(t)
 		g.setRoutes(testRoute(route.Repeatable))
-		gone := make(chan struct{})
+		canceled := make(chan struct{})
 		g.addUpstream(func(c net.Conn, _ *http.Request) {
 			_, _ = c.Read(make([]byte, 1))
-			close(gone)
+			close(canceled)
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
 		_, _, err := g.do(ctx, http.MethodGet, "/x/", "")
 		require.Error(t, err)
 		select {
-		case <-gone:
+		case <-canceled:
 		case <-time.After(300 * time.Millisecond):
-			t.Fatal("the upstream works on")
+			t.Fatal("the upstream still works on the request")
 		}
 	})
 	t.Run("once", func(t *testing.T) {
@@ -64,12 +64,12 @@
 	})
 }
 
-// A client that does not take its response, or whose connection went silent,
-// must not hold the upstream and its connection for good.
-func TestAClientThatDoesNotTakeItsResponseIsGivenUp(t *testing.T) {
+// A client that does not read its response, or whose connection no longer delivers packets,
+// must not occupy the upstream and its connection forever.
+func TestAClientThatDoesNotReadItsResponseIsDisconnected(t *testing.T) {
 	t.Parallel()
 	g := newTestGateway(t)
-	g.setRoutes(testRoute(route.Repeatable)) // with a time-out of half a second
+	g.setRoutes(testRoute(route.Repeatable)) // its timeout is 500 ms
 	ended := make(chan struct{})
 	g.addUpstream(func(c net.Conn, r *http.Request) {
 		defer close(ended)
--- a/internal/gateway/proxy/notice_test.go
+++ b/internal/gateway/proxy/notice_test.go
@@ -16,12 +16,13 @@
 	"cairndock/internal/verdict"
 )
 
-// limiting responds with a limit of a request in ten seconds.
+// limiting responds with a limit of one request per ten seconds.
 func limiting(c net.Conn, r *http.Request) {
 	reply(c, r, 200, "Genuine: 1\r\n"+headerLimit+": 0.1\r\n", "whole")
 }
 
-// The upstreams that were preferred for a key took no more, and others had room.
+// When the preferred upstreams of a key are at their limits, its requests must go to an
+// upstream that has free capacity.
 func TestRequestsPassOverAnUpstreamAtItsLimit(t *testing.T) {
 	g := newTestGateway(t)
 	g.setRoutes(testRoute(route.Repeatable))
@@ -33,12 +34,13 @@
 	for n := range 40 {
 		require.Equal(t, http.StatusOK, g.getKey(n%8))
 	}
-	require.LessOrEqual(t, limited.Load(), int64(1), "until it had said so")
+	require.LessOrEqual(t, limited.Load(), int64(1), "until it has reported its limit")
 	require.GreaterOrEqual(t, other.Load(), int64(37))
 	require.True(t, g.log.has(`"kind":"limit"`))
 }
 
-// What is known not to be servable is rejected at once, and says when to return.
+// A request that no upstream can take now is refused immediately. The response says when to
+// retry.
 func TestARequestIsRefusedAtOnceWhileAllUpstreamsAreAtTheirLimits(t *testing.T) {
 	g := newTestGateway(t)
 	g.setRoutes(testRoute(route.Repeatable))
@@ -57,18 +59,19 @@
 		require.Equal(t, string(verdict.Withheld), resp.Header.Get("Reason"))
 		after, err := time.ParseDuration(resp.Header.Get("Retry"))
 		require.NoError(t, err)
-		require.Greater(t, after, time.Second, "a token comes in some seconds")
+		require.Greater(t, after, time.Second, "the next token is available in some seconds")
 		retries[after.String()] = true
 	}
 	require.Less(t, time.Since(began), 100*time.Millisecond)
-	require.Greater(t, len(retries), 1, "clients return at moments of their own")
+	require.Greater(t, len(retries), 1, "clients retry at different times")
 }
 
-// An upstream that leaves says so in any response, while its row says that it is ready.
+// An upstream may announce in any response that it is leaving, while its row still says that
+// it is ready.
 func TestAnUpstreamThatSaysItLeavesGetsNoNewRequest(t *testing.T) {
 	for name, respond := range map[string]func(net.Conn, *http.Request){
 		"a success": func(c net.Conn, r *http.Request) { reply(c, r, 200, "Genuine: 1\r\n"+headerLeaving+": 1\r\n", "whole") },
-		"a client's fault": func(c net.Conn, r *http.Request) {
+		"a client error": func(c net.Conn, r *http.Request) {
 			reply(c, r, 404, "Genuine: 1\r\n"+headerLeaving+": 1\r\n", "none")
 		},
 		"a failure": func(c net.Conn, r *http.Request) { reply(c, r, 500, "Genuine: 1\r\n"+headerLeaving+": 1\r\n", "") },
@@ -81,7 +84,7 @@
 			g.get()
 			require.EqualValues(t, 1, leaving.Load())
 			resp, _ := g.get()
-			require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "no other runs")
+			require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "there is no other upstream")
 			other := g.addUpstream(healthy)
 			for n := range 20 {
 				require.Equal(t, http.StatusOK, g.getKey(n))
@@ -93,8 +96,8 @@
 	}
 }
 
-// A request that waits for a connection is not sent once its upstream leaves, and chooses
-// again, though its route allows one attempt and the budget no retry.
+// A request that waits for a connection is not sent if its upstream starts to leave. Another
+// upstream is chosen, although the route allows one attempt and the budget no retry.
 func TestARequestThatWaitedIsNotSentToAnUpstreamThatLeaves(t *testing.T) {
 	g := newGateway(t, noop.NewTracerProvider(), retry.Limits{Window: time.Second})
 	r := testRoute(route.Once)
@@ -115,38 +118,38 @@
 	require.EqualValues(t, 1, other.Load())
 }
 
-// resting refuses requests and asks for a second of rest.
-func resting(c net.Conn, r *http.Request) {
+// requestingBackoff refuses requests and requests a backoff of one second.
+func requestingBackoff(c net.Conn, r *http.Request) {
 	reply(c, r, 503, "Not-Run: 1\r\n"+headerRest+": 1s\r\n", "")
 }
 
-func TestAnUpstreamThatRestsGetsNoRequest(t *testing.T) {
+func TestAnUpstreamInBackoffGetsNoRequest(t *testing.T) {
 	g := newTestGateway(t)
 	r := testRoute(route.Once)
-	r.Attempts = 3 // as two upstreams refuse the first request
+	r.Attempts = 3 // because two upstreams refuse the first request
 	g.setRoutes(r)
-	rested := g.addUpstream(resting)
-	g.addUpstream(resting)
+	backedOff := g.addUpstream(requestingBackoff)
+	g.addUpstream(requestingBackoff)
 	other := g.addUpstream(healthy)
 	for n := range 40 {
-		require.Equal(t, http.StatusOK, g.getKey(n%8), "another one has room")
+		require.Equal(t, http.StatusOK, g.getKey(n%8), "another upstream has free capacity")
 	}
-	require.LessOrEqual(t, rested.Load(), int64(1))
+	require.LessOrEqual(t, backedOff.Load(), int64(1))
 	require.EqualValues(t, 40, other.Load())
 	require.True(t, g.log.has(`"kind":"rest"`))
 	time.Sleep(1100 * time.Millisecond)
 	for n := range 8 {
 		require.Equal(t, http.StatusOK, g.getKey(n))
 	}
-	require.LessOrEqual(t, rested.Load(), int64(2), "it is asked again once its rest is over")
+	require.LessOrEqual(t, backedOff.Load(), int64(2), "it gets a request after its backoff")
 }
 
-// While all upstreams rest, requests are refused at once, and clients return when the first
-// of them takes one again.
+// While all upstreams are in backoff, requests are refused immediately. The response tells
+// clients to retry when the first backoff ends.
 func TestARequestIsRefusedAtOnceWhileAllUpstreamsRest(t *testing.T) {
 	g := newTestGateway(t)
 	g.setRoutes(testRoute(route.Repeatable))
-	rested := g.addUpstream(resting)
+	backedOff := g.addUpstream(requestingBackoff)
 	g.get()
 	for range 3 {
 		began := time.Now()
@@ -158,5 +161,5 @@
 		require.Greater(t, after, 500*time.Millisecond)
 		require.Less(t, time.Since(began), 100*time.Millisecond)
 	}
-	require.EqualValues(t, 1, rested.Load())
+	require.EqualValues(t, 1, backedOff.Load())
 }
--- a/internal/gateway/proxy/overdue_test.go
+++ b/internal/gateway/proxy/overdue_test.go
@@ -13,15 +13,15 @@
 	"cairndock/internal/gateway/route"
 )
 
-// An upstream that is silent, or breaks its responses off, is ejected, though it
-// neither refuses connections nor fails its health check.
+// An upstream that never responds, or truncates its responses, is ejected, although it accepts
+// connections and passes its health check.
 func TestAnUpstreamThatFailsRequestsIsEjected(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		fail func(net.Conn, *http.Request)
 	}{
 		{"silent", silent},
-		{"breaks off", truncating},
+		{"truncating", truncating},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newTestGateway(t)
@@ -45,8 +45,8 @@
 	}
 }
 
-// A response may be lost without a trace. A request that may run again is then
-// sent to another upstream in time, any other never is.
+// A response may be lost without an error. A repeatable request is then sent to another
+// upstream in time. Any other request is never sent again.
 func TestAnOverdueRequestIsSentElsewhereOnlyIfItMayRunAgain(t *testing.T) {
 	for _, repeat := range []route.Repeat{route.Repeatable, route.Once} {
 		t.Run(fmt.Sprint(repeat), func(t *testing.T) {
--- a/internal/gateway/proxy/refuse_test.go
+++ b/internal/gateway/proxy/refuse_test.go
@@ -26,11 +26,11 @@
 		verdict     verdict.Verdict
 		reason      verdict.Reason
 	}{
-		{"the last error, if nothing can have run", shed, nil, false, verdict.NotRun, verdict.UpstreamShed},
+		{"the last error, if no attempt can have run", shed, nil, false, verdict.NotRun, verdict.UpstreamShed},
 		{"one attempt that may have run is enough", shed, broken, false, verdict.MayHaveRun, verdict.UpstreamFailed},
 		{"a client that left", canceledAfter, canceledAfter, false, verdict.MayHaveRun, verdict.CallerLeft},
 		{"an abort before anything was sent", canceledBefore, nil, true, verdict.NotRun, verdict.Stopping},
-		{"an abort after it was sent", canceledAfter, canceledAfter, true, verdict.MayHaveRun, verdict.Interrupted},
+		{"an abort after the request was sent", canceledAfter, canceledAfter, true, verdict.MayHaveRun, verdict.Interrupted},
 		{"an abort after an attempt that may have run", canceledBefore, broken, true, verdict.MayHaveRun, verdict.UpstreamFailed},
 		{"an abort does not hide another failure", shed, nil, true, verdict.NotRun, verdict.UpstreamShed},
 	} {
@@ -42,9 +42,10 @@
 	}
 }
 
-func TestWhatWasNotSentDidNotRun(t *testing.T) {
+func TestARequestThatWasNotSentDidNotRun(t *testing.T) {
 	first := balance.Choice{Upstream: &upstream.Upstream{Registration: upstream.Registration{ID: "i-1"}}, Load: 2.5}
-	// A host that had withdrawn itself told its clients that upstreams were warming up.
+	// Guards against a host that was leaving service and reported warming upstreams to its
+	// clients as the reason.
 	withdrawn := first
 	withdrawn.Cold, withdrawn.WarmUp.Quota.Withheld = true, warmup.Stopping
 	for _, c := range []struct {
--- a/internal/gateway/proxy/request_test.go
+++ b/internal/gateway/proxy/request_test.go
@@ -35,7 +35,7 @@
 	require.Equal(t, 201, resp.StatusCode)
 	require.Equal(t, "POST /x/a%20b?q=%2F i-1", body)
 	require.Equal(t, "kept", resp.Header.Get("Odd"))
-	require.Empty(t, resp.Header.Get("Content-Type"), "nothing is guessed")
+	require.Empty(t, resp.Header.Get("Content-Type"), "no content type is guessed")
 
 	resp, _, err = g.do(t.Context(), http.MethodGet, "/nowhere/", "")
 	require.NoError(t, err)
@@ -81,7 +81,7 @@
 	require.Contains(t, g.log.String(), `"upstream":"i-1"`)
 }
 
-// teapotCodec gives every error a status of its own, as a platform may.
+// teapotCodec writes its own status for every error, as a platform may.
 type teapotCodec struct{ codec }
 
 func (teapotCodec) WriteError(w http.ResponseWriter, _ proxy.RequestInfo, _ *verdict.Error) int {
--- a/internal/gateway/proxy/silence_test.go
+++ b/internal/gateway/proxy/silence_test.go
@@ -16,21 +16,21 @@
 	"cairndock/internal/gateway/route"
 )
 
-// keptConnections is an upstream that serves many requests on a connection, until
-// its connections go silent; new ones work.
-type keptConnections struct {
-	// silenced is how often that happened, and fresh counts the requests that
-	// came as the first on their connection.
-	silenced, fresh atomic.Int64
+// keepAliveUpstream is an upstream that serves many requests on each connection. After silenced
+// is incremented, it responds only on new connections.
+type keepAliveUpstream struct {
+	// silenced is how often the open connections were silenced, and firstRequests counts
+	// the requests that were the first on their connection.
+	silenced, firstRequests atomic.Int64
 }
 
-func (k *keptConnections) respond(c net.Conn, r *http.Request) {
-	k.fresh.Add(1)
-	born, reader := k.silenced.Load(), bufio.NewReader(c)
+func (k *keepAliveUpstream) respond(c net.Conn, r *http.Request) {
+	k.firstRequests.Add(1)
+	silencedBefore, reader := k.silenced.Load(), bufio.NewReader(c)
 	for {
-		// Some time, so that requests at once have connections of their own.
+		// The delay makes concurrent requests use separate connections.
 		time.Sleep(20 * time.Millisecond)
-		if k.silenced.Load() != born {
+		if k.silenced.Load() != silencedBefore {
 			_, _ = c.Read(make([]byte, 1)) // until the host closes it
 			return
 		}
@@ -43,37 +43,37 @@
 	}
 }
 
-// When the connections to an upstream went silent without a reset, three overdue
-// requests were evidence enough to eject it for 2 s, though it answered on new
+// When the connections to an upstream stopped delivering packets without a reset, three
+// overdue requests were enough to eject the upstream for 2 s, although it responded on new
 // connections.
 func TestSilentConnectionsDoNotEjectAnUpstreamThatAnswersNewOnes(t *testing.T) {
-	const atOnce = 12
+	const concurrency = 12
 	g := newTestGateway(t)
-	g.capacity = 10 * atOnce
+	g.capacity = 10 * concurrency
 	r := testRoute(route.Repeatable)
 	r.Timeout = 5 * time.Second
 	g.setRoutes(r)
-	var k keptConnections
+	var k keepAliveUpstream
 	g.addUpstream(k.respond)
-	sendAtOnce := func() {
+	sendConcurrently := func() {
 		var done sync.WaitGroup
-		for key := range atOnce {
+		for key := range concurrency {
 			done.Go(func() { g.getKey(key) })
 		}
 		done.Wait()
 	}
-	for range 1 + 64/atOnce { // for the latency baseline, and idle connections
-		sendAtOnce()
+	for range 1 + 64/concurrency { // for the latency baseline and idle connections
+		sendConcurrently()
 	}
-	healthyOne := g.addUpstream(healthy)
-	time.Sleep(1700 * time.Millisecond) // until its successes are evidence no more
+	other := g.addUpstream(healthy)
+	time.Sleep(1700 * time.Millisecond) // until its successes are too old to be used as evidence
 	k.silenced.Add(1)
-	before := k.fresh.Load()
-	sendAtOnce()
-	require.Positive(t, healthyOne.Load(), "what is overdue is sent elsewhere")
+	before := k.firstRequests.Load()
+	sendConcurrently()
+	require.Positive(t, other.Load(), "overdue requests are sent to another upstream")
 	for key := range 20 {
 		require.Equal(t, http.StatusOK, g.getKey(key))
 	}
-	require.Greater(t, k.fresh.Load(), before, "new connections are made")
+	require.Greater(t, k.firstRequests.Load(), before, "new connections are made")
 	require.NotContains(t, g.log.String(), "avoided for a time")
 }
--- a/internal/gateway/proxy/span_test.go
+++ b/internal/gateway/proxy/span_test.go
@@ -15,9 +15,9 @@
 
 const clientTrace = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
 
-// traced sends a request of a client's trace and returns the trace context that
-// the last upstream received.
-func traced(t *testing.T, sampler sdktrace.Sampler, recorder *tracetest.SpanRecorder) string {
+// sendTraced sends requests that belong to a client's trace until the second upstream receives
+// one, and returns the trace context that this upstream received.
+func sendTraced(t *testing.T, sampler sdktrace.Sampler, recorder *tracetest.SpanRecorder) string {
 	t.Helper()
 	telemetry.UseW3C()
 	g := newTracedGateway(t, sdktrace.NewTracerProvider(sdktrace.WithSampler(sampler), sdktrace.WithSpanProcessor(recorder)))
@@ -28,7 +28,7 @@
 		received = r.Header.Get("Traceparent")
 		healthy(c, r)
 	})
-	for received == "" { // until one goes to the second upstream
+	for received == "" { // until the second upstream receives a request
 		_, _, err := g.send(t.Context(), http.MethodGet, "/x/1", "", map[string]string{headerID: "id-1", "Traceparent": clientTrace})
 		require.NoError(t, err)
 	}
@@ -37,7 +37,7 @@
 
 func TestEachHopIsASpanOfTheClientsTrace(t *testing.T) {
 	recorder := tracetest.NewSpanRecorder()
-	received := traced(t, sdktrace.AlwaysSample(), recorder)
+	received := sendTraced(t, sdktrace.AlwaysSample(), recorder)
 	spans := recorder.Ended()
 	require.GreaterOrEqual(t, len(spans), 2)
 	request, attempt := spans[len(spans)-1], spans[len(spans)-2]
@@ -48,6 +48,6 @@
 	require.Contains(t, received, attempt.SpanContext().SpanID().String())
 }
 
-func TestATraceThatIsNotSampledChangesNoHeader(t *testing.T) {
-	require.Equal(t, clientTrace, traced(t, sdktrace.NeverSample(), tracetest.NewSpanRecorder()))
+func TestAnUnsampledTraceLeavesTheHeaderUnchanged(t *testing.T) {
+	require.Equal(t, clientTrace, sendTraced(t, sdktrace.NeverSample(), tracetest.NewSpanRecorder()))
 }
--- a/internal/gateway/proxy/split_test.go
+++ b/internal/gateway/proxy/split_test.go
@@ -15,11 +15,11 @@
 	"cairndock/internal/gateway/route"
 )
 
-// splitRequests is the window in which the platform bounds a backend's share.
+// splitRequests is the number of requests over which the platform checks a backend's share.
 const splitRequests = 200
 
-// sendAll sends requests with the ids at once and returns how many got each
-// status.
+// sendAll sends requests with the ids concurrently and returns how many got each status;
+// status zero counts requests without a response.
 func (g *testGateway) sendAll(ids []string) map[int]int {
 	var mu sync.Mutex
 	var sent sync.WaitGroup
@@ -40,9 +40,9 @@
 	return statuses
 }
 
-// Two backends, of which one is full: the other one gets the requests of its
-// weight and no more, and the rest of what the full one has no room for is
-// refused. So the shares of a split hold also while a backend lacks room.
+// Of two backends, one is full. The other backend gets only the requests of its own weight,
+// and requests that exceed the capacity of the full backend are refused. This keeps the shares
+// of a split also while a backend is full.
 func TestWhatAFullBackendHasNoRoomForIsNotMoved(t *testing.T) {
 	for seed := range uint64(5) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -53,7 +53,7 @@
 			r.Backends = []route.Backend{{Service: "full", Weight: 30 + rng.IntN(40)}, {Service: "roomy", Weight: 30 + rng.IntN(40)}}
 			g.setRoutes(r)
 			capacity := 1 + rng.IntN(4)
-			room := int(math.Ceil(1.85 * float64(capacity))) // what it takes of the top priority
+			maxAccepted := int(math.Ceil(1.85 * float64(capacity))) // how many requests of the highest priority the upstream accepts
 			allHeld := make(chan struct{})
 			release := sync.OnceFunc(func() { close(allHeld) })
 			defer release()
@@ -75,14 +75,14 @@
 			share := float64(r.Backends[1].Weight) / float64(r.Backends[0].Weight+r.Backends[1].Weight)
 			require.InDelta(t, share, float64(len(toRoomy))/splitRequests, 0.2)
 			held := make(chan map[int]int)
-			go func() { held <- g.sendAll(toFull[:room]) }()
-			require.Eventually(t, func() bool { return full.Load() == int64(room) }, 5*time.Second, time.Millisecond)
+			go func() { held <- g.sendAll(toFull[:maxAccepted]) }()
+			require.Eventually(t, func() bool { return full.Load() == int64(maxAccepted) }, 5*time.Second, time.Millisecond)
 
-			require.Equal(t, map[int]int{http.StatusServiceUnavailable: len(toFull) - room}, g.sendAll(toFull[room:]))
+			require.Equal(t, map[int]int{http.StatusServiceUnavailable: len(toFull) - maxAccepted}, g.sendAll(toFull[maxAccepted:]))
 			require.Equal(t, map[int]int{http.StatusOK: len(toRoomy)}, g.sendAll(toRoomy))
-			require.EqualValues(t, len(toRoomy), roomy.Load(), "nothing is moved to the backend with room")
+			require.EqualValues(t, len(toRoomy), roomy.Load(), "no request is moved to the backend with free capacity")
 			release()
-			require.Equal(t, map[int]int{http.StatusOK: room}, <-held)
+			require.Equal(t, map[int]int{http.StatusOK: maxAccepted}, <-held)
 		})
 	}
 }
--- a/internal/gateway/proxy/stop_test.go
+++ b/internal/gateway/proxy/stop_test.go
@@ -16,8 +16,8 @@
 	"cairndock/internal/verdict"
 )
 
-// A planned stop: the host is not ready, requests that still come are served, and
-// those in flight end well.
+// During a planned stop the host is not ready, new requests are still served, and requests in
+// flight are completed.
 func TestAPlannedStopCutsNothing(t *testing.T) {
 	g := newTestGateway(t)
 	g.setRoutes(testRoute(route.Once))
@@ -39,8 +39,8 @@
 	}
 	go post()
 	time.Sleep(50 * time.Millisecond)
-	cut := make(chan int64, 1)
-	go func() { cut <- s.Stop(t.Context(), 2*time.Second) }()
+	aborted := make(chan int64, 1)
+	go func() { aborted <- s.Stop(t.Context(), 2*time.Second) }()
 	time.Sleep(50 * time.Millisecond)
 	require.False(t, g.proxy.Ready())
 	go post()
@@ -48,15 +48,15 @@
 		r := <-results
 		require.NoError(t, r.err)
 		require.Equal(t, "whole", r.body)
-		require.True(t, r.resp.Close, "the client is told to leave, also if it came before the stop")
+		require.True(t, r.resp.Close, "the client is told to close its connection, also if it was opened before the stop")
 	}
-	require.Zero(t, <-cut)
+	require.Zero(t, <-aborted)
 	_, err := net.DialTimeout("tcp", address, 100*time.Millisecond)
 	require.Error(t, err)
 }
 
-// A request that a stopping host can't finish gets a response, not a connection
-// that closes.
+// A request that a stopping host can't complete gets an error response. Its connection is not
+// closed without a response.
 func TestAStopRespondsToWhatItAborts(t *testing.T) {
 	g := newTestGateway(t)
 	long := testRoute(route.Once)
@@ -68,22 +68,22 @@
 	})
 	s, address := g.listen()
 	g.server.URL = "http://" + address
-	cut := make(chan int64, 1)
+	aborted := make(chan int64, 1)
 	time.AfterFunc(50*time.Millisecond, func() {
 		n := s.Stop(t.Context(), time.Second)
 		s.Close() // as the process ends
-		cut <- n
+		aborted <- n
 	})
 	resp, _, err := g.do(t.Context(), http.MethodPost, "/x/", "b")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusGatewayTimeout, resp.StatusCode)
 	require.Equal(t, verdict.MayHaveRun.String(), resp.Header.Get("Verdict"))
 	require.Equal(t, string(verdict.Interrupted), resp.Header.Get("Reason"))
-	require.EqualValues(t, 1, <-cut)
+	require.EqualValues(t, 1, <-aborted)
 }
 
-// A refusal, too, tells the client not to come back on its connection.
-func TestARefusalOfAStoppingHostTellsTheClientToLeave(t *testing.T) {
+// A refusal by a stopping host also tells the client not to reuse its connection.
+func TestARefusalOfAStoppingHostClosesTheConnection(t *testing.T) {
 	g := newTestGateway(t)
 	g.setRoutes(testRoute(route.Once)) // without an upstream
 	resp, _ := g.get()
@@ -95,9 +95,9 @@
 	require.True(t, resp.Close)
 }
 
-// The directory, readiness and metrics are answered to the end, whatever a
-// connection of one of the others waits for.
-func TestAStopAnswersOnAllListeners(t *testing.T) {
+// The listeners for the directory, readiness and metrics respond until the stop ends, even if
+// an idle connection is open on one of them.
+func TestAStopServesAllListenersUntilItsEnd(t *testing.T) {
 	g := newTestGateway(t)
 	s, _ := g.listen()
 	slow := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -114,20 +114,20 @@
 	silent, err := net.Dial("tcp", addresses[0])
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = silent.Close() })
-	asked := make(chan error, 1)
+	lookup := make(chan error, 1)
 	time.AfterFunc(440*time.Millisecond, func() { // the stop ends at 0.45 s
 		resp, err := http.Get("http://" + addresses[1])
 		if err == nil {
 			err = resp.Body.Close()
 		}
-		asked <- err
+		lookup <- err
 	})
 	require.Zero(t, s.Stop(t.Context(), time.Second))
 	s.Close()
-	require.NoError(t, <-asked)
+	require.NoError(t, <-lookup)
 }
 
-// A host that can't accept connections must not say that it is ready.
+// A host that can't accept connections must not report that it is ready.
 func TestAHostThatCantAcceptClientsIsNotReady(t *testing.T) {
 	g := newTestGateway(t)
 	g.setRoutes(testRoute(route.Repeatable))
@@ -135,29 +135,29 @@
 	require.True(t, g.proxy.Ready())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	var short atomic.Bool
-	short.Store(true)
+	var exhausted atomic.Bool
+	exhausted.Store(true)
 	s := proxy.NewServer(g.proxy)
 	t.Cleanup(s.Close)
-	s.ServeClients(shortListener{l, &short})
+	s.ServeClients(exhaustedListener{l, &exhausted})
 	require.Eventually(t, func() bool { return !g.proxy.Ready() }, time.Second, time.Millisecond)
 	g.requireLogged(`"dependency":"listener"`)
-	c, err := net.Dial("tcp", l.Addr().String()) // waits in the kernel
+	c, err := net.Dial("tcp", l.Addr().String()) // waits in the kernel's accept queue
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
-	short.Store(false)
+	exhausted.Store(false)
 	sendOn(t, c)
 	require.Eventually(t, g.proxy.Ready, 3*time.Second, 10*time.Millisecond)
 }
 
-// shortListener has no descriptors for a time.
-type shortListener struct {
+// exhaustedListener fails to accept, for lack of file descriptors, while exhausted is set.
+type exhaustedListener struct {
 	net.Listener
-	short *atomic.Bool
+	exhausted *atomic.Bool
 }
 
-func (l shortListener) Accept() (net.Conn, error) {
-	if l.short.Load() {
+func (l exhaustedListener) Accept() (net.Conn, error) {
+	if l.exhausted.Load() {
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 	}
 	return l.Listener.Accept()
--- a/internal/gateway/proxy/suspension_test.go
+++ b/internal/gateway/proxy/suspension_test.go
@@ -13,15 +13,15 @@
 	"cairndock/internal/gateway/route"
 )
 
-// A machine was suspended while a request was under way, and the next upstream was
-// given as much time as if its client had not waited meanwhile.
+// A second attempt got too much time after the machine had been suspended, because Go's
+// monotonic clock does not advance while the machine is suspended:
 //
-// The order of events: a client sent a request with a deadline; the first upstream
-// broke off; the machine was suspended for most of the deadline; the host tried a
-// second upstream with nearly the whole deadline left.
+//  1. A client sends a request with a deadline.
+//  2. The first upstream closes the connection without a response.
+//  3. The machine is suspended for most of the time until the deadline.
+//  4. The host sends the request to a second upstream with nearly the full timeout.
 //
-// The cause: Go measures by a clock that stands still while the machine is suspended.
-// The evidence: the time that the second upstream is given, below.
+// The test checks the timeout that the second upstream receives.
 func TestARequestIsGivenNoTimeThatItsClientDoesNotWait(t *testing.T) {
 	for _, c := range []struct {
 		suspended time.Duration
@@ -33,14 +33,14 @@
 			r.Timeout = 10 * time.Second
 			g.setRoutes(r)
 			var attempts atomic.Int64
-			var given atomic.Int64
+			var receivedMS atomic.Int64
 			respond := func(conn net.Conn, r *http.Request) {
 				if attempts.Add(1) == 1 {
 					g.suspension.Suspend(c.suspended)
 					return
 				}
-				ms, _ := strconv.ParseInt(r.Header.Get(headerWait), 10, 64) // zero is too little
-				given.Store(ms)
+				ms, _ := strconv.ParseInt(r.Header.Get(headerWait), 10, 64) // zero if it does not parse, and the test fails
+				receivedMS.Store(ms)
 				healthy(conn, r)
 			}
 			g.addUpstream(respond)
@@ -48,12 +48,12 @@
 			resp, _ := g.get()
 			require.Equal(t, c.attempts, attempts.Load())
 			if c.attempts == 1 {
-				require.Equal(t, http.StatusBadGateway, resp.StatusCode, "its client has left")
+				require.Equal(t, http.StatusBadGateway, resp.StatusCode, "the client's deadline has passed")
 				return
 			}
 			require.Equal(t, http.StatusOK, resp.StatusCode)
 			left := 10*time.Second - c.suspended
-			require.InDelta(t, left.Milliseconds(), given.Load(), 500)
+			require.InDelta(t, left.Milliseconds(), receivedMS.Load(), 500)
 		})
 	}
 }
--- a/internal/gateway/proxy/suspicion_test.go
+++ b/internal/gateway/proxy/suspicion_test.go
@@ -14,39 +14,42 @@
 	"cairndock/internal/verdict"
 )
 
-// endingUpstream adds an upstream whose process ends as soon as it begins a request
-// that ends it. It counts those in sent.
-func (g *testGateway) endingUpstream(sent *atomic.Int64, ends func(r *http.Request) bool) {
+// addTerminatingUpstream adds an upstream whose process terminates when it receives a request
+// for which terminates returns true. These requests are counted in sent.
+func (g *testGateway) addTerminatingUpstream(sent *atomic.Int64, terminates func(r *http.Request) bool) {
 	var close func()
 	count := g.addClosableUpstream(func(c net.Conn, r *http.Request) {
-		if !ends(r) {
+		if !terminates(r) {
 			healthy(c, r)
 			return
 		}
 		sent.Add(1)
 		close()
 	}, &close)
-	_ = count // each test counts by sent
+	_ = count // the tests use sent instead
 }
 
+// isPoison reports whether a request terminates its upstream.
 func isPoison(r *http.Request) bool { return r.URL.Path == "/x/poison" }
 
-func TestARequestThatEndsUpstreamsIsRefusedAfterThree(t *testing.T) {
+// A request that terminates each upstream that receives it is quarantined. Other requests are
+// still served.
+func TestARequestThatTerminatesUpstreamsIsRefusedAfterThree(t *testing.T) {
 	for _, repeat := range []route.Repeat{route.Repeatable, route.Once} {
 		t.Run(fmt.Sprint(repeat), func(t *testing.T) {
 			g := newTestGateway(t)
 			g.setRoutes(testRoute(repeat))
 			var sent atomic.Int64
 			for range 8 {
-				g.endingUpstream(&sent, isPoison)
+				g.addTerminatingUpstream(&sent, isPoison)
 			}
 			for i := range 6 {
 				_, _, err := g.do(t.Context(), http.MethodPost, "/x/poison", "body")
 				require.NoError(t, err)
-				time.Sleep(50 * time.Millisecond) // the end of an upstream is noted beside the response
+				time.Sleep(50 * time.Millisecond) // the termination is recorded concurrently with the response
 				resp, _, err := g.do(t.Context(), http.MethodPost, fmt.Sprint("/x/", i), "body")
 				require.NoError(t, err)
-				require.Equal(t, http.StatusOK, resp.StatusCode, "others are served")
+				require.Equal(t, http.StatusOK, resp.StatusCode, "other requests are served")
 			}
 			require.LessOrEqual(t, sent.Load(), int64(4))
 			resp, _, err := g.do(t.Context(), http.MethodPost, "/x/poison", "body")
@@ -61,8 +64,9 @@
 	}
 }
 
-// What is no end of an upstream: none of these may ever quarantine a request.
-func TestOnlyEndsOfUpstreamsCountAgainstARequest(t *testing.T) {
+// Failures of an attempt that are no termination of an upstream must never quarantine a
+// request.
+func TestOnlyTerminationsOfUpstreamsMakeARequestSuspect(t *testing.T) {
 	for name, respond := range map[string]func(net.Conn, *http.Request){
 		"reset": resetting, "close": func(net.Conn, *http.Request) {}, "broken off": truncating, "refused": shedding,
 		"foreign bytes": func(c net.Conn, _ *http.Request) { _, _ = c.Write([]byte("\x16\x03 no response\r\n\r\n")) },
@@ -77,18 +81,19 @@
 				resp, _ := g.get()
 				require.NotEqual(t, "quarantined", resp.Header.Get("Reason"))
 			}
-			time.Sleep(100 * time.Millisecond) // what is noted beside requests
+			time.Sleep(100 * time.Millisecond) // terminations are recorded concurrently with requests
 			require.True(t, g.suspicions.Empty())
 		})
 	}
 }
 
-// A planned end is nobody's fault.
-func TestAnUpstreamThatDrainsMayEndUnderARequest(t *testing.T) {
+// The planned termination of a draining upstream is not attributed to the request that it was
+// serving.
+func TestATerminationWhileDrainingIsNotAttributedToARequest(t *testing.T) {
 	g := newTestGateway(t)
 	g.setRoutes(testRoute(route.Once))
 	var sent atomic.Int64
-	g.endingUpstream(&sent, func(*http.Request) bool {
+	g.addTerminatingUpstream(&sent, func(*http.Request) bool {
 		g.drainUpstreams()
 		return true
 	})
@@ -98,14 +103,15 @@
 	require.True(t, g.suspicions.Empty())
 }
 
-// After all hosts had ended, a request that is quarantined was sent to an upstream once more.
+// After a restart of all hosts, a quarantined request was sent to an upstream once more,
+// because readiness did not wait for the list of quarantines:
 //
-// The order of events: hosts started; one had read the configuration and the upstreams, and
-// was ready; the request came; then the host read its region's list, where the quarantine
-// stands.
+//  1. A host starts, reads the configuration and the upstreams, and is ready.
+//  2. The quarantined request arrives and is sent to an upstream.
+//  3. Only then does the host read its region's list, which contains the quarantine.
 //
-// The cause: readiness did not wait for the list. The evidence: with the list read 300 ms
-// later, the restart of all nine hosts has the request sent again in each play.
+// When the list was read 300 ms later, a restart of all nine hosts reproduced the fault in
+// each run.
 func TestAHostServesNothingBeforeItHasHeardOfQuarantines(t *testing.T) {
 	g := newTestGateway(t)
 	g.setRoutes(testRoute(route.Repeatable))
--- a/internal/gateway/proxy/unsent_test.go
+++ b/internal/gateway/proxy/unsent_test.go
@@ -18,8 +18,8 @@
 	"cairndock/internal/gateway/route"
 )
 
-// addEnded adds an upstream at whose address nothing listens.
-func (g *testGateway) addEnded() {
+// addTerminated adds an upstream at whose address nothing listens.
+func (g *testGateway) addTerminated() {
 	g.t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(g.t, err)
@@ -27,15 +27,15 @@
 	g.register("s", l.Addr().String(), g.capacity)
 }
 
-// addDark adds an upstream whose machine does not answer new connections until serve is
-// called: its queue of those that wait to be accepted is full.
-func (g *testGateway) addDark() (serve func()) {
+// addUnresponsive adds an upstream that does not answer new connections until serve is
+// called, because its accept queue is full.
+func (g *testGateway) addUnresponsive() (serve func()) {
 	g.t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	require.NoError(g.t, err)
 	require.NoError(g.t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
 	require.NoError(g.t, syscall.Listen(fd, 0))
-	file := os.NewFile(uintptr(fd), "dark upstream")
+	file := os.NewFile(uintptr(fd), "unresponsive upstream")
 	l, err := net.FileListener(file)
 	require.NoError(g.t, err)
 	require.NoError(g.t, file.Close())
@@ -47,16 +47,16 @@
 	return func() { go serveUpstream(l, new(atomic.Int64), healthy) }
 }
 
-// loggedAttempts is how many attempts the log has once it has the final line of a request,
-// which is written after them; both may come later than the response.
+// loggedAttempts returns the number of attempts in the log. It first waits for the final line
+// of the request, which is written after the attempts and may be written after the response.
 func (g *testGateway) loggedAttempts() int {
 	g.t.Helper()
 	g.requireLogged(`"event":"final"`)
 	return strings.Count(g.log.String(), `"event":"attempt"`)
 }
 
-// newUnsentGateway is a gateway whose retry budget is empty.
-func newUnsentGateway(t *testing.T, timeout time.Duration) *testGateway {
+// newGatewayWithoutRetries returns a gateway whose retry budget is empty.
+func newGatewayWithoutRetries(t *testing.T, timeout time.Duration) *testGateway {
 	t.Helper()
 	g := newGateway(t, noop.NewTracerProvider(), retry.Limits{Window: time.Second})
 	r := testRoute(route.Once)
@@ -65,24 +65,25 @@
 	return g
 }
 
-// Requests were refused with 503 beside upstreams with room, as their one attempt met an
-// upstream that had ended and a new process has no retries. Nothing had been sent.
+// Requests were refused with 503 although an upstream had free capacity. Their only attempt
+// chose a terminated upstream, and a new process has no retries in its budget. Nothing had been
+// sent, so that no retry is needed.
 func TestARefusedConnectionNeedsNoRetryOfTheBudget(t *testing.T) {
-	for key := range 8 { // some prefer the upstream that ended
-		g := newUnsentGateway(t, 500*time.Millisecond)
-		g.addEnded()
+	for key := range 8 { // some keys prefer the terminated upstream
+		g := newGatewayWithoutRetries(t, 500*time.Millisecond)
+		g.addTerminated()
 		g.addUpstream(healthy)
 		require.Equal(t, http.StatusOK, g.getKey(key))
 	}
 }
 
-// Requests were refused with 503 beside upstreams with room, as both attempts that their
-// route allows met upstreams that had ended side by side.
+// Requests were refused with 503 although an upstream had free capacity, because both attempts
+// that their route allows chose upstreams that had terminated together.
 func TestRefusedConnectionsLeaveTheRoutesAttempts(t *testing.T) {
 	for key := range 8 {
-		g := newUnsentGateway(t, 500*time.Millisecond)
+		g := newGatewayWithoutRetries(t, 500*time.Millisecond)
 		for range 4 {
-			g.addEnded()
+			g.addTerminated()
 		}
 		requests := g.addUpstream(healthy)
 		require.Equal(t, http.StatusOK, g.getKey(key))
@@ -90,23 +91,23 @@
 	}
 }
 
-// Requests were refused with 503 beside upstreams with room, as they went through the
-// upstreams of a zone or region that had all ended one by one.
+// Requests were refused with 503 although an upstream had free capacity, because they tried the
+// upstreams of a zone or region one after another, all of which had terminated.
 func TestRefusedConnectionsOfAZoneAreFollowedByAnAttemptInAnother(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		zones        []string
 		zone, region string
 	}{
-		{"a zone ended", []string{"z"}, "y", "r"},
-		{"a region ended", []string{"z", "y", "x"}, "w", "q"},
+		{"a terminated zone", []string{"z"}, "y", "r"},
+		{"a terminated region", []string{"z", "y", "x"}, "w", "q"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for key := range 8 {
-				g := newUnsentGateway(t, 500*time.Millisecond)
+				g := newGatewayWithoutRetries(t, 500*time.Millisecond)
 				for _, g.zone = range c.zones {
 					for range 8 {
-						g.addEnded()
+						g.addTerminated()
 					}
 				}
 				g.zone, g.region = c.zone, c.region
@@ -118,44 +119,45 @@
 	}
 }
 
-// Where nothing listens at any address the client is told at once.
-func TestARequestIsRefusedAtOnceWhereAllUpstreamsHaveEnded(t *testing.T) {
-	g := newUnsentGateway(t, 20*time.Second)
+// If nothing listens at any upstream's address, the request is refused immediately.
+func TestARequestIsRefusedAtOnceWhereAllUpstreamsHaveTerminated(t *testing.T) {
+	g := newGatewayWithoutRetries(t, 20*time.Second)
 	for range 3 {
-		g.addEnded()
+		g.addTerminated()
 	}
 	began := time.Now()
 	require.Equal(t, http.StatusServiceUnavailable, g.getKey(1))
-	require.Less(t, time.Since(began), 5*time.Second, "to wait for them would take half of its time")
+	require.Less(t, time.Since(began), 5*time.Second, "waiting for upstreams would take half of the timeout")
 	require.Equal(t, 3, g.loggedAttempts())
 }
 
-// Among many that have ended a request looks for a running one a few times only.
+// Among many terminated upstreams, a request makes only a few attempts to find a running one.
 func TestARequestIsRefusedAfterAFewRefusedConnections(t *testing.T) {
-	g := newUnsentGateway(t, 20*time.Second)
+	g := newGatewayWithoutRetries(t, 20*time.Second)
 	for range 20 {
-		g.addEnded()
+		g.addTerminated()
 	}
 	require.Equal(t, http.StatusServiceUnavailable, g.getKey(1))
-	require.Equal(t, 6, g.loggedAttempts(), "two of the route, and four that were refused")
+	require.Equal(t, 6, g.loggedAttempts(), "two attempts of the route and four refused connections")
 }
 
-// Requests were refused with 503 long before their deadline, as the only upstream could
-// not be connected to at once: the host was short of processor time for a moment.
-func TestAnUpstreamThatDoesNotAnswerIsDialedAgainWhileNoneIsLeft(t *testing.T) {
-	g := newUnsentGateway(t, 20*time.Second)
-	serve := g.addDark()
+// Requests were refused with 503 long before their deadline, because the first dial to the only
+// upstream timed out on a host that was briefly short of processor time.
+func TestAnUnansweredDialIsRetriedWhileNoOtherUpstreamIsLeft(t *testing.T) {
+	g := newGatewayWithoutRetries(t, 20*time.Second)
+	serve := g.addUnresponsive()
 	time.AfterFunc(time.Second, serve)
 	require.Equal(t, http.StatusOK, g.getKey(1))
 }
 
-// A request got 504 after its whole time, as the upstream that responds had not answered
-// at first, of the others one refused and one never responded.
+// A request got 504 at its deadline, although one upstream would have responded. The first dial
+// to this upstream was not answered. Of the other upstreams, one refused and one never
+// responded.
 func TestAnOverdueRequestGoesToAnUpstreamThatDidNotAnswerAtFirst(t *testing.T) {
-	for key := range 6 { // some prefer the upstream that does not answer
+	for key := range 6 { // some keys prefer the upstream that does not answer
 		g := newTestGateway(t)
-		var o overdueOnce
-		g.addOverdue(&o, func(c net.Conn, r *http.Request) {
+		var o delayableUpstream
+		g.addDelayable(&o, func(c net.Conn, r *http.Request) {
 			if o.late.Load() {
 				_, _ = c.Read(make([]byte, 1)) // it never responds
 				return
@@ -163,7 +165,7 @@
 			healthy(c, r)
 		})
 		g.addUpstream(shedding)
-		serve := g.addDark()
+		serve := g.addUnresponsive()
 		time.AfterFunc(300*time.Millisecond, serve)
 		began := time.Now()
 		require.Equal(t, http.StatusOK, g.getKey(key))
@@ -171,15 +173,15 @@
 	}
 }
 
-// What is sent after a dial that got no answer takes one retry of the budget if another
-// upstream had got the request, whichever was tried first.
-func TestAnUpstreamThatIsDialedAgainAfterASendTakesARetry(t *testing.T) {
-	for key := range 8 { // some prefer either upstream
+// An attempt that follows an unanswered dial uses one retry of the budget if another upstream
+// has received the request, whichever of the two upstreams was tried first.
+func TestARedialAfterASentAttemptUsesARetry(t *testing.T) {
+	for key := range 8 { // some keys prefer the first upstream, others the second
 		g := newGateway(t, noop.NewTracerProvider(), retry.Limits{Window: time.Minute, Slack: 2})
 		r := testRoute(route.Repeatable)
 		r.Timeout, r.Attempts = 20*time.Second, 3
 		g.setRoutes(r)
-		serve := g.addDark()
+		serve := g.addUnresponsive()
 		failing := g.addUpstream(resetting)
 		time.AfterFunc(300*time.Millisecond, serve)
 		require.Equal(t, http.StatusOK, g.getKey(key))
@@ -188,34 +190,35 @@
 	}
 }
 
-// A host that is cut off from all upstreams tells its clients while they can still turn
-// to another host.
-func TestARequestIsRefusedInTimeToTurnToAnotherHost(t *testing.T) {
-	g := newUnsentGateway(t, 2*time.Second)
-	g.addDark()
+// A host that can't reach any upstream refuses requests early enough for clients to try another
+// host before their deadline.
+func TestARequestIsRefusedInTimeForAnotherHost(t *testing.T) {
+	g := newGatewayWithoutRetries(t, 2*time.Second)
+	g.addUnresponsive()
 	began := time.Now()
 	require.Equal(t, http.StatusServiceUnavailable, g.getKey(1))
 	require.Less(t, time.Since(began), 1500*time.Millisecond)
 }
 
-// Where a zone is dark a request goes to as many upstreams as its route allows: what is
-// dialed beyond that comes late and adds to the load of those that are left.
-func TestARequestTriesNoMoreDarkUpstreamsThanItsRouteAllows(t *testing.T) {
-	g := newUnsentGateway(t, 20*time.Second)
+// If a zone is unresponsive, a request dials at most as many upstreams as its route has
+// attempts. Requests after further dials would be late, and would add to the load of the
+// remaining upstreams.
+func TestARequestDialsNoMoreUnresponsiveUpstreamsThanItsRouteAllows(t *testing.T) {
+	g := newGatewayWithoutRetries(t, 20*time.Second)
 	for range 3 {
-		g.addDark()
+		g.addUnresponsive()
 	}
 	require.Equal(t, http.StatusServiceUnavailable, g.getKey(1))
 	require.Equal(t, 2, g.loggedAttempts())
 }
 
-// Requests were refused with 503 after a second beside upstreams with room, as both attempts
-// that their route allows met upstreams of a dark zone.
+// Requests were refused with 503 after one second although an upstream had free capacity,
+// because both attempts that their route allows chose upstreams of an unresponsive zone.
 func TestADialWithoutAnAnswerIsFollowedByAnAttemptInAnotherZone(t *testing.T) {
 	for key := range 4 {
-		g := newUnsentGateway(t, 20*time.Second)
+		g := newGatewayWithoutRetries(t, 20*time.Second)
 		for range 4 {
-			g.addDark()
+			g.addUnresponsive()
 		}
 		g.zone = "y"
 		requests := g.addUpstream(healthy)
@@ -224,13 +227,13 @@
 	}
 }
 
-// A client that leaves while its request waits for an upstream to answer is not served.
+// A request whose client leaves while it waits to redial an upstream is not sent.
 func TestAClientThatLeavesEndsTheWaitForAnUpstream(t *testing.T) {
 	g := newTestGateway(t)
 	r := testRoute(route.Repeatable)
 	r.Timeout = 20 * time.Second
 	g.setRoutes(r)
-	serve := g.addDark()
+	serve := g.addUnresponsive()
 	ctx, leave := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer leave()
 	_, _, err := g.do(ctx, http.MethodGet, "/x/", "")
--- a/internal/gateway/proxy/update_test.go
+++ b/internal/gateway/proxy/update_test.go
@@ -24,6 +24,8 @@
 	require.Equal(t, 200, resp.StatusCode)
 }
 
+// A configuration with a lower version, or in a row that can't be decoded, must not replace the
+// current configuration.
 func TestAConfigurationNeverGoesBackAndABadOneChangesNothing(t *testing.T) {
 	g := newTestGateway(t)
 	g.addUpstream(healthy)
--- a/internal/gateway/proxy/warmup_test.go
+++ b/internal/gateway/proxy/warmup_test.go
@@ -17,7 +17,7 @@
 	"cairndock/internal/gateway/warmup"
 )
 
-// warmUpLine is a line of the log on a request to a cold upstream.
+// warmUpLine is a log line about a request to a cold upstream.
 type warmUpLine struct {
 	Event    string
 	Request  string
@@ -30,8 +30,8 @@
 	Hosts    int
 }
 
-// warmUps returns the log's lines on requests to cold upstreams.
-func (g *testGateway) warmUps() []warmUpLine {
+// warmUpLines returns the log lines about requests to cold upstreams.
+func (g *testGateway) warmUpLines() []warmUpLine {
 	g.t.Helper()
 	var out []warmUpLine
 	for line := range strings.Lines(g.log.String()) {
@@ -54,8 +54,8 @@
 		require.Equal(t, http.StatusOK, g.getKey(n))
 	}
 	require.EqualValues(t, requests, got.Load())
-	require.Eventually(t, func() bool { return len(g.warmUps()) == requests }, time.Second, 10*time.Millisecond)
-	lines := g.warmUps()
+	require.Eventually(t, func() bool { return len(g.warmUpLines()) == requests }, time.Second, 10*time.Millisecond)
+	lines := g.warmUpLines()
 	slices.SortFunc(lines, func(a, b warmUpLine) int { return a.Sent - b.Sent })
 	for n, w := range lines {
 		require.Equal(t, "i-1", w.Upstream)
@@ -69,11 +69,11 @@
 	}
 }
 
-// A cold upstream got twice a host's part within a second: requests waited 0.6 s
-// for connections, as they do where the way is long or the host is short of
-// processor time, and came together with those chosen later. They had been counted
-// when their upstream was chosen, and were out of the count when they were sent. In
-// the logs of plays the wait was up to 111 ms, of which the count's window bears 150.
+// A cold upstream received twice a host's share within one second. Requests waited 0.6 s for
+// connections, and were sent together with requests that were chosen later. Such waits occur
+// when the round-trip time is long or the host is short of processor time. The requests were
+// counted when their upstream was chosen, and had left the counting window when they were
+// sent. Measured waits were up to 111 ms; the window tolerates 150 ms.
 func TestRequestsThatWaitForAConnectionCountWhenTheyAreSent(t *testing.T) {
 	const quota = 3
 	g := newTestGateway(t)
@@ -91,15 +91,15 @@
 		healthy(c, r)
 	})
 	sendAll := func() {
-		var wait sync.WaitGroup
+		var sent sync.WaitGroup
 		for n := range quota {
-			wait.Go(func() { g.getKey(n) })
+			sent.Go(func() { g.getKey(n) })
 		}
-		wait.Wait()
+		sent.Wait()
 	}
 	began := time.Now()
 	g.dialDelay.Store(int64(600 * time.Millisecond))
-	sendAll() // arrive 0.6 s after they were chosen
+	sendAll() // these requests arrive 0.6 s after their upstream was chosen
 	g.dialDelay.Store(0)
 	time.Sleep(time.Until(began.Add(warmup.Window + 50*time.Millisecond)))
 	sendAll()
--- a/internal/gateway/proxy/wire_test.go
+++ b/internal/gateway/proxy/wire_test.go
@@ -18,10 +18,10 @@
 	"cairndock/internal/verdict"
 )
 
-// This file has the tests' own protocol: headers and rows that are not the
-// platform's, so that proxy is tested without package platform.
+// This file contains the tests' own protocol. Its headers and rows differ from the platform's,
+// so that proxy is tested without package platform.
 
-// The headers of the tests' protocol.
+// Headers of the tests' protocol.
 const (
 	headerID     = "Id"
 	headerKey    = "Key"
@@ -29,13 +29,13 @@
 	headerSigned = "Genuine"
 	headerNotRun = "Not-Run"
 	headerTo     = "To"
-	// headerSecret is a client account's key, and headerAccount its name towards
-	// upstreams.
+	// headerSecret is the key of a client account, and headerAccount is the account's
+	// name as sent to upstreams.
 	headerSecret  = "Secret"
 	headerAccount = "Account"
-	// headerLimit is the upstream's limit, in requests a second.
+	// headerLimit is the upstream's limit, in requests per second.
 	headerLimit = "Limit"
-	// headerLeaving says that the upstream leaves.
+	// headerLeaving announces that the upstream is leaving.
 	headerLeaving = "Leaving"
 	// headerRest is for how long the upstream wants no request.
 	headerRest = "Rest"
@@ -43,10 +43,11 @@
 	headerPanic = "Panic"
 )
 
+// codec is the tests' proxy.Codec.
 type codec struct{}
 
 func (codec) ParseRequest(h http.Header) proxy.RequestInfo {
-	ms, _ := strconv.Atoi(h.Get(headerWait)) // zero when it is not given
+	ms, _ := strconv.Atoi(h.Get(headerWait)) // zero when it is missing
 	return proxy.RequestInfo{
 		ID: h.Get(headerID), Key: h.Get(headerKey), Credential: h.Get(headerSecret), Credentials: len(h.Values(headerSecret)),
 		Timeout: time.Duration(ms) * time.Millisecond,
@@ -69,11 +70,12 @@
 	return e.Reason.Status()
 }
 
+// protocol is the tests' exchange.Protocol.
 type protocol struct{}
 
 func (protocol) SetHeaders(h http.Header, id string, left time.Duration) {
 	if h.Get(headerPanic) != "" {
-		panic("as the test asks")
+		panic("requested by the test")
 	}
 	h.Set(headerTo, id)
 	h.Set(headerWait, strconv.FormatInt(left.Milliseconds(), 10))
@@ -97,17 +99,17 @@
 	}
 }
 
-// decoder reads the tests' rows: JSON of the product's own types.
+// decoder decodes the tests' rows, which are JSON of the program's own types.
 type decoder struct{}
 
-// operatorRow is a configuration, or a zone to evacuate.
+// operatorRow is a configuration or, if Evacuate is set, a zone to evacuate.
 type operatorRow struct {
 	Version  int64
 	Routes   []route.Route
 	Evacuate string
-	// Limits bound clients' connections; the sizes are always the same.
+	// Limits are the limits of client connections. The size limits are always the same.
 	Limits route.Limits
-	// Accounts are nil where requests need none.
+	// Accounts is nil if requests need no account.
 	Accounts []account.Entry
 }
 
--- a/internal/gateway/proxy/writebound_test.go
+++ b/internal/gateway/proxy/writebound_test.go
@@ -12,7 +12,7 @@
 	"cairndock/internal/suspend"
 )
 
-// deadlineWriter notes until when a response may be written.
+// deadlineWriter records the write deadline of a response.
 type deadlineWriter struct {
 	http.ResponseWriter
 	end time.Time
@@ -23,14 +23,13 @@
 	return nil
 }
 
-// A host that was held up for 2.3 s got its upstreams' responses when the bound on
-// writing them had passed. It closed three connections at one moment, with no
-// response to requests that had run; nothing was logged, as a short response is
-// written after the handler.
+// A host that was stalled for 2.3 s received upstream responses after its write deadlines had
+// passed. It closed three client connections at once, without a response to requests that had
+// run. Nothing was logged, because a short response is written after the handler has returned.
 func TestAResponseThatComesAfterTheDeadlineMayStillBeWritten(t *testing.T) {
-	for name, held := range map[string]time.Duration{"in time": 0, "late": 10 * time.Second} {
+	for name, delay := range map[string]time.Duration{"in time": 0, "late": 10 * time.Second} {
 		t.Run(name, func(t *testing.T) {
-			f := &inflight{proxy: &Proxy{Options: Options{SuspendWatch: suspend.NewWatch(suspend.Machine{})}}, route: &route.Route{Timeout: 1500 * time.Millisecond}, began: time.Now().Add(-held)}
+			f := &inflight{proxy: &Proxy{Options: Options{SuspendWatch: suspend.NewWatch(suspend.Machine{})}}, route: &route.Route{Timeout: 1500 * time.Millisecond}, began: time.Now().Add(-delay)}
 			w := &deadlineWriter{ResponseWriter: httptest.NewRecorder()}
 			f.setWriteDeadline(w)
 			require.Greater(t, time.Until(w.end), writeGrace-time.Second)
