--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -66,32 +66,32 @@
 	return l.b.String()
 }
 
-// reporter logs ejections. It has no other hosts to notify.
-type reporter struct{ *eventlog.Log }
+// ejectionReporter logs ejections. It has no other hosts to notify.
+type ejectionReporter struct{ *eventlog.Log }
 
-func (reporter) FailureSeen()       {}
-func (reporter) SuspicionsChanged() {}
+func (ejectionReporter) FailureSeen()       {}
+func (ejectionReporter) SuspicionsChanged() {}
 
-// suspicionReporter reports terminated upstreams to the outlier detector, as a gateway does.
-type suspicionReporter struct {
-	reporter
+// suspicionObserver reports terminated upstreams to the outlier detector, as a gateway does.
+type suspicionObserver struct {
+	ejectionReporter
 	detector *outlier.Detector
 }
 
-func (r suspicionReporter) Released(f poison.Fingerprint, _ bool) { r.Log.Released(f) }
+func (r suspicionObserver) Released(f poison.Fingerprint, _ bool) { r.Log.Released(f) }
 
-func (r suspicionReporter) Ended(run string, at time.Time) {
+func (r suspicionObserver) Ended(run string, at time.Time) {
 	r.detector.RecordEnded(upstream.Run(run), at)
 }
 
-// noticeReporter marks leaving upstreams in the routing state, so that they get no new
+// noticeObserver marks leaving upstreams in the routing state, so that they get no new
 // requests, as a gateway does.
-type noticeReporter struct {
+type noticeObserver struct {
 	*eventlog.Log
 	state *routing.State
 }
 
-func (r noticeReporter) Leaves(run upstream.Run) {
+func (r noticeObserver) Leaves(run upstream.Run) {
 	r.Log.Leaves(run)
 	r.state.MarkLeaving(run)
 }
@@ -99,28 +99,28 @@
 // standardQuota is the default warm-up quota of a testGateway, in requests.
 const standardQuota = 100
 
-// oneHost is a fleet of one host with a warm-up quota.
-type oneHost struct{ quota atomic.Int64 }
+// singleHostFleet is a fleet of one host with a warm-up quota.
+type singleHostFleet struct{ quota atomic.Int64 }
 
-func (h *oneHost) WarmUpQuota(string, string, float64) warmup.Quota {
+func (h *singleHostFleet) WarmUpQuota(string, string, float64) warmup.Quota {
 	return warmup.Quota{Requests: int(h.quota.Load()), Hosts: 1}
 }
 
 // LimitShare returns all tokens of a limit as the host's share.
-func (h *oneHost) LimitShare(_, _ string, tokens int) notice.Share {
+func (h *singleHostFleet) LimitShare(_, _ string, tokens int) notice.Share {
 	return notice.Share{Tokens: tokens, Hosts: 1}
 }
 
-// aloneHost is the only host, which holds all shards of all limits.
-type aloneHost struct{}
+// soleHost is the only host, which holds all shards of all limits.
+type soleHost struct{}
 
-var alonePlace = &quota.Place{
+var soleAssignment = &quota.Place{
 	Layout: &quota.Layout{Zones: []quota.Zone{{Name: "z", Region: "r", Large: []string{""}}}}, Holds: true, Since: time.Now().Add(-time.Hour),
 }
 
-func (aloneHost) Place() *quota.Place { return alonePlace }
+func (soleHost) Place() *quota.Place { return soleAssignment }
 
-func (aloneHost) AskTokens(context.Context, string, quota.Ask) (quota.Answer, error) {
+func (soleHost) AskTokens(context.Context, string, quota.Ask) (quota.Answer, error) {
 	return quota.Answer{}, errors.New("there is no other host")
 }
 
@@ -140,7 +140,7 @@
 	// zone and region are the location of upstreams that are added; by default the host's
 	// own.
 	zone, region string
-	fleet        oneHost
+	fleet        singleHostFleet
 	// quarantinesUnknown is set while the host has not received the list of quarantines.
 	quarantinesUnknown atomic.Bool
 	suspicions         *poison.Table
@@ -173,9 +173,9 @@
 	})
 	g.state = routing.New(decoder{}, log, m)
 	age := func() time.Duration { return 0 }
-	detector := outlier.New(reporter{log})
-	g.suspicions = poison.NewTable("h", time.Now(), suspicionReporter{reporter{log}, detector})
-	notices := notice.NewTable("h", &g.fleet, noticeReporter{log, g.state})
+	detector := outlier.New(ejectionReporter{log})
+	g.suspicions = poison.NewTable("h", time.Now(), suspicionObserver{ejectionReporter{log}, detector})
+	notices := notice.NewTable("h", &g.fleet, noticeObserver{log, g.state})
 	balancer := balance.New(balance.Location{Zone: "z", Region: "r", Regions: 1}, &g.fleet, detector, balance.DefaultPolicy())
 	balancer.HonorNotices(notices)
 	g.proxy = proxy.New(proxy.Options{
@@ -185,7 +185,7 @@
 		Suspicions:       g.suspicions,
 		SuspendWatch:     suspend.NewWatch(&g.suspension),
 		Client:           exchange.NewClient(g.dial, protocol{}),
-		Quota:            quota.NewLimiter(quota.Options{Zone: "z", Region: "r", Bound: quota.Bound{Window: time.Second}, Hosts: aloneHost{}, Metrics: m}),
+		Quota:            quota.NewLimiter(quota.Options{Zone: "z", Region: "r", Bound: quota.Bound{Window: time.Second}, Hosts: soleHost{}, Metrics: m}),
 		KnowsQuarantines: func() bool { return !g.quarantinesUnknown.Load() },
 		Codec:            codec{}, SlackShare: func() float64 { return 1 }, ConfigAge: age, UpstreamsAge: age, Log: log, Metrics: m,
 		Tracer: telemetry.Tracer(traces),
--- a/internal/gateway/proxy/notice_test.go
+++ b/internal/gateway/proxy/notice_test.go
@@ -120,7 +120,7 @@
 
 // requestingBackoff refuses requests and requests a backoff of one second.
 func requestingBackoff(c net.Conn, r *http.Request) {
-	reply(c, r, 503, "Not-Run: 1\r\n"+headerRest+": 1s\r\n", "")
+	reply(c, r, 503, "Not-Run: 1\r\n"+headerBackoff+": 1s\r\n", "")
 }
 
 func TestAnUpstreamInBackoffGetsNoRequest(t *testing.T) {
--- a/internal/gateway/proxy/wire_test.go
+++ b/internal/gateway/proxy/wire_test.go
@@ -37,8 +37,8 @@
 	headerLimit = "Limit"
 	// headerLeaving announces that the upstream is leaving.
 	headerLeaving = "Leaving"
-	// headerRest is for how long the upstream wants no request.
-	headerRest = "Rest"
+	// headerBackoff is the time for which the upstream requests a backoff.
+	headerBackoff = "Rest"
 	// headerPanic makes an attempt panic.
 	headerPanic = "Panic"
 )
@@ -86,8 +86,8 @@
 	if limit, err := strconv.ParseFloat(h.Get(headerLimit), 64); err == nil {
 		n = n.WithLimit(notice.LimitOf(limit))
 	}
-	if rest, err := time.ParseDuration(h.Get(headerRest)); err == nil {
-		n = n.WithRest(rest)
+	if backoff, err := time.ParseDuration(h.Get(headerBackoff)); err == nil {
+		n = n.WithRest(backoff)
 	}
 	if h.Get(headerLeaving) != "" {
 		n = n.WithLeaving()
