--- a/internal/gateway/watch/replica.go
+++ b/internal/gateway/watch/replica.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// tombstoneFor is how long a replica keeps the tombstone of a deleted row,
+	// tombstoneRetention is how long a replica keeps the tombstone of a deleted row,
 	// so that hosts which poll it learn of the deletion: far above any bound
 	// on staleness.
-	tombstoneFor = time.Minute
-	// storeAwayAfter is the time without a confirmation after which the store
+	tombstoneRetention = time.Minute
+	// minStoreOutage is the time without a confirmation after which the store
 	// counts as having been away. Its entries lapse after three missed
 	// heartbeats of 1 to 1.5 s (the platform's heartbeat_interval_ms), so a
 	// shorter absence removes none.
-	storeAwayAfter = 2500 * time.Millisecond
-	// never is the age of a replica that the store has not confirmed yet.
-	never = time.Duration(math.MaxInt64)
+	minStoreOutage = 2500 * time.Millisecond
+	// ageUnconfirmed is the age of a replica that the store has not confirmed yet.
+	ageUnconfirmed = time.Duration(math.MaxInt64)
 )
 
 // Replica is a table as far as this host knows it, and a source for other
@@ -39,7 +39,7 @@
 	synced bool
 	// confirmedAt is when the store last confirmed the replica.
 	confirmedAt time.Time
-	// returnedAt is when it last did so after storeAwayAfter without one.
+	// returnedAt is when it last did so after minStoreOutage without one.
 	returnedAt time.Time
 	// changed is closed at the next change.
 	changed chan struct{}
@@ -93,7 +93,7 @@
 
 func (r *Replica) age(now time.Time) time.Duration {
 	if r.confirmedAt.IsZero() {
-		return never
+		return ageUnconfirmed
 	}
 	return max(0, now.Sub(r.confirmedAt))
 }
@@ -157,7 +157,7 @@
 	var changes []Row
 	for _, row := range rows {
 		if r.put(row, now) {
-			r.noteChange(row)
+			r.recordChange(row)
 			changes = append(changes, row)
 		}
 	}
@@ -195,8 +195,8 @@
 	}
 }
 
-// noteChange records a change that a source has sent; r.mu is held.
-func (r *Replica) noteChange(row Row) {
+// recordChange records a change that a source has sent; r.mu is held.
+func (r *Replica) recordChange(row Row) {
 	r.lastChange.Number = max(r.lastChange.Number, row.Version)
 }
 
@@ -211,7 +211,7 @@
 	if !at.After(r.confirmedAt) {
 		return
 	}
-	if !r.confirmedAt.IsZero() && at.Sub(r.confirmedAt) >= storeAwayAfter {
+	if !r.confirmedAt.IsZero() && at.Sub(r.confirmedAt) >= minStoreOutage {
 		r.returnedAt = now
 	}
 	r.confirmedAt = at
@@ -219,11 +219,11 @@
 	r.confirmed = make(chan struct{})
 }
 
-// dropTombstones removes the tombstones older than tombstoneFor; r.mu is held.
+// dropTombstones removes the tombstones older than tombstoneRetention; r.mu is held.
 // Changes since a version before theirs can then no longer be served.
 func (r *Replica) dropTombstones(now time.Time) {
 	for key, at := range r.deletedAt {
-		if now.Sub(at) < tombstoneFor {
+		if now.Sub(at) < tombstoneRetention {
 			continue
 		}
 		r.historyFrom = max(r.historyFrom, r.rows[key].Version)
--- a/internal/gateway/watch/replica_test.go
+++ b/internal/gateway/watch/replica_test.go
@@ -25,7 +25,7 @@
 	// A deleted row does not come back in an older version.
 	require.Empty(t, r.apply(Page{Version: at(9), Rows: []Row{{Key: "a", Version: 7}}}, now))
 	// Once the tombstone is dropped, changes since older versions are gone.
-	r.apply(Page{Version: at(10), Rows: []Row{{Key: "c", Version: 10}}}, now.Add(2*tombstoneFor))
+	r.apply(Page{Version: at(10), Rows: []Row{{Key: "c", Version: 10}}}, now.Add(2*tombstoneRetention))
 	_, err = r.Changes(t.Context(), at(5), 0)
 	require.ErrorIs(t, err, ErrHistoryGone)
 }
@@ -51,10 +51,10 @@
 	r := NewReplica()
 	r.replace(Page{Version: at(1)}, start)
 	require.Zero(t, r.storeReturned(), "the first listing is no return")
-	soon := start.Add(storeAwayAfter - time.Millisecond)
+	soon := start.Add(minStoreOutage - time.Millisecond)
 	r.apply(Page{Version: at(1)}, soon)
 	require.Zero(t, r.storeReturned())
-	late := soon.Add(storeAwayAfter + time.Second)
+	late := soon.Add(minStoreOutage + time.Second)
 	r.apply(Page{Version: at(1), Age: 100 * time.Millisecond}, late)
 	require.Equal(t, late, r.storeReturned())
 }
@@ -67,7 +67,7 @@
 		time.Sleep(500 * time.Millisecond)
 		received := make(chan Page)
 		go func() {
-			p, err := r.ChangesWithin(t.Context(), at(1), timing.part(relayLongPollPart), timing.MaxAge())
+			p, err := r.ChangesWithin(t.Context(), at(1), timing.fraction(relayLongPollFraction), timing.MaxAge())
 			require.NoError(t, err)
 			received <- p
 		}()
--- a/internal/gateway/watch/restore.go
+++ b/internal/gateway/watch/restore.go
@@ -28,7 +28,7 @@
 	for _, row := range p.Rows {
 		row = row.compressed()
 		r.rows[row.Key] = row
-		r.noteChange(row)
+		r.recordChange(row)
 		old, ok := known[row.Key]
 		switch {
 		case ok && row.sameValue(old):
--- a/internal/gateway/watch/sources.go
+++ b/internal/gateway/watch/sources.go
@@ -52,12 +52,12 @@
 }
 
 func newSourceState() *sourceState {
-	return &sourceState{backoff: firstBackoff, slack: firstSlack}
+	return &sourceState{backoff: initialBackoff, slack: initialSlack}
 }
 
-// putOff has the source polled again within a time, later than half of it: hosts that put
+// deferPoll has the source polled again within a time, later than half of it: hosts that put
 // off a listing together do not list together.
-func (s *sourceState) putOff(within time.Duration, now time.Time) {
+func (s *sourceState) deferPoll(within time.Duration, now time.Time) {
 	s.retryAt = now.Add(within/2 + rand.N(within/2+1))
 }
 
@@ -65,7 +65,7 @@
 // now ended; zero if there were none.
 func (s *sourceState) recordSuccess() (failedSince time.Time) {
 	failedSince = s.failedSince
-	s.backoff, s.slack, s.failedSince = firstBackoff, firstSlack, time.Time{}
+	s.backoff, s.slack, s.failedSince = initialBackoff, initialSlack, time.Time{}
 	return failedSince
 }
 
--- a/internal/gateway/watch/sources_test.go
+++ b/internal/gateway/watch/sources_test.go
@@ -16,11 +16,11 @@
 	require.False(t, s.recordFailure(errors.New("503"), maxBackoff, now))
 	for range 10 {
 		s.recordFailure(errors.New("503"), maxBackoff, now)
-		require.GreaterOrEqual(t, s.retryAt.Sub(now), firstBackoff/2)
+		require.GreaterOrEqual(t, s.retryAt.Sub(now), initialBackoff/2)
 		require.LessOrEqual(t, s.retryAt.Sub(now), maxBackoff)
 	}
 	require.Equal(t, maxBackoff, s.backoff)
-	require.Equal(t, firstSlack, s.slack, "only a late response calls for more time")
+	require.Equal(t, initialSlack, s.slack, "only a late response calls for more time")
 	for range 10 {
 		s.recordFailure(context.DeadlineExceeded, maxBackoff, now)
 	}
--- a/internal/gateway/watch/staleness.go
+++ b/internal/gateway/watch/staleness.go
@@ -12,10 +12,10 @@
 // are parts of it. A relay may fail in three ways, each of which must be found
 // with enough of S left to poll the store instead:
 //
-//	the relay goes silent         relayLongPollPart + relaySlackPart = 0.7 S
-//	the relay's store goes silent its age, maxAgePart                = 0.7 S
+//	the relay goes silent         relayLongPollFraction + relaySlackFraction = 0.7 S
+//	the relay's store goes silent its age, maxAgeFraction                = 0.7 S
 //	the relay misses a change     a newer version in the heartbeats of other
-//	                              hosts, behindPart                  = 0.2 S
+//	                              hosts, behindFraction                  = 0.2 S
 //
 // TestNoHostThatReachesTheStoreIsStalerThanTheBound holds the sum. Relays that
 // were trusted up to 3.5 s, with S at 2 s, had three requests handled by an old
@@ -24,40 +24,40 @@
 
 // The parts of S.
 const (
-	// longPollPart is for the store's long poll. It is below maxAgePart, so
+	// longPollFraction is for the store's long poll. It is below maxAgeFraction, so
 	// that a table without changes is confirmed before it counts as old.
-	longPollPart = 0.5
-	// relayLongPollPart is for a relay's long poll. A relay responds whenever
-	// the store confirms its replica, each longPollPart, so this is slightly
+	longPollFraction = 0.5
+	// relayLongPollFraction is for a relay's long poll. A relay responds whenever
+	// the store confirms its replica, each longPollFraction, so this is slightly
 	// longer.
-	relayLongPollPart = 0.6
-	// relaySlackPart is for the way of a relay's response.
-	relaySlackPart = 0.1
-	// maxAgePart is the age from which on a relay counts as failed.
-	maxAgePart = 0.7
-	// behindPart is how long another host may have a change before the source
+	relayLongPollFraction = 0.6
+	// relaySlackFraction is for the way of a relay's response.
+	relaySlackFraction = 0.1
+	// maxAgeFraction is the age from which on a relay counts as failed.
+	maxAgeFraction = 0.7
+	// behindFraction is how long another host may have a change before the source
 	// counts as failed that has not passed it on.
-	behindPart = 0.2
-	// changePausePart is for the pause after changes from the store, so that a
+	behindFraction = 0.2
+	// changeDelayFraction is for the pause after changes from the store, so that a
 	// burst of them is one response: 1,325 to 837 requests to the store on a calm
 	// day with 80 hosts.
-	changePausePart = 0.06
-	// firstListPausePart is for the pause after the first listing of the
+	changeDelayFraction = 0.06
+	// firstListDelayFraction is for the pause after the first listing of the
 	// store, in which a starting host learns which host polls it. Together with
 	// maxFallbackBackoff: 817 to 806 requests on a calm day with 80 hosts, 3,060 to
 	// 2,750 on one of faults.
-	firstListPausePart = 0.2
+	firstListDelayFraction = 0.2
 )
 
 const (
-	// firstSlack is how much longer than its long poll a response of the store
+	// initialSlack is how much longer than its long poll a response of the store
 	// may take at first.
-	firstSlack = 500 * time.Millisecond
+	initialSlack = 500 * time.Millisecond
 	// maxSlack is what that doubles up to while responses are late, for a
 	// store that is slow.
 	maxSlack = 2 * time.Second
-	// firstBackoff is the pause after a source's first failure.
-	firstBackoff = 100 * time.Millisecond
+	// initialBackoff is the pause after a source's first failure.
+	initialBackoff = 100 * time.Millisecond
 	// maxBackoff is what that doubles up to.
 	maxBackoff = 800 * time.Millisecond
 	// maxFallbackBackoff is what it doubles up to for a fallback. It is below the
@@ -66,10 +66,10 @@
 	maxFallbackBackoff = 2400 * time.Millisecond
 )
 
-func (t Timing) part(p float64) time.Duration { return time.Duration(p * float64(t)) }
+func (t Timing) fraction(f float64) time.Duration { return time.Duration(f * float64(t)) }
 
 // MaxAge is the age from which on a relay counts as failed.
-func (t Timing) MaxAge() time.Duration { return t.part(maxAgePart) }
+func (t Timing) MaxAge() time.Duration { return t.fraction(maxAgeFraction) }
 
 // timeouts returns how long a source may hold a poll, and how much longer its
 // response may take; current is the source's slack after its late responses. A
@@ -81,20 +81,20 @@
 	case behind:
 		return 0, current
 	case relay:
-		return t.part(relayLongPollPart), t.part(relaySlackPart)
+		return t.fraction(relayLongPollFraction), t.fraction(relaySlackFraction)
 	default:
-		return t.part(longPollPart), current
+		return t.fraction(longPollFraction), current
 	}
 }
 
-// pauseAfter returns the pause between a response of the store and the next
+// delayAfter returns the pause between a response of the store and the next
 // poll. Each poll has a price, and changes come in bursts.
-func (t Timing) pauseAfter(r pollResult) time.Duration {
+func (t Timing) delayAfter(r pollResult) time.Duration {
 	switch r {
 	case firstList:
-		return t.part(firstListPausePart)
+		return t.fraction(firstListDelayFraction)
 	case changed:
-		return t.part(changePausePart)
+		return t.fraction(changeDelayFraction)
 	default:
 		return 0
 	}
@@ -104,7 +104,7 @@
 // newest version that any other host has reported, since a time ago, is newer.
 // Its source is then dead, or lags.
 func (t Timing) behind(version, newest Version, since time.Duration) bool {
-	return newest.Newer(version) && since > t.part(behindPart)
+	return newest.Newer(version) && since > t.fraction(behindFraction)
 }
 
 // relayFault returns why a relay's response, to a host at a version, does not
--- a/internal/gateway/watch/staleness_test.go
+++ b/internal/gateway/watch/staleness_test.go
@@ -40,9 +40,9 @@
 	})
 }
 
-// behindADeadRelay starts a watcher whose relay is cut off from its store,
+// startBehindDeadRelay starts a watcher whose relay is cut off from its store,
 // and returns a second later: from then on other hosts report version 2.
-func behindADeadRelay(t *testing.T) (*fakeStore, *recordingSink) {
+func startBehindDeadRelay(t *testing.T) (*fakeStore, *recordingSink) {
 	t.Helper()
 	s := newFakeStore()
 	dead := NewReplica()
@@ -63,22 +63,22 @@
 // heartbeats of other hosts show that there are some.
 func TestAHostThatIsBehindOthersAsksElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, r := behindADeadRelay(t)
+		s, r := startBehindDeadRelay(t)
 		s.put("a", "1")
-		time.Sleep(timing.part(behindPart) + 300*time.Millisecond)
+		time.Sleep(timing.fraction(behindFraction) + 300*time.Millisecond)
 		require.Equal(t, "1", r.value("a"))
 	})
 }
 
-// A source that takes longer to respond than behindCheckEvery, such as a store
+// A source that takes longer to respond than behindCheckInterval, such as a store
 // that is slow or far away, is used all the same.
 func TestAHostThatIsBehindHearsAStoreThatIsSlow(t *testing.T) {
 	const slow = 400 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		s, r := behindADeadRelay(t)
+		s, r := startBehindDeadRelay(t)
 		s.put("a", "1")
 		s.set(func(f *fakeStore) { f.slow = slow })
-		time.Sleep(timing.part(behindPart) + 300*time.Millisecond + slow)
+		time.Sleep(timing.fraction(behindFraction) + 300*time.Millisecond + slow)
 		require.Equal(t, "1", r.value("a"))
 	})
 }
@@ -97,7 +97,7 @@
 				time.Sleep(10 * time.Second)
 				relayStore.set(func(f *fakeStore) { f.silent = true })
 				link.set(func(f *fakeStore) { f.silent = relaySilent })
-				time.Sleep(timing.part(longPollPart)) // a poll under way may still get a response
+				time.Sleep(timing.fraction(longPollFraction)) // a poll under way may still get a response
 				s.put("a", "1")
 				time.Sleep(staleness - 100*time.Millisecond)
 				require.Equal(t, "1", r.value("a"))
@@ -127,9 +127,9 @@
 }
 
 func TestTheWaitsLeaveTimeToPollTheStore(t *testing.T) {
-	require.LessOrEqual(t, timing.part(relayLongPollPart)+timing.part(relaySlackPart), timing.MaxAge(), "a silent relay is found no later than an old one")
+	require.LessOrEqual(t, timing.fraction(relayLongPollFraction)+timing.fraction(relaySlackFraction), timing.MaxAge(), "a silent relay is found no later than an old one")
 	require.Less(t, timing.MaxAge(), staleness)
-	require.Less(t, timing.part(longPollPart), timing.part(relayLongPollPart), "a relay is confirmed while it holds a poll")
+	require.Less(t, timing.fraction(longPollFraction), timing.fraction(relayLongPollFraction), "a relay is confirmed while it holds a poll")
 }
 
 func TestHowLongASourceMayTake(t *testing.T) {
@@ -138,8 +138,8 @@
 		relay, behind   bool
 		longPoll, slack time.Duration
 	}{
-		{"the store", false, false, timing.part(longPollPart), maxSlack},
-		{"a relay", true, false, timing.part(relayLongPollPart), timing.part(relaySlackPart)},
+		{"the store", false, false, timing.fraction(longPollFraction), maxSlack},
+		{"a relay", true, false, timing.fraction(relayLongPollFraction), timing.fraction(relaySlackFraction)},
 		{"the store, for a host that is behind", false, true, 0, maxSlack},
 		{"a relay, for a host that is behind", true, true, 0, maxSlack},
 	}
--- a/internal/gateway/watch/watcher.go
+++ b/internal/gateway/watch/watcher.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// noSourcePause is the pause when no source may be polled yet.
-	noSourcePause = 50 * time.Millisecond
-	// startingRelayPause is the pause before a relay is asked again that has no rows
+	// noSourceDelay is the pause when no source may be polled yet.
+	noSourceDelay = 50 * time.Millisecond
+	// startingRelayDelay is the pause before a relay is asked again that has no rows
 	// yet.
-	startingRelayPause = 100 * time.Millisecond
-	// behindCheckEvery is how often a watcher looks during a poll whether the
+	startingRelayDelay = 100 * time.Millisecond
+	// behindCheckInterval is how often a watcher looks during a poll whether the
 	// host has fallen behind.
-	behindCheckEvery = 150 * time.Millisecond
+	behindCheckInterval = 150 * time.Millisecond
 )
 
-// errPutOff reports that a listing was put off.
-var errPutOff = eris.New("listing is put off")
+// errListDeferred reports that a listing was put off.
+var errListDeferred = eris.New("listing is put off")
 
 // Sink receives a watcher's changes, all from one goroutine.
 type Sink interface {
@@ -53,7 +53,7 @@
 	// changed.
 	Full bool
 	// StoreReturned is when the store was last reached after it had been away
-	// for storeAwayAfter; zero if it never was.
+	// for minStoreOutage; zero if it never was.
 	StoreReturned time.Time
 }
 
@@ -70,8 +70,8 @@
 	// listedAt is when the table was last listed; zero once changes were read
 	// after that.
 	listedAt time.Time
-	// putOffEra is the last era whose listing was put off.
-	putOffEra int64
+	// deferredEra is the last era whose listing was put off.
+	deferredEra int64
 }
 
 // New returns a watcher of a replica.
@@ -85,7 +85,7 @@
 	for ctx.Err() == nil {
 		source, ok := w.nextSource(time.Now())
 		if !ok {
-			pause.For(ctx, noSourcePause)
+			pause.For(ctx, noSourceDelay)
 			continue
 		}
 		result, err := w.poll(ctx, source)
@@ -94,7 +94,7 @@
 		}
 		w.recordResult(source, err)
 		if err == nil && !source.Relay {
-			pause.For(ctx, w.timing.pauseAfter(result))
+			pause.For(ctx, w.timing.delayAfter(result))
 		}
 	}
 }
@@ -138,8 +138,8 @@
 	page, err := n.Source.Changes(ctx, known, longPoll)
 	page.Version = page.Version.inEra(known.Era)
 	if w.mustList(page, known, err) {
-		if w.putsOff(n, page, known) {
-			return noChange, errPutOff
+		if w.defersList(n, page, known) {
+			return noChange, errListDeferred
 		}
 		return noChange, w.list(ctx, n)
 	}
@@ -153,13 +153,13 @@
 	return w.apply(page), w.checkRelay(n, page)
 }
 
-// putsOff reports whether the listing of a later era is left to other sources for now,
+// defersList reports whether the listing of a later era is left to other sources for now,
 // which it is once for each.
-func (w *Watcher) putsOff(n NamedSource, p Page, known Version) bool {
-	if n.ListAfter == 0 || p.Era <= known.Era || p.Era == w.putOffEra {
+func (w *Watcher) defersList(n NamedSource, p Page, known Version) bool {
+	if n.ListAfter == 0 || p.Era <= known.Era || p.Era == w.deferredEra {
 		return false
 	}
-	w.putOffEra = p.Era
+	w.deferredEra = p.Era
 	return true
 }
 
@@ -171,7 +171,7 @@
 	if p.Era > known.Era && (err == nil || gone) {
 		return true
 	}
-	return gone && time.Since(w.listedAt) >= w.timing.part(longPollPart)
+	return gone && time.Since(w.listedAt) >= w.timing.fraction(longPollFraction)
 }
 
 // apply applies changes to the replica and the sink.
@@ -224,7 +224,7 @@
 // source then waits for a change that others have already. It returns when the
 // poll's context ends.
 func (w *Watcher) cancelWhenBehind(ctx context.Context, cancel context.CancelFunc) {
-	ticker := time.NewTicker(behindCheckEvery)
+	ticker := time.NewTicker(behindCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -248,9 +248,9 @@
 	return s
 }
 
-// startsTogether reports whether a relay has no rows yet, as it has just started like
+// relayIsStarting reports whether a relay has no rows yet, as it has just started like
 // this host. That is no failure: it is asked again soon.
-func (w *Watcher) startsTogether(n NamedSource, err error) bool {
+func (w *Watcher) relayIsStarting(n NamedSource, err error) bool {
 	return n.Relay && errors.Is(err, ErrHistoryGone) && !w.replica.isSynced()
 }
 
@@ -259,12 +259,12 @@
 func (w *Watcher) recordResult(n NamedSource, err error) {
 	now := time.Now()
 	s := w.state(n)
-	if w.startsTogether(n, err) {
-		s.retryAt = now.Add(startingRelayPause)
+	if w.relayIsStarting(n, err) {
+		s.retryAt = now.Add(startingRelayDelay)
 		return
 	}
-	if errors.Is(err, errPutOff) {
-		s.putOff(n.ListAfter, now)
+	if errors.Is(err, errListDeferred) {
+		s.deferPoll(n.ListAfter, now)
 		return
 	}
 	if err != nil {
