--- a/internal/gateway/exchange/conn.go
+++ b/internal/gateway/exchange/conn.go
@@ -59,15 +59,15 @@
 	if err != nil {
 		return err
 	}
-	var found error
+	var peekErr error
 	err = raw.Read(func(fd uintptr) bool {
-		found = peek(int(fd))
+		peekErr = peek(int(fd))
 		return true
 	})
 	if err != nil {
 		return err
 	}
-	return found
+	return peekErr
 }
 
 // peek reads one byte of a non-blocking socket; an idle one has none.
--- a/internal/gateway/exchange/ended.go
+++ b/internal/gateway/exchange/ended.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// endTimeout bounds the time in which HasEnded finds out: some new connections
+	// terminationCheckTimeout bounds the time in which HasEnded finds out: some new connections
 	// between two regions.
-	endTimeout = 500 * time.Millisecond
-	// endSettles is how long a connection must last that was made right after another
+	terminationCheckTimeout = 500 * time.Millisecond
+	// settleDelay is how long a connection must last that was made right after another
 	// one had ended. A process that ends closes its listener and its connections one
 	// by one, so that a connection made meanwhile is reset at once.
-	endSettles = 20 * time.Millisecond
-	// endKept is how long it is remembered that a run has ended, for the attempts that
+	settleDelay = 20 * time.Millisecond
+	// terminationRetention is how long it is remembered that a run has ended, for the attempts that
 	// notice it later.
-	endKept = 30 * time.Second
+	terminationRetention = 30 * time.Second
 )
 
 // IsConnectionEnd reports whether an error of a connection means that the other end
@@ -30,25 +30,25 @@
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// ends finds out which runs of upstreams have ended.
-type ends struct {
+// terminations finds out which runs of upstreams have ended.
+type terminations struct {
 	mu sync.Mutex
-	// found has when each run was found to have ended.
-	found map[upstream.Run]time.Time
-	// asking has the questions that are being answered.
-	asking map[upstream.Run]*question
+	// terminatedAt has when each run was found to have ended.
+	terminatedAt map[upstream.Run]time.Time
+	// pending has the questions that are being answered.
+	pending map[upstream.Run]*terminationCheck
 }
 
-// question is answered when done is closed.
-type question struct {
-	done  chan struct{}
-	ended bool
-	// answered is set when a response of the run comes meanwhile.
-	answered bool
+// terminationCheck is answered when done is closed.
+type terminationCheck struct {
+	done       chan struct{}
+	terminated bool
+	// responded is set when a response of the run comes meanwhile.
+	responded bool
 }
 
-func newEnds() *ends {
-	return &ends{found: map[upstream.Run]time.Time{}, asking: map[upstream.Run]*question{}}
+func newTerminations() *terminations {
+	return &terminations{terminatedAt: map[upstream.Run]time.Time{}, pending: map[upstream.Run]*terminationCheck{}}
 }
 
 // HasEnded reports whether the process of an upstream has ended, after a connection to
@@ -59,32 +59,32 @@
 // answer on others. It makes a new connection, which is kept for later requests if the
 // upstream runs; several questions about one run are answered together.
 func (c *Client) HasEnded(ctx context.Context, to Target) bool {
-	q, mine := c.ends.ask(to.Run)
-	if mine {
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), endTimeout)
+	check, started := c.terminations.begin(to.Run)
+	if started {
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), terminationCheckTimeout)
 		defer cancel()
-		c.ends.answer(to.Run, q, c.look(ctx, to))
+		c.terminations.finish(to.Run, check, c.probe(ctx, to))
 	}
-	<-q.done
-	return q.ended
+	<-check.done
+	return check.terminated
 }
 
-// sign is what new connections to an upstream say.
-type sign uint8
+// probeResult is what new connections to an upstream say.
+type probeResult uint8
 
 const (
 	// running: one was made and stays, or none could be made for another reason.
-	running sign = iota
+	running probeResult = iota
 	// refusing: nothing listens at the address.
 	refusing
 	// resetting: what listens ends each connection at once.
 	resetting
 )
 
-// look makes a connection, and others while they end at once, each after a longer pause:
+// probe makes a connection, and others while they end at once, each after a longer pause:
 // an upstream over its cap is not to get many.
-func (c *Client) look(ctx context.Context, to Target) sign {
-	for wait := endSettles; ctx.Err() == nil; wait *= 2 {
+func (c *Client) probe(ctx context.Context, to Target) probeResult {
+	for wait := settleDelay; ctx.Err() == nil; wait *= 2 {
 		nc, err := c.pool.dial(ctx, "tcp", to.Address)
 		switch {
 		case errors.Is(err, syscall.ECONNREFUSED):
@@ -95,61 +95,61 @@
 		case err != nil:
 			return running
 		}
-		made := newConn(nc)
+		opened := newConn(nc)
 		time.Sleep(wait)
-		if made.idleError() == nil {
-			c.pool.put(to.Run, made, time.Now(), 0)
+		if opened.idleError() == nil {
+			c.pool.put(to.Run, opened, time.Now(), 0)
 			return running
 		}
-		_ = made.Close() // it has ended
+		_ = opened.Close() // it has terminated
 	}
 	return resetting
 }
 
-// ask returns the question about a run, and whether the caller is to answer it.
-func (e *ends) ask(run upstream.Run) (_ *question, mine bool) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if at, ok := e.found[run]; ok && time.Since(at) < endKept {
-		q := &question{done: make(chan struct{}), ended: true}
-		close(q.done)
-		return q, false
+// begin returns the question about a run, and whether the caller is to answer it.
+func (t *terminations) begin(run upstream.Run) (_ *terminationCheck, started bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if at, ok := t.terminatedAt[run]; ok && time.Since(at) < terminationRetention {
+		check := &terminationCheck{done: make(chan struct{}), terminated: true}
+		close(check.done)
+		return check, false
 	}
-	if q := e.asking[run]; q != nil {
-		return q, false
+	if check := t.pending[run]; check != nil {
+		return check, false
 	}
-	q := &question{done: make(chan struct{})}
-	e.asking[run] = q
-	return q, true
+	check := &terminationCheck{done: make(chan struct{})}
+	t.pending[run] = check
+	return check, true
 }
 
-func (e *ends) answer(run upstream.Run, q *question, s sign) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	delete(e.asking, run)
-	q.ended = s == refusing || s == resetting && !q.answered
-	if q.ended {
-		e.found[run] = time.Now()
+func (t *terminations) finish(run upstream.Run, check *terminationCheck, result probeResult) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.pending, run)
+	check.terminated = result == refusing || result == resetting && !check.responded
+	if check.terminated {
+		t.terminatedAt[run] = time.Now()
 	}
-	close(q.done)
+	close(check.done)
 }
 
 // noteResponse notes that a run has responded.
-func (e *ends) noteResponse(run upstream.Run) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if q := e.asking[run]; q != nil {
-		q.answered = true
+func (t *terminations) noteResponse(run upstream.Run) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if check := t.pending[run]; check != nil {
+		check.responded = true
 	}
 }
 
-// forget drops what was found too long ago.
-func (e *ends) forget(now time.Time) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for run, at := range e.found {
-		if now.Sub(at) >= endKept {
-			delete(e.found, run)
+// dropExpired drops what was found too long ago.
+func (t *terminations) dropExpired(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for run, at := range t.terminatedAt {
+		if now.Sub(at) >= terminationRetention {
+			delete(t.terminatedAt, run)
 		}
 	}
 }
--- a/internal/gateway/exchange/ended_test.go
+++ b/internal/gateway/exchange/ended_test.go
@@ -19,10 +19,10 @@
 // after the other: 41 times later than 4 s after the third end, in a play of 80 repeats.
 // The logs showed no end at all, and each new connection was reset within a millisecond.
 func TestAnAddressThatEndsEachConnectionAtOnceHasEnded(t *testing.T) {
-	l, made := listenAndReset(t, func(int) bool { return true })
+	l, accepted := listenAndReset(t, func(int) bool { return true })
 	client := exchange.NewClient(dial.New(time.Second).DialContext, nil)
 	require.True(t, client.HasEnded(t.Context(), exchange.Target{Upstream: "a", Run: "a", Address: l.Addr().String()}))
-	require.Less(t, made.Load(), int64(10), "it does not get many connections")
+	require.Less(t, accepted.Load(), int64(10), "it does not get many connections")
 }
 
 // An upstream over its cap of connections resets new ones while it responds on others.
@@ -57,14 +57,14 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
-	var made atomic.Int64
+	var accepted atomic.Int64
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			if n := int(made.Add(1)) - 1; reset(n) {
+			if n := int(accepted.Add(1)) - 1; reset(n) {
 				_ = c.(*net.TCPConn).SetLinger(0)
 				_ = c.Close()
 				continue
@@ -76,20 +76,20 @@
 			}()
 		}
 	}()
-	return l, &made
+	return l, &accepted
 }
 
 func TestOnlyAnAddressThatRefusesConnectionsHasEnded(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	var made atomic.Int64
+	var accepted atomic.Int64
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			made.Add(1)
+			accepted.Add(1)
 			t.Cleanup(func() { _ = c.Close() })
 		}
 	}()
--- a/internal/gateway/exchange/exchange.go
+++ b/internal/gateway/exchange/exchange.go
@@ -92,14 +92,14 @@
 
 // Client sends requests to upstreams.
 type Client struct {
-	pool     *pool
-	protocol Protocol
-	ends     *ends
+	pool         *pool
+	protocol     Protocol
+	terminations *terminations
 }
 
 // NewClient makes a client that connects to upstreams by dial.
 func NewClient(dial Dial, protocol Protocol) *Client {
-	return &Client{pool: &pool{dial: dial, idle: map[upstream.Run][]*conn{}, onSilent: func(int) {}}, protocol: protocol, ends: newEnds()}
+	return &Client{pool: &pool{dial: dial, idle: map[upstream.Run][]*conn{}, onSilent: func(int) {}}, protocol: protocol, terminations: newTerminations()}
 }
 
 // OnSilent has f called with the number of idle connections to an upstream that were
@@ -110,7 +110,7 @@
 // Retain closes the idle connections to the runs that keep rejects.
 func (c *Client) Retain(keep func(upstream.Run) bool) {
 	c.pool.retain(keep)
-	c.ends.forget(time.Now())
+	c.terminations.dropExpired(time.Now())
 }
 
 // Suspended has idle connections be idle for longer by the time for which the machine
@@ -141,11 +141,11 @@
 	}
 	left := timeLeft(ctx)
 	if left <= 0 {
-		c.pool.giveBack(to.Run, nc)
+		c.pool.putUnused(to.Run, nc)
 		return nil, verdict.New(verdict.NotRun, verdict.DeadlineLapsed, "no time left to send").WithUpstream(to.Upstream)
 	}
 	if !p.maySend() {
-		c.pool.giveBack(to.Run, nc)
+		c.pool.putUnused(to.Run, nc)
 		return nil, verdict.New(verdict.NotRun, verdict.Withheld, "the upstream takes none any more").WithUpstream(to.Upstream)
 	}
 	x := &roundTrip{client: c, conn: nc, to: to, request: r}
--- a/internal/gateway/exchange/pool.go
+++ b/internal/gateway/exchange/pool.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// maxIdle bounds the idle connections to one upstream.
-	maxIdle = 8
+	// maxIdleConns bounds the idle connections to one upstream.
+	maxIdleConns = 8
 	// maxIdleTime bounds how long a connection stays idle, and is what holds when
 	// the upstream's Keep-Alive header gives no time.
 	maxIdleTime = 8 * time.Second
@@ -33,7 +33,7 @@
 // Errors of closing a connection are dropped: no request is in flight on it.
 type pool struct {
 	dial Dial
-	// onSilent is told how many connections closeIdleSince closed.
+	// onSilent is told how many connections closeIdleBefore closed.
 	onSilent func(connections int)
 
 	mu   sync.Mutex
@@ -86,9 +86,9 @@
 	p.add(run, c)
 }
 
-// giveBack keeps a connection that get gave and that was not used. That it was
+// putUnused keeps a connection that get gave and that was not used. That it was
 // taken proves nothing about it, so it stays no longer than it would have.
-func (p *pool) giveBack(run upstream.Run, c *conn) {
+func (p *pool) putUnused(run upstream.Run, c *conn) {
 	if c.idleSince.IsZero() {
 		p.put(run, c, time.Now(), 0)
 		return
@@ -96,11 +96,11 @@
 	p.add(run, c)
 }
 
-// add adds an idle connection unless there are maxIdle.
+// add adds an idle connection unless there are maxIdleConns.
 func (p *pool) add(run upstream.Run, c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[run]) >= maxIdle {
+	if len(p.idle[run]) >= maxIdleConns {
 		_ = c.Close()
 		return
 	}
@@ -119,9 +119,9 @@
 	}
 }
 
-// closeIdleSince closes the connections to an upstream that became idle before a
+// closeIdleBefore closes the connections to an upstream that became idle before a
 // time and are idle still.
-func (p *pool) closeIdleSince(run upstream.Run, before time.Time) {
+func (p *pool) closeIdleBefore(run upstream.Run, before time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	closed := 0
--- a/internal/gateway/exchange/roundtrip.go
+++ b/internal/gateway/exchange/roundtrip.go
@@ -16,9 +16,9 @@
 	// one connection before it is given up. The platform sends at most one extra
 	// response late.
 	maxWrongResponses = 4
-	// headerRoom is the space reserved for a request's header in the buffer that
+	// headerReserve is the space reserved for a request's header in the buffer that
 	// it is encoded into, in bytes: the buffer grows.
-	headerRoom = 512
+	headerReserve = 512
 )
 
 // roundTrip is one request on one connection.
@@ -37,13 +37,13 @@
 	progress *Progress
 }
 
-// past is a deadline that has passed.
-var past = time.Unix(1, 0)
+// expiredDeadline is a deadline that has passed.
+var expiredDeadline = time.Unix(1, 0)
 
 // interrupt wakes whoever reads or writes the connection when the context ends.
 func (x *roundTrip) interrupt() {
 	// An error means that the connection is closed, which wakes them too.
-	_ = x.conn.SetDeadline(past)
+	_ = x.conn.SetDeadline(expiredDeadline)
 }
 
 // encode gives the request's bytes on the wire. left is the time left for the
@@ -53,7 +53,7 @@
 	h := r.Header.Clone()
 	x.client.protocol.SetHeaders(h, x.to.Upstream, left)
 	var b bytes.Buffer
-	b.Grow(headerRoom + len(r.Body))
+	b.Grow(headerReserve + len(r.Body))
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	if len(r.Body) > 0 || bodyExpected(r.Method) {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
@@ -80,7 +80,7 @@
 		}
 		info := x.client.protocol.ParseResponse(x.request.ID, resp.StatusCode, resp.Header)
 		if !info.WrongRequest {
-			x.client.ends.noteResponse(x.to.Run)
+			x.client.terminations.noteResponse(x.to.Run)
 			// Closing the body returns the connection.
 			b := &body{roundTrip: x, inner: resp.Body, reusable: !resp.Close, idleTimeout: keepAliveTimeout(resp.Header)}
 			return &Response{Status: resp.StatusCode, Header: resp.Header, Info: info, Length: resp.ContentLength, Body: b}, nil
@@ -112,9 +112,9 @@
 func (x *roundTrip) fail(ctx context.Context, err error, sent bool) error {
 	x.stop()
 	_ = x.conn.Close() // err says what went wrong first
-	x.silence.ended(err)
+	x.silence.requestFailed(err)
 	if sent && ctx.Err() == nil && IsConnectionEnd(err) {
-		x.progress.connectionEnded.Store(true)
+		x.progress.connectionClosed.Store(true)
 	}
 	return responseError(ctx, x.to.Upstream, err, sent)
 }
--- a/internal/gateway/exchange/silence.go
+++ b/internal/gateway/exchange/silence.go
@@ -60,8 +60,8 @@
 	// waited for a connection since its upstream was chosen. If it may not, it is not sent.
 	MaySend func() bool
 
-	silence         atomic.Pointer[silenceWatch]
-	connectionEnded atomic.Bool
+	silence          atomic.Pointer[silenceWatch]
+	connectionClosed atomic.Bool
 }
 
 func (p *Progress) maySend() bool { return p.MaySend == nil || p.MaySend() }
@@ -82,7 +82,7 @@
 
 // ConnectionEnded reports whether the upstream's end of the connection was closed or
 // reset after the request was sent, before a response came.
-func (p *Progress) ConnectionEnded() bool { return p.connectionEnded.Load() }
+func (p *Progress) ConnectionEnded() bool { return p.connectionClosed.Load() }
 
 func (w *silenceWatch) isSilent() bool { return w.conn.received.Load() == w.received }
 
@@ -90,13 +90,13 @@
 // is harmless: the count of bytes never goes back.
 func (w *silenceWatch) check() {
 	if w.isSilent() {
-		w.pool.closeIdleSince(w.run, w.began)
+		w.pool.closeIdleBefore(w.run, w.began)
 	}
 }
 
-// ended is called when the request ended with an error. Only a time-out, which
+// requestFailed is called when the request ended with an error. Only a time-out, which
 // is also how a canceled read ends, is silence; a reset is an answer.
-func (w *silenceWatch) ended(err error) {
+func (w *silenceWatch) requestFailed(err error) {
 	var ne net.Error
 	timedOut := errors.As(err, &ne) && ne.Timeout()
 	if w.timer != nil && timedOut && time.Since(w.began) >= minSilence {
--- a/internal/gateway/exchange/silence_test.go
+++ b/internal/gateway/exchange/silence_test.go
@@ -21,15 +21,15 @@
 	registry "cairndock/internal/gateway/upstream"
 )
 
-// idleConns is how many idle connections the pool keeps to one upstream.
-const idleConns = 8
+// maxIdleConns is how many idle connections the pool keeps to one upstream.
+const maxIdleConns = 8
 
 // memoryUpstream is an upstream on a network in memory, and a client of it.
 type memoryUpstream struct {
 	*dialtest.Network
 	client *exchange.Client
-	// takes is how long a response takes, in nanoseconds.
-	takes atomic.Int64
+	// responseDelay is how long a response takes, in nanoseconds.
+	responseDelay atomic.Int64
 	// keepAlive is a header line of each response, or empty.
 	keepAlive string
 	nextID    atomic.Int64
@@ -60,7 +60,7 @@
 		if err != nil {
 			return
 		}
-		time.Sleep(time.Duration(u.takes.Load()))
+		time.Sleep(time.Duration(u.responseDelay.Load()))
 		response := strings.Replace(ok(r.Header.Get("Id"), "right"), "\r\n", "\r\n"+u.keepAlive, 1)
 		if _, err := io.WriteString(c, response); err != nil {
 			return
@@ -90,13 +90,13 @@
 // fill makes as many idle connections as the pool keeps.
 func (u *memoryUpstream) fill(t *testing.T) {
 	t.Helper()
-	u.takes.Store(int64(50 * time.Millisecond))
+	u.responseDelay.Store(int64(50 * time.Millisecond))
 	var wait sync.WaitGroup
-	for range idleConns {
+	for range maxIdleConns {
 		wait.Go(func() { require.NoError(t, u.send(t.Context(), time.Second)) })
 	}
 	wait.Wait()
-	require.Equal(t, idleConns, u.client.Idle())
+	require.Equal(t, maxIdleConns, u.client.Idle())
 }
 
 // Open connections go silent for good while new ones work. A pool of them cost
@@ -119,8 +119,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				u := newMemoryUpstream(t)
 				u.fill(t)
-				var gaveUp atomic.Int64
-				u.client.OnSilent(func(connections int) { gaveUp.Add(int64(connections)) })
+				var closed atomic.Int64
+				u.client.OnSilent(func(connections int) { closed.Add(int64(connections)) })
 				time.Sleep(time.Millisecond)
 				u.Silence()
 				began := time.Now()
@@ -132,7 +132,7 @@
 				t.Logf("lost %d requests, %v until one was served, %d silent connections left", lost, time.Since(began), dialed)
 				require.Equal(t, 1, lost)
 				require.Zero(t, dialed)
-				require.EqualValues(t, idleConns-1, gaveUp.Load(), "those beside the request's own")
+				require.EqualValues(t, maxIdleConns-1, closed.Load(), "those beside the request's own")
 			})
 		})
 	}
@@ -174,10 +174,10 @@
 func TestASlowUpstreamCostsFewDials(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// every is the time between two requests, and timeout when each is given
+		// interval is the time between two requests, and timeout when each is given
 		// up. The upstream takes 90 ms, for 10 of 30 s slow. No response
 		// ends at the moment at which a request begins, so no order is left to chance.
-		every, timeout, slow time.Duration
+		interval, timeout, slow time.Duration
 		// dials is the most that the client may make.
 		dials int
 	}{
@@ -195,16 +195,16 @@
 				var wait sync.WaitGroup
 				served, sent := atomic.Int64{}, 0
 				for ; time.Since(began) < 30*time.Second; sent++ {
-					u.takes.Store(int64(90 * time.Millisecond))
+					u.responseDelay.Store(int64(90 * time.Millisecond))
 					if at := time.Since(began); at > 10*time.Second && at < 20*time.Second {
-						u.takes.Store(int64(c.slow))
+						u.responseDelay.Store(int64(c.slow))
 					}
 					wait.Go(func() {
 						if u.send(t.Context(), c.timeout) == nil {
 							served.Add(1)
 						}
 					})
-					time.Sleep(c.every)
+					time.Sleep(c.interval)
 				}
 				wait.Wait()
 				t.Logf("%d dials for %d requests, %d served", u.Dials(), sent, served.Load())
@@ -222,12 +222,12 @@
 		u.fill(t)
 		for range 5 {
 			time.Sleep(time.Second)
-			u.takes.Store(int64(1200 * time.Millisecond))
+			u.responseDelay.Store(int64(1200 * time.Millisecond))
 			require.NoError(t, u.send(t.Context(), 3*time.Second))
 			u.fill(t)
 		}
 		t.Logf("%d dials for 53 requests", u.Dials())
-		require.LessOrEqual(t, u.Dials(), idleConns+5*(idleConns-1))
+		require.LessOrEqual(t, u.Dials(), maxIdleConns+5*(maxIdleConns-1))
 	})
 }
 
