--- a/internal/gateway/exchange/conn.go
+++ b/internal/gateway/exchange/conn.go
@@ -12,18 +12,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// readBuffer is the size of a connection's read buffer, in bytes. 4 KiB is the
-// default of bufio.
+// readBuffer is the size of a connection's read buffer in bytes, the default of bufio.
 const readBuffer = 4 << 10
 
 // conn is a connection to an upstream. It carries one request at a time.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// received is how many bytes were read from the upstream.
+	// received is the number of bytes read from the upstream.
 	received atomic.Int64
-	// idleSince is when the connection became idle last; zero for a new one.
-	// idleUntil is when the pool closes it. Both are set by pool.put.
+	// idleSince is when the connection last became idle; zero for a new connection.
+	// idleUntil is when the pool closes the connection. Both are set by pool.put.
 	idleSince time.Time
 	idleUntil time.Time
 }
@@ -41,12 +40,13 @@
 	return n, err
 }
 
-// errUnexpectedBytes is the error of an idle connection on which bytes arrived:
-// they belong to no request.
+// errUnexpectedBytes is the error of an idle connection on which bytes arrived that
+// belong to no request.
 var errUnexpectedBytes = eris.New("unexpected bytes on an idle connection")
 
-// idleError reports why an idle connection can't be used: bytes that belong to
-// no request, or the upstream's close. It does not block.
+// idleError returns why an idle connection can't be used, or nil if it can: bytes
+// arrived that belong to no request, or the upstream closed the connection. It does not
+// block.
 func (c *conn) idleError() error {
 	if c.reader.Buffered() > 0 {
 		return errUnexpectedBytes
@@ -70,7 +70,8 @@
 	return peekErr
 }
 
-// peek reads one byte of a non-blocking socket; an idle one has none.
+// peek tries to read one byte of a non-blocking socket. It returns nil if there is none,
+// as is normal for an idle connection.
 func peek(fd int) error {
 	var one [1]byte
 	n, err := unix.Read(fd, one[:])
--- a/internal/gateway/exchange/ended.go
+++ b/internal/gateway/exchange/ended.go
@@ -12,38 +12,42 @@
 )
 
 const (
-	// terminationCheckTimeout bounds the time in which HasEnded finds out: some new connections
-	// between two regions.
+	// terminationCheckTimeout bounds the duration of a check by HasEnded. It allows for
+	// several new connections between two regions.
 	terminationCheckTimeout = 500 * time.Millisecond
-	// settleDelay is how long a connection must last that was made right after another
-	// one had ended. A process that ends closes its listener and its connections one
-	// by one, so that a connection made meanwhile is reset at once.
+	// settleDelay is how long a new connection must stay open after another one was
+	// closed to show that the process runs. A process that terminates closes its
+	// listener and its connections one by one, so a connection that is opened meanwhile
+	// is reset at once.
 	settleDelay = 20 * time.Millisecond
-	// terminationRetention is how long it is remembered that a run has ended, for the attempts that
-	// notice it later.
+	// terminationRetention is how long a termination is remembered, for the attempts
+	// that notice it later.
 	terminationRetention = 30 * time.Second
 )
 
 // IsConnectionEnd reports whether an error of a connection means that the other end
-// closed or reset it, as also happens when its process ends.
+// closed or reset the connection. This also happens when the process at the other end
+// terminates.
 func IsConnectionEnd(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// terminations finds out which runs of upstreams have ended.
+// terminations records which runs of upstreams have terminated, and the checks in
+// progress.
 type terminations struct {
 	mu sync.Mutex
-	// terminatedAt has when each run was found to have ended.
+	// terminatedAt holds the time at which each run was found to have terminated.
 	terminatedAt map[upstream.Run]time.Time
-	// pending has the questions that are being answered.
+	// pending holds the checks in progress.
 	pending map[upstream.Run]*terminationCheck
 }
 
-// terminationCheck is answered when done is closed.
+// terminationCheck is a check whether a run has terminated. done is closed when it is
+// complete.
 type terminationCheck struct {
 	done       chan struct{}
 	terminated bool
-	// responded is set when a response of the run comes meanwhile.
+	// responded is set when a response of the run arrives during the check.
 	responded bool
 }
 
@@ -51,13 +55,16 @@
 	return &terminations{terminatedAt: map[upstream.Run]time.Time{}, pending: map[upstream.Run]*terminationCheck{}}
 }
 
-// HasEnded reports whether the process of an upstream has ended, after a connection to
-// it did: nothing listens at its address any more, or what does ends each connection at
-// once, as a load balancer before it, and no response of the run comes meanwhile. That
-// one connection ended proves nothing, as upstreams break off responses and reset
-// connections while they go on; those over their cap of connections reset new ones, and
-// answer on others. It makes a new connection, which is kept for later requests if the
-// upstream runs; several questions about one run are answered together.
+// HasEnded reports whether the process of an upstream has terminated. It is called after
+// a connection to the upstream was closed. A process has terminated if nothing listens
+// at its address any more, or if whatever listens there, such as a load balancer, closes
+// each new connection at once and no response of the run arrives during the check. One
+// closed connection proves nothing, because running upstreams also break off responses
+// and reset connections. An upstream over its limit of connections resets new ones and
+// still responds on others.
+//
+// HasEnded opens a new connection, which is kept for later requests if the upstream
+// runs. Concurrent calls for one run share one check.
 func (c *Client) HasEnded(ctx context.Context, to Target) bool {
 	check, started := c.terminations.begin(to.Run)
 	if started {
@@ -69,27 +76,29 @@
 	return check.terminated
 }
 
-// probeResult is what new connections to an upstream say.
+// probeResult is the result of opening new connections to an upstream.
 type probeResult uint8
 
 const (
-	// running: one was made and stays, or none could be made for another reason.
+	// running: a connection was opened and stayed open, or none could be opened for
+	// another reason than the two below.
 	running probeResult = iota
 	// refusing: nothing listens at the address.
 	refusing
-	// resetting: what listens ends each connection at once.
+	// resetting: each connection was closed at once.
 	resetting
 )
 
-// probe makes a connection, and others while they end at once, each after a longer pause:
-// an upstream over its cap is not to get many.
+// probe opens a connection, and further ones while each is closed at once. It waits
+// twice as long after each, because an upstream over its limit of connections should not
+// receive many.
 func (c *Client) probe(ctx context.Context, to Target) probeResult {
 	for wait := settleDelay; ctx.Err() == nil; wait *= 2 {
 		nc, err := c.pool.dial(ctx, "tcp", to.Address)
 		switch {
 		case errors.Is(err, syscall.ECONNREFUSED):
 			return refusing
-		case errors.Is(err, syscall.ECONNRESET): // before dial had returned
+		case errors.Is(err, syscall.ECONNRESET): // reset before the dial returned
 			time.Sleep(wait)
 			continue
 		case err != nil:
@@ -101,12 +110,13 @@
 			c.pool.put(to.Run, opened, time.Now(), 0)
 			return running
 		}
-		_ = opened.Close() // it has terminated
+		_ = opened.Close() // the upstream closed it
 	}
 	return resetting
 }
 
-// begin returns the question about a run, and whether the caller is to answer it.
+// begin returns the check of a run, and whether the caller has started it and must
+// complete it.
 func (t *terminations) begin(run upstream.Run) (_ *terminationCheck, started bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -134,7 +144,7 @@
 	close(check.done)
 }
 
-// noteResponse notes that a run has responded.
+// noteResponse records that a run has responded.
 func (t *terminations) noteResponse(run upstream.Run) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -143,7 +153,7 @@
 	}
 }
 
-// dropExpired drops what was found too long ago.
+// dropExpired removes terminations older than terminationRetention.
 func (t *terminations) dropExpired(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/gateway/exchange/ended_test.go
+++ b/internal/gateway/exchange/ended_test.go
@@ -14,20 +14,20 @@
 	"cairndock/internal/gateway/exchange"
 )
 
-// Upstreams ended under a request behind a load balancer, which accepted new connections
-// and reset them at once. Nothing was known of their end, so the request was sent to one
-// after the other: 41 times later than 4 s after the third end, in a play of 80 repeats.
-// The logs showed no end at all, and each new connection was reset within a millisecond.
-func TestAnAddressThatEndsEachConnectionAtOnceHasEnded(t *testing.T) {
+// Upstreams terminated under a request behind a load balancer, which accepted new
+// connections and reset each within a millisecond. Their termination was not detected,
+// so the request was sent to one upstream after the other. In a run with 80 repeats, 41
+// were sent later than 4 s after the third termination.
+func TestAnAddressThatResetsEachConnectionHasTerminated(t *testing.T) {
 	l, accepted := listenAndReset(t, func(int) bool { return true })
 	client := exchange.NewClient(dial.New(time.Second).DialContext, nil)
 	require.True(t, client.HasEnded(t.Context(), exchange.Target{Upstream: "a", Run: "a", Address: l.Addr().String()}))
-	require.Less(t, accepted.Load(), int64(10), "it does not get many connections")
+	require.Less(t, accepted.Load(), int64(10), "the address does not receive many connections")
 }
 
-// An upstream over its cap of connections resets new ones while it responds on others.
-func TestAnUpstreamOverItsCapOfConnectionsHasNotEnded(t *testing.T) {
-	t.Run("it takes a connection again", func(t *testing.T) {
+// An upstream over its limit of connections resets new ones while it responds on others.
+func TestAnUpstreamOverItsConnectionLimitHasNotTerminated(t *testing.T) {
+	t.Run("it accepts a connection again", func(t *testing.T) {
 		l, _ := listenAndReset(t, func(n int) bool { return n < 3 })
 		client := exchange.NewClient(dial.New(time.Second).DialContext, nil)
 		require.False(t, client.HasEnded(t.Context(), exchange.Target{Upstream: "a", Run: "a", Address: l.Addr().String()}))
@@ -44,14 +44,14 @@
 			}
 			responded <- err
 		}()
-		time.Sleep(50 * time.Millisecond) // it has the first connection
+		time.Sleep(50 * time.Millisecond) // the request is on the first connection
 		require.False(t, client.HasEnded(t.Context(), to))
 		require.NoError(t, <-responded)
 	})
 }
 
-// listenAndReset listens and resets the connections that reset says, by their number. On
-// the others it responds once, after 200 ms.
+// listenAndReset listens and resets the connections for whose number reset returns true.
+// On each of the others it responds once, after 200 ms.
 func listenAndReset(t *testing.T, reset func(n int) bool) (net.Listener, *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -79,7 +79,7 @@
 	return l, &accepted
 }
 
-func TestOnlyAnAddressThatRefusesConnectionsHasEnded(t *testing.T) {
+func TestAnAddressThatRefusesConnectionsHasTerminated(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	var accepted atomic.Int64
@@ -100,17 +100,17 @@
 	ended := exchange.Target{Upstream: "b", Run: "b", Address: running.Address}
 	require.True(t, client.HasEnded(t.Context(), ended))
 
-	t.Run("and is asked once for all that ask", func(t *testing.T) {
+	t.Run("a terminated run stays terminated when its address is reused", func(t *testing.T) {
 		l, err := net.Listen("tcp", running.Address)
 		require.NoError(t, err)
 		defer func() { _ = l.Close() }()
-		require.True(t, client.HasEnded(t.Context(), ended), "the run has ended, whoever has its address now")
+		require.True(t, client.HasEnded(t.Context(), ended), "the run has terminated, whichever process has its address now")
 	})
-	t.Run("as is one that closes all connections", func(t *testing.T) {
+	t.Run("concurrent checks of an upstream that closes all connections", func(t *testing.T) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		go func() {
-			for range 3 { // a process that ends closes its listener last
+			for range 3 { // a process that terminates closes its listener last
 				c, err := l.Accept()
 				if err != nil {
 					return
--- a/internal/gateway/exchange/exchange.go
+++ b/internal/gateway/exchange/exchange.go
@@ -1,13 +1,13 @@
-// Package exchange sends one request to one upstream and reads its response.
-// It owns the connections to upstreams and the proof of what ran: only a
-// response that provably belongs to the request is returned, a body that
-// breaks off never looks complete, and a failure is reported as "not run" only
-// when no byte of the request can have reached the upstream. Which headers
-// carry those proofs is up to a Protocol.
+// Package exchange sends one request to one upstream and reads the response. It owns the
+// connections to upstreams and the proof of what was executed. Only a response that
+// provably belongs to the request is returned, a truncated body never looks complete,
+// and a failure is reported as "not run" only when no byte of the request can have
+// reached the upstream. A Protocol defines the headers that carry those proofs.
 //
-// It is not selector/upstream's client: that one reports when an upstream has
-// ended a canceled request, which frees its slot; this one proves that a
-// response belongs to its request, and drops connections that are not silent.
+// The client of package selector/upstream has another task: it reports when an upstream
+// has ended a canceled request, which frees the request's slot. This package proves that
+// a response belongs to its request, and closes idle connections that receive unexpected
+// bytes.
 package exchange
 
 import (
@@ -22,57 +22,57 @@
 	"cairndock/internal/verdict"
 )
 
-// Request is what is sent to an upstream. It is not changed by Send.
+// Request is a request to an upstream. Send does not modify it.
 type Request struct {
-	// ID is the client's id of the request.
+	// ID is the client's ID of the request.
 	ID string
 	// Method is the HTTP method.
 	Method string
-	// Target is the path and query as the client wrote them.
+	// Target is the path and query exactly as received from the client.
 	Target string
 	// Host is the value of the Host header.
 	Host string
 	// Header holds the end-to-end headers.
 	Header http.Header
-	// Body is the whole body.
+	// Body is the complete body.
 	Body []byte
 }
 
-// LoadReport is what an upstream reports of its load.
+// LoadReport is an upstream's report of its load.
 type LoadReport struct {
 	// Known is false when the response carried no report.
 	Known bool
-	// Running is the number of requests that the upstream works on.
+	// Running is the number of requests that the upstream is processing.
 	Running int
 	// Waiting is the number of requests in the upstream's queue.
 	Waiting int
 }
 
-// ResponseInfo is what a response's header says, in the product's terms. It is
-// not selector/upstream.Status: that protocol names an upstream's incarnation
-// and whether it leaves; here the store says both, and a response proves itself.
+// ResponseInfo is the content of a response's header, independent of the platform's
+// header names. Unlike selector/upstream.Status, it does not contain an upstream's
+// incarnation or whether the upstream is leaving, because the store provides both here
+// and each response proves its own origin.
 type ResponseInfo struct {
 	// WrongRequest is set when the response belongs to another request.
 	WrongRequest bool
 	// NotExecuted is the upstream's own proof that it did not run the request.
 	NotExecuted bool
-	// Misdirected is set when another upstream has the address now.
+	// Misdirected is set when the address now belongs to another upstream.
 	Misdirected bool
 	// Signed is set when the response carries the upstream's proof of origin.
 	Signed bool
 	// Load is the upstream's load report.
 	Load LoadReport
-	// Notice is what the upstream says of itself, if the response is provably its own.
+	// Notice is the upstream's notice about itself, if the response is provably its own.
 	Notice notice.Notice
 }
 
-// Protocol reads and writes the headers that upstreams and the gateway
-// exchange.
+// Protocol writes and parses the headers that upstreams and the gateway exchange.
 type Protocol interface {
-	// SetHeaders adds the headers of one attempt: the upstream that is meant
-	// and the time left for the response.
+	// SetHeaders adds the headers of one attempt: the intended upstream and the time
+	// left for the response.
 	SetHeaders(h http.Header, upstream string, left time.Duration)
-	// ParseResponse reads the header of a response to the request with an id.
+	// ParseResponse parses the header of a response to the request with the given ID.
 	ParseResponse(requestID string, status int, h http.Header) ResponseInfo
 }
 
@@ -80,13 +80,13 @@
 type Response struct {
 	// Status is the HTTP status code.
 	Status int
-	// Header is the header as the upstream sent it.
+	// Header is the header exactly as received from the upstream.
 	Header http.Header
-	// Info is what the header says.
+	// Info is the parsed content of the header.
 	Info ResponseInfo
-	// Length is the body's length in bytes, or -1 when it is not known.
+	// Length is the body's length in bytes, or -1 when the length is unknown.
 	Length int64
-	// Body is the body; only a whole body ends with io.EOF.
+	// Body is the body; it returns io.EOF only at the end of a complete body.
 	Body io.ReadCloser
 }
 
@@ -97,43 +97,44 @@
 	terminations *terminations
 }
 
-// NewClient makes a client that connects to upstreams by dial.
+// NewClient returns a client that connects to upstreams by dial.
 func NewClient(dial Dial, protocol Protocol) *Client {
 	return &Client{pool: &pool{dial: dial, idle: map[upstream.Run][]*conn{}, onSilent: func(int) {}}, protocol: protocol, terminations: newTerminations()}
 }
 
-// OnSilent has f called with the number of idle connections to an upstream that were
-// given up, as one that was idle beside them turned out to be silent. It is set
-// before the client is used.
+// OnSilent sets a callback for silent connections. When a connection to an upstream
+// turns out to be silent, the other connections that were idle at the same time are
+// closed, and f is called with their number. OnSilent must be called before the client
+// is used.
 func (c *Client) OnSilent(f func(connections int)) { c.pool.onSilent = f }
 
-// Retain closes the idle connections to the runs that keep rejects.
+// Retain closes the idle connections to the runs for which keep returns false.
 func (c *Client) Retain(keep func(upstream.Run) bool) {
 	c.pool.retain(keep)
 	c.terminations.dropExpired(time.Now())
 }
 
-// Suspended has idle connections be idle for longer by the time for which the machine
-// was suspended.
+// Suspended adds the time for which the machine was suspended to the idle time of idle
+// connections.
 func (c *Client) Suspended(gap time.Duration) { c.pool.suspended(gap) }
 
 // Target is the upstream that a request is sent to.
 type Target struct {
-	// Upstream is its id, and Run its present run: a connection to an earlier run
-	// is not used, as nothing is there that could respond.
+	// Upstream is the upstream's ID, and Run its current run. A connection to an earlier
+	// run is not used, because that run can't respond any more.
 	Upstream string
 	Run      upstream.Run
-	// Address is where it listens, as "host:port".
+	// Address is the address at which the upstream listens, as "host:port".
 	Address string
 }
 
-// Send sends a request once to an upstream, and waits until the context ends for
-// the header of its response. Its error is a *verdict.Error.
+// Send sends a request to an upstream once. It waits for the header of the response
+// until the context ends. The error is a *verdict.Error.
 func (c *Client) Send(ctx context.Context, to Target, r *Request) (*Response, error) {
 	return c.SendWatched(ctx, to, r, &Progress{})
 }
 
-// SendWatched is Send, which p follows.
+// SendWatched is Send with progress reported to p.
 func (c *Client) SendWatched(ctx context.Context, to Target, r *Request, p *Progress) (*Response, error) {
 	nc, err := c.pool.get(ctx, to)
 	if err != nil {
@@ -164,8 +165,8 @@
 	return x.readOwnResponse(ctx)
 }
 
-// timeLeft is the time until the context's deadline, or the longest duration
-// when it has none.
+// timeLeft returns the time until the context's deadline, or the maximum duration when
+// the context has none.
 func timeLeft(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
--- a/internal/gateway/exchange/exchange_test.go
+++ b/internal/gateway/exchange/exchange_test.go
@@ -20,7 +20,7 @@
 	"cairndock/internal/verdict"
 )
 
-// protocol is a small protocol for tests.
+// protocol is a minimal protocol for tests.
 type protocol struct{}
 
 func (protocol) SetHeaders(h http.Header, upstream string, left time.Duration) {
@@ -32,8 +32,8 @@
 	return exchange.ResponseInfo{WrongRequest: h.Get("Id") != id, NotExecuted: h.Get("Not-Run") != "", Signed: true}
 }
 
-// upstream is a scripted upstream: its script writes the raw bytes of each
-// response and says whether the connection stays open.
+// upstream is a scripted upstream. Its script writes the raw bytes of each response and
+// returns whether the connection stays open.
 type upstream struct {
 	address string
 	conns   atomic.Int64
@@ -116,11 +116,11 @@
 		require.Equal(t, 200, status)
 		require.Equal(t, "GET /x?q=1 a.example i 1s", body)
 	}
-	require.EqualValues(t, 1, u.conns.Load(), "one connection serves one request after the other")
+	require.EqualValues(t, 1, u.conns.Load(), "one connection serves all requests in turn")
 }
 
-// An extra response that arrives late stands before the next one; its id shows
-// that it belongs to another request.
+// An upstream may send an extra response late, so that it precedes the response to the
+// next request. The ID of the extra response shows that it belongs to another request.
 func TestAResponseToAnotherRequestIsNeverReturned(t *testing.T) {
 	u := start(t, func(c net.Conn, r *http.Request, n int) bool {
 		if n == 2 {
@@ -179,7 +179,7 @@
 	require.EqualValues(t, 2, u.conns.Load())
 }
 
-func TestWithoutAWholeResponseARequestMayHaveRun(t *testing.T) {
+func TestWithoutACompleteResponseARequestMayHaveRun(t *testing.T) {
 	cases := map[string]script{
 		"reset":         func(c net.Conn, _ *http.Request, _ int) bool { reset(c); return false },
 		"closed":        func(net.Conn, *http.Request, int) bool { return false },
@@ -252,7 +252,8 @@
 	require.Equal(t, verdict.ConnectionRefused, verdict.From(err).Reason)
 }
 
-// A client that leaves closes the connection, so that the upstream stops.
+// When a client leaves, its connection to the upstream is closed, so that the upstream
+// stops processing the request.
 func TestAContextThatEndsClosesTheConnection(t *testing.T) {
 	closed := make(chan struct{})
 	u := start(t, func(c net.Conn, _ *http.Request, _ int) bool {
@@ -285,13 +286,13 @@
 	require.Zero(t, c.Idle())
 }
 
-// target is the upstream "i" at an address.
+// target returns the upstream "i" at an address.
 func target(address string) exchange.Target {
 	return exchange.Target{Upstream: "i", Run: "i", Address: address}
 }
 
-// A process that started again at its address behind a silent cut never saw the
-// connections of the one before it: a request on one of them is lost.
+// A process that restarted at its address during a silent cut has no state of the
+// connections to its earlier run. A request on one of those connections is lost.
 func TestConnectionsToAnEarlierRunAreNotUsed(t *testing.T) {
 	u := start(t, func(c net.Conn, r *http.Request, _ int) bool {
 		write(c, ok(r.Header.Get("Id"), "body"))
@@ -306,7 +307,7 @@
 		require.NoError(t, err)
 		require.NoError(t, a.Body.Close())
 	}
-	require.EqualValues(t, 2, u.conns.Load(), "one for each run")
+	require.EqualValues(t, 2, u.conns.Load(), "one connection for each run")
 	c.Retain(func(run registry.Run) bool { return run == "i@20" })
 	require.Equal(t, 1, c.Idle())
 }
--- a/internal/gateway/exchange/export_test.go
+++ b/internal/gateway/exchange/export_test.go
@@ -1,6 +1,6 @@
 package exchange
 
-// Idle is the number of idle connections.
+// Idle returns the number of idle connections.
 func (c *Client) Idle() int {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
--- a/internal/gateway/exchange/pool.go
+++ b/internal/gateway/exchange/pool.go
@@ -14,33 +14,33 @@
 )
 
 const (
-	// maxIdleConns bounds the idle connections to one upstream.
+	// maxIdleConns is the maximum number of idle connections to one upstream.
 	maxIdleConns = 8
-	// maxIdleTime bounds how long a connection stays idle, and is what holds when
-	// the upstream's Keep-Alive header gives no time.
+	// maxIdleTime is the maximum time for which a connection stays idle. It also applies
+	// when the upstream's Keep-Alive header contains no timeout.
 	maxIdleTime = 8 * time.Second
 	// idleMargin is how much earlier than the upstream the pool closes an idle
-	// connection, so that no request is written to one that is being closed. The
-	// header gives whole seconds.
+	// connection, so that no request is written to a connection that the upstream is
+	// closing. The Keep-Alive header has a resolution of one second.
 	idleMargin = 500 * time.Millisecond
 )
 
 // Dial connects to an address.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// pool keeps idle connections by the run of an upstream that they lead to, as
-// addresses pass from one upstream to another and ids from one run to the next.
-// Errors of closing a connection are dropped: no request is in flight on it.
+// pool keeps idle connections by the run of the upstream at their other end, because
+// addresses are reused by other upstreams and IDs by later runs. Errors of closing a
+// connection are ignored, because no request is in flight on it.
 type pool struct {
 	dial Dial
-	// onSilent is told how many connections closeIdleBefore closed.
+	// onSilent is called with the number of connections that closeIdleBefore closed.
 	onSilent func(connections int)
 
 	mu   sync.Mutex
 	idle map[upstream.Run][]*conn
 }
 
-// get takes a usable idle connection or dials a new one.
+// get returns a usable idle connection, or dials a new one.
 func (p *pool) get(ctx context.Context, to Target) (*conn, error) {
 	for c := p.pop(to.Run); c != nil; c = p.pop(to.Run) {
 		if c.idleError() == nil {
@@ -55,7 +55,8 @@
 	return newConn(nc), nil
 }
 
-// pop takes the connection that became idle last, or nil.
+// pop removes and returns the connection that became idle last, or returns nil if there
+// is none.
 func (p *pool) pop(run upstream.Run) *conn {
 	now := time.Now()
 	p.mu.Lock()
@@ -74,9 +75,10 @@
 	return nil
 }
 
-// put keeps a connection whose last response was read whole at a time. It stays
-// for idleTimeout from then on, or for maxIdleTime when that is zero or longer:
-// the upstream counts from its last byte, however late the response is closed.
+// put keeps a connection whose last response was completely read at the given time. The
+// connection stays idle for idleTimeout from that time on, or for maxIdleTime if
+// idleTimeout is zero or longer than maxIdleTime. The upstream's timeout starts with its
+// last byte, even if the response is closed later.
 func (p *pool) put(run upstream.Run, c *conn, since time.Time, idleTimeout time.Duration) {
 	if idleTimeout <= 0 || idleTimeout > maxIdleTime {
 		idleTimeout = maxIdleTime
@@ -86,8 +88,8 @@
 	p.add(run, c)
 }
 
-// putUnused keeps a connection that get gave and that was not used. That it was
-// taken proves nothing about it, so it stays no longer than it would have.
+// putUnused keeps a connection that was returned by get but not used. Its expiry is not
+// extended, because nothing was received on it.
 func (p *pool) putUnused(run upstream.Run, c *conn) {
 	if c.idleSince.IsZero() {
 		p.put(run, c, time.Now(), 0)
@@ -96,7 +98,7 @@
 	p.add(run, c)
 }
 
-// add adds an idle connection unless there are maxIdleConns.
+// add adds an idle connection, or closes it if there are maxIdleConns already.
 func (p *pool) add(run upstream.Run, c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,8 +109,8 @@
 	p.idle[run] = append(p.idle[run], c)
 }
 
-// suspended has idle connections expire sooner by the time for which the machine was
-// suspended: the upstreams counted it.
+// suspended makes idle connections expire sooner by the time for which the machine was
+// suspended, because the timeouts of the upstreams continued.
 func (p *pool) suspended(gap time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,8 +121,8 @@
 	}
 }
 
-// closeIdleBefore closes the connections to an upstream that became idle before a
-// time and are idle still.
+// closeIdleBefore closes the idle connections to an upstream that became idle before the
+// given time.
 func (p *pool) closeIdleBefore(run upstream.Run, before time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,8 +141,8 @@
 	p.onSilent(closed)
 }
 
-// retain closes the idle connections to the runs that keep rejects, and those
-// that were idle too long.
+// retain closes the idle connections to the runs for which keep returns false, and those
+// that have expired.
 func (p *pool) retain(keep func(upstream.Run) bool) {
 	now := time.Now()
 	p.mu.Lock()
@@ -159,9 +161,8 @@
 	}
 }
 
-// keepAliveTimeout is how long a connection may stay idle by a response's
-// Keep-Alive header, idleMargin less than it says, or zero when the header
-// gives no time that can be read.
+// keepAliveTimeout returns the idle timeout of a response's Keep-Alive header less
+// idleMargin, or zero when the header contains no valid timeout.
 func keepAliveTimeout(h http.Header) time.Duration {
 	for field := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
--- a/internal/gateway/exchange/proof.go
+++ b/internal/gateway/exchange/proof.go
@@ -9,11 +9,10 @@
 	"cairndock/internal/verdict"
 )
 
-// connectError gives the error of a request for which no connection was made.
-// Nothing was sent, so nothing ran. A dial that timed out by itself is an
-// unreachable upstream; only the request's own context makes it a lapsed
-// deadline. A refused connection says more: the machine is there and no process
-// listens.
+// connectError returns the error of a request for which no connection was established.
+// Nothing was sent, so nothing was executed. A dial that timed out by itself means an
+// unreachable upstream; the deadline has lapsed only if the request's own context ended.
+// A refused connection shows that the machine is reachable and that no process listens.
 func connectError(ctx context.Context, upstream string, err error) error {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
@@ -27,9 +26,9 @@
 	}
 }
 
-// responseError gives the error of a request that has a connection but no
-// response. It may have run as soon as the kernel accepted one byte of it
-// (sent); whether that byte arrived can't be known.
+// responseError returns the error of a request that has a connection but no response.
+// The request may have been executed as soon as the kernel accepted one byte of it
+// (sent), because delivery of that byte is unknown.
 func responseError(ctx context.Context, upstream string, err error, sent bool) error {
 	v := verdict.NotRun
 	if sent {
--- a/internal/gateway/exchange/proof_test.go
+++ b/internal/gateway/exchange/proof_test.go
@@ -15,7 +15,7 @@
 	"cairndock/internal/verdict"
 )
 
-func TestOnlyASentByteLetsARequestHaveRun(t *testing.T) {
+func TestARequestMayHaveRunOnlyAfterASentByte(t *testing.T) {
 	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
 	lapsed, cancelLapsed := context.WithDeadline(t.Context(), time.Unix(1, 0))
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestKeepAliveTimeoutStaysBelowTheUpstreams(t *testing.T) {
+func TestKeepAliveTimeoutIsBelowTheUpstreams(t *testing.T) {
 	for header, want := range map[string]time.Duration{
 		"":                  0,
 		"max=9":             0,
--- a/internal/gateway/exchange/roundtrip.go
+++ b/internal/gateway/exchange/roundtrip.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// maxWrongResponses is how many responses to other requests are skipped on
-	// one connection before it is given up. The platform sends at most one extra
-	// response late.
+	// maxWrongResponses is the maximum number of responses to other requests that are
+	// skipped on one connection before the connection is closed. The platform sends at
+	// most one extra response late.
 	maxWrongResponses = 4
-	// headerReserve is the space reserved for a request's header in the buffer that
-	// it is encoded into, in bytes: the buffer grows.
+	// headerReserve is the initial space for a request's header in the buffer for its
+	// encoding, in bytes. The buffer grows if necessary.
 	headerReserve = 512
 )
 
@@ -25,29 +25,28 @@
 type roundTrip struct {
 	client *Client
 	conn   *conn
-	// to is the upstream at the connection's other end.
+	// to is the upstream at the other end of the connection.
 	to      Target
 	request *Request
-	// stop ends the watch on the context; it reports false when the context
-	// has ended and interrupt was started.
+	// stop ends the watch on the context; it returns false when the context has ended
+	// and interrupt was started.
 	stop func() bool
 	// silence watches for the first byte of a response.
 	silence *silenceWatch
-	// progress tells the sender how the connection ended.
+	// progress records how the connection ended, for the sender.
 	progress *Progress
 }
 
-// expiredDeadline is a deadline that has passed.
+// expiredDeadline is a deadline in the past.
 var expiredDeadline = time.Unix(1, 0)
 
-// interrupt wakes whoever reads or writes the connection when the context ends.
+// interrupt unblocks reads and writes of the connection when the context ends.
 func (x *roundTrip) interrupt() {
-	// An error means that the connection is closed, which wakes them too.
+	// An error means that the connection is closed, which unblocks them too.
 	_ = x.conn.SetDeadline(expiredDeadline)
 }
 
-// encode gives the request's bytes on the wire. left is the time left for the
-// response.
+// encode returns the request in its wire format. left is the time left for the response.
 func (x *roundTrip) encode(left time.Duration) []byte {
 	r := x.request
 	h := r.Header.Clone()
@@ -64,14 +63,14 @@
 	return b.Bytes()
 }
 
-// bodyExpected reports whether a request of a method has a Content-Length even
+// bodyExpected reports whether a request with the given method has a Content-Length even
 // when its body is empty (RFC 9110 section 8.6).
 func bodyExpected(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// readOwnResponse reads responses until one belongs to the request. An extra
-// response of an earlier request may stand before it.
+// readOwnResponse reads responses until one belongs to the request. An extra response to
+// an earlier request may precede it.
 func (x *roundTrip) readOwnResponse(ctx context.Context) (*Response, error) {
 	for range maxWrongResponses {
 		resp, err := x.readResponse()
@@ -81,7 +80,7 @@
 		info := x.client.protocol.ParseResponse(x.request.ID, resp.StatusCode, resp.Header)
 		if !info.WrongRequest {
 			x.client.terminations.noteResponse(x.to.Run)
-			// Closing the body returns the connection.
+			// Closing the body returns the connection to the pool.
 			b := &body{roundTrip: x, inner: resp.Body, reusable: !resp.Close, idleTimeout: keepAliveTimeout(resp.Header)}
 			return &Response{Status: resp.StatusCode, Header: resp.Header, Info: info, Length: resp.ContentLength, Body: b}, nil
 		}
@@ -106,12 +105,12 @@
 	}
 }
 
-// fail closes the connection, which cancels the request at the upstream, and
-// gives the error of a request without a response. sent says whether any byte
-// may have reached the upstream.
+// fail closes the connection, which cancels the request at the upstream, and returns the
+// error of a request without a response. sent reports whether any byte may have reached
+// the upstream.
 func (x *roundTrip) fail(ctx context.Context, err error, sent bool) error {
 	x.stop()
-	_ = x.conn.Close() // err says what went wrong first
+	_ = x.conn.Close() // err is the cause
 	x.silence.requestFailed(err)
 	if sent && ctx.Err() == nil && IsConnectionEnd(err) {
 		x.progress.connectionClosed.Store(true)
@@ -119,19 +118,19 @@
 	return responseError(ctx, x.to.Upstream, err, sent)
 }
 
-// body is a response's body that returns its connection to the pool.
+// body is a response's body. Closing it returns the connection to the pool.
 type body struct {
 	roundTrip *roundTrip
 	inner     io.ReadCloser
-	// reusable is false when the response ends its connection.
+	// reusable is false when the connection closes after the response.
 	reusable    bool
 	idleTimeout time.Duration
-	// wholeAt is when the body was read whole; zero before.
+	// wholeAt is when the body was completely read; zero before.
 	wholeAt time.Time
 	closed  bool
 }
 
-// Read returns io.EOF only when the whole body was read.
+// Read returns io.EOF only after the complete body was read.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.inner.Read(p)
 	if err == io.EOF && b.wholeAt.IsZero() {
@@ -140,10 +139,10 @@
 	return n, err
 }
 
-// Close returns the connection to the pool if the response was read whole, and
-// closes it otherwise, which cancels the request at the upstream. A connection
-// whose context ended has a deadline in the past, and one with bytes after the
-// response can't be trusted: both are closed as well.
+// Close returns the connection to the pool if the response was completely read.
+// Otherwise it closes the connection, which cancels the request at the upstream. It also
+// closes a connection whose context ended, because its deadline is in the past, and a
+// connection with unread bytes after the response, because these can't be attributed.
 func (b *body) Close() error {
 	if b.closed {
 		return nil
--- a/internal/gateway/exchange/silence.go
+++ b/internal/gateway/exchange/silence.go
@@ -10,38 +10,38 @@
 )
 
 const (
-	// maxSilence is how long a request waits on a reused connection for the
-	// first byte of its response until the pool gives up the connections that
-	// were idle before it. It is above what most responses take, as each slower
-	// one costs dials, and below the deadlines of requests that are not canceled
+	// maxSilence is how long a request waits on a reused connection for the first byte
+	// of its response until the pool closes the connections that were idle at the same
+	// time. It is above the duration of most responses, because each slower response
+	// costs new connections. It is below the deadlines of requests that are not canceled
 	// when they are overdue.
 	maxSilence = time.Second
-	// minSilence is how long a request that timed out or was canceled must have
-	// waited for that. Clients leave at any moment, which says nothing of the
-	// connection; an overdue attempt is canceled after 250 ms at the least.
+	// minSilence is the minimum wait after which a request that timed out or was
+	// canceled counts as silence. Clients may leave at any time, which is no sign of a
+	// broken connection. An overdue attempt is canceled after at least 250 ms.
 	minSilence = 200 * time.Millisecond
 )
 
-// silenceWatch finds out that a reused connection is silent: no byte came back
-// since a request was written to it. The upstream may only be slow, but if the
-// connection was cut without a reset, then so were those that were idle at that
-// time, and each would cost a request. So the pool closes them, and the next
-// request dials. It proves nothing about the request or the upstream: both are
-// judged by the request's own end.
+// silenceWatch detects that a reused connection is silent: no byte was received since a
+// request was written to it. The upstream may only be slow. But if the connection was
+// cut without a reset, the connections that were idle at that time were cut too, and
+// each of them would cost a request. The pool therefore closes them, and the next
+// request dials. Silence proves nothing about the request or the upstream; both are
+// judged by the outcome of the request.
 type silenceWatch struct {
 	pool *pool
 	run  upstream.Run
 	conn *conn
-	// began is when the request was sent, and received what had been read from
-	// the connection then.
+	// began is when the request was sent, and received the number of bytes that had been
+	// read from the connection at that time.
 	began    time.Time
 	received int64
 	// timer is nil for a new connection, which is not watched.
 	timer *time.Timer
 }
 
-// watchSilence watches a connection to which a request is about to be written.
-// On a new one silence tells nothing about older ones.
+// watchSilence watches a connection to which a request is about to be written. A new
+// connection is not watched, because its silence says nothing about older connections.
 func watchSilence(p *pool, run upstream.Run, c *conn) *silenceWatch {
 	w := &silenceWatch{pool: p, run: run, conn: c, began: time.Now(), received: c.received.Load()}
 	if !c.idleSince.IsZero() {
@@ -50,14 +50,15 @@
 	return w
 }
 
-// Progress tells of a request that is being sent. Its zero value is for one that
-// has not begun; its methods may be called while Send runs.
+// Progress reports the progress of a request that is being sent. The zero value is valid
+// for a request that has not been sent; the methods may be called while Send runs.
 type Progress struct {
-	// OnSent, if it is set, is called when the request was written, before its
-	// response is waited for. A request that has no connection is never sent.
+	// OnSent, if set, is called after the request was written, before waiting for the
+	// response. It is not called for a request without a connection.
 	OnSent func()
-	// MaySend, if it is set, is asked right before the request is written, which may have
-	// waited for a connection since its upstream was chosen. If it may not, it is not sent.
+	// MaySend, if set, is called right before the request is written, because the
+	// request may have waited for a connection since its upstream was chosen. If MaySend
+	// returns false, the request is not sent.
 	MaySend func() bool
 
 	silence          atomic.Pointer[silenceWatch]
@@ -72,30 +73,31 @@
 	}
 }
 
-// SilentOnReused reports whether the request was sent on a connection that had
-// been used before, and nothing has come back on it. Then the connection may be
-// what is broken, and not the upstream.
+// SilentOnReused reports whether the request was sent on a reused connection on which
+// nothing has been received since. In this case the connection may be broken rather than
+// the upstream.
 func (p *Progress) SilentOnReused() bool {
 	w := p.silence.Load()
 	return w != nil && w.timer != nil && w.isSilent()
 }
 
-// ConnectionEnded reports whether the upstream's end of the connection was closed or
-// reset after the request was sent, before a response came.
+// ConnectionEnded reports whether the upstream closed or reset the connection after the
+// request was sent and before a response arrived.
 func (p *Progress) ConnectionEnded() bool { return p.connectionClosed.Load() }
 
 func (w *silenceWatch) isSilent() bool { return w.conn.received.Load() == w.received }
 
-// check gives up the older idle connections unless a byte has come. A late call
-// is harmless: the count of bytes never goes back.
+// check closes the older idle connections unless a byte was received. A late call is
+// harmless, because the number of received bytes never decreases.
 func (w *silenceWatch) check() {
 	if w.isSilent() {
 		w.pool.closeIdleBefore(w.run, w.began)
 	}
 }
 
-// requestFailed is called when the request ended with an error. Only a time-out, which
-// is also how a canceled read ends, is silence; a reset is an answer.
+// requestFailed is called when the request failed with an error. Only a timeout, which
+// is also the error of a canceled read, counts as silence; a reset is a reaction of the
+// other end.
 func (w *silenceWatch) requestFailed(err error) {
 	var ne net.Error
 	timedOut := errors.As(err, &ne) && ne.Timeout()
@@ -104,7 +106,6 @@
 	}
 }
 
-// stop ends the watch.
 func (w *silenceWatch) stop() {
 	if w.timer != nil {
 		w.timer.Stop()
--- a/internal/gateway/exchange/silence_test.go
+++ b/internal/gateway/exchange/silence_test.go
@@ -21,14 +21,15 @@
 	registry "cairndock/internal/gateway/upstream"
 )
 
-// maxIdleConns is how many idle connections the pool keeps to one upstream.
+// maxIdleConns is the maximum number of idle connections that the pool keeps to one
+// upstream.
 const maxIdleConns = 8
 
-// memoryUpstream is an upstream on a network in memory, and a client of it.
+// memoryUpstream is an upstream on an in-memory network, together with a client.
 type memoryUpstream struct {
 	*dialtest.Network
 	client *exchange.Client
-	// responseDelay is how long a response takes, in nanoseconds.
+	// responseDelay is the delay before a response, in nanoseconds.
 	responseDelay atomic.Int64
 	// keepAlive is a header line of each response, or empty.
 	keepAlive string
@@ -68,13 +69,13 @@
 	}
 }
 
-// begin sends a request and gives the beginning of its response.
+// begin sends a request and returns its response before the body is read.
 func (u *memoryUpstream) begin(ctx context.Context) (*exchange.Response, error) {
 	id := fmt.Sprint("r", u.nextID.Add(1))
 	return u.client.Send(ctx, target(""), &exchange.Request{ID: id, Method: http.MethodGet, Target: "/", Host: "a", Header: http.Header{"Id": {id}}})
 }
 
-// send sends a request that is given up after a time, and reads its response.
+// send sends a request with a timeout and reads its response.
 func (u *memoryUpstream) send(ctx context.Context, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -83,11 +84,11 @@
 		return err
 	}
 	_, err = io.ReadAll(resp.Body)
-	_ = resp.Body.Close() // the body is whole or err says why not
+	_ = resp.Body.Close() // the body is complete, or err says why not
 	return err
 }
 
-// fill makes as many idle connections as the pool keeps.
+// fill opens as many idle connections as the pool keeps.
 func (u *memoryUpstream) fill(t *testing.T) {
 	t.Helper()
 	u.responseDelay.Store(int64(50 * time.Millisecond))
@@ -99,9 +100,9 @@
 	require.Equal(t, maxIdleConns, u.client.Idle())
 }
 
-// Open connections go silent for good while new ones work. A pool of them cost
-// one request for each connection: each timed out, closed its own, and left the
-// next request the next silent one.
+// Open connections become silent permanently while new ones work. Without detection, a
+// pool of them cost one request per connection: each request timed out, closed only its
+// own connection, and the next request used the next silent one.
 func TestAPoolOfSilentConnectionsCostsOneRequest(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -132,15 +133,15 @@
 				t.Logf("lost %d requests, %v until one was served, %d silent connections left", lost, time.Since(began), dialed)
 				require.Equal(t, 1, lost)
 				require.Zero(t, dialed)
-				require.EqualValues(t, maxIdleConns-1, closed.Load(), "those beside the request's own")
+				require.EqualValues(t, maxIdleConns-1, closed.Load(), "all but the connection of the request itself")
 			})
 		})
 	}
 }
 
-// A request that may run only once is not canceled when it is overdue: it holds
-// its silent connection until its deadline, and meanwhile other requests took
-// the other silent ones.
+// A request that may run only once is not canceled when it is overdue, and occupies its
+// silent connection until its deadline. Meanwhile other requests must not use the other
+// silent connections.
 func TestARequestThatWaitsLongGivesUpTheOtherSilentConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := newMemoryUpstream(t)
@@ -167,25 +168,26 @@
 	})
 }
 
-// An upstream that is only slow has its older idle connections closed as well.
-// That costs no new connections under steady traffic: those that went unused since
-// before the slow request are the ones that no request needs. Each bound is what
-// is measured, and the same as without the watch.
+// The older idle connections of an upstream that is only slow are closed as well. Under
+// steady traffic this costs no new connections, because connections that were not used
+// since before the slow request are not needed. Each bound is the measured number of
+// dials, which is the same without the watch.
 func TestASlowUpstreamCostsFewDials(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// interval is the time between two requests, and timeout when each is given
-		// up. The upstream takes 90 ms, for 10 of 30 s slow. No response
-		// ends at the moment at which a request begins, so no order is left to chance.
+		// interval is the time between two requests, and timeout the time limit of each.
+		// The upstream responds after 90 ms, or after slow for 10 of the 30 s. No
+		// response ends at the moment at which a request begins, so that the order is
+		// deterministic.
 		interval, timeout, slow time.Duration
-		// dials is the most that the client may make.
+		// dials is the maximum number of dials.
 		dials int
 	}{
-		{"2 requests a second, all served", 500 * time.Millisecond, 3 * time.Second, 1470 * time.Millisecond, 10},
-		{"20 requests a second, all served", 50 * time.Millisecond, 3 * time.Second, 1470 * time.Millisecond, 36},
-		{"20 requests a second, slightly slow", 50 * time.Millisecond, 3 * time.Second, 870 * time.Millisecond, 24},
-		{"2 requests a second, canceled when overdue", 500 * time.Millisecond, 380 * time.Millisecond, 1470 * time.Millisecond, 27},
-		{"20 requests a second, canceled when overdue", 50 * time.Millisecond, 380 * time.Millisecond, 1470 * time.Millisecond, 207},
+		{"2 requests per second, all served", 500 * time.Millisecond, 3 * time.Second, 1470 * time.Millisecond, 10},
+		{"20 requests per second, all served", 50 * time.Millisecond, 3 * time.Second, 1470 * time.Millisecond, 36},
+		{"20 requests per second, slightly slow", 50 * time.Millisecond, 3 * time.Second, 870 * time.Millisecond, 24},
+		{"2 requests per second, canceled when overdue", 500 * time.Millisecond, 380 * time.Millisecond, 1470 * time.Millisecond, 27},
+		{"20 requests per second, canceled when overdue", 50 * time.Millisecond, 380 * time.Millisecond, 1470 * time.Millisecond, 207},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -214,8 +216,8 @@
 	}
 }
 
-// The dearest case: a slow request finds the pool full, and a burst needs
-// all of it afterwards. Each such request costs the whole pool.
+// The worst case: a slow request finds the pool full, and a burst needs the whole pool
+// afterwards. Each such request costs all idle connections of the pool.
 func TestASlowRequestBeforeABurstCostsThePool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := newMemoryUpstream(t)
@@ -231,10 +233,10 @@
 	})
 }
 
-// The upstream closes an idle connection by its own clock, which starts with the
-// last byte of its response. A client that took its response slowly, and a
-// request that found its deadline passed, each started the pool's clock anew, so
-// that a later request was written to a connection that was being closed.
+// The upstream closes an idle connection after a timeout that starts with the last byte
+// of its response. A client that read its response slowly, and a request whose deadline
+// had passed before it was sent, each restarted the pool's timeout, so that a later
+// request was written to a connection that the upstream was closing.
 func TestAnIdleConnectionIsNotKeptBeyondTheUpstreamsTime(t *testing.T) {
 	for name, use := range map[string]func(t *testing.T, u *memoryUpstream){
 		"response closed late": func(t *testing.T, u *memoryUpstream) {
