--- a/internal/gateway/dial/dialtest/network.go
+++ b/internal/gateway/dial/dialtest/network.go
@@ -1,5 +1,5 @@
-// Package dialtest is a network in memory for tests, whose open connections can
-// go silent while new ones work. It runs in a testing/synctest bubble.
+// Package dialtest provides an in-memory network for tests, whose open connections can
+// become silent while new ones work. It must be used in a testing/synctest bubble.
 package dialtest
 
 import (
@@ -9,12 +9,12 @@
 	"sync/atomic"
 )
 
-// backlog is how many connections may wait to be accepted.
+// backlog is the maximum number of connections that wait to be accepted.
 const backlog = 64
 
-// Network connects dialers with one listener. Between the two ends of each
-// connection stands a middle box that takes what either end writes, as one may
-// that acknowledges packets.
+// Network connects dialers with one listener. Between the two ends of each connection is
+// a middlebox that accepts all data from either end, like one that acknowledges packets
+// itself.
 type Network struct {
 	accept chan net.Conn
 	closed chan struct{}
@@ -24,12 +24,12 @@
 	links []*link
 }
 
-// New makes a network. It must be closed.
+// New returns a network. It must be closed.
 func New() *Network {
 	return &Network{accept: make(chan net.Conn, backlog), closed: make(chan struct{})}
 }
 
-// DialContext makes a connection, whatever the address.
+// DialContext opens a connection to the listener, whatever the address.
 func (n *Network) DialContext(ctx context.Context, _, _ string) (net.Conn, error) {
 	l, dialed, accepted := newLink()
 	n.mu.Lock()
@@ -45,8 +45,8 @@
 	}
 }
 
-// Silence makes the connections that are open now silent for good: either end
-// may write, and neither hears of the other again, not even of its close.
+// Silence makes the currently open connections silent permanently: either end may write,
+// but nothing is delivered to the other end any more, not even the close.
 func (n *Network) Silence() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -55,15 +55,15 @@
 	}
 }
 
-// Dials is the number of connections made so far.
+// Dials returns the number of connections opened so far.
 func (n *Network) Dials() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.links)
 }
 
-// Silent is the number of silent connections that the dialer has not closed, and
-// of those that the listener's side has not.
+// Silent returns the number of silent connections that the dialer has not closed, and
+// the number of those that the listener's side has not closed.
 func (n *Network) Silent() (dialed, accepted int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -94,7 +94,7 @@
 // Addr implements net.Listener.
 func (n *Network) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1} }
 
-// Close closes the listener and the middle boxes of all connections.
+// Close closes the listener and the middleboxes of all connections.
 func (n *Network) Close() error {
 	n.once.Do(func() { close(n.closed) })
 	n.mu.Lock()
@@ -105,25 +105,25 @@
 	return nil
 }
 
-// link is the middle box of one connection.
+// link is the middlebox of one connection.
 type link struct {
 	silent, dialerClosed, accepterClosed atomic.Bool
-	// toDialer and toAccepter are the box's own ends.
+	// toDialer and toAccepter are the middlebox's own ends.
 	toDialer, toAccepter net.Conn
 }
 
-// newLink makes a link, and the two ends of its connection.
+// newLink returns a link and the two ends of its connection.
 func newLink() (l *link, dialed, accepted net.Conn) {
 	l = &link{}
 	dialed, l.toDialer = net.Pipe()
 	accepted, l.toAccepter = net.Pipe()
-	go l.pass(l.toDialer, l.toAccepter, &l.dialerClosed)
-	go l.pass(l.toAccepter, l.toDialer, &l.accepterClosed)
+	go l.forward(l.toDialer, l.toAccepter, &l.dialerClosed)
+	go l.forward(l.toAccepter, l.toDialer, &l.accepterClosed)
 	return l, dialed, accepted
 }
 
-// pass passes on what one end writes until that end is closed.
-func (l *link) pass(from, to net.Conn, closed *atomic.Bool) {
+// forward forwards the data that one end writes until that end is closed.
+func (l *link) forward(from, to net.Conn, closed *atomic.Bool) {
 	buf := make([]byte, 64<<10)
 	for {
 		n, err := from.Read(buf)
@@ -144,7 +144,8 @@
 	}
 }
 
-// close closes the box's ends; errors say only that they are closed already.
+// close closes the middlebox's ends. Errors are ignored, because they only mean that an
+// end is closed already.
 func (l *link) close() {
 	_ = l.toDialer.Close()
 	_ = l.toAccepter.Close()
