--- a/internal/gateway/exchange/ended.go
+++ b/internal/gateway/exchange/ended.go
@@ -55,7 +55,7 @@
 	return &terminations{terminatedAt: map[upstream.Run]time.Time{}, pending: map[upstream.Run]*terminationCheck{}}
 }
 
-// HasEnded reports whether the process of an upstream has terminated. It is called after
+// HasTerminated reports whether the process of an upstream has terminated. It is called after
 // a connection to the upstream was closed. A process has terminated if nothing listens
 // at its address any more, or if whatever listens there, such as a load balancer, closes
 // each new connection at once and no response of the run arrives during the check. One
@@ -63,9 +63,9 @@
 // and reset connections. An upstream over its limit of connections resets new ones and
 // still responds on others.
 //
-// HasEnded opens a new connection, which is kept for later requests if the upstream
+// HasTerminated opens a new connection, which is kept for later requests if the upstream
 // runs. Concurrent calls for one run share one check.
-func (c *Client) HasEnded(ctx context.Context, to Target) bool {
+func (c *Client) HasTerminated(ctx context.Context, to Target) bool {
 	check, started := c.terminations.begin(to.Run)
 	if started {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), terminationCheckTimeout)
--- a/internal/gateway/exchange/ended_test.go
+++ b/internal/gateway/exchange/ended_test.go
@@ -21,7 +21,7 @@
 func TestAnAddressThatResetsEachConnectionHasTerminated(t *testing.T) {
 	l, accepted := listenAndReset(t, func(int) bool { return true })
 	client := exchange.NewClient(dial.New(time.Second).DialContext, nil)
-	require.True(t, client.HasEnded(t.Context(), exchange.Target{Upstream: "a", Run: "a", Address: l.Addr().String()}))
+	require.True(t, client.HasTerminated(t.Context(), exchange.Target{Upstream: "a", Run: "a", Address: l.Addr().String()}))
 	require.Less(t, accepted.Load(), int64(10), "the address does not receive many connections")
 }
 
@@ -30,7 +30,7 @@
 	t.Run("it accepts a connection again", func(t *testing.T) {
 		l, _ := listenAndReset(t, func(n int) bool { return n < 3 })
 		client := exchange.NewClient(dial.New(time.Second).DialContext, nil)
-		require.False(t, client.HasEnded(t.Context(), exchange.Target{Upstream: "a", Run: "a", Address: l.Addr().String()}))
+		require.False(t, client.HasTerminated(t.Context(), exchange.Target{Upstream: "a", Run: "a", Address: l.Addr().String()}))
 	})
 	t.Run("it responds on another connection", func(t *testing.T) {
 		l, _ := listenAndReset(t, func(n int) bool { return n > 0 })
@@ -45,7 +45,7 @@
 			responded <- err
 		}()
 		time.Sleep(50 * time.Millisecond) // the request is on the first connection
-		require.False(t, client.HasEnded(t.Context(), to))
+		require.False(t, client.HasTerminated(t.Context(), to))
 		require.NoError(t, <-responded)
 	})
 }
@@ -95,16 +95,16 @@
 	}()
 	client := exchange.NewClient(dial.New(time.Second).DialContext, nil)
 	running := exchange.Target{Upstream: "a", Run: "a", Address: l.Addr().String()}
-	require.False(t, client.HasEnded(t.Context(), running))
+	require.False(t, client.HasTerminated(t.Context(), running))
 	require.NoError(t, l.Close())
 	ended := exchange.Target{Upstream: "b", Run: "b", Address: running.Address}
-	require.True(t, client.HasEnded(t.Context(), ended))
+	require.True(t, client.HasTerminated(t.Context(), ended))
 
 	t.Run("a terminated run stays terminated when its address is reused", func(t *testing.T) {
 		l, err := net.Listen("tcp", running.Address)
 		require.NoError(t, err)
 		defer func() { _ = l.Close() }()
-		require.True(t, client.HasEnded(t.Context(), ended), "the run has terminated, whichever process has its address now")
+		require.True(t, client.HasTerminated(t.Context(), ended), "the run has terminated, whichever process has its address now")
 	})
 	t.Run("concurrent checks of an upstream that closes all connections", func(t *testing.T) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -122,7 +122,7 @@
 		closing := exchange.Target{Upstream: "c", Run: "c", Address: l.Addr().String()}
 		var wait sync.WaitGroup
 		for range 5 {
-			wait.Go(func() { require.True(t, client.HasEnded(t.Context(), closing)) })
+			wait.Go(func() { require.True(t, client.HasTerminated(t.Context(), closing)) })
 		}
 		wait.Wait()
 	})
--- a/internal/gateway/proxy/suspicion.go
+++ b/internal/gateway/proxy/suspicion.go
@@ -61,7 +61,7 @@
 // recordIfEnded records the end of the attempt's upstream if it has ended.
 func (a *attempt) recordIfEnded(ctx context.Context, end poison.Attempt) {
 	f, u := a.inflight, a.choice.Upstream
-	if !f.proxy.expectsToRun(a) || !f.proxy.Client.HasEnded(ctx, exchange.Target{Upstream: u.ID, Run: u.Run(), Address: u.Address}) {
+	if !f.proxy.expectsToRun(a) || !f.proxy.Client.HasTerminated(ctx, exchange.Target{Upstream: u.ID, Run: u.Run(), Address: u.Address}) {
 		return
 	}
 	fingerprint := f.fingerprint()
