--- a/internal/gateway/exchange/ended.go
+++ b/internal/gateway/exchange/ended.go
@@ -25,10 +25,10 @@
 	terminationRetention = 30 * time.Second
 )
 
-// IsConnectionEnd reports whether an error of a connection means that the other end
+// IsConnectionClosed reports whether an error of a connection means that the other end
 // closed or reset the connection. This also happens when the process at the other end
 // terminates.
-func IsConnectionEnd(err error) bool {
+func IsConnectionClosed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
--- a/internal/gateway/exchange/roundtrip.go
+++ b/internal/gateway/exchange/roundtrip.go
@@ -112,7 +112,7 @@
 	x.stop()
 	_ = x.conn.Close() // err is the cause
 	x.silence.requestFailed(err)
-	if sent && ctx.Err() == nil && IsConnectionEnd(err) {
+	if sent && ctx.Err() == nil && IsConnectionClosed(err) {
 		x.progress.connectionClosed.Store(true)
 	}
 	return responseError(ctx, x.to.Upstream, err, sent)
--- a/internal/gateway/proxy/attempt.go
+++ b/internal/gateway/proxy/attempt.go
@@ -142,7 +142,7 @@
 		if isUpstreamFault(e.Reason) {
 			f.proxy.Detector.RecordFailure(u.Run(), time.Now())
 		}
-		if exchange.IsConnectionEnd(err) && e.Reason == verdict.AnswerTruncated {
+		if exchange.IsConnectionClosed(err) && e.Reason == verdict.AnswerTruncated {
 			a.noteConnectionEnd(ctx)
 		}
 		f.logAttempt(a, resp.Status, e)
