--- a/internal/gateway/exchange/silence.go
+++ b/internal/gateway/exchange/silence.go
@@ -81,9 +81,9 @@
 	return w != nil && w.timer != nil && w.isSilent()
 }
 
-// ConnectionEnded reports whether the upstream closed or reset the connection after the
+// ConnectionClosed reports whether the upstream closed or reset the connection after the
 // request was sent and before a response arrived.
-func (p *Progress) ConnectionEnded() bool { return p.connectionClosed.Load() }
+func (p *Progress) ConnectionClosed() bool { return p.connectionClosed.Load() }
 
 func (w *silenceWatch) isSilent() bool { return w.conn.received.Load() == w.received }
 
--- a/internal/gateway/proxy/attempt.go
+++ b/internal/gateway/proxy/attempt.go
@@ -92,7 +92,7 @@
 		err = a.inflight.accept(u, resp, a.began)
 	}
 	a.inflight.recordHealth(u.Run(), a.settle(), resp, err, a.began)
-	if a.progress.ConnectionEnded() {
+	if a.progress.ConnectionClosed() {
 		a.noteConnectionEnd(ctx)
 	}
 	if err != nil && isSuperseded(ctx) {
