--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -139,10 +139,10 @@
 	defaultRetryRatio = 0.1
 	// defaultRetryWindow is the window that the sites' bounds use.
 	defaultRetryWindow = 10 * time.Second
-	// defaultOvershoot sends a cold upstream no more than its own rate.
-	defaultOvershoot = 1.0
-	// defaultRevokeWithin and defaultQuotaWindow are the bounds of the sites known.
-	defaultRevokeWithin = 5 * time.Second
+	// defaultWarmUpOvershoot sends a cold upstream no more than its own rate.
+	defaultWarmUpOvershoot = 1.0
+	// defaultMaxRevocationDelay and defaultQuotaWindow are the bounds of the sites known.
+	defaultMaxRevocationDelay = 5 * time.Second
 	defaultQuotaWindow  = 5 * time.Second
 	// defaultDirectoryTTL is well below the 5 s for which clients accept it.
 	defaultDirectoryTTL = 2 * time.Second
@@ -152,17 +152,17 @@
 	defaultStaleness = 2 * time.Second
 )
 
-// minWithin is the least bound that can be kept: a watcher's waits are parts of
+// minStaleness is the least bound that can be kept: a watcher's waits are parts of
 // it, and a question to another region takes 70 ms there and back.
-const minWithin = 500 * time.Millisecond
+const minStaleness = 500 * time.Millisecond
 
 // defaultSettings gives the values of keys that the file leaves out. A zero in
 // the file stays a zero.
 func defaultSettings() Settings {
 	return Settings{
 		Limits: LimitSettings{
-			RetryRatio: defaultRetryRatio, RetryWindow: settings.Duration(defaultRetryWindow), WarmUpOvershoot: defaultOvershoot,
-			RevokeWithin: settings.Duration(defaultRevokeWithin), QuotaWindow: settings.Duration(defaultQuotaWindow),
+			RetryRatio: defaultRetryRatio, RetryWindow: settings.Duration(defaultRetryWindow), WarmUpOvershoot: defaultWarmUpOvershoot,
+			RevokeWithin: settings.Duration(defaultMaxRevocationDelay), QuotaWindow: settings.Duration(defaultQuotaWindow),
 			DirectoryTTL: settings.Duration(defaultDirectoryTTL),
 		},
 		Stop: StopSettings{Grace: settings.Duration(defaultGrace)},
@@ -183,9 +183,9 @@
 	f.Require(s.Limits.RetryRatio >= 0, "limits.retry_ratio", "must not be below 0")
 	f.Require(s.Limits.RetryWindow > 0, "limits.retry_window", "must be above 0")
 	f.Require(s.Limits.WarmUpOvershoot > 0, "limits.warm_up_overshoot", "must be above 0")
-	checkWithin(&f, "limits.apply_within", s.Limits.ApplyWithin)
-	checkWithin(&f, "limits.drain_within", s.Limits.DrainWithin)
-	checkWithin(&f, "limits.evacuate_within", s.Limits.EvacuateWithin)
+	checkStaleness(&f, "limits.apply_within", s.Limits.ApplyWithin)
+	checkStaleness(&f, "limits.drain_within", s.Limits.DrainWithin)
+	checkStaleness(&f, "limits.evacuate_within", s.Limits.EvacuateWithin)
 	f.Require(s.Limits.RevokeWithin > 0, "limits.revoke_within", "must be above 0")
 	f.Require(s.Limits.QuotaWindow > 0, "limits.quota_window", "must be above 0")
 	f.Require(s.Limits.QuotaOvershoot >= 0, "limits.quota_overshoot", "must not be below 0")
@@ -199,8 +199,8 @@
 	return errors.Join(f...)
 }
 
-func checkWithin(f *settings.Faults, key string, d settings.Duration) {
-	f.Require(d == 0 || time.Duration(d) >= minWithin, key, "must be 500ms or more")
+func checkStaleness(f *settings.Faults, key string, d settings.Duration) {
+	f.Require(d == 0 || time.Duration(d) >= minStaleness, key, "must be 500ms or more")
 }
 
 // peerSeeds gives the seeds' addresses for peers. A seed or a listen address
@@ -243,8 +243,8 @@
 func (l LimitSettings) Staleness() time.Duration {
 	var tightest time.Duration
 	for _, d := range []settings.Duration{l.ApplyWithin, l.DrainWithin, l.EvacuateWithin} {
-		if within := time.Duration(d); within > 0 && (tightest == 0 || within < tightest) {
-			tightest = within
+		if bound := time.Duration(d); bound > 0 && (tightest == 0 || bound < tightest) {
+			tightest = bound
 		}
 	}
 	return cmp.Or(tightest, defaultStaleness)
--- a/internal/gateway/settings_test.go
+++ b/internal/gateway/settings_test.go
@@ -12,7 +12,7 @@
 	"cairndock/internal/gateway"
 )
 
-const leastSettings = `
+const minSettings = `
 [host]
 name = "h"
 zone = "z"
@@ -35,7 +35,7 @@
 
 // A platform sets only the bounds that are in force.
 func TestWhatTheFileLeavesOutHasADefault(t *testing.T) {
-	g, err := load(t, leastSettings)
+	g, err := load(t, minSettings)
 	require.NoError(t, err)
 	require.Positive(t, g.Limits.RetryRatio)
 	require.Positive(t, g.Limits.WarmUpOvershoot)
@@ -46,18 +46,18 @@
 }
 
 func TestAZeroInTheFileIsAZero(t *testing.T) {
-	g, err := load(t, leastSettings+"[limits]\nretry_ratio = 0\n")
+	g, err := load(t, minSettings+"[limits]\nretry_ratio = 0\n")
 	require.NoError(t, err)
 	require.Zero(t, g.Limits.RetryRatio)
 }
 
 func TestABoundOfClientAccountsIsChecked(t *testing.T) {
-	g, err := load(t, leastSettings+"[limits]\nstrict_revocation = true\nrevoke_within = \"3s\"\nquota_window = \"4s\"\nquota_overshoot = 0.1\nquota_slack = 20\n")
+	g, err := load(t, minSettings+"[limits]\nstrict_revocation = true\nrevoke_within = \"3s\"\nquota_window = \"4s\"\nquota_overshoot = 0.1\nquota_slack = 20\n")
 	require.NoError(t, err)
 	require.True(t, g.Limits.StrictRevocation)
 	require.Equal(t, 3*time.Second, time.Duration(g.Limits.RevokeWithin))
 	for _, faulty := range []string{`revoke_within = "0s"`, `quota_window = "0s"`, "quota_overshoot = -0.1", "quota_slack = -1"} {
-		_, err := load(t, leastSettings+"[limits]\n"+faulty+"\n")
+		_, err := load(t, minSettings+"[limits]\n"+faulty+"\n")
 		require.ErrorContains(t, err, "limits."+strings.Fields(faulty)[0])
 	}
 }
@@ -68,7 +68,7 @@
 		"apply_within = \"3s\"\ndrain_within = \"1500ms\"\nevacuate_within = \"5s\"": 1500 * time.Millisecond,
 		"drain_within = \"3s\"\nevacuate_within = \"1s\"":                            time.Second,
 	} {
-		g, err := load(t, leastSettings+"[limits]\n"+text+"\n")
+		g, err := load(t, minSettings+"[limits]\n"+text+"\n")
 		require.NoError(t, err)
 		require.Equal(t, want, g.Limits.Staleness(), text)
 	}
@@ -77,14 +77,14 @@
 func TestEveryFaultNamesItsKey(t *testing.T) {
 	for key, text := range map[string]string{
 		"host.name":              "[host]\nzone = \"z\"",
-		"limits.apply_within":    leastSettings + "[limits]\napply_within = \"10ms\"",
-		"limits.evacuate_within": leastSettings + "[limits]\nevacuate_within = \"10ms\"",
-		"limits.retry_window":    leastSettings + "[limits]\nretry_window = \"0s\"",
-		"limits.retries":         leastSettings + "[limits]\nretries = 3",
-		"log.one_in":             leastSettings + "[log]\none_in = 0",
-		"log.served_per_second":  leastSettings + "[log]\nserved_per_second = -1",
-		"log.failed_per_second":  leastSettings + "[log]\nfailed_per_second = -1",
-		"stop.grace":             leastSettings + "[stop]\ngrace = \"-1s\"",
+		"limits.apply_within":    minSettings + "[limits]\napply_within = \"10ms\"",
+		"limits.evacuate_within": minSettings + "[limits]\nevacuate_within = \"10ms\"",
+		"limits.retry_window":    minSettings + "[limits]\nretry_window = \"0s\"",
+		"limits.retries":         minSettings + "[limits]\nretries = 3",
+		"log.one_in":             minSettings + "[log]\none_in = 0",
+		"log.served_per_second":  minSettings + "[log]\nserved_per_second = -1",
+		"log.failed_per_second":  minSettings + "[log]\nfailed_per_second = -1",
+		"stop.grace":             minSettings + "[stop]\ngrace = \"-1s\"",
 	} {
 		_, err := load(t, text)
 		require.ErrorContains(t, err, key)
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -93,13 +93,13 @@
 }
 
 // GiveTokens gives tokens of a client account's limit to another host.
-func (g *Gateway) GiveTokens(ask quota.Ask) quota.Answer {
+func (g *Gateway) GiveTokens(request quota.Ask) quota.Answer {
 	config := g.state.Config()
 	if config == nil {
 		return quota.Answer{}
 	}
-	a, _ := config.Accounts.ByName(ask.Account)
-	return g.quota.Give(a, ask.Tokens)
+	a, _ := config.Accounts.ByName(request.Account)
+	return g.quota.Give(a, request.Tokens)
 }
 
 // clientAddresses gives the hosts that clients of a zone should use for the
