--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -26,14 +26,14 @@
 	"cairndock/platform"
 )
 
-// ErrAborted says that a planned stop had to end requests before their
-// responses came. The log says so too.
+// ErrAborted reports that a planned stop aborted requests before their responses
+// arrived. The log records this too.
 var ErrAborted = eris.New("requests were aborted at the stop")
 
 // Gateway is one gateway host.
 type Gateway struct {
 	settings Settings
-	// incarnation differs for each start of the host's process.
+	// incarnation is unique to each start of the host's process.
 	incarnation string
 
 	log     *eventlog.Log
@@ -43,7 +43,7 @@
 	state    *routing.State
 	notices  *notice.Table
 	detector *outlier.Detector
-	// suspicions are of requests that end upstreams.
+	// suspicions tracks requests under which upstreams terminated.
 	suspicions   *poison.Table
 	suspendWatch *suspend.Watch
 	timing       watch.Timing
@@ -55,7 +55,7 @@
 	server       *proxy.Server
 }
 
-// New makes a host that writes its log to out. Run starts it.
+// New returns a host that writes its log to out. Call Run to start it.
 func New(set Settings, out io.Writer, tracer trace.Tracer) *Gateway {
 	g := &Gateway{settings: set, incarnation: ulid.Make().String(), metrics: telemetry.NewMetrics(), tracer: tracer}
 	g.timing = watch.Timing(set.Limits.Staleness())
@@ -82,9 +82,9 @@
 	return g
 }
 
-// Run serves until SIGTERM or SIGINT, and then stops as planned. SIGHUP checks
-// the settings file at path anew. The error is ErrAborted if the stop aborted
-// requests, else the failure of a listener.
+// Run serves requests until SIGTERM or SIGINT, and then performs a planned stop. SIGHUP
+// validates the settings file at path. The error is ErrAborted if the stop aborted
+// requests, otherwise the failure of a listener or of the start.
 func (g *Gateway) Run(ctx context.Context, path string, signals <-chan os.Signal) error {
 	defer g.log.Close()
 	g.log.Process("start", "zone "+g.settings.Host.Zone)
@@ -114,8 +114,8 @@
 	}
 }
 
-// reload checks the settings file. Changed settings apply from the next start;
-// a faulty file changes nothing.
+// reload validates the settings file. Changed settings apply from the next start; an
+// invalid file has no effect.
 func (g *Gateway) reload(path string) {
 	if _, err := LoadSettings(path); err != nil {
 		g.log.Process("reload", "refused: "+err.Error())
@@ -124,11 +124,11 @@
 	g.log.Process("reload", "settings are valid and apply from the next start")
 }
 
-// stop drains the host: the other hosts stop naming it to clients, and requests
-// in flight are finished within the grace period.
+// stop drains the host: the other hosts stop listing it for clients, and requests in
+// flight are completed within the grace period.
 func (g *Gateway) stop(ctx context.Context) error {
 	g.log.Process("stop", "signal received, draining")
-	g.proxy.Leave() // before Withdraw sends a heartbeat that says so
+	g.proxy.Leave() // before Withdraw, whose heartbeat reports the host as leaving
 	go g.fleet.Withdraw(ctx)
 	aborted := g.server.Stop(ctx, time.Duration(g.settings.Stop.Grace))
 	g.server.Close()
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -11,7 +11,8 @@
 	"cairndock/platform"
 )
 
-// listen opens the host's listeners. Peers have theirs in package fleet.
+// listen opens the host's listeners, except the listener for peers, which package fleet
+// opens.
 func (g *Gateway) listen() error {
 	l := g.settings.Listen
 	if _, err := g.server.ListenClients(l.Callers); err != nil {
@@ -30,8 +31,8 @@
 	return g.server.Listen(l.Metrics, g.metricsHandler())
 }
 
-// metricsHandler serves the metrics at every path, profiles of memory and processor time
-// below /debug/pprof/, and the quarantined requests below quarantinePath.
+// metricsHandler serves the metrics at every path, memory and CPU profiles below
+// /debug/pprof/, and the quarantined requests below quarantinePath.
 func (g *Gateway) metricsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) { g.metrics.Write(w) })
@@ -42,19 +43,20 @@
 	return mux
 }
 
-// quarantinePath is where operators see which requests are quarantined, and release one.
+// quarantinePath is the path at which operators list and release quarantined requests.
 const quarantinePath = "/quarantine"
 
 // listQuarantined writes a line for each quarantined request: its fingerprint and the
-// upstreams that ended under it. An error means that the operator has left.
+// runs of upstreams that terminated under it. Write errors are ignored, because they
+// mean that the operator disconnected.
 func (g *Gateway) listQuarantined(w http.ResponseWriter, _ *http.Request) {
 	for _, q := range g.suspicions.List() {
 		_, _ = fmt.Fprintln(w, q.Fingerprint, strings.Join(q.Runs, " "))
 	}
 }
 
-// release releases a request on all hosts. One that is not quarantined is no error: another
-// operator may have been first.
+// release releases a quarantined request on all hosts. A request that is not quarantined
+// is no error, because another operator may have released it already.
 func (g *Gateway) release(w http.ResponseWriter, r *http.Request) {
 	f, err := poison.ParseFingerprint(r.PathValue("fingerprint"))
 	if err != nil {
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -17,78 +17,85 @@
 	"cairndock/internal/tomlfile"
 )
 
-// Settings are one gateway host's settings, read from a TOML file at its start.
+// Settings are the settings of one gateway host, read from a TOML file at its start.
 type Settings struct {
 	Host   settings.Host  `toml:"host"`
 	Listen ListenSettings `toml:"listen"`
 	Store  StoreSettings  `toml:"store"`
-	// Seeds are addresses of hosts that may know other hosts. Only their IP is
-	// used: all hosts listen for peers at the same port.
+	// Seeds are addresses of hosts that may have a list of other hosts. Only their IP
+	// addresses are used, because all hosts listen for peers at the same port.
 	Seeds []string `toml:"seeds"`
-	// FirstStart is set while the deployment starts for the first time: a host may
-	// then wait for others, as no clients are there yet.
+	// FirstStart is set during the first start of the deployment. A host may then wait
+	// for others, because there are no clients yet.
 	FirstStart bool `toml:"first_start"`
 	// Zones maps each availability zone to its region.
 	Zones     map[string]string `toml:"zones"`
 	Resources ResourceSettings  `toml:"resources"`
 	Limits    LimitSettings     `toml:"limits"`
 	Stop      StopSettings      `toml:"stop"`
-	// Telemetry sets the traces and the level of the decision log, which goes
-	// to standard output.
+	// Telemetry configures the traces and the level of the decision log, which is
+	// written to standard output.
 	Telemetry settings.Telemetry `toml:"telemetry"`
 	Log       LogSettings        `toml:"log"`
 }
 
-// ListenSettings are the addresses to listen at.
+// ListenSettings are the addresses of the listeners.
 type ListenSettings struct {
-	// Callers is for clients' requests.
-	Callers   string `toml:"callers"`
+	// Callers is the address for clients' requests.
+	Callers string `toml:"callers"`
+	// Readiness is the address of the readiness endpoint.
 	Readiness string `toml:"readiness"`
+	// Directory is the address of the directory of hosts for clients.
 	Directory string `toml:"directory"`
-	// Peers is for the other hosts: heartbeats and relayed tables.
+	// Peers is the address for other hosts, which send heartbeats and poll relayed
+	// tables.
 	Peers string `toml:"peers"`
-	// Metrics also serves profiles; an empty address serves neither.
+	// Metrics is the address for metrics and profiles; if it is empty, neither is
+	// served.
 	Metrics string `toml:"metrics"`
 }
 
-// StoreSettings say where the platform's store is.
+// StoreSettings configure access to the platform's store.
 type StoreSettings struct {
+	// Address is the store's address, as "host:port".
 	Address string `toml:"address"`
 }
 
-// ResourceSettings are what the host may use. Hosts with more of both get more
-// clients; zero is not known, and where no host knows, all count alike.
+// ResourceSettings are the resources that the host may use. Hosts with more of both
+// receive more clients. Zero means unknown; if the resources of all hosts are unknown,
+// all hosts are treated equally.
 type ResourceSettings struct {
-	// Cores is the processor time, in cores.
+	// Cores is the CPU time, in cores.
 	Cores float64 `toml:"cores"`
-	// BandwidthMbps is the host's link, in megabits a second.
+	// BandwidthMbps is the bandwidth of the host's link, in megabits per second.
 	BandwidthMbps float64 `toml:"bandwidth_mbps"`
 }
 
-// LimitSettings are bounds on what all hosts do together.
+// LimitSettings are bounds that all hosts comply with together.
 type LimitSettings struct {
-	// RetryRatio is the retries allowed for each request of a service within
-	// RetryWindow, and RetrySlack the retries allowed in addition.
+	// RetryRatio is the number of retries allowed per request of a service within
+	// RetryWindow, and RetrySlack the number of retries allowed in addition.
 	RetryRatio  float64           `toml:"retry_ratio"`
 	RetryWindow settings.Duration `toml:"retry_window"`
 	RetrySlack  float64           `toml:"retry_slack"`
-	// WarmUpOvershoot and WarmUpSlack bound the requests a second to a cold
-	// upstream: its own rate times the first, plus the second.
+	// WarmUpOvershoot and WarmUpSlack bound the requests per second to a cold upstream:
+	// the upstream's own rate times WarmUpOvershoot, plus WarmUpSlack.
 	WarmUpOvershoot float64 `toml:"warm_up_overshoot"`
 	WarmUpSlack     float64 `toml:"warm_up_slack"`
-	// ApplyWithin is how soon a configuration must be in force on every host
-	// that reaches the store, DrainWithin how soon a draining upstream gets no
-	// new request, and EvacuateWithin how soon an evacuated zone gets none.
+	// ApplyWithin is the maximum time until a configuration applies on every host that
+	// reaches the store. DrainWithin is the maximum time until a draining upstream
+	// receives no new request, and EvacuateWithin until an evacuated zone receives none.
 	// Zero sets no bound.
 	ApplyWithin    settings.Duration `toml:"apply_within"`
 	DrainWithin    settings.Duration `toml:"drain_within"`
 	EvacuateWithin settings.Duration `toml:"evacuate_within"`
-	// StrictRevocation has a host refuse keys of client accounts while it has not heard
-	// for RevokeWithin whether they were taken away. Else it serves by what it knows.
+	// StrictRevocation makes a host reject keys of client accounts if it has not learned
+	// for RevokeWithin whether they were revoked. Otherwise the host accepts keys by its
+	// last known configuration.
 	StrictRevocation bool              `toml:"strict_revocation"`
 	RevokeWithin     settings.Duration `toml:"revoke_within"`
 	// QuotaWindow, QuotaOvershoot and QuotaSlack bound the requests of a client account
-	// over all hosts (quota.Bound).
+	// over all hosts (see quota.Bound).
 	QuotaWindow    settings.Duration `toml:"quota_window"`
 	QuotaOvershoot float64           `toml:"quota_overshoot"`
 	QuotaSlack     float64           `toml:"quota_slack"`
@@ -96,19 +103,18 @@
 	DirectoryTTL settings.Duration `toml:"directory_ttl"`
 }
 
-// StopSettings set a planned stop.
+// StopSettings configure a planned stop.
 type StopSettings struct {
 	// Grace is the time from SIGTERM to SIGKILL.
 	Grace settings.Duration `toml:"grace"`
 }
 
-// LogSettings bound the log's lines on requests.
+// LogSettings limit the log lines about requests.
 type LogSettings struct {
-	// OneIn is how many requests that were served there are to each one that is
-	// written.
+	// OneIn is the sampling interval of served requests: one of OneIn is logged.
 	OneIn int `toml:"one_in"`
-	// ServedPerSecond and FailedPerSecond bound the lines a second on requests
-	// that were served and on those that failed.
+	// ServedPerSecond and FailedPerSecond are the maximum log lines per second about
+	// served and about failed requests.
 	ServedPerSecond int `toml:"served_per_second"`
 	FailedPerSecond int `toml:"failed_per_second"`
 }
@@ -117,8 +123,8 @@
 	return eventlog.Sampling(l)
 }
 
-// LoadSettings reads a gateway's settings from a TOML file over the defaults.
-// Its error names every faulty key at once.
+// LoadSettings reads a gateway's settings from a TOML file and applies defaults for
+// missing keys. The error names all faulty keys.
 func LoadSettings(path string) (Settings, error) {
 	s := defaultSettings()
 	text, err := os.ReadFile(path)
@@ -132,32 +138,34 @@
 	return s, s.check()
 }
 
-// The defaults hold where the platform sets no bound. They are stricter
-// than the bounds of the sites known.
+// The defaults apply where the platform sets no bound. They are at least as strict as
+// the bounds of all known deployments.
 const (
 	// defaultRetryRatio is in retries per request.
 	defaultRetryRatio = 0.1
-	// defaultRetryWindow is the window that the sites' bounds use.
+	// defaultRetryWindow is the window of the bounds in the known deployments.
 	defaultRetryWindow = 10 * time.Second
-	// defaultWarmUpOvershoot sends a cold upstream no more than its own rate.
+	// defaultWarmUpOvershoot limits a cold upstream to its own rate.
 	defaultWarmUpOvershoot = 1.0
-	// defaultMaxRevocationDelay and defaultQuotaWindow are the bounds of the sites known.
+	// defaultMaxRevocationDelay and defaultQuotaWindow are the bounds of the known
+	// deployments.
 	defaultMaxRevocationDelay = 5 * time.Second
-	defaultQuotaWindow  = 5 * time.Second
-	// defaultDirectoryTTL is well below the 5 s for which clients accept it.
+	defaultQuotaWindow        = 5 * time.Second
+	// defaultDirectoryTTL is well below 5 s, the time for which clients accept a cached
+	// response.
 	defaultDirectoryTTL = 2 * time.Second
-	// defaultGrace is the grace period of the sites known.
+	// defaultGrace is the grace period of the known deployments.
 	defaultGrace = 6 * time.Second
-	// defaultStaleness is the tightest bound of the sites known.
+	// defaultStaleness is the tightest bound of the known deployments.
 	defaultStaleness = 2 * time.Second
 )
 
-// minStaleness is the least bound that can be kept: a watcher's waits are parts of
-// it, and a question to another region takes 70 ms there and back.
+// minStaleness is the smallest staleness bound that can be met, because all waits of a
+// watcher are fractions of the bound and a round trip to another region takes 70 ms.
 const minStaleness = 500 * time.Millisecond
 
-// defaultSettings gives the values of keys that the file leaves out. A zero in
-// the file stays a zero.
+// defaultSettings returns the values of keys that are missing in the file. A zero in the
+// file remains zero.
 func defaultSettings() Settings {
 	return Settings{
 		Limits: LimitSettings{
@@ -203,8 +211,9 @@
 	f.Require(d == 0 || time.Duration(d) >= minStaleness, key, "must be 500ms or more")
 }
 
-// peerSeeds gives the seeds' addresses for peers. A seed or a listen address
-// without a port gives none: it is only a hint, and the store lists the hosts.
+// peerSeeds returns the peer addresses of the seeds. Seeds without a port are skipped,
+// and a listen address without a port yields no seeds. This is no error, because seeds
+// are only hints and the store lists the hosts.
 func (s Settings) peerSeeds() []string {
 	_, port, err := net.SplitHostPort(s.Listen.Peers)
 	if err != nil {
@@ -221,7 +230,7 @@
 	return seeds
 }
 
-// regions gives the regions of the zones and the host's own.
+// regions returns the regions of all zones and of the host itself, sorted.
 func (s Settings) regions() []string {
 	regions := map[string]bool{s.Host.Region: true}
 	for _, region := range s.Zones {
@@ -230,7 +239,8 @@
 	return slices.Sorted(maps.Keys(regions))
 }
 
-// maxKeyAge is the age of the configuration up to which keys are accepted; zero is any.
+// maxKeyAge returns the maximum age of the configuration at which keys are accepted;
+// zero means any age.
 func (l LimitSettings) maxKeyAge() time.Duration {
 	if !l.StrictRevocation {
 		return 0
@@ -238,8 +248,8 @@
 	return time.Duration(l.RevokeWithin)
 }
 
-// Staleness is how old a host's replicas may be while it reaches the store: the
-// tightest of ApplyWithin, DrainWithin and EvacuateWithin.
+// Staleness returns the maximum age of a host's replicas while the host reaches the
+// store: the tightest of ApplyWithin, DrainWithin and EvacuateWithin.
 func (l LimitSettings) Staleness() time.Duration {
 	var tightest time.Duration
 	for _, d := range []settings.Duration{l.ApplyWithin, l.DrainWithin, l.EvacuateWithin} {
--- a/internal/gateway/settings_test.go
+++ b/internal/gateway/settings_test.go
@@ -33,8 +33,8 @@
 	return gateway.LoadSettings(path)
 }
 
-// A platform sets only the bounds that are in force.
-func TestWhatTheFileLeavesOutHasADefault(t *testing.T) {
+// A platform's settings file contains only the bounds that the platform enforces.
+func TestMissingKeysHaveDefaults(t *testing.T) {
 	g, err := load(t, minSettings)
 	require.NoError(t, err)
 	require.Positive(t, g.Limits.RetryRatio)
@@ -45,13 +45,13 @@
 	require.Equal(t, 2*time.Second, g.Limits.Staleness())
 }
 
-func TestAZeroInTheFileIsAZero(t *testing.T) {
+func TestAZeroInTheFileIsKept(t *testing.T) {
 	g, err := load(t, minSettings+"[limits]\nretry_ratio = 0\n")
 	require.NoError(t, err)
 	require.Zero(t, g.Limits.RetryRatio)
 }
 
-func TestABoundOfClientAccountsIsChecked(t *testing.T) {
+func TestBoundsOfClientAccountsAreChecked(t *testing.T) {
 	g, err := load(t, minSettings+"[limits]\nstrict_revocation = true\nrevoke_within = \"3s\"\nquota_window = \"4s\"\nquota_overshoot = 0.1\nquota_slack = 20\n")
 	require.NoError(t, err)
 	require.True(t, g.Limits.StrictRevocation)
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestTheTightestBoundDecidesHowStaleAHostMayBe(t *testing.T) {
+func TestStalenessIsTheTightestBound(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		`apply_within = "3s"`: 3 * time.Second,
 		"apply_within = \"3s\"\ndrain_within = \"1500ms\"\nevacuate_within = \"5s\"": 1500 * time.Millisecond,
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -13,11 +13,11 @@
 	"cairndock/internal/poison"
 )
 
-// status is what this host's heartbeats say.
+// status returns the status that this host's heartbeats report.
 func (g *Gateway) status() fleet.Status {
-	g.suspendWatch.Check() // before ages are told
-	// Beside it, the proxy is not ready while the host stops or can't accept
-	// clients, who should go elsewhere then.
+	g.suspendWatch.Check() // before ages are reported
+	// A host whose data is ready but whose proxy is not is stopping or can't accept
+	// clients. Clients should then use other hosts.
 	ready := g.state.Ready() && g.fleet.KnowsQuarantines()
 	s := fleet.Status{Ready: ready, Leaving: ready && !g.proxy.Ready(), Fresh: true, Rate: g.proxy.Rate(time.Now())}
 	s.Observations = g.detector.Observations(time.Now())
@@ -29,19 +29,22 @@
 	return s
 }
 
-// FailureSeen sends the region's hosts this host's observations out of turn.
+// FailureSeen sends this host's observations to the hosts of its region without waiting
+// for the next heartbeat.
 func (g *Gateway) FailureSeen() { g.fleet.SendSoon() }
 
-// Ejected logs that an upstream is ejected.
+// Ejected logs the ejection of an upstream.
 func (g *Gateway) Ejected(e outlier.Ejection) { g.log.Ejected(e) }
 
-// SuspicionsChanged sends the other hosts what changed out of turn.
+// SuspicionsChanged sends the changes to the other hosts without waiting for the next
+// heartbeat.
 func (g *Gateway) SuspicionsChanged() { g.fleet.SendSoonToAll() }
 
-// Ended has requests avoid a run of an upstream that has ended.
+// Ended makes requests avoid a run of an upstream that has terminated.
 func (g *Gateway) Ended(run string, at time.Time) { g.detector.RecordEnded(upstream.Run(run), at) }
 
-// Quarantined logs that a request is refused, and stores it if this host was first.
+// Quarantined logs that a request is quarantined, and stores the quarantine if this host
+// was the first to detect it.
 func (g *Gateway) Quarantined(q poison.Quarantine) {
 	g.log.Quarantined(q)
 	if q.Own {
@@ -49,8 +52,8 @@
 	}
 }
 
-// Released logs that a request is no longer refused, and removes it from the store if
-// this host was first.
+// Released logs that a request is no longer quarantined, and removes the quarantine from
+// the store if this host was the first to release it.
 func (g *Gateway) Released(f poison.Fingerprint, own bool) {
 	g.log.Released(f)
 	if own {
@@ -58,41 +61,43 @@
 	}
 }
 
-// WarmUpQuota gives this host's part of the requests a second to an upstream
-// that takes rate of them while it is cold. The platform allows the rate times
+// WarmUpQuota returns this host's share of the requests per second to an upstream that
+// accepts rate requests per second while it is cold. The platform allows rate times
 // WarmUpOvershoot, plus WarmUpSlack, for all hosts together.
 func (g *Gateway) WarmUpQuota(upstream, region string, rate float64) warmup.Quota {
 	limits := g.settings.Limits
 	return g.fleet.WarmUpQuota(upstream, region, rate*limits.WarmUpOvershoot+limits.WarmUpSlack)
 }
 
-// Limited logs an upstream's limit.
+// Limited logs the limit of an upstream.
 func (g *Gateway) Limited(run upstream.Run, perSecond float64) { g.log.Limited(run, perSecond) }
 
-// LimitEnded logs that an upstream has no limit any more.
+// LimitEnded logs that an upstream no longer has a limit.
 func (g *Gateway) LimitEnded(run upstream.Run) { g.log.LimitEnded(run) }
 
-// Leaves has an upstream that leaves get no new work, and other hosts hear of it out of
-// turn: they may have no response of it for long.
+// Leaves marks an upstream as leaving, so that it receives no new requests. It notifies
+// the other hosts without waiting for the next heartbeat, because they may not receive a
+// response of the upstream for a long time.
 func (g *Gateway) Leaves(run upstream.Run) {
 	g.log.Leaves(run)
 	g.state.MarkLeaving(run)
 	g.fleet.SendSoonToAll()
 }
 
-// Rests logs that an upstream wants no request for a time, and has other hosts hear of it
-// out of turn: each would be refused by it first.
+// Rests logs that an upstream requested a backoff. It notifies the other hosts without
+// waiting for the next heartbeat, because the upstream would refuse a request of each of
+// them otherwise.
 func (g *Gateway) Rests(run upstream.Run, d time.Duration) {
 	g.log.Rests(run, d)
 	g.fleet.SendSoonToAll()
 }
 
-// LimitShare gives this host's share of a number of tokens of an upstream's limit.
+// LimitShare returns this host's share of a number of tokens of an upstream's limit.
 func (g *Gateway) LimitShare(id, region string, tokens int) notice.Share {
 	return g.fleet.LimitShare(id, region, tokens)
 }
 
-// GiveTokens gives tokens of a client account's limit to another host.
+// GiveTokens grants tokens of a client account's limit to another host.
 func (g *Gateway) GiveTokens(request quota.Ask) quota.Answer {
 	config := g.state.Config()
 	if config == nil {
@@ -102,8 +107,8 @@
 	return g.quota.Give(a, request.Tokens)
 }
 
-// clientAddresses gives the hosts that clients of a zone should use for the
-// services of a name, best first.
+// clientAddresses returns the hosts that clients of a zone should use for the services
+// of a name, best first.
 func (g *Gateway) clientAddresses(name, zone, region string) []string {
 	var allowed []string
 	if config := g.state.Config(); config != nil {
@@ -112,7 +117,8 @@
 	return g.fleet.ClientAddresses(zone, region, allowed)
 }
 
-// registerGauges registers the gauges, which are read when metrics are.
+// registerGauges registers the gauges, whose values are computed when the metrics are
+// read.
 func (g *Gateway) registerGauges() {
 	g.metrics.Gauge("cairndock_requests_in_flight", func() float64 { return float64(g.proxy.InFlight()) })
 	g.metrics.Gauge("cairndock_hosts_known", func() float64 { return float64(g.fleet.Hosts()) })
--- a/internal/gateway/wiring.go
+++ b/internal/gateway/wiring.go
@@ -17,24 +17,24 @@
 	"cairndock/platform"
 )
 
-// The tables of the platform's store that hosts watch and relay. The numbers
-// are on the wire between hosts.
+// The tables of the platform's store that hosts watch and relay. The numbers are part of
+// the peer protocol.
 const (
 	operatorTable = iota
 	upstreamTable
 	tableCount
 )
 
-// tableLabels are the tables' labels in metrics.
+// tableLabels are the labels of the tables in metrics.
 var tableLabels = [tableCount]string{routing.OperatorTable, routing.UpstreamTable}
 
 const (
-	// upstreamDialTimeout bounds a new connection to an upstream. It is far
-	// above the longest way, 70 ms there and back between regions, and below
-	// the 1 s after which clients try another host.
+	// upstreamDialTimeout is the timeout of a new connection to an upstream. It is far
+	// above the longest round trip, 70 ms between regions, and below the 1 s after which
+	// clients try another host.
 	upstreamDialTimeout = 500 * time.Millisecond
-	// storeDialTimeout bounds a new connection to the store or to a peer: both
-	// may be slow where an upstream may not.
+	// storeDialTimeout is the timeout of a new connection to the store or to a peer,
+	// which may be slower than an upstream.
 	storeDialTimeout = 800 * time.Millisecond
 )
 
@@ -61,7 +61,7 @@
 	})
 }
 
-// newWatcher makes the watcher that keeps a table's replica up to date.
+// newWatcher returns the watcher that keeps a table's replica up to date.
 func (g *Gateway) newWatcher(table int, sink watch.Sink) *watch.Watcher {
 	sources := func() []watch.NamedSource { return g.fleet.Sources(table) }
 	newest := func() (watch.Version, time.Duration) { return g.fleet.NewestKnown(table) }
@@ -98,9 +98,9 @@
 	})
 }
 
-// watchSuspension has all that is believed by its age be corrected once the machine was
-// suspended. What is not listed errs to the safe side: parts of limits that were spent
-// count for longer, ejections and warm-up end later.
+// watchSuspension registers the corrections of all data that depends on its age, for
+// when the machine was suspended. Data that is not corrected errs on the safe side:
+// spent shares of limits count for longer, and ejections and warm-up end later.
 func (g *Gateway) watchSuspension() {
 	for _, f := range []func(time.Duration){
 		g.tables[operatorTable].Replica.Suspended, g.tables[upstreamTable].Replica.Suspended, g.fleet.Suspended,
