--- a/internal/gateway/exchange/exchange.go
+++ b/internal/gateway/exchange/exchange.go
@@ -147,7 +147,7 @@
 	}
 	if !p.maySend() {
 		c.pool.putUnused(to.Run, nc)
-		return nil, verdict.New(verdict.NotRun, verdict.Withheld, "the upstream takes none any more").WithUpstream(to.Upstream)
+		return nil, verdict.New(verdict.NotRun, verdict.Withheld, "the upstream no longer accepts requests").WithUpstream(to.Upstream)
 	}
 	x := &roundTrip{client: c, conn: nc, to: to, request: r}
 	x.stop = context.AfterFunc(ctx, x.interrupt)
--- a/internal/gateway/exchange/exchange_test.go
+++ b/internal/gateway/exchange/exchange_test.go
@@ -39,7 +39,7 @@
 	conns   atomic.Int64
 }
 
-type script func(c net.Conn, r *http.Request, n int) (stay bool)
+type script func(c net.Conn, r *http.Request, n int) (keepOpen bool)
 
 func start(t *testing.T, s script) *upstream {
 	t.Helper()
--- a/internal/gateway/exchange/roundtrip.go
+++ b/internal/gateway/exchange/roundtrip.go
@@ -125,16 +125,16 @@
 	// reusable is false when the connection closes after the response.
 	reusable    bool
 	idleTimeout time.Duration
-	// wholeAt is when the body was completely read; zero before.
-	wholeAt time.Time
-	closed  bool
+	// completeAt is when the body was completely read; zero before.
+	completeAt time.Time
+	closed     bool
 }
 
 // Read returns io.EOF only after the complete body was read.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.inner.Read(p)
-	if err == io.EOF && b.wholeAt.IsZero() {
-		b.wholeAt = time.Now()
+	if err == io.EOF && b.completeAt.IsZero() {
+		b.completeAt = time.Now()
 	}
 	return n, err
 }
@@ -150,9 +150,9 @@
 	b.closed = true
 	x := b.roundTrip
 	interrupted := !x.stop()
-	if b.wholeAt.IsZero() || !b.reusable || interrupted || x.conn.reader.Buffered() > 0 {
+	if b.completeAt.IsZero() || !b.reusable || interrupted || x.conn.reader.Buffered() > 0 {
 		return x.conn.Close()
 	}
-	x.client.pool.put(x.to.Run, x.conn, b.wholeAt, b.idleTimeout)
+	x.client.pool.put(x.to.Run, x.conn, b.completeAt, b.idleTimeout)
 	return nil
 }
