--- a/internal/gateway/exchange/ended.go
+++ b/internal/gateway/exchange/ended.go
@@ -55,8 +55,8 @@
 	return &terminations{terminatedAt: map[upstream.Run]time.Time{}, pending: map[upstream.Run]*terminationCheck{}}
 }
 
-// HasTerminated reports whether the process of an upstream has terminated. It is called after
-// a connection to the upstream was closed. A process has terminated if nothing listens
+// HasTerminated reports whether the process of an upstream has terminated. It is called
+// after a connection to the upstream was closed. A process has terminated if nothing listens
 // at its address any more, or if whatever listens there, such as a load balancer, closes
 // each new connection at once and no response of the run arrives during the check. One
 // closed connection proves nothing, because running upstreams also break off responses
@@ -80,8 +80,8 @@
 type probeResult uint8
 
 const (
-	// running: a connection was opened and stayed open, or none could be opened for
-	// another reason than the two below.
+	// running: a connection was opened and stayed open, or opening failed for a reason
+	// other than the two below.
 	running probeResult = iota
 	// refusing: nothing listens at the address.
 	refusing
--- a/internal/gateway/exchange/ended_test.go
+++ b/internal/gateway/exchange/ended_test.go
@@ -16,8 +16,8 @@
 
 // Upstreams terminated under a request behind a load balancer, which accepted new
 // connections and reset each within a millisecond. Their termination was not detected,
-// so the request was sent to one upstream after the other. In a run with 80 repeats, 41
-// were sent later than 4 s after the third termination.
+// so the request was sent to one upstream after the other. In a run with 80 repeats of
+// the request, 41 of these sends came later than 4 s after the third termination.
 func TestAnAddressThatResetsEachConnectionHasTerminated(t *testing.T) {
 	l, accepted := listenAndReset(t, func(int) bool { return true })
 	client := exchange.NewClient(dial.New(time.Second).DialContext, nil)
