--- a/internal/gateway/exchange/ended.go
+++ b/internal/gateway/exchange/ended.go
@@ -12,144 +12,154 @@
 )
 
 const (
-	// endTimeout bounds the time in which HasEnded finds out: some new connections
-	// between two regions.
-	endTimeout = 500 * time.Millisecond
-	// endSettles is how long a connection must last that was made right after another
-	// one had ended. A process that ends closes its listener and its connections one
-	// by one, so that a connection made meanwhile is reset at once.
-	endSettles = 20 * time.Millisecond
-	// endKept is how long it is remembered that a run has ended, for the attempts that
-	// notice it later.
-	endKept = 30 * time.Second
+	// terminationCheckTimeout bounds the duration of a check by HasEnded. It allows for
+	// several new connections between two regions.
+	terminationCheckTimeout = 500 * time.Millisecond
+	// settleDelay is how long a new connection must stay open after another one was
+	// closed to show that the process runs. A process that terminates closes its
+	// listener and its connections one by one, so a connection that is opened meanwhile
+	// is reset at once.
+	settleDelay = 20 * time.Millisecond
+	// terminationRetention is how long a termination is remembered, for the attempts
+	// that notice it later.
+	terminationRetention = 30 * time.Second
 )
 
-// IsConnectionEnd reports whether an error of a connection means that the other end
-// closed or reset it, as also happens when its process ends.
-func IsConnectionEnd(err error) bool {
+// IsConnectionClosed reports whether an error of a connection means that the other end
+// closed or reset the connection. This also happens when the process at the other end
+// terminates.
+func IsConnectionClosed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// ends finds out which runs of upstreams have ended.
-type ends struct {
+// terminations records which runs of upstreams have terminated, and the checks in
+// progress.
+type terminations struct {
 	mu sync.Mutex
-	// found has when each run was found to have ended.
-	found map[upstream.Run]time.Time
-	// asking has the questions that are being answered.
-	asking map[upstream.Run]*question
+	// terminatedAt holds the time at which each run was found to have terminated.
+	terminatedAt map[upstream.Run]time.Time
+	// pending holds the checks in progress.
+	pending map[upstream.Run]*terminationCheck
 }
 
-// question is answered when done is closed.
-type question struct {
-	done  chan struct{}
-	ended bool
-	// answered is set when a response of the run comes meanwhile.
-	answered bool
+// terminationCheck is a check whether a run has terminated. done is closed when it is
+// complete.
+type terminationCheck struct {
+	done       chan struct{}
+	terminated bool
+	// responded is set when a response of the run arrives during the check.
+	responded bool
 }
 
-func newEnds() *ends {
-	return &ends{found: map[upstream.Run]time.Time{}, asking: map[upstream.Run]*question{}}
+func newTerminations() *terminations {
+	return &terminations{terminatedAt: map[upstream.Run]time.Time{}, pending: map[upstream.Run]*terminationCheck{}}
 }
 
-// HasEnded reports whether the process of an upstream has ended, after a connection to
-// it did: nothing listens at its address any more, or what does ends each connection at
-// once, as a load balancer before it, and no response of the run comes meanwhile. That
-// one connection ended proves nothing, as upstreams break off responses and reset
-// connections while they go on; those over their cap of connections reset new ones, and
-// answer on others. It makes a new connection, which is kept for later requests if the
-// upstream runs; several questions about one run are answered together.
-func (c *Client) HasEnded(ctx context.Context, to Target) bool {
-	q, mine := c.ends.ask(to.Run)
-	if mine {
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), endTimeout)
+// HasTerminated reports whether the process of an upstream has terminated. It is called
+// after a connection to the upstream was closed. A process has terminated if nothing listens
+// at its address any more, or if whatever listens there, such as a load balancer, closes
+// each new connection at once and no response of the run arrives during the check. One
+// closed connection proves nothing, because running upstreams also break off responses
+// and reset connections. An upstream over its limit of connections resets new ones and
+// still responds on others.
+//
+// HasTerminated opens a new connection, which is kept for later requests if the upstream
+// runs. Concurrent calls for one run share one check.
+func (c *Client) HasTerminated(ctx context.Context, to Target) bool {
+	check, started := c.terminations.begin(to.Run)
+	if started {
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), terminationCheckTimeout)
 		defer cancel()
-		c.ends.answer(to.Run, q, c.look(ctx, to))
+		c.terminations.finish(to.Run, check, c.probe(ctx, to))
 	}
-	<-q.done
-	return q.ended
+	<-check.done
+	return check.terminated
 }
 
-// sign is what new connections to an upstream say.
-type sign uint8
+// probeResult is the result of opening new connections to an upstream.
+type probeResult uint8
 
 const (
-	// running: one was made and stays, or none could be made for another reason.
-	running sign = iota
+	// running: a connection was opened and stayed open, or opening failed for a reason
+	// other than the two below.
+	running probeResult = iota
 	// refusing: nothing listens at the address.
 	refusing
-	// resetting: what listens ends each connection at once.
+	// resetting: each connection was closed at once.
 	resetting
 )
 
-// look makes a connection, and others while they end at once, each after a longer pause:
-// an upstream over its cap is not to get many.
-func (c *Client) look(ctx context.Context, to Target) sign {
-	for wait := endSettles; ctx.Err() == nil; wait *= 2 {
+// probe opens a connection, and further ones while each is closed at once. It waits
+// twice as long after each, because an upstream over its limit of connections should not
+// receive many.
+func (c *Client) probe(ctx context.Context, to Target) probeResult {
+	for wait := settleDelay; ctx.Err() == nil; wait *= 2 {
 		nc, err := c.pool.dial(ctx, "tcp", to.Address)
 		switch {
 		case errors.Is(err, syscall.ECONNREFUSED):
 			return refusing
-		case errors.Is(err, syscall.ECONNRESET): // before dial had returned
+		case errors.Is(err, syscall.ECONNRESET): // reset before the dial returned
 			time.Sleep(wait)
 			continue
 		case err != nil:
 			return running
 		}
-		made := newConn(nc)
+		opened := newConn(nc)
 		time.Sleep(wait)
-		if made.idleError() == nil {
-			c.pool.put(to.Run, made, time.Now(), 0)
+		if opened.idleError() == nil {
+			c.pool.put(to.Run, opened, time.Now(), 0)
 			return running
 		}
-		_ = made.Close() // it has ended
+		_ = opened.Close() // the upstream closed it
 	}
 	return resetting
 }
 
-// ask returns the question about a run, and whether the caller is to answer it.
-func (e *ends) ask(run upstream.Run) (_ *question, mine bool) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if at, ok := e.found[run]; ok && time.Since(at) < endKept {
-		q := &question{done: make(chan struct{}), ended: true}
-		close(q.done)
-		return q, false
+// begin returns the check of a run, and whether the caller has started it and must
+// complete it.
+func (t *terminations) begin(run upstream.Run) (_ *terminationCheck, started bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if at, ok := t.terminatedAt[run]; ok && time.Since(at) < terminationRetention {
+		check := &terminationCheck{done: make(chan struct{}), terminated: true}
+		close(check.done)
+		return check, false
 	}
-	if q := e.asking[run]; q != nil {
-		return q, false
+	if check := t.pending[run]; check != nil {
+		return check, false
 	}
-	q := &question{done: make(chan struct{})}
-	e.asking[run] = q
-	return q, true
+	check := &terminationCheck{done: make(chan struct{})}
+	t.pending[run] = check
+	return check, true
 }
 
-func (e *ends) answer(run upstream.Run, q *question, s sign) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	delete(e.asking, run)
-	q.ended = s == refusing || s == resetting && !q.answered
-	if q.ended {
-		e.found[run] = time.Now()
+func (t *terminations) finish(run upstream.Run, check *terminationCheck, result probeResult) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.pending, run)
+	check.terminated = result == refusing || result == resetting && !check.responded
+	if check.terminated {
+		t.terminatedAt[run] = time.Now()
 	}
-	close(q.done)
+	close(check.done)
 }
 
-// noteResponse notes that a run has responded.
-func (e *ends) noteResponse(run upstream.Run) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if q := e.asking[run]; q != nil {
-		q.answered = true
+// noteResponse records that a run has responded.
+func (t *terminations) noteResponse(run upstream.Run) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if check := t.pending[run]; check != nil {
+		check.responded = true
 	}
 }
 
-// forget drops what was found too long ago.
-func (e *ends) forget(now time.Time) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for run, at := range e.found {
-		if now.Sub(at) >= endKept {
-			delete(e.found, run)
+// dropExpired removes terminations older than terminationRetention.
+func (t *terminations) dropExpired(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for run, at := range t.terminatedAt {
+		if now.Sub(at) >= terminationRetention {
+			delete(t.terminatedAt, run)
 		}
 	}
 }
--- a/internal/gateway/proxy/attempt.go
+++ b/internal/gateway/proxy/attempt.go
@@ -93,7 +93,7 @@
 		err = a.inflight.checkResponse(u, resp, a.began)
 	}
 	a.inflight.recordHealth(u.Run(), a.endWait(), resp, err, a.began)
-	if a.progress.ConnectionEnded() {
+	if a.progress.ConnectionClosed() {
 		a.checkTermination(ctx)
 	}
 	if err != nil && isSuperseded(ctx) {
@@ -143,7 +143,7 @@
 		if isUpstreamFault(e.Reason) {
 			f.proxy.Detector.RecordFailure(u.Run(), time.Now())
 		}
-		if exchange.IsConnectionEnd(err) && e.Reason == verdict.AnswerTruncated {
+		if exchange.IsConnectionClosed(err) && e.Reason == verdict.AnswerTruncated {
 			a.checkTermination(ctx)
 		}
 		f.logAttempt(a, resp.Status, e)
--- a/internal/gateway/proxy/suspicion.go
+++ b/internal/gateway/proxy/suspicion.go
@@ -65,7 +65,7 @@
 // recordIfTerminated records a termination if the upstream of the attempt has terminated.
 func (a *attempt) recordIfTerminated(ctx context.Context, observed poison.Attempt) {
 	f, u := a.inflight, a.choice.Upstream
-	if !f.proxy.isExpectedToRun(a) || !f.proxy.Client.HasEnded(ctx, exchange.Target{Upstream: u.ID, Run: u.Run(), Address: u.Address}) {
+	if !f.proxy.isExpectedToRun(a) || !f.proxy.Client.HasTerminated(ctx, exchange.Target{Upstream: u.ID, Run: u.Run(), Address: u.Address}) {
 		return
 	}
 	fingerprint := f.fingerprint()
--- a/internal/gateway/watch/watcher_test.go
+++ b/internal/gateway/watch/watcher_test.go
@@ -10,14 +10,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAChangeIsSeenAtOnce(t *testing.T) {
+func TestAChangeIsAppliedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
 		s.put("a", "1")
 		r, _ := startWatcher(t, noneNewer, NamedSource{Name: "store", Source: s})
 		synctest.Wait()
 		require.Equal(t, "1", r.value("a"))
-		time.Sleep(timing.part(firstListPausePart))
+		time.Sleep(timing.fraction(firstListDelayFraction))
 		s.put("a", "2")
 		s.put("b", "3")
 		s.remove("a")
@@ -25,7 +25,7 @@
 		require.Equal(t, "", r.value("a"))
 		require.Equal(t, "3", r.value("b"))
 		time.Sleep(20 * time.Second)
-		require.LessOrEqual(t, s.requests(), 24, "a table without changes costs a request each long poll")
+		require.LessOrEqual(t, s.requests(), 24, "a table without changes takes one request per long poll")
 	})
 }
 
@@ -46,16 +46,16 @@
 	})
 }
 
-func TestASilentConnectionCostsNoMoreThanALongPoll(t *testing.T) {
+func TestASilentConnectionDelaysAChangeByOneLongPollAtMost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
 		r, _ := startWatcher(t, noneNewer, NamedSource{Name: "store", Source: s})
 		synctest.Wait()
 		s.set(func(s *fakeStore) { s.silent = true })
-		time.Sleep(timing.part(longPollPart) + time.Millisecond) // the next poll gets no response
+		time.Sleep(timing.fraction(longPollFraction) + time.Millisecond) // the next poll gets no response
 		s.set(func(s *fakeStore) { s.silent = false })
 		s.put("a", "1")
-		time.Sleep(timing.part(longPollPart) + firstSlack + firstBackoff)
+		time.Sleep(timing.fraction(longPollFraction) + initialSlack + initialBackoff)
 		require.Equal(t, "1", r.value("a"))
 	})
 }
@@ -67,16 +67,16 @@
 		s.put("b", "1")
 		r, _ := startWatcher(t, noneNewer, NamedSource{Name: "store", Source: s})
 		synctest.Wait()
-		time.Sleep(timing.part(firstListPausePart))
+		time.Sleep(timing.fraction(firstListDelayFraction))
 		s.set(func(s *fakeStore) { s.silent = true })
-		time.Sleep(timing.part(longPollPart) + time.Millisecond)
+		time.Sleep(timing.fraction(longPollFraction) + time.Millisecond)
 		s.set(func(s *fakeStore) { s.silent, s.historyGone = false, true })
 		s.remove("a")
 		s.put("b", "2")
-		time.Sleep(timing.part(longPollPart) + firstSlack + time.Second)
-		require.Equal(t, "", r.value("a"), "a row that is not listed is gone")
+		time.Sleep(timing.fraction(longPollFraction) + initialSlack + time.Second)
+		require.Equal(t, "", r.value("a"), "a row that is not listed is removed")
 		require.Equal(t, "2", r.value("b"))
-		require.Less(t, s.listings(), 10, "a store that lags is not listed again and again")
+		require.Less(t, s.listings(), 10, "a store that lags is not listed repeatedly")
 	})
 }
 
@@ -108,20 +108,20 @@
 			s.put("a", strconv.Itoa(i))
 			time.Sleep(10 * time.Millisecond)
 		}
-		time.Sleep(timing.part(changePausePart))
+		time.Sleep(timing.fraction(changeDelayFraction))
 		require.Equal(t, "49", r.value("a"))
 		require.LessOrEqual(t, s.requests(), 6)
 	})
 }
 
-// While the store is down every host finds its relay old. Those that only fall
-// back to the store must not make its requests grow with hosts, and still reach
-// it soon after its return.
+// While the store is down every host finds its relay stale. The hosts that poll the
+// store only as a fallback must not make its requests grow with the number of hosts, and
+// must still reach the store soon after it is available again.
 func TestAFallbackAsksTheStoreLessOften(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, old := newFakeStore(), newFakeStore()
 		r, _ := startWatcher(t, noneNewer, NamedSource{Name: "relay", Source: old, Relay: true}, NamedSource{Name: "store", Source: s, Fallback: true})
-		time.Sleep(timing.part(firstListPausePart))
+		time.Sleep(timing.fraction(firstListDelayFraction))
 		old.set(func(s *fakeStore) { s.down = errors.New("old") })
 		s.set(func(s *fakeStore) { s.down, s.calls = errors.New("503"), 0 })
 		time.Sleep(20 * time.Second)
@@ -133,8 +133,8 @@
 	})
 }
 
-// The store may drop its history between the first listing and the first poll
-// for changes.
+// The store may drop its history between the first listing and the first poll for
+// changes.
 func TestAGapRightAfterTheFirstReadingIsFilledToo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
@@ -152,15 +152,15 @@
 	})
 }
 
-// Hosts that started together asked relays which had nothing yet, took that for a
-// failure (254 log lines at a start of 295 hosts) and asked the store.
-func TestARelayThatHasNoRowsYetIsAskedAgainSoon(t *testing.T) {
+// Hosts that start together poll relays that have no rows yet. If this counts as a
+// failure, they log it (254 log lines at a start of 295 hosts) and poll the store.
+func TestARelayThatHasNoRowsYetIsPolledAgainSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		relay := NewReplica()
 		r, _ := startWatcher(t, noneNewer, NamedSource{Name: "relay", Source: relay, Relay: true})
 		time.Sleep(time.Second)
 		relay.replace(Page{Version: at(5), Rows: []Row{{Key: "a", Value: []byte("1"), Version: 5}}}, time.Now())
-		time.Sleep(startingRelayPause + noSourcePause)
+		time.Sleep(startingRelayDelay + noSourceDelay)
 		require.Equal(t, "1", r.value("a"))
 		require.Empty(t, r.lostNames())
 	})
