--- a/internal/gateway/logline/logline.go
+++ b/internal/gateway/logline/logline.go
@@ -1,6 +1,6 @@
-// Package logline reads the lines of a gateway's log back. internal/gateway/eventlog
-// writes them; internal/gateway/reqtrace and internal/gateway/losses rely on it.
-// It owns the names of the fields as they are read, and no state.
+// Package logline parses the lines of a gateway's log that internal/gateway/eventlog
+// writes. internal/gateway/reqtrace and internal/gateway/losses use it. The package
+// declares the names of the fields that are read, and has no state.
 package logline
 
 import (
@@ -15,19 +15,19 @@
 	"cairndock/internal/verdict"
 )
 
-// maxLine is the longest line that is read, in bytes; a longer one is an
-// error: far above any line of the log.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a line; a longer line is an error. It is far
+// above the length of any line of the log.
+const maxLineBytes = 1 << 20
 
-// Line is one line of a host's log, with the fields of every event that is read;
-// eventlog says what they mean. Durations are in milliseconds.
+// Line is one line of a host's log. It has the fields of all events that are read;
+// package eventlog documents them. Durations are in milliseconds.
 type Line struct {
 	Host    string    `json:"host"`
 	Time    time.Time `json:"time"`
 	Event   string    `json:"event"`
 	Request string    `json:"request"`
 
-	// Of attempts and, Upstream and Zone, of state changes too.
+	// Fields of attempts. Upstream and Zone are also fields of state changes.
 	Attempt   int     `json:"attempt"`
 	Upstream  string  `json:"upstream"`
 	Zone      string  `json:"zone"`
@@ -40,7 +40,7 @@
 	Outcome   string  `json:"outcome"`
 	Withheld  string  `json:"withheld"`
 
-	// Of attempts and final responses.
+	// Fields of attempts and final responses.
 	Route   string  `json:"route"`
 	Service string  `json:"service"`
 	Account string  `json:"account"`
@@ -49,7 +49,7 @@
 	TookMS  float64 `json:"took_ms"`
 	Detail  string  `json:"detail"`
 
-	// Of final responses.
+	// Fields of final responses.
 	Attempts       int            `json:"attempts"`
 	Verdict        string         `json:"verdict"`
 	Reason         verdict.Reason `json:"reason"`
@@ -61,37 +61,38 @@
 	Client         string         `json:"client"`
 	RetryDenied    string         `json:"retry_denied"`
 
-	// Of lost dependencies.
+	// Fields of lost dependencies.
 	Dependency string `json:"dependency"`
 	Name       string `json:"name"`
 	Error      string `json:"error"`
 
-	// Of upstreams' states.
+	// Fields of upstreams' states.
 	State string `json:"state"`
 
-	// Of ejections.
+	// Fields of ejections.
 	Failures  int     `json:"bad"`
 	Successes int     `json:"good"`
 	Hosts     int     `json:"hosts"`
 	ForMS     float64 `json:"for_ms"`
 }
 
-// Read gives each line of logs to a function, in the order in which they stand.
-// Text that is no line of a log is passed over. Its error is that of the reader.
-func Read(logs io.Reader, each func(Line)) error {
+// Read calls handle with each line of the logs, in their order. It skips text that is
+// not a line of a log. It returns an error if the logs cannot be read or a line is
+// longer than maxLineBytes.
+func Read(logs io.Reader, handle func(Line)) error {
 	scanner := bufio.NewScanner(logs)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		if l, ok := parse(scanner.Bytes()); ok {
-			each(l)
+			handle(l)
 		}
 	}
 	return eris.Wrap(scanner.Err(), "read logs")
 }
 
-// parse decodes a line; what stands before the first brace, such as a
-// container's prefix, is passed over. It gives false for text that is no line
-// of the log, which other programs write to the same files.
+// parse decodes a line. It skips text before the first brace, such as the prefix that a
+// container runtime adds. It returns false for text that is not a line of the log, which
+// other programs may write to the same files.
 func parse(text []byte) (Line, bool) {
 	var l Line
 	brace := bytes.IndexByte(text, '{')
--- a/internal/gateway/logline/logline_test.go
+++ b/internal/gateway/logline/logline_test.go
@@ -17,8 +17,8 @@
 	"cairndock/internal/verdict"
 )
 
-// Every field that is read must have the name with which it is written.
-func TestLinesAreReadAsTheyAreWritten(t *testing.T) {
+// Each field must be read under the name under which eventlog writes it.
+func TestLinesAreParsedAsWritten(t *testing.T) {
 	var b bytes.Buffer
 	log := eventlog.New(&b, eventlog.Options{Host: "h", Zone: "hz", Level: zerolog.InfoLevel, Sampling: eventlog.DefaultSampling(), Metrics: telemetry.NewMetrics()})
 	log.Attempt(eventlog.Attempt{
@@ -57,7 +57,7 @@
 	require.Equal(t, want, got)
 }
 
-func TestTextThatIsNoLineIsPassedOver(t *testing.T) {
+func TestTextThatIsNotALogLineIsSkipped(t *testing.T) {
 	var got []Line
 	require.NoError(t, Read(strings.NewReader("not json\n12.5 {\"request\":\"r\"}\n{broken\n"), func(l Line) { got = append(got, l) }))
 	require.Equal(t, []Line{{Request: "r"}}, got)
--- a/internal/gateway/reqtrace/cause.go
+++ b/internal/gateway/reqtrace/cause.go
@@ -11,23 +11,22 @@
 	"cairndock/internal/verdict"
 )
 
-// staleAboveMS is the age of a host's tables, in milliseconds, from which on it
-// may be a cause itself: twice the 2 s within which a change must be applied by
-// default.
-const staleAboveMS = 4000
+// staleTablesMS is the age of a host's tables, in milliseconds, above which stale tables
+// may be a cause. It is twice the default time within which a change must be applied, 2 s.
+const staleTablesMS = 4000
 
-// causes gives the cause of each reason that the gateway itself responds with.
-// {upstream} is the upstream of the attempt that decided, {service}, {config}
-// and {detail} are those of the final response.
+// causes maps the reasons of responses that the gateway generates to their causes.
+// {upstream} is the upstream of the attempt that decided the final response. {service},
+// {account}, {config} and {detail} are fields of the final response.
 var causes = map[verdict.Reason]string{
 	verdict.Full:              "overload: every upstream that may serve the request was full; it did not run",
 	verdict.Warming:           "every upstream with capacity was warming up and this host had used its warm-up quota; the request did not run",
 	verdict.Withheld:          "all upstreams that may serve the request said that they take none now: {detail}; it did not run",
-	verdict.Quarantined:       "upstreams ended one after the other when they ran the same request (see the lines quarantined and upstream-ended); it did not run",
+	verdict.Quarantined:       "upstreams terminated one after another while they ran the same request (see the events quarantined and upstream-ended); it did not run",
 	verdict.NoUpstream:        "no eligible upstream of {service}: all are draining, evacuated or outside the allowed regions",
 	verdict.NotReady:          "the host had just started and had no configuration yet",
-	verdict.UnknownKey:        "the request's key is missing, repeated or of no client account in configuration {config}; it did not run",
-	verdict.KeyUnconfirmed:    "the host had not heard for too long whether keys were taken away: {detail}; it did not run",
+	verdict.UnknownKey:        "the request's key is missing, repeated or not of a client account in configuration {config}; it did not run",
+	verdict.KeyUnconfirmed:    "the host could not confirm for too long whether keys had been revoked: {detail}; it did not run",
 	verdict.OverLimit:         "client account {account} was over its limit, as far as the host could know: {detail}; it did not run",
 	verdict.UnknownRoute:      "no route matches the request in configuration {config}",
 	verdict.UpstreamShed:      "load shed by the upstreams, last by {upstream}: they were full",
@@ -44,17 +43,17 @@
 	verdict.AnswerTruncated:   "the response of upstream {upstream} broke off: {detail}",
 }
 
-// Cause says in one sentence why the request ended as it did.
+// Cause returns one sentence about the cause of the request's final response.
 func (t Trace) Cause() string {
 	final := t.lines[len(t.lines)-1]
 	if final.Event != eventlog.EventFinal {
-		return "unknown: the line of the final response is missing (left out, or the host ended before it)"
+		return "unknown: the line of the final response is missing (it was dropped, or the host ended before it was written)"
 	}
 	cause := t.causeOf(final)
 	if final.RetryDenied != "" {
 		cause += "; the retry budget allowed no other attempt: " + final.RetryDenied
 	}
-	if age := max(final.ConfigAgeMS, final.UpstreamsAgeMS); age > staleAboveMS {
+	if age := max(final.ConfigAgeMS, final.UpstreamsAgeMS); age > staleTablesMS {
 		cause += fmt.Sprintf("; the host's tables were last confirmed %.1f s earlier", age/1000)
 	}
 	return cause
@@ -77,8 +76,9 @@
 	).Replace(cause)
 }
 
-// decidingUpstream gives the upstream of the attempt that decided the final
-// response: the last one with its reason as outcome, or else the last one.
+// decidingUpstream returns the upstream of the attempt that decided the final response.
+// This is the last attempt whose outcome equals the response's reason, or the last attempt
+// if there is none.
 func (t Trace) decidingUpstream(reason verdict.Reason) string {
 	var deciding, last string
 	for _, l := range t.lines {
--- a/internal/gateway/reqtrace/print.go
+++ b/internal/gateway/reqtrace/print.go
@@ -9,7 +9,7 @@
 	"cairndock/internal/gateway/logline"
 )
 
-// String gives a line for each step, and the cause.
+// String returns a line for each step and a line for the cause.
 func (t Trace) String() string {
 	var b strings.Builder
 	for _, l := range t.stateChanges {
@@ -50,9 +50,8 @@
 	return text
 }
 
-// loadText gives the load and how old the report was that it is based on. The
-// age is 0 if there was none, and below 0 if the report came while the upstream
-// was being chosen.
+// loadText describes the load and the age of the load report. The age is 0 if there was no
+// report, and negative if the report arrived while the upstream was being chosen.
 func loadText(l logline.Line) string {
 	if l.LoadAgeMS == 0 {
 		return fmt.Sprintf("load %.2f, never reported", l.Load)
--- a/internal/gateway/reqtrace/trace.go
+++ b/internal/gateway/reqtrace/trace.go
@@ -1,7 +1,7 @@
-// Package reqtrace follows one request through the logs of all hosts and states
-// the cause of its end. It reads the lines that internal/gateway/eventlog writes,
-// in any order, and needs nothing else; `cairndock trace` prints its result.
-// docs/OPERATIONS.md shows it on three failures.
+// Package reqtrace traces one request through the logs of all hosts and determines the
+// cause of its final response. Its only input are the lines that
+// internal/gateway/eventlog writes, in any order. `cairndock trace` prints its result.
+// docs/OPERATIONS.md shows three examples of failures.
 package reqtrace
 
 import (
@@ -15,22 +15,22 @@
 	"cairndock/internal/gateway/logline"
 )
 
-// lookBack is how long before a request's end a state change may have decided
-// it.
-const lookBack = 15 * time.Second
+// lookback is the time before a request's end within which a state change may have
+// affected its result.
+const lookback = 15 * time.Second
 
-// Trace is what the logs say about one request.
+// Trace has the log lines about one request.
 type Trace struct {
-	// lines are the request's own, in order of time; there is at least one.
+	// lines are the lines of the request itself, ordered by time; there is at least one.
 	lines []logline.Line
-	// stateChanges are what the request's hosts logged in the lookBack before
-	// its end: lost dependencies, and states and ejections of the upstreams
-	// that it was sent to.
+	// stateChanges are the state changes that the request's hosts logged within
+	// lookback before its end: lost dependencies, and states and ejections of the
+	// upstreams to which the request was sent.
 	stateChanges []logline.Line
 }
 
-// Follow reads logs and gives the trace of a request. It is an error if they
-// have no line of it, or can't be read.
+// Follow reads logs and returns the trace of a request. It returns an error if the logs
+// have no line of the request or cannot be read.
 func Follow(logs io.Reader, requestID string) (Trace, error) {
 	var t Trace
 	var changes []logline.Line
@@ -46,14 +46,14 @@
 		return t, err
 	}
 	if len(t.lines) == 0 {
-		return t, eris.Errorf("no line of request %q: it was not sampled, was left out, or never arrived", requestID)
+		return t, eris.Errorf("no line of request %q: it was not sampled, its lines were dropped, or it never arrived", requestID)
 	}
 	slices.SortStableFunc(t.lines, byTime)
 	t.stateChanges = t.relevant(changes)
 	return t, nil
 }
 
-// relevant keeps the state changes that may have decided the request.
+// relevant returns the state changes that may have affected the request's result.
 func (t Trace) relevant(changes []logline.Line) []logline.Line {
 	hosts, upstreams := map[string]bool{}, map[string]bool{}
 	for _, l := range t.lines {
@@ -63,7 +63,7 @@
 	end := t.lines[len(t.lines)-1].Time
 	var out []logline.Line
 	for _, l := range changes {
-		if !hosts[l.Host] || l.Time.After(end) || end.Sub(l.Time) > lookBack {
+		if !hosts[l.Host] || l.Time.After(end) || end.Sub(l.Time) > lookback {
 			continue
 		}
 		if l.Event == eventlog.EventLost || upstreams[l.Upstream] {
--- a/internal/gateway/reqtrace/trace_test.go
+++ b/internal/gateway/reqtrace/trace_test.go
@@ -14,7 +14,7 @@
 	"cairndock/internal/verdict"
 )
 
-// Each log in testdata is of one request with an id like its name.
+// Each log in testdata has the lines of one request, whose id is the name of the file.
 func TestTracesOfFailures(t *testing.T) {
 	logs, err := filepath.Glob("testdata/*.log")
 	require.NoError(t, err)
@@ -38,13 +38,13 @@
 	require.ErrorContains(t, err, "no line of request")
 }
 
-func TestAMissingFinalLineIsSaid(t *testing.T) {
+func TestCauseReportsAMissingFinalLine(t *testing.T) {
 	tr, err := Follow(strings.NewReader(`{"event":"attempt","request":"r","attempt":1}`), "r")
 	require.NoError(t, err)
 	require.Contains(t, tr.Cause(), "missing")
 }
 
-func TestTheCauseNamesTheAttemptThatDecided(t *testing.T) {
+func TestCauseNamesTheDecidingAttempt(t *testing.T) {
 	attempt := func(n int, upstream, outcome string) logline.Line {
 		return logline.Line{Event: eventlog.EventAttempt, Attempt: n, Upstream: upstream, Outcome: outcome, Detail: "of the attempt"}
 	}
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestEveryCauseIsFilledIn(t *testing.T) {
+func TestCausesHaveNoUnknownPlaceholders(t *testing.T) {
 	for reason := range causes {
 		cause := Trace{lines: []logline.Line{{Event: eventlog.EventFinal, Reason: reason}}}.Cause()
 		require.NotContains(t, cause, "{", reason)
