--- a/internal/gateway/eventlog/events.go
+++ b/internal/gateway/eventlog/events.go
@@ -11,28 +11,28 @@
 	"cairndock/internal/poison"
 )
 
-// Values of the field "event" that a reader of the log looks for.
+// Values of the field "event" that readers of the log select by.
 const (
 	// EventAttempt is one attempt of a request at one upstream.
 	EventAttempt = "attempt"
 	// EventFinal is the response that the client got, one for each request.
 	EventFinal = "final"
-	// EventUpstream is a changed state of one upstream.
+	// EventUpstream is a state change of one upstream.
 	EventUpstream = "upstream"
 	// EventEjected is an upstream that is ejected for a time.
 	EventEjected = "ejected"
-	// EventNotice is what an upstream says of itself in a response.
+	// EventNotice is an upstream's notice about its own state in a response.
 	EventNotice = "notice"
 	// EventWarmUp is a request that was sent to a cold upstream.
 	EventWarmUp = "warm-up"
-	// EventStalled is a time in which the process had no processor time.
+	// EventStalled is a period in which the process got no CPU time.
 	EventStalled = "stalled"
-	// EventLost is a dependency that stopped responding.
+	// EventLost is a dependency that no longer responds.
 	EventLost = "lost"
 )
 
-// OutcomeAnswered is the outcome of an attempt whose response was accepted. A
-// failed attempt has the reason of its failure instead (verdict.Reason).
+// OutcomeAnswered is the outcome of an attempt whose response was accepted. The
+// outcome of a failed attempt is the reason of its failure (verdict.Reason).
 const OutcomeAnswered = "answered"
 
 // Attempt describes one attempt of a request at one upstream.
@@ -47,40 +47,39 @@
 	Key string
 	// Number counts the request's attempts from 1.
 	Number int
-	// Config is the version of the operator configuration that applied.
+	// Config is the version of the operator configuration in effect.
 	Config int64
-	// Load is the upstream's load in multiples of its capacity, as this host
-	// estimated it when it chose the upstream.
+	// Load is the upstream's load as a multiple of its capacity, estimated by this
+	// host when it chose the upstream.
 	Load float64
-	// LoadAge is the age of the upstream's last load report; -1 if it never
-	// sent one, which is written as 0 ms.
+	// LoadAge is the age of the upstream's last load report. It is -1, which is
+	// logged as 0 ms, if the upstream never sent one.
 	LoadAge time.Duration
-	// Capacity is how many requests the upstream works on at once.
+	// Capacity is the number of requests that the upstream runs concurrently.
 	Capacity int
-	// Rank is the upstream's place in the key's preference list, from 0.
+	// Rank is the upstream's position in the key's preference list, from 0.
 	Rank int
 	// Cold is set if the upstream was warming up.
 	Cold bool
 	// Outcome is OutcomeAnswered or the reason of the failure.
 	Outcome string
-	// Status is the upstream's HTTP status; 0 without a response, or when the
-	// response was rejected, for the reason in Outcome.
+	// Status is the upstream's HTTP status. It is 0 without a response, or if the
+	// response was rejected for the reason in Outcome.
 	Status int
 	// Failed is set unless the response was accepted.
 	Failed bool
 	Took   time.Duration
-	// Detail is one sentence on a failure.
+	// Detail is one sentence about the failure.
 	Detail string
-	// Withheld says why upstreams were passed over that would have come before; empty if
-	// none was.
+	// Withheld says why preferred upstreams were skipped; empty if none were.
 	Withheld string
-	// Caller is the client's IP address, and Fingerprint what the request is
-	// recognized by when it comes again. Both are empty unless the upstream's
-	// connection ended without a response.
+	// Caller is the client's IP address, and Fingerprint identifies repetitions of
+	// the request. Both are empty unless the upstream's connection was closed
+	// without a response.
 	Caller, Fingerprint string
 }
 
-// Attempt logs how an attempt ended.
+// Attempt logs the result of an attempt.
 func (l *Log) Attempt(a Attempt) {
 	e := l.requestEvent(EventAttempt, a.Request, a.Failed)
 	if e == nil {
@@ -99,27 +98,28 @@
 	Upstream string
 	Zone     string
 	// Waited is the time from the choice of the upstream until the request was
-	// written: a new connection, or a host short of processor time, delays it.
+	// written. A new connection or a lack of CPU time on the host delays the write.
 	Waited time.Duration
-	// Sent is how many requests count against the quota that this host chose the
-	// upstream for while it took it for cold, this one included, and SentWarm how
-	// many besides while it took it for warm; both as of the choice.
+	// Sent is the number of requests that count against the quota and for which this
+	// host chose the upstream while it considered the upstream cold, including this
+	// request. SentWarm is the number for which it chose the upstream while it
+	// considered it warm. Both are as of the choice.
 	Sent     int
 	SentWarm int
-	// Quota is this host's part of the upstream's rate, in requests a second,
-	// which is split over a number of known hosts.
+	// Quota is this host's share of the upstream's rate, in requests per second.
+	// Hosts is the number of known hosts among which the rate is divided.
 	Quota int
 	Hosts int
 }
 
-// WarmUp logs a request that was sent to a cold upstream, and counts it. Each is
-// logged, not a sample: only the sum over all hosts says whether the upstream
-// got more than its rate, and from whom.
+// WarmUp logs a request that was sent to a cold upstream, and counts it. These requests
+// are not sampled, because only the sum over all hosts shows whether the upstream got
+// more than its rate, and from which hosts.
 func (l *Log) WarmUp(w WarmUp) {
 	l.metrics.Count("cairndock_cold_requests_total")
 	l.event(EventWarmUp, l.warmUps).Str("request", w.Request).Str("upstream", w.Upstream).Str("zone", w.Zone).
 		Float64("waited_ms", ms(w.Waited)).Int("sent", w.Sent).Int("sent_warm", w.SentWarm).Int("quota", w.Quota).Int("hosts", w.Hosts).
-		Float64("uptime_ms", ms(time.Since(l.began))).Msg("upstream: cold, request sent")
+		Float64("uptime_ms", ms(time.Since(l.started))).Msg("upstream: request sent to a cold upstream")
 }
 
 // ClientEnd says whether a client can still get the response to its request.
@@ -130,7 +130,7 @@
 	ClientConnected ClientEnd = "connected"
 	// ClientLeft is a client that closed its connection.
 	ClientLeft ClientEnd = "left"
-	// ClientCut is a client whose connection the host itself closed.
+	// ClientCut is a client whose connection the host closed.
 	ClientCut ClientEnd = "cut"
 )
 
@@ -143,23 +143,23 @@
 	Service string
 	// Account is the name of the client account, or empty.
 	Account string
-	// Priority is the account's or the route's, and Objective the route's, zero if it
-	// has none.
+	// Priority is the priority of the account or of the route. Objective is the
+	// route's target latency; zero if it has none.
 	Priority  int
 	Objective time.Duration
-	// Attempts is how many upstreams the request was sent to.
+	// Attempts is the number of upstreams to which the request was sent.
 	Attempts int
-	// Config is the version of the operator configuration that applied; 0 if
-	// the host had none.
+	// Config is the version of the operator configuration in effect; 0 if the host
+	// had none.
 	Config int64
-	// ConfigAge and UpstreamsAge are the ages of the two watched tables: how
-	// long ago a source last confirmed them.
+	// ConfigAge and UpstreamsAge are the ages of the two watched tables: the time
+	// since a source last confirmed them.
 	ConfigAge    time.Duration
 	UpstreamsAge time.Duration
-	// Status is the HTTP status of the response, which the client got if Client
-	// is ClientConnected.
+	// Status is the HTTP status of the response. The client got the response if
+	// Client is ClientConnected.
 	Status int
-	// Client says whether the client could still get it.
+	// Client says whether the client could still get the response.
 	Client ClientEnd
 	// Verdict says whether the request may have run (verdict.Verdict).
 	Verdict string
@@ -168,12 +168,12 @@
 	Reason string
 	// Failed is set if the gateway generated the response.
 	Failed bool
-	// Took runs from the request's arrival.
+	// Took is the time since the request's arrival.
 	Took time.Duration
-	// Detail is one sentence on a failure.
+	// Detail is one sentence about the failure.
 	Detail string
 	// RetryDenied says how much of the retry budget was used, if the gateway generated the
-	// response and the budget had denied another attempt; empty otherwise.
+	// response and the budget denied another attempt. It is empty otherwise.
 	RetryDenied string
 }
 
@@ -189,11 +189,11 @@
 		Float64("took_ms", ms(f.Took)).Str("detail", f.Detail).Str("retry_denied", f.RetryDenied).Msg("request: final response")
 }
 
-// Cut logs that the host closed a client's connection though it had read a
-// request from it, and counts it.
+// Cut logs that the host closed a client's connection after it had read a request
+// from the connection, and counts the request.
 func (l *Log) Cut() {
 	l.metrics.Count("cairndock_requests_cut_total")
-	l.event("cut", l.failures).Msg("client: the connection was closed under a request")
+	l.event("cut", l.failures).Msg("client: connection closed by the host after a request was read")
 }
 
 // Config logs that a version of the operator configuration was applied.
@@ -201,30 +201,31 @@
 	l.stateEvent("config").Int64("version", version).Int("routes", routes).Msg("config: applied")
 }
 
-// BadRow logs a table's row that could not be decoded and was not applied. The
-// table is "intent" (the operator's), "upstream" or "hosts".
+// BadRow logs a row that could not be decoded and was not applied. The table is
+// "intent" (the operator's table), "upstream" or "hosts".
 func (l *Log) BadRow(table, key string, version int64, err error) {
-	l.stateEvent("bad-row").Str("table", table).Str("key", key).Int64("version", version).Err(err).Msg("row: can't be decoded, not applied")
+	l.stateEvent("bad-row").Str("table", table).Str("key", key).Int64("version", version).Err(err).Msg("row: cannot be decoded, not applied")
 }
 
-// Ejected logs that an upstream is ejected for a time, with the observations
-// that led to it, and counts the ejection.
+// Ejected logs that an upstream is ejected for a time, with the observations that
+// caused the ejection, and counts it.
 func (l *Log) Ejected(o outlier.Ejection) {
 	l.metrics.Count("cairndock_ejections_total")
 	l.stateEvent(EventEjected).Str("upstream", string(o.Upstream)).Int("bad", o.Failures).Int("good", o.Successes).Int("hosts", o.Hosts).
 		Float64("for_ms", ms(o.For)).Msg("upstream: ejected, avoided for a time")
 }
 
-// UpstreamEnded logs that an upstream ended under a request, and counts it. route and
-// target are the request's, by which people find out what it is.
-func (l *Log) UpstreamEnded(id, fingerprint, route, target, caller string) {
+// UpstreamEnded logs that an upstream terminated while it ran a request, and counts the
+// termination. The route, the target and the client's address help operators to identify
+// the request.
+func (l *Log) UpstreamEnded(id, fingerprint, route, target, client string) {
 	l.metrics.Count("cairndock_upstream_ends_total")
 	l.event("upstream-ended", l.failures).Str("upstream", id).Str("fingerprint", fingerprint).Str("route", route).Str("target", target).
-		Str("caller", caller).Msg("upstream: ended under a request")
+		Str("caller", client).Msg("upstream: terminated while it ran a request")
 }
 
 // Quarantined logs that a request is refused from now on, with the upstreams that
-// ended under it, and counts it.
+// terminated while they ran the request, and counts it.
 func (l *Log) Quarantined(q poison.Quarantine) {
 	l.metrics.Count("cairndock_quarantines_total")
 	l.stateEvent("quarantined").Str("fingerprint", q.Fingerprint.String()).Strs("upstreams", q.Runs).Msg("request: quarantined, refused from now on")
@@ -235,36 +236,36 @@
 	l.stateEvent("released").Str("fingerprint", f.String()).Msg("request: released from quarantine")
 }
 
-// Upstream logs an upstream's new state, as of a version of the table: 0 if the
-// state changed without a row. Package routing names the states. An upstream
-// whose row was deleted has neither service nor zone in the log.
+// Upstream logs an upstream's new state with the version of the table, which is 0 if
+// the state changed without a change of a row. Package routing defines the states. An
+// upstream whose row was deleted has neither service nor zone in the log.
 func (l *Log) Upstream(id string, r upstream.Registration, state string, version int64) {
 	l.stateEvent(EventUpstream).Str("upstream", id).Str("service", r.Service).Str("zone", r.Zone).Str("state", state).
 		Int64("born", r.Born).Int64("version", version).Float64("cold_ms", ms(r.ColdLeft)).Msg("upstream: state changed")
 }
 
-// Limited logs that an upstream has named a limit, or another one than before, in requests
-// a second over all hosts, and counts it.
+// Limited logs that an upstream reported a new or changed limit, in requests per second over
+// all hosts, and counts the notice.
 func (l *Log) Limited(run upstream.Run, perSecond float64) {
 	l.metrics.Count(`cairndock_notices_total{kind="limit"}`)
-	l.stateEvent(EventNotice).Str("upstream", string(run)).Str("kind", "limit").Float64("per_second", perSecond).Msg("upstream: takes so much from all hosts")
+	l.stateEvent(EventNotice).Str("upstream", string(run)).Str("kind", "limit").Float64("per_second", perSecond).Msg("upstream: reported a limit over all hosts")
 }
 
-// Leaves logs that an upstream says that it leaves, and counts it.
+// Leaves logs that an upstream announced that it is leaving, and counts the notice.
 func (l *Log) Leaves(run upstream.Run) {
 	l.metrics.Count(`cairndock_notices_total{kind="leaving"}`)
-	l.stateEvent(EventNotice).Str("upstream", string(run)).Str("kind", "leaving").Msg("upstream: leaves, gets no new work")
+	l.stateEvent(EventNotice).Str("upstream", string(run)).Str("kind", "leaving").Msg("upstream: leaving, gets no new requests")
 }
 
-// Rests logs that an upstream wants no request of this host for a time, and counts it.
+// Rests logs that an upstream requested a backoff from this host, and counts the notice.
 func (l *Log) Rests(run upstream.Run, d time.Duration) {
 	l.metrics.Count(`cairndock_notices_total{kind="rest"}`)
-	l.stateEvent(EventNotice).Str("upstream", string(run)).Str("kind", "rest").Float64("for_ms", ms(d)).Msg("upstream: wants no request of this host for a time")
+	l.stateEvent(EventNotice).Str("upstream", string(run)).Str("kind", "rest").Float64("for_ms", ms(d)).Msg("upstream: requested a backoff from this host")
 }
 
-// LimitEnded logs that an upstream names no limit any more.
+// LimitEnded logs that an upstream no longer reports a limit.
 func (l *Log) LimitEnded(run upstream.Run) {
-	l.stateEvent(EventNotice).Str("upstream", string(run)).Str("kind", "limit-ended").Msg("upstream: has no limit any more")
+	l.stateEvent(EventNotice).Str("upstream", string(run)).Str("kind", "limit-ended").Msg("upstream: no longer reports a limit")
 }
 
 // Evacuated logs the zones that get no requests.
@@ -272,51 +273,54 @@
 	l.stateEvent("evacuated").Strs("zones", zones).Int64("version", version).Msg("evacuation: zones changed")
 }
 
-// Lost logs that a dependency stopped responding. Its kind is "peer", another
-// host by its name; "intent source" or "upstream source", from which the
-// operator's table or that of the upstreams is watched: "store" or a host; or
-// "listener", where clients' connections can't be accepted.
+// Lost logs that a dependency no longer responds. Its kind is one of these:
+//
+//   - "peer": another host, by its name.
+//   - "intent source" or "upstream source": the source, "store" or a host, from
+//     which the table of the operator or of the upstreams is watched.
+//   - "listener": the listener, which cannot accept clients' connections.
 func (l *Log) Lost(kind, name string, err error) {
 	l.stateEvent(EventLost).Str("dependency", kind).Str("name", name).Err(err).Msg("dependency: lost")
 }
 
-// Regained logs that a dependency of Lost responds again, after an outage of the
-// given length; 0 for a peer, of which it is not known.
+// Regained logs that a dependency of Lost responds again after an outage of the given
+// length. The length is 0 for a peer, for which it is unknown.
 func (l *Log) Regained(kind, name string, after time.Duration) {
 	l.stateEvent("regained").Str("dependency", kind).Str("name", name).Float64("after_ms", ms(after)).Msg("dependency: regained")
 }
 
-// ListingRefused logs that a source's listing of a table was older than what is known, and
-// not applied.
+// ListingRefused logs that a source's listing of a table was older than the known version
+// and was not applied.
 func (l *Log) ListingRefused(table, source string, listed, known watch.Version) {
-	l.versions("listing-refused", table, source, listed, known).Msg("table: listing is older than what is known, not applied")
+	l.versions("listing-refused", table, source, listed, known).Msg("table: listing is older than the known version, not applied")
 }
 
-// EraBegan logs that the store was found in another era, as it came back from an older copy,
-// with how many of a table's rows are new there, and how many older than known or missing.
+// EraBegan logs that the store has a new era because it was restored from an older backup.
+// changed is the number of new rows in the listed table, and reverted the number of rows that
+// are missing or older than known.
 func (l *Log) EraBegan(table, source string, listed, known watch.Version, changed, reverted int) {
-	l.versions("store-era", table, source, listed, known).Int("changed", changed).Int("reverted", reverted).Msg("store: came back from an older copy")
+	l.versions("store-era", table, source, listed, known).Int("changed", changed).Int("reverted", reverted).Msg("store: restored from an older backup")
 }
 
-// versions begins a line on the version that a source has of a table, beside the known one.
+// versions begins a line with a source's version of a table and the known version.
 func (l *Log) versions(event, table, source string, listed, known watch.Version) *zerolog.Event {
 	return l.stateEvent(event).Str("table", table).Str("name", source).Int64("era", listed.Era).Int64("version", listed.Number).
 		Int64("known_era", known.Era).Int64("known_version", known.Number)
 }
 
-// Suspended logs that the machine was suspended for a time, and counts it.
+// Suspended logs that the machine was suspended for a time, and counts the suspension.
 func (l *Log) Suspended(gap time.Duration) {
 	l.metrics.Count("cairndock_suspensions_total")
 	l.stateEvent("suspended").Float64("for_ms", ms(gap)).Msg("process: the machine was suspended")
 }
 
-// Stalled logs that the process had no processor time for a time, and counts it.
+// Stalled logs that the process got no CPU time for a time, and records the length.
 func (l *Log) Stalled(d time.Duration) {
 	l.metrics.Observe("cairndock_stall_seconds", d.Seconds())
-	l.stateEvent(EventStalled).Float64("for_ms", ms(d)).Msg("process: had no processor time")
+	l.stateEvent(EventStalled).Float64("for_ms", ms(d)).Msg("process: got no CPU time")
 }
 
-// Process logs a step in the process's life: start, reload, stop or stopped.
+// Process logs a step of the process's life cycle: start, reload, stop or stopped.
 func (l *Log) Process(step, detail string) {
 	l.stateEvent(step).Str("detail", detail).Msg("process: " + step)
 }
--- a/internal/gateway/eventlog/log_test.go
+++ b/internal/gateway/eventlog/log_test.go
@@ -17,7 +17,7 @@
 	"cairndock/internal/telemetry"
 )
 
-// buffer is a writer that may be read while the log writes.
+// buffer is a writer that can be read while the log writes.
 type buffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -42,10 +42,10 @@
 	return out
 }
 
-// stuck is a writer whose far end does not read until release is closed.
-type stuck struct{ release chan struct{} }
+// blockedWriter is a writer that blocks until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
+func (s blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
@@ -89,23 +89,23 @@
 }
 
 func TestAReaderThatStopsReadingDelaysNothing(t *testing.T) {
-	s := stuck{release: make(chan struct{})}
+	s := blockedWriter{release: make(chan struct{})}
 	m := telemetry.NewMetrics()
 	l := eventlog.New(s, eventlog.Options{Host: "h", Level: zerolog.InfoLevel, Sampling: eventlog.DefaultSampling(), Metrics: m})
-	began := time.Now()
+	start := time.Now()
 	for i := range 20_000 {
 		l.Final(eventlog.Final{Request: strconv.Itoa(i), Failed: true})
 		l.Config(int64(i), 1)
 	}
 	l.Close()
-	require.Less(t, time.Since(began), 2*time.Second)
+	require.Less(t, time.Since(start), 2*time.Second)
 	var text bytes.Buffer
 	m.Write(&text)
 	require.Contains(t, text.String(), "cairndock_log_lines_left_out_total")
 	close(s.release)
 }
 
-func TestAFloodOfFailuresHidesNoStateChange(t *testing.T) {
+func TestFailedRequestsDoNotDropStateChanges(t *testing.T) {
 	var b buffer
 	l := eventlog.New(&b, eventlog.Options{Host: "h", Level: zerolog.InfoLevel, Sampling: eventlog.DefaultSampling(), Metrics: telemetry.NewMetrics()})
 	for i := range 5_000 {
@@ -118,15 +118,15 @@
 	require.Equal(t, "lost", lines[len(lines)-1]["event"])
 }
 
-func TestTheLeastLevelLeavesOutInfoWithoutCountingIt(t *testing.T) {
+func TestMinLevelOmitsInfoWithoutCountingIt(t *testing.T) {
 	for _, c := range []struct {
-		least zerolog.Level
+		level zerolog.Level
 		lines int
 	}{{zerolog.DebugLevel, 2}, {zerolog.InfoLevel, 2}, {zerolog.WarnLevel, 0}, {zerolog.ErrorLevel, 0}} {
-		t.Run(c.least.String(), func(t *testing.T) {
+		t.Run(c.level.String(), func(t *testing.T) {
 			var b buffer
 			m := telemetry.NewMetrics()
-			l := eventlog.New(&b, eventlog.Options{Host: "h", Level: c.least, Sampling: eventlog.DefaultSampling(), Metrics: m})
+			l := eventlog.New(&b, eventlog.Options{Host: "h", Level: c.level, Sampling: eventlog.DefaultSampling(), Metrics: m})
 			l.Final(eventlog.Final{Request: "r", Failed: true})
 			l.Config(1, 1)
 			l.Close()
@@ -138,7 +138,7 @@
 	}
 }
 
-func TestLinesLeftOutAreReportedAsAWarning(t *testing.T) {
+func TestDroppedLinesAreReportedAsAWarning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var b buffer
 		l := eventlog.New(&b, eventlog.Options{Host: "h", Level: zerolog.InfoLevel, Sampling: eventlog.DefaultSampling(), Metrics: telemetry.NewMetrics()})
--- a/internal/gateway/eventlog/writer.go
+++ b/internal/gateway/eventlog/writer.go
@@ -7,42 +7,42 @@
 )
 
 const (
-	// queueLength is how many lines wait for the writer at most: about three
-	// seconds of lines at all rates together.
+	// queueLength is the maximum number of queued lines: about three seconds of lines
+	// at all rates together.
 	queueLength = 512
-	// reportEvery is how often the log says how many lines were left out.
-	reportEvery = 5 * time.Second
-	// closeTimeout is how long Close waits for a writer that is stuck:
-	// short beside the grace of a planned stop.
+	// reportInterval is the interval of reports on dropped lines.
+	reportInterval = 5 * time.Second
+	// closeTimeout is how long Close waits for a blocked writer. It is short
+	// compared to the grace period of a planned stop.
 	closeTimeout = 200 * time.Millisecond
 )
 
-// enqueuer is the io.Writer behind the logger. It passes lines on to the
-// writing goroutine, or leaves them out if the queue is full.
+// enqueuer is the io.Writer of the logger. It queues lines for the writing goroutine,
+// or drops them if the queue is full.
 type enqueuer struct{ log *Log }
 
-// Write implements io.Writer for one line; it copies it, as zerolog reuses the
-// buffer.
+// Write implements io.Writer for one line. It copies the line because zerolog reuses
+// the buffer.
 func (e enqueuer) Write(line []byte) (int, error) {
 	select {
 	case e.log.queue <- bytes.Clone(line):
 	default:
-		e.log.countLeftOut()
+		e.log.countDropped()
 	}
 	return len(line), nil
 }
 
-// write passes queued lines to w until Close, and then those still queued.
+// write writes queued lines to w until Close, and then the remaining lines.
 func (l *Log) write(w io.Writer) {
 	defer close(l.closed)
-	report := time.NewTicker(reportEvery)
+	report := time.NewTicker(reportInterval)
 	defer report.Stop()
 	for {
 		select {
 		case line := <-l.queue:
 			writeLine(w, line)
 		case <-report.C:
-			l.reportLeftOut()
+			l.reportDropped()
 		case <-l.closing:
 			for len(l.queue) > 0 {
 				writeLine(w, <-l.queue)
@@ -52,16 +52,17 @@
 	}
 }
 
-// writeLine ignores an error of w: the log is the only place to report it.
+// writeLine ignores errors of w, because they could only be reported to the log itself.
 func writeLine(w io.Writer, line []byte) { _, _ = w.Write(line) }
 
-func (l *Log) reportLeftOut() {
-	if n := l.leftOut.Swap(0); n > 0 {
-		l.out.Warn().Str("event", "log-lines-left-out").Int64("lines", n).Msg("log: lines were left out")
+func (l *Log) reportDropped() {
+	if n := l.dropped.Swap(0); n > 0 {
+		l.out.Warn().Str("event", "log-lines-left-out").Int64("lines", n).Msg("log: lines were dropped")
 	}
 }
 
-// Close writes what is queued and ends the log, within closeTimeout.
+// Close writes the queued lines and stops the log. It returns after closeTimeout at the
+// latest.
 func (l *Log) Close() {
 	l.closeOnce.Do(func() { close(l.closing) })
 	select {
