--- a/internal/gateway/soak/notice_test.go
+++ b/internal/gateway/soak/notice_test.go
@@ -269,7 +269,7 @@
 // haveRest has an upstream refuse each request from now on, and ask for rest.
 func (n *steadyLoad) haveRest(u *upstream) resting {
 	since := time.Now()
-	u.notice.Store(&platformtest.Notice{Rest: fmt.Sprint(restFor.Seconds())})
+	u.notice.Store(&platformtest.Notice{Backoff: fmt.Sprint(restFor.Seconds())})
 	return resting{u, since}
 }
 
--- a/internal/gateway/soak/said_test.go
+++ b/internal/gateway/soak/said_test.go
@@ -148,7 +148,7 @@
 }
 
 func (w *world) sayRest(u *upstream) {
-	u.notice.Store(&platformtest.Notice{Rest: fmt.Sprint(restSaid.Seconds())})
+	u.notice.Store(&platformtest.Notice{Backoff: fmt.Sprint(restSaid.Seconds())})
 	time.Sleep(refuseFor)
 	u.notice.Store(nil)
 	w.giveBack(u)
--- a/internal/gateway/soak/upstream_test.go
+++ b/internal/gateway/soak/upstream_test.go
@@ -160,7 +160,7 @@
 	u.ledger.arrive(id, u)
 	rests := false
 	if n := u.notice.Load(); n != nil {
-		rests = n.Rest != ""
+		rests = n.Backoff != ""
 	}
 	if u.running.Add(1) > refuseAbove || d == shedding || rests {
 		u.running.Add(-1)
