--- a/internal/gateway/soak/upstream_test.go
+++ b/internal/gateway/soak/upstream_test.go
@@ -132,7 +132,7 @@
 
 // row is what the upstream writes about itself in the store.
 func (u *upstream) row(draining bool) platformtest.UpstreamRow {
-	return platformtest.UpstreamRow{Service: service, Address: u.link.address(), Zone: u.zone, Capacity: capacity, Draining: draining, ColdLeft: u.cold.left(), Born: time.Unix(0, u.born.Load())}
+	return platformtest.UpstreamRow{Service: service, Address: u.link.address(), Zone: u.zone, Capacity: capacity, Draining: draining, ColdLeft: u.cold.left(), StartedAt: time.Unix(0, u.born.Load())}
 }
 
 // bornAt sets when its process started.
