--- a/internal/gateway/soak/faults_test.go
+++ b/internal/gateway/soak/faults_test.go
@@ -95,7 +95,7 @@
 	{Reset: true},
 	{LoseResponses: true, Late: time.Second},
 	{Slow: 300 * time.Millisecond},
-	{DeafFeeds: true},
+	{EmptyFeeds: true},
 }
 
 func (w *world) disruptStore() {
@@ -103,7 +103,7 @@
 	f := storeFaults[w.intN(len(storeFaults))]
 	w.store.SetFaults(f)
 	time.Sleep(w.between(500*time.Millisecond, 4*time.Second))
-	if f.DeafFeeds || w.intN(3) == 0 {
+	if f.EmptyFeeds || w.intN(3) == 0 {
 		w.store.Forget()
 	}
 	w.store.SetFaults(platformtest.Faults{})
