--- a/internal/gateway/soak/faults_test.go
+++ b/internal/gateway/soak/faults_test.go
@@ -104,7 +104,7 @@
 	w.store.SetFaults(f)
 	time.Sleep(w.between(500*time.Millisecond, 4*time.Second))
 	if f.EmptyFeeds || w.intN(3) == 0 {
-		w.store.Forget()
+		w.store.DropHistory()
 	}
 	w.store.SetFaults(platformtest.Faults{})
 }
