--- a/internal/gateway/eventlog/events.go
+++ b/internal/gateway/eventlog/events.go
@@ -215,10 +215,10 @@
 		Float64("for_ms", ms(o.For)).Msg("upstream: ejected, avoided for a time")
 }
 
-// UpstreamEnded logs that an upstream terminated while it ran a request, and counts the
+// UpstreamTerminated logs that an upstream terminated while it ran a request, and counts the
 // termination. The route, the target and the client's address help operators to identify
 // the request.
-func (l *Log) UpstreamEnded(id, fingerprint, route, target, client string) {
+func (l *Log) UpstreamTerminated(id, fingerprint, route, target, client string) {
 	l.metrics.Count("cairndock_upstream_ends_total")
 	l.event("upstream-ended", l.failures).Str("upstream", id).Str("fingerprint", fingerprint).Str("route", route).Str("target", target).
 		Str("caller", client).Msg("upstream: terminated while it ran a request")
--- a/internal/gateway/proxy/suspicion.go
+++ b/internal/gateway/proxy/suspicion.go
@@ -65,7 +65,7 @@
 		return
 	}
 	fingerprint := f.fingerprint()
-	f.proxy.Log.UpstreamEnded(u.ID, fingerprint.String(), f.route.Name, f.request.Target, f.address)
+	f.proxy.Log.UpstreamTerminated(u.ID, fingerprint.String(), f.route.Name, f.request.Target, f.address)
 	f.proxy.Suspicions.RecordEnd(fingerprint, end)
 }
 
