--- a/internal/gateway/eventlog/events.go
+++ b/internal/gateway/eventlog/events.go
@@ -122,16 +122,16 @@
 		Float64("uptime_ms", ms(time.Since(l.started))).Msg("upstream: request sent to a cold upstream")
 }
 
-// ClientEnd says whether a client can still get the response to its request.
-type ClientEnd string
+// ClientState says whether a client can still get the response to its request.
+type ClientState string
 
 const (
 	// ClientConnected is a client whose connection is open.
-	ClientConnected ClientEnd = "connected"
+	ClientConnected ClientState = "connected"
 	// ClientLeft is a client that closed its connection.
-	ClientLeft ClientEnd = "left"
+	ClientLeft ClientState = "left"
 	// ClientCut is a client whose connection the host closed.
-	ClientCut ClientEnd = "cut"
+	ClientCut ClientState = "cut"
 )
 
 // Final describes the response that the client got.
@@ -160,7 +160,7 @@
 	// Client is ClientConnected.
 	Status int
 	// Client says whether the client could still get the response.
-	Client ClientEnd
+	Client ClientState
 	// Verdict says whether the request may have run (verdict.Verdict).
 	Verdict string
 	// Reason is the reason of a response that the gateway generated
--- a/internal/gateway/proxy/decisionlog.go
+++ b/internal/gateway/proxy/decisionlog.go
@@ -40,7 +40,7 @@
 }
 
 // clientEnd says whether a request's client can still get a response.
-func clientEnd(client context.Context) eventlog.ClientEnd {
+func clientEnd(client context.Context) eventlog.ClientState {
 	switch {
 	case httpserver.ClosedHere(client):
 		return eventlog.ClientCut
