--- a/internal/gateway/proxy/decisionlog.go
+++ b/internal/gateway/proxy/decisionlog.go
@@ -41,7 +41,7 @@
 }
 
 // clientEnd returns whether the client of a request can still receive a response.
-func clientEnd(ctx context.Context) eventlog.ClientEnd {
+func clientEnd(ctx context.Context) eventlog.ClientState {
 	switch {
 	case httpserver.ClosedHere(ctx):
 		return eventlog.ClientCut
--- a/internal/gateway/proxy/suspicion.go
+++ b/internal/gateway/proxy/suspicion.go
@@ -69,7 +69,7 @@
 		return
 	}
 	fingerprint := f.fingerprint()
-	f.proxy.Log.UpstreamEnded(u.ID, fingerprint.String(), f.route.Name, f.request.Target, f.address)
+	f.proxy.Log.UpstreamTerminated(u.ID, fingerprint.String(), f.route.Name, f.request.Target, f.address)
 	f.proxy.Suspicions.RecordTermination(fingerprint, observed)
 }
 
