--- a/internal/gateway/soak/faults_test.go
+++ b/internal/gateway/soak/faults_test.go
@@ -36,8 +36,8 @@
 	w.restart(w.randomHost(), func() { time.Sleep(w.randomDuration(50*time.Millisecond, 2*time.Second)) })
 }
 
-// restartAllHosts kills all hosts that are not already being stopped at the same time,
-// and starts each as soon as its process has ended.
+// restartAllHosts kills all hosts at the same time, except hosts that are already being
+// stopped, and starts each as soon as its process has ended.
 func (w *world) restartAllHosts() {
 	var wait sync.WaitGroup
 	for _, h := range w.hosts {
@@ -117,10 +117,10 @@
 		return
 	}
 	defer w.restoring.Unlock()
-	kept := w.store.Copy()
+	snapshot := w.store.Copy()
 	time.Sleep(w.randomDuration(500*time.Millisecond, 4*time.Second))
 	defer w.storeDisruptions.begin()()
-	lost := w.restoreStore(kept, w.randomDuration(50*time.Millisecond, time.Second))
+	lost := w.restoreStore(snapshot, w.randomDuration(50*time.Millisecond, time.Second))
 	time.Sleep(w.randomDuration(50*time.Millisecond, 2*time.Second))
 	w.store.Rewrite(lost)
 }
--- a/internal/gateway/soak/notice_test.go
+++ b/internal/gateway/soak/notice_test.go
@@ -212,9 +212,9 @@
 	require.Zero(t, n.refused.Load())
 }
 
-// lateRequests returns the number of requests that reached an upstream more than after
-// later than the first request from the same host. The response to the first request
-// notified this host.
+// lateRequests returns the number of requests that reached an upstream more than a time
+// after the first request from the same host. The response to this first request carried
+// the notice.
 func (n *steadyLoad) lateRequests(u *upstream, since time.Time, after time.Duration) int {
 	late := 0
 	for _, at := range n.arrivalsByHost(u, since) {
--- a/internal/gateway/soak/poison_test.go
+++ b/internal/gateway/soak/poison_test.go
@@ -84,8 +84,8 @@
 	p.world.mu.Lock()
 	defer p.world.mu.Unlock()
 	for _, u := range p.world.alive {
-		end := p.terminate
-		u.poisoned.Store(&end)
+		terminate := p.terminate
+		u.poisoned.Store(&terminate)
 	}
 }
 
@@ -110,7 +110,7 @@
 }
 
 // replace terminates an upstream and starts a replacement after a delay. It returns
-// false if the upstream is already gone. The function afterwards is called when the
+// false if the upstream was already removed. The function afterwards is called when the
 // replacement runs.
 func (w *world) replace(u *upstream, after time.Duration, afterwards func()) bool {
 	w.mu.Lock()
--- a/internal/gateway/soak/recovery_test.go
+++ b/internal/gateway/soak/recovery_test.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// silenceDuration is how long a run goes on after all open connections went
-	// silent: above the clients' own wait, so that requests under way have ended.
+	// silenceDuration is how long a run continues after all open connections were made
+	// silent. It exceeds the clients' timeout, so that requests in flight have ended.
 	silenceDuration = 3 * time.Second
-	// minServedAfter is how many requests must be served in the second after
-	// all faults; the roaming clients send some hundreds.
+	// minServedAfter is the minimum number of requests that must be served in the second
+	// after all faults. The directory clients send some hundreds.
 	minServedAfter = 20
 )
 
-// checkRecovery checks, after all faults, that every host serves, also after all
-// its connections to upstreams and to the store went silent at once, and that
-// clients are served.
+// checkRecovery checks, after all faults, that every host serves and that clients are
+// served. The hosts must also recover when all their connections to upstreams and to the
+// store become silent at once.
 func (w *world) checkRecovery() {
 	w.awaitService(15 * time.Second)
 	w.silenceAll()
@@ -34,8 +34,8 @@
 	}
 }
 
-// A host that was paused, or that had no way to its store, says that it is ready when
-// it goes on; then it must take connections at once.
+// A host that resumes after a pause or after a loss of its store reports that it is
+// ready. It must then accept connections at once.
 func TestAHostThatGoesOnTakesNewConnectionsAtOnce(t *testing.T) {
 	t.Parallel()
 	const connections = 20
@@ -44,7 +44,7 @@
 	h := w.hosts[0]
 	for _, c := range []struct {
 		name string
-		// happen is over when the host may go on.
+		// happen causes the fault. The host may resume when it returns.
 		happen func()
 	}{
 		{"a pause", func() {
@@ -52,7 +52,7 @@
 			time.Sleep(3 * time.Second)
 			h.signal(syscall.SIGCONT)
 		}},
-		{"a cut from the store", func() {
+		{"a loss of the store", func() {
 			h.store.set(silence)
 			time.Sleep(3 * time.Second)
 			h.store.set(pass)
@@ -71,8 +71,8 @@
 	require.Empty(t, w.violations)
 }
 
-// silenceAll silences all open connections to upstreams and to the store, waits,
-// and logs what that cost.
+// silenceAll makes all open connections to upstreams and to the store silent, waits, and
+// logs the effect.
 func (w *world) silenceAll() {
 	w.mu.Lock()
 	alive := slices.Clone(w.alive)
--- a/internal/gateway/soak/restore_test.go
+++ b/internal/gateway/soak/restore_test.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	// storeOutage is how long the store is away before it comes back from a copy.
+	// storeOutage is how long the store is unavailable before it is restored from a
+	// copy.
 	storeOutage = 700 * time.Millisecond
-	// rewriteDelay is how long after its return the operator and the upstreams have written
-	// again what was lost.
+	// rewriteDelay is the time after the restore in which the operator and the upstreams
+	// write the lost entries again.
 	rewriteDelay = 1500 * time.Millisecond
 )
 
-// restoreStore has the store be away for a while and come back from a copy, and returns
-// what it lost.
+// restoreStore makes the store unavailable for a while, restores it from a copy, and
+// returns what it lost.
 func (w *world) restoreStore(c platformtest.Copy, outage time.Duration) platformtest.Lost {
 	w.store.SetFaults(platformtest.Faults{Reset: true})
 	time.Sleep(outage)
@@ -31,20 +32,21 @@
 	return lost
 }
 
-// advanceVersion has the store's version rise, by changes of rows that no host reads.
+// advanceVersion increases the store's version by changes of rows that no host reads.
 func (w *world) advanceVersion(by int) {
 	for i := range by {
 		w.store.Put("other", "row", i)
 	}
 }
 
-// leave has an upstream say in its row that it leaves, and returns when.
+// markDraining writes an upstream's row with the draining state, and returns the time of
+// this write.
 func (w *world) markDraining(u *upstream) time.Time {
 	w.store.PutUpstream(u.ID, u.row(true))
 	return time.Now()
 }
 
-// arrivedSince is how many requests reached an upstream since a time.
+// arrivedSince returns the number of requests that reached an upstream since a time.
 func (w *world) arrivedSince(u *upstream, since time.Time) int {
 	w.ledger.mu.Lock()
 	defer w.ledger.mu.Unlock()
@@ -55,7 +57,8 @@
 	return n
 }
 
-// lacking are the hosts that do not have a version of the configuration in force.
+// hostsWithoutVersion returns the names of the hosts that do not use a version of the
+// configuration.
 func (w *world) hostsWithoutVersion(version int) []string {
 	var names []string
 	for _, h := range w.hosts {
@@ -66,8 +69,8 @@
 	return names
 }
 
-// Hosts took versions of a store that was back from a copy for old ones, and learned of no
-// change until these had passed what they knew.
+// Hosts treated versions of a store that was restored from a copy as old, and applied no
+// change until the versions exceeded those that the hosts had seen.
 func TestChangesAreInForceInTimeAfterTheStoreCameBackFromACopy(t *testing.T) {
 	t.Parallel()
 	n := newSteadyLoad(t, defaultSeed)
@@ -77,42 +80,43 @@
 	sending.Go(func() { n.send(22 * time.Second) })
 	for i, c := range []struct {
 		name string
-		// before and after are by how much the version rises in the seconds that are lost,
-		// and once the store is back.
+		// before is the increase of the version in the seconds that are lost, and after
+		// the increase once the store is available again.
 		before, after int
 	}{
-		{"below what hosts know", 40, 0},
-		{"soon beyond it", 5, 60},
-		{"about the same", 20, 16},
+		{"below the hosts' version", 40, 0},
+		{"soon above the hosts' version", 5, 60},
+		{"about the hosts' version", 20, 16},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			first, second := w.everyUpstream[2*i], w.everyUpstream[2*i+1]
-			kept := w.store.Copy()
+			snapshot := w.store.Copy()
 			w.advanceVersion(c.before)
 			w.configure()
-			firstLeft := w.markDraining(first)
-			time.Sleep(time.Second) // hosts know both
-			lost := w.restoreStore(kept, storeOutage)
+			firstDrainedAt := w.markDraining(first)
+			time.Sleep(time.Second) // until hosts have both changes
+			lost := w.restoreStore(snapshot, storeOutage)
 			w.advanceVersion(c.after)
 			time.Sleep(rewriteDelay)
 			w.store.Rewrite(lost)
 			w.configure()
-			secondLeft := w.markDraining(second)
+			secondDrainedAt := w.markDraining(second)
 			time.Sleep(maxApplyDelay + slack/2)
 			hostsWithoutVersion := w.hostsWithoutVersion(w.version)
 			time.Sleep(slack / 2)
-			lateFirst := w.arrivedSince(first, firstLeft.Add(maxDrainDelay))
-			lateSecond := w.arrivedSince(second, secondLeft.Add(maxDrainDelay))
-			t.Logf("%d hosts without the change, %d and %d requests to upstreams that left", len(hostsWithoutVersion), lateFirst, lateSecond)
+			lateFirst := w.arrivedSince(first, firstDrainedAt.Add(maxDrainDelay))
+			lateSecond := w.arrivedSince(second, secondDrainedAt.Add(maxDrainDelay))
+			t.Logf("%d hosts without the change, %d and %d late requests to draining upstreams", len(hostsWithoutVersion), lateFirst, lateSecond)
 			require.Empty(t, hostsWithoutVersion, fmt.Sprint("hosts without version ", w.version))
-			require.Zero(t, lateFirst, "left before the store went away")
-			require.Zero(t, lateSecond, "left after its return")
+			require.Zero(t, lateFirst, "draining before the store became unavailable")
+			require.Zero(t, lateSecond, "draining after the store was available again")
 		})
 	}
 }
 
-// Requests went to a zone whose evacuation a restored store lacked, from hosts that had
-// known it. One host sleeps through a return of the store, and one is cut off from it.
+// Hosts that had applied an evacuation sent requests to the zone again after a restored
+// store lacked the evacuation. The store is restored twice. One host is paused during
+// the first restore, and one host is disconnected from the store.
 func TestAnEvacuationHoldsWhileTheStoreComesBackTwice(t *testing.T) {
 	t.Parallel()
 	n := newSteadyLoad(t, defaultSeed)
@@ -121,17 +125,17 @@
 	defer sending.Wait()
 	sending.Go(func() { n.send(10 * time.Second) })
 	zone := zones[1].name
-	kept := w.store.Copy()
+	snapshot := w.store.Copy()
 	w.store.Evacuate(zone)
 	evacuated := time.Now()
-	time.Sleep(time.Second) // hosts know
+	time.Sleep(time.Second) // until hosts have the evacuation
 	paused, cut := w.hosts[2], w.hosts[4]
 	cut.store.set(silence)
 	paused.signal(syscall.SIGSTOP)
-	lost := w.restoreStore(kept, storeOutage)
+	lost := w.restoreStore(snapshot, storeOutage)
 	w.advanceVersion(30)
 	time.Sleep(time.Second)
-	w.restoreStore(kept, storeOutage)
+	w.restoreStore(snapshot, storeOutage)
 	paused.signal(syscall.SIGCONT)
 	time.Sleep(rewriteDelay)
 	cut.store.set(pass)
--- a/internal/gateway/soak/said_test.go
+++ b/internal/gateway/soak/said_test.go
@@ -12,48 +12,53 @@
 	"cairndock/platform/platformtest"
 )
 
-// Beside all faults upstreams say of themselves that they leave, that they have a limit, or
-// that they rest. What they get then is checked, by host and process: one that has started
-// since has not been told.
+// Together with all other faults, upstreams announce that they leave, that they have a
+// limit, or that they need a backoff. The requests that reach them afterwards are checked
+// by host process, because a process that started later has not received the notice.
 
 const (
-	// noticeGap is the mean time between two upstreams that say something.
+	// noticeGap is the mean time between two upstreams that send notices.
 	noticeGap = 900 * time.Millisecond
-	// noticeSalt makes these draws independent of the others of a seed.
+	// noticeSalt gives these faults a random source of their own, so that they do not
+	// change the other faults of a seed.
 	noticeSalt = 0x51
-	// announcedLimit is the limit that upstreams say they have, in requests a second, and
+	// announcedLimit is the limit that upstreams announce, in requests per second, and
 	// announcedLimitDuration for how long.
 	announcedLimit         = 4.0
 	announcedLimitDuration = 6 * time.Second
-	// announcedBackoff is the rest that upstreams ask for, and refusalDuration how long they refuse.
+	// announcedBackoff is the backoff that upstreams request, and refusalDuration how
+	// long they refuse requests.
 	announcedBackoff = 1500 * time.Millisecond
 	refusalDuration  = 3 * time.Second
-	// leavingDuration is how long an upstream that leaves goes on.
+	// leavingDuration is how long a leaving upstream continues to run.
 	leavingDuration = 4 * time.Second
 )
 
-// origin is the process of a host that a request was sent to.
+// origin is the host process to which a request was sent.
 type origin struct {
 	host    *host
 	process int
 }
 
-// hearing is a process that has an upstream's word, and since when.
+// receipt records which process received an upstream's notice, and when.
 type receipt struct {
 	origin   origin
 	upstream string
 	at       time.Time
 }
 
-// said is what upstreams said in one run, and who heard it.
+// noticeLog records the notices that upstreams sent in one run, and the processes that
+// received them.
 type noticeLog struct {
 	mu sync.Mutex
-	// sent is which process each request was sent to, by its id, and when.
+	// sent holds the process to which each request was sent, and the time, by the
+	// request's ID.
 	sent map[string]sending
-	// leaving, limited and refused are what processes heard: the first two by a response
-	// that a client got from them, the last by each refusal.
+	// leaving, limited and refused hold the notices that processes received. The first
+	// two are recorded when a client gets the response from the process, the last one at
+	// each refusal.
 	leaving, limited, refused []receipt
-	// limits are the times for which upstreams had a limit.
+	// limits holds the periods in which upstreams had a limit.
 	limits []limitPeriod
 }
 
@@ -63,7 +68,7 @@
 	at     time.Time
 }
 
-// limitPeriod is the time for which an upstream had a limit.
+// limitPeriod is a period in which an upstream had a limit.
 type limitPeriod struct {
 	upstream *upstream
 	from, to time.Time
@@ -71,14 +76,14 @@
 
 func newNoticeLog() *noticeLog { return &noticeLog{sent: map[string]sending{}} }
 
-// recordSent notes which process a request is sent to.
+// recordSent records the process to which a request is sent.
 func (s *noticeLog) recordSent(id string, o origin) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sent[id] = sending{o, time.Now()}
 }
 
-// recordResponse notes what a client's response says of its upstream.
+// recordResponse records the notice in a client's response.
 func (s *noticeLog) recordResponse(id string, header http.Header) {
 	n, upstream := platformtest.ReadNotice(header)
 	if upstream == "" || !n.Leaving && n.Limit == "" {
@@ -95,15 +100,15 @@
 	}
 }
 
-// recordRefused notes that an upstream refuses a request and asks for rest.
+// recordRefused records that an upstream refuses a request and requests a backoff.
 func (s *noticeLog) recordRefused(id string, u *upstream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refused = append(s.refused, receipt{s.sent[id].origin, u.ID, time.Now()})
 }
 
-// injectNotices has upstreams say something until the context ends. No other fault
-// strikes an upstream meanwhile.
+// injectNotices makes upstreams send notices until the context ends. No other fault
+// affects such an upstream at the same time.
 func (w *world) injectNotices(ctx context.Context) {
 	random := rand.New(rand.NewPCG(w.seed, noticeSalt))
 	var wait sync.WaitGroup
@@ -122,7 +127,7 @@
 		wait.Go(func() {
 			began := time.Now()
 			[]func(*upstream){w.announceLeaving, w.announceLimit, w.requestBackoff}[kind](u)
-			w.record.fault(began, []string{"an upstream leaves, its row ready", "an upstream names a limit", "an upstream asks for rest"}[kind])
+			w.record.fault(began, []string{"an upstream announces that it leaves, with its row ready", "an upstream announces a limit", "an upstream requests a backoff"}[kind])
 		})
 	}
 }
@@ -154,13 +159,15 @@
 	w.restoreUpstream(u)
 }
 
-// heard is a request that reached an upstream, by the process that sent it.
+// clientArrival is a client's request that reached an upstream, with the process that
+// sent it.
 type clientArrival struct {
 	sending
 	arrived time.Time
 }
 
-// arrivalsOf gives the requests of clients that reached each upstream, in order.
+// arrivalsOf returns the ordered requests of clients that reached each upstream, by the
+// upstream's ID.
 func (w *world) arrivalsOf() map[string][]clientArrival {
 	w.ledger.mu.Lock()
 	defer w.ledger.mu.Unlock()
@@ -180,7 +187,7 @@
 	return out
 }
 
-// checkNotices checks that upstreams got what they had said.
+// checkNotices checks that hosts followed the notices that they received from upstreams.
 func (w *world) checkNotices() {
 	w.notices.mu.Lock()
 	defer w.notices.mu.Unlock()
@@ -188,7 +195,7 @@
 	for _, h := range w.notices.leaving {
 		for _, a := range arrivals[h.upstream] {
 			if a.origin == h.origin && a.at.After(h.at.Add(maxLeaveDelay)) {
-				w.violation("leaving: %s got a request of %s, sent %s after it had said there that it leaves", h.upstream, h.origin.host.name, a.at.Sub(h.at))
+				w.violation("leaving: %s got a request of %s, sent %s after this host received its leaving notice", h.upstream, h.origin.host.name, a.at.Sub(h.at))
 			}
 		}
 	}
@@ -197,13 +204,13 @@
 	for _, l := range w.notices.limits {
 		most = max(most, w.checkLimitPeriod(l, arrivals[l.upstream.ID]))
 	}
-	w.t.Logf("seed %d: heard %d times that an upstream leaves, %d times to rest, %d times of %d limits; at most %d requests in %s, %g allowed",
+	w.t.Logf("seed %d: received %d leaving notices, %d backoff requests and %d notices of %d limits; at most %d requests in %s, %g allowed",
 		w.seed, len(w.notices.leaving), len(w.notices.refused), len(w.notices.limited), len(w.notices.limits), most, noticeLimitWindow, maxRequestsAtLimit)
 }
 
-// checkBackoffs checks that no process sent more than maxBackoffRequests requests between noticeGrace after
-// a refusal and the end of the rest. Faults of the host are excused, as the refusal may have
-// reached it late.
+// checkBackoffs checks that no process sent more than maxBackoffRequests requests from
+// noticeGrace after a refusal until the end of the backoff. Faults of the host are
+// excused, because the refusal may have reached it late.
 func (w *world) checkBackoffs(arrivals map[string][]clientArrival) {
 	for _, h := range w.notices.refused {
 		if h.origin.host == nil || h.origin.host.disruptions.during(h.at.Add(-time.Second), h.at.Add(announcedBackoff)) {
@@ -216,18 +223,19 @@
 			}
 		}
 		if n > maxBackoffRequests {
-			w.violation("rest: %s got %d requests of %s in the rest that it had asked for", h.upstream, n, h.origin.host.name)
+			w.violation("rest: %s got %d requests of %s during the backoff that it had requested", h.upstream, n, h.origin.host.name)
 		}
 	}
 }
 
-// maxRequestsAtLimit is how many requests an upstream may get in any noticeLimitWindow that has named
-// announcedLimit.
+// maxRequestsAtLimit is the maximum number of requests in any noticeLimitWindow to an
+// upstream that announced announcedLimit.
 const maxRequestsAtLimit = announcedLimit*noticeLimitFactor*float64(noticeLimitWindow/time.Second) + noticeLimitSlack
 
-// checkLimitPeriod checks that an upstream with a limit got no more than is allowed from
-// processes that had been told, and gives the most in any noticeLimitWindow. What a host sends around
-// a fault of its own is excused: a pause has it arrive together.
+// checkLimitPeriod checks that an upstream with a limit got no more requests than
+// allowed from processes that had received the limit, and returns the maximum number in
+// any noticeLimitWindow. Requests that a host sends close to a fault of its own are
+// excused, because they arrive together after a pause.
 func (w *world) checkLimitPeriod(l limitPeriod, arrivals []clientArrival) int {
 	firstReceipt := map[origin]time.Time{}
 	for _, h := range w.notices.limited {
@@ -244,7 +252,7 @@
 	}
 	n, _ := maxInWindow(at, noticeLimitWindow)
 	if float64(n) > maxRequestsAtLimit {
-		w.violation("limit: %s got %d requests in %s from hosts that it had told, %g allowed", l.upstream.ID, n, noticeLimitWindow, maxRequestsAtLimit)
+		w.violation("limit: %s got %d requests in %s from hosts that had received its limit, %g allowed", l.upstream.ID, n, noticeLimitWindow, maxRequestsAtLimit)
 	}
 	return n
 }
--- a/internal/gateway/soak/size_test.go
+++ b/internal/gateway/soak/size_test.go
@@ -13,26 +13,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// Sizes of runs. The standard one is small; larger ones are played by hand, and
-// bounded so that they leave the machine room.
+// Sizes of runs. The default size is small. Larger runs are started manually and are
+// limited, so that other work on the machine can continue.
 const (
-	// maxHosts is the highest number of hosts.
+	// maxHosts is the maximum number of hosts.
 	maxHosts = 300
-	// maxMemoryFraction is the part of the machine's memory that the hosts of all runs
-	// of the test process may have together.
+	// maxMemoryFraction is the maximum fraction of the machine's memory for the hosts of
+	// all runs in the test process.
 	maxMemoryFraction = 0.5
-	// startBatch is how many hosts start at a time.
+	// startBatch is the number of hosts that start at a time.
 	startBatch = 10
-	// maxPersistentClients is how many clinging clients there are at most, but no fewer
-	// than hosts.
+	// maxPersistentClients is the maximum number of persistent clients. There is always
+	// at least one for each host.
 	maxPersistentClients = 160
-	// minProbeInterval is how often a host's version is probed, and meanProbeGap the
-	// time between any two probes, on average, if that is longer.
+	// minProbeInterval is the minimum interval between two probes of a host. With many
+	// hosts the interval is longer, so that any two probes are meanProbeGap apart on
+	// average.
 	minProbeInterval = 60 * time.Millisecond
 	meanProbeGap     = 4 * time.Millisecond
 )
 
-// startHosts starts all hosts, some at a time, and waits until they serve.
+// startHosts starts all hosts in batches, and waits until they serve requests.
 func (w *world) startHosts(timeout time.Duration) {
 	require.LessOrEqual(w.t, len(w.hosts), maxHosts, "SOAK_HOSTS is too high")
 	for i, h := range w.hosts {
@@ -45,12 +46,12 @@
 	w.awaitService(timeout)
 }
 
-// clinging is how many clinging clients there are.
+// persistentClients returns the number of persistent clients.
 func (w *world) persistentClients() int {
 	return max(len(w.hosts), min(maxPersistentClients, persistentClientsPerHost*len(w.hosts)))
 }
 
-// probeInterval is how often each host is probed.
+// probeInterval returns the interval between two probes of a host.
 func (w *world) probeInterval() time.Duration {
 	return max(minProbeInterval, time.Duration(len(w.hosts))*meanProbeGap)
 }
@@ -58,13 +59,14 @@
 // hostMemory is the memory of the hosts of all runs, in bytes.
 var hostMemory atomic.Int64
 
-// watchMemory ends the run, with a violation, once hosts have more than
-// maxMemoryFraction of the machine's memory, and logs the most that this run's had.
+// watchMemory ends the run with a violation when the hosts of all runs exceed
+// maxMemoryFraction of the machine's memory. It logs the peak memory of this run's
+// hosts.
 func (w *world) watchMemory(ctx context.Context, cancel context.CancelFunc) {
 	var now, peak int64
 	defer func() {
 		hostMemory.Add(-now)
-		w.t.Logf("seed %d: %d hosts had %d MiB at most", w.seed, len(w.hosts), peak>>20)
+		w.t.Logf("seed %d: %d hosts used at most %d MiB", w.seed, len(w.hosts), peak>>20)
 	}()
 	limit := int64(maxMemoryFraction * float64(machineMemory(w.t)))
 	for ctx.Err() == nil {
@@ -72,14 +74,14 @@
 		now = w.residentMemory()
 		peak = max(peak, now)
 		if all := hostMemory.Add(now - previous); all > limit {
-			w.violation("size: hosts have %d MiB, more than the %d MiB that they may have", all>>20, limit>>20)
+			w.violation("size: hosts use %d MiB, more than the limit of %d MiB", all>>20, limit>>20)
 			cancel()
 		}
 		time.Sleep(time.Second)
 	}
 }
 
-// residentMemory is the memory of the run's hosts, in bytes.
+// residentMemory returns the resident memory of the run's hosts, in bytes.
 func (w *world) residentMemory() (sum int64) {
 	for _, h := range w.hosts {
 		h.mu.Lock()
@@ -87,7 +89,7 @@
 		h.mu.Unlock()
 		text, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/statm")
 		if err != nil {
-			continue // it has just ended
+			continue // the process has just ended
 		}
 		// The second field is the number of pages in memory.
 		if fields := strings.Fields(string(text)); len(fields) > 1 {
@@ -99,7 +101,7 @@
 	return sum
 }
 
-// machineMemory is the machine's memory in bytes.
+// machineMemory returns the machine's memory, in bytes.
 func machineMemory(t *testing.T) uint64 {
 	var info unix.Sysinfo_t
 	if err := unix.Sysinfo(&info); err != nil {
--- a/internal/gateway/soak/soak_test.go
+++ b/internal/gateway/soak/soak_test.go
@@ -15,7 +15,7 @@
 	"cairndock/cmd"
 )
 
-// TestMain is also the gateway process itself.
+// TestMain runs the gateway instead of the tests in a child process.
 func TestMain(m *testing.M) {
 	if os.Getenv(childVar) != "" {
 		os.Exit(cmd.Run())
@@ -24,18 +24,18 @@
 }
 
 const (
-	// defaultHosts is how many hosts a run has unless SOAK_HOSTS says so.
+	// defaultHosts is the number of hosts of a run if SOAK_HOSTS is not set.
 	defaultHosts = 5
-	// defaultSeconds is how long each of a run's two phases injects faults,
-	// unless SOAK_LENGTH says so.
+	// defaultSeconds is the duration of each of a run's two fault phases if SOAK_LENGTH
+	// is not set, in seconds.
 	defaultSeconds = 6
-	// defaultSeed is the first seed unless SOAK_FIRST says so.
+	// defaultSeed is the first seed if SOAK_FIRST is not set.
 	defaultSeed = 20261202
 )
 
-// TestSoak plays a short seeded run; SOAK_SEEDS=50 plays as many fresh seeds
-// (SOAK_FIRST on), SOAK_HOSTS sets the hosts and SOAK_LENGTH the seconds of
-// each of its two phases.
+// TestSoak runs a short seeded run. SOAK_SEEDS=50 runs 50 consecutive seeds from
+// SOAK_FIRST on, SOAK_HOSTS sets the number of hosts, and SOAK_LENGTH the seconds of
+// each of the two phases.
 func TestSoak(t *testing.T) {
 	t.Parallel()
 	seeds, first := number("SOAK_SEEDS", 1), number("SOAK_FIRST", defaultSeed)
@@ -49,39 +49,40 @@
 	}
 }
 
-// failedSeeds are the seeds that ever failed, each with its cause.
+// failedSeeds maps each seed that has failed to the cause. Entries that begin with
+// "harness:" are faults of this package, not of the gateway.
 var failedSeeds = map[uint64]string{
-	79:    "a reload that came while a host read its settings ended the process: it now asks for the signal first",
-	78:    "not the product: a host's port was taken by an outgoing connection while it was down, and the harness did not start it again",
-	1015:  "not the product: the harness asked for version 0, which never was",
-	31028: "cut: a host closed kept connections for idleness, and passed on requests that it had just read from them",
-	31034: "not the product: a host was stopped while it still started, which took 4 s on a busy machine, and had to be killed",
-	90041: "overrun on a machine with a load of 95, which code from before does as well; what holds the process was not traced",
-	53116: "not the product: a host was sent SIGHUP before it had a handler, more than 0.3 s after its start on a busy machine",
-	53117: "overrun beside a load of 120: a host was killed 6 s after its last line, as in 90041; not traced",
-	53128: "overrun, and requests cut by the kill, beside a load of 120; not traced",
-	56003: "overruns beside a load above 100: the hosts had no processor time for up to 9 s at once, as their lines tell",
-	56009: "overruns beside a load above 100: the hosts had no processor time for up to 25 s at once, as their lines tell",
-	56013: "overruns, and a request cut by a kill, beside a load above 100: the hosts had no processor time for up to 7 s at once, as their lines tell",
-	96049: "overrun beside a load of 41, as in 90041; not traced",
-	88047: "not the product: under load the harness took a planned stop for an exit of the host's own, and started it twice",
-	51022: "a response that came when its deadline and the bound on writing it had passed was not written, and the connection closed: the bound counts from then now",
+	79:    "fixed: SIGHUP while a host read its settings ended the process; the handler is now installed first",
+	78:    "harness: an outgoing connection took a host's port while the host was down, and the harness did not restart the host",
+	1015:  "harness: a probe used version 0 of the configuration, which does not exist",
+	31028: "cut: a host closed idle connections and forwarded requests that it had just read from them",
+	31034: "harness: a host was stopped during its start, which took 4 s on a busy machine, and had to be killed",
+	90041: "overrun on a machine with a load of 95, also with earlier code; cause not traced",
+	53116: "harness: a host was sent SIGHUP before its handler was installed, more than 0.3 s after its start on a busy machine",
+	53117: "overrun at a load of 120: a host was killed 6 s after its last log line, as in 90041; cause not traced",
+	53128: "overrun at a load of 120, and requests cut by the kill; cause not traced",
+	56003: "overruns at a load above 100: according to their logs the hosts got no CPU time for up to 9 s at a time",
+	56009: "overruns at a load above 100: according to their logs the hosts got no CPU time for up to 25 s at a time",
+	56013: "overruns at a load above 100, and a request cut by a kill: according to their logs the hosts got no CPU time for up to 7 s at a time",
+	96049: "overrun at a load of 41, as in 90041; cause not traced",
+	88047: "harness: under load a planned stop was treated as an unexpected exit, and the host was started twice",
+	51022: "fixed: a response that arrived after its deadline and after the write timeout was not written, and the connection was closed; the write timeout now begins when the response arrives",
 }
 
-// TestSoakFailedSeeds plays the seeds that failed before.
+// TestSoakFailedSeeds runs the seeds that failed before.
 func TestSoakFailedSeeds(t *testing.T) {
 	t.Parallel()
 	for seed, cause := range failedSeeds {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			t.Log("failed once: " + cause)
+			t.Log("earlier failure: " + cause)
 			require.Empty(t, run(t, seed, defaultHosts, defaultSeconds*time.Second))
 		})
 	}
 }
 
-// number reads a variable of the environment; one that is no number counts as
-// not set.
+// number returns an environment variable as a number, or the fallback if the variable is
+// not set or is not a number.
 func number(variable string, fallback int) int {
 	if n, err := strconv.Atoi(os.Getenv(variable)); err == nil {
 		return n
@@ -90,14 +91,15 @@
 }
 
 const (
-	// plannedGap is the mean time between faults while only planned work is
-	// injected, and allGap while everything is. Chosen so that faults overlap.
+	// plannedGap is the mean time between faults while only planned work is injected. It
+	// is short enough for faults to overlap.
 	plannedGap = 600 * time.Millisecond
-	// allGap is shorter than plannedGap, so that more faults overlap.
+	// allGap is the mean time between faults while all kinds are injected. It is shorter
+	// than plannedGap, so that more faults overlap.
 	allGap = 400 * time.Millisecond
 )
 
-// run plays one seed and gives the violations.
+// run runs one seed and returns the violations.
 func run(t *testing.T, seed uint64, hosts int, length time.Duration) []string {
 	t.Helper()
 	w := newWorld(t, seed, hosts)
@@ -106,25 +108,25 @@
 	defer cancel()
 	wait := w.startTraffic(ctx)
 	wait.Go(func() { w.watchMemory(ctx, cancel) })
-	time.Sleep(settleTime) // so that all hosts count as calm
+	time.Sleep(settleTime) // until all hosts are settled
 	noticesCtx, stopNotices := context.WithCancel(ctx)
 	defer stopNotices()
 	var noticesDone sync.WaitGroup
 	noticesDone.Go(func() { w.injectNotices(noticesCtx) })
 	w.phase(ctx, "planned", plannedFaults, length, plannedGap)
-	entries, endEntries := context.WithCancel(ctx)
-	var disrupting sync.WaitGroup
-	disrupting.Go(func() { w.disruptEntries(entries) })
+	entriesCtx, stopEntries := context.WithCancel(ctx)
+	var entriesDone sync.WaitGroup
+	entriesDone.Go(func() { w.disruptEntries(entriesCtx) })
 	w.phase(ctx, "all", slices.Concat(plannedFaults, unplannedFaults), length, allGap)
-	endEntries()
+	stopEntries()
 	stopNotices()
-	disrupting.Wait()
+	entriesDone.Wait()
 	noticesDone.Wait()
 	w.checkRecovery()
 	w.writeArtifact(logsVar, ".heap", w.writeHeapProfile) // of a host under load
 	cancel()
 	wait.Wait()
-	time.Sleep(500 * time.Millisecond) // what still runs must not run later either
+	time.Sleep(500 * time.Millisecond) // requests that still run must be in the ledger
 	w.checkLedger()
 	w.checkCuts()
 	w.checkCold()
@@ -140,7 +142,7 @@
 	return w.violations
 }
 
-// startTraffic starts the clients and the checks beside them, until the context
+// startTraffic starts the clients and the concurrent checks. They run until the context
 // ends.
 func (w *world) startTraffic(ctx context.Context) *sync.WaitGroup {
 	var wait sync.WaitGroup
@@ -163,8 +165,8 @@
 	return &wait
 }
 
-// phase injects faults of some kinds for a time or until the context ends,
-// several at once, and waits until the last is over.
+// phase injects concurrent faults of some kinds for a time or until the context ends,
+// and waits until the last fault is over.
 func (w *world) phase(ctx context.Context, name string, kinds []fault, length, gap time.Duration) {
 	var wait sync.WaitGroup
 	end := time.Now().Add(length)
--- a/internal/gateway/soak/stall_test.go
+++ b/internal/gateway/soak/stall_test.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// stallTick is how often the test's process looks whether it was scheduled, and
-	// minStall how late it must be to be told.
+	// stallTick is the interval at which the test process checks whether it is
+	// scheduled, and minStall the minimum delay that is recorded as a stall.
 	stallTick = 5 * time.Millisecond
 	minStall  = 100 * time.Millisecond
-	// maxLostDescribed is how many lost requests are told.
+	// maxLostDescribed is the maximum number of lost requests that are described.
 	maxLostDescribed = 8
 )
 
-// stalls are the times in which a process was not scheduled: that of the test, where
-// clients and upstreams run, or a host's.
+// stalls holds the periods in which a process was not scheduled: the test process, in
+// which clients and upstreams run, or a host.
 type stalls struct {
 	mu    sync.Mutex
 	spans []span
 }
 
-// watch records stalls until the context ends.
+// watch records the test process's stalls until the context ends.
 func (s *stalls) watch(ctx context.Context) {
 	for last := time.Now(); ctx.Err() == nil; {
 		time.Sleep(stallTick)
@@ -43,7 +43,7 @@
 	}
 }
 
-// within is how much of a time was stalled.
+// during returns the total stall time from from to to.
 func (s *stalls) during(from, to time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,7 +61,8 @@
 	return sum
 }
 
-// stalls are the times in which the host logged that its process was not scheduled.
+// stalls returns the periods in which the host's process was not scheduled, according to
+// its log.
 func (h *host) stalls() *stalls {
 	s := &stalls{}
 	err := logline.Read(strings.NewReader(h.log.String()), func(l logline.Line) {
@@ -73,7 +74,7 @@
 	return s
 }
 
-// String says how much was stalled at all, and when the longest stall began.
+// String returns the total stall time, and the start and duration of the longest stall.
 func (s *stalls) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,8 +93,8 @@
 		longest.from.UTC().Format("15:04:05.0"), longest.to.Sub(longest.from).Round(time.Millisecond))
 }
 
-// logStalls has the test tell at its end for how long its own process and those of the hosts
-// stood still. What it measures by time says little if they did.
+// logStalls logs at the end of the test how long its own process and the hosts were
+// stalled. Measured times are unreliable if the stalls were long.
 func (w *world) logStalls() {
 	var testStalls stalls
 	ctx, stop := context.WithCancel(context.Background())
@@ -102,7 +103,7 @@
 	w.t.Cleanup(func() {
 		stop()
 		wait.Wait()
-		text := "stood still: the test for " + testStalls.String()
+		text := "stalled: the test for " + testStalls.String()
 		for _, h := range w.hosts {
 			text += "; " + h.name + " for " + h.stalls().String()
 		}
@@ -114,12 +115,12 @@
 type lostRequest struct {
 	id   string
 	host *host
-	// sent and ended are as its client saw them.
+	// sent and ended are the times at its client.
 	sent, ended time.Time
 	status      int
 }
 
-// lostRequests are the requests of a run that were not served.
+// lostRequests holds the requests of a run that were not served.
 type lostRequests struct {
 	mu  sync.Mutex
 	all []lostRequest
@@ -131,20 +132,22 @@
 	l.all = append(l.all, r)
 }
 
-// tell says of the first lost requests where their time went: when each reached upstreams,
-// what its host logged, and for how long the test's own process stood still meanwhile.
+// describe returns, for the first lost requests, when each reached upstreams, the host's
+// log lines about it, and how long the test process and the host were stalled in the
+// meantime.
 func (l *lostRequests) describe(w *world, s *stalls) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var text strings.Builder
 	for _, r := range l.all[:min(len(l.all), maxLostDescribed)] {
-		fmt.Fprintf(&text, "%s sent %s to %s, %d after %s, of which the test stood still for %s and the host for %s; reached upstreams after %s\n%s",
+		fmt.Fprintf(&text, "%s sent %s to %s, %d after %s, of which the test was stalled for %s and the host for %s; reached upstreams after %s\n%s",
 			r.id, r.sent.UTC().Format("15:04:05.000"), r.host.name, r.status, r.ended.Sub(r.sent), s.during(r.sent, r.ended), r.host.stalls().during(r.sent, r.ended), w.reachedAfter(r), r.host.requestLog(r.id))
 	}
 	return text.String()
 }
 
-// reachedAfter is how long after a request was sent it reached each upstream that it did.
+// reachedAfter returns the time from the sending of a request to its arrival at each
+// upstream that it reached.
 func (w *world) reachedAfter(r lostRequest) []time.Duration {
 	w.ledger.mu.Lock()
 	defer w.ledger.mu.Unlock()
--- a/internal/gateway/soak/upstream_test.go
+++ b/internal/gateway/soak/upstream_test.go
@@ -17,18 +17,18 @@
 	"cairndock/platform/platformtest"
 )
 
-// ledger is what the upstreams know of the requests, by their ids.
+// ledger records the requests that reached the upstreams, by request ID.
 type ledger struct {
 	mu sync.Mutex
-	// runs counts how often each ran, over all upstreams.
+	// runs counts how often each request ran, over all upstreams.
 	runs map[string]int
-	// ranAt is when each request of the limited account first ran.
+	// ranAt is the time at which each request of the limited account first ran.
 	ranAt map[string]time.Time
-	// arrivals are where and when each arrived, refused ones too.
+	// arrivals holds the upstream and time of each arrival, including refused requests.
 	arrivals map[string][]arrival
 }
 
-// arrival is a request that reached an upstream that it was meant for.
+// arrival is the arrival of a request at its intended upstream.
 type arrival struct {
 	upstream *upstream
 	at       time.Time
@@ -53,38 +53,39 @@
 	}
 }
 
-// defect is what is wrong with an upstream.
+// defect is a fault of an upstream's responses.
 type defect int32
 
 const (
-	// sound is no defect.
+	// healthy is no defect.
 	healthy defect = iota
-	// lost runs the request and never responds.
+	// unresponsive runs the request and never responds.
 	unresponsive
 	// reset runs the request and resets the connection.
 	reset
-	// half breaks its responses off.
+	// truncated breaks responses off in the middle.
 	truncated
-	// extra sends a second response after each.
+	// duplicated sends a second response after each response.
 	duplicated
-	// rubbish sends bytes that are no response.
+	// garbage sends bytes that are no HTTP response.
 	garbage
-	// slow works ten times as long.
+	// slow takes ten times as long for each request.
 	slow
-	// shedding refuses everything, with proof.
+	// shedding refuses all requests, with the proof that they did not run.
 	shedding
-	// defects is how many there are, sound included.
+	// defects is the number of values, including healthy.
 	defects
 )
 
 const (
-	// capacity is how many requests an upstream says that it runs at once.
+	// capacity is the number of concurrent requests that an upstream advertises.
 	capacity = 8
-	// maxConcurrent is the number of requests above which it refuses more.
+	// maxConcurrent is the number of concurrent requests above which an upstream refuses
+	// further ones.
 	maxConcurrent = 3 * capacity
 )
 
-// upstream is one stand-in of an upstream, behind a link.
+// upstream is a fake upstream behind a link.
 type upstream struct {
 	platformtest.Upstream
 	zone    string
@@ -93,26 +94,26 @@
 	link    *link
 	defect  atomic.Int32
 	running atomic.Int32
-	// disruptions are its faults and those of its link, and its end.
+	// disruptions holds the faults of the upstream and of its link, and its end.
 	disruptions disruptions
-	// cold are the times for which it must not get more than a cold upstream
-	// bears.
+	// cold holds the periods in which the limit on requests to a cold upstream applies.
 	cold coldPeriods
-	// drainDeadline is when it must get no new requests any more, in Unix
-	// nanoseconds; 0 is never.
+	// drainDeadline is the time from which the upstream must get no new requests, in
+	// Unix nanoseconds; 0 means never.
 	drainDeadline atomic.Int64
-	// born is when it started, in Unix nanoseconds.
+	// startedAt is the start time, in Unix nanoseconds.
 	startedAt atomic.Int64
-	// late is called for each request after drainDeadline.
+	// onLateRequest is called for each request after drainDeadline.
 	onLateRequest func(upstream, request string)
-	// violation, if it is set, records that a guarantee did not hold.
+	// violation, if set, records that a guarantee does not hold.
 	violation func(format string, args ...any)
-	// notice is what it says in its responses; nil is nothing.
+	// notice is the notice in the upstream's responses; nil means none.
 	notice atomic.Pointer[platformtest.Notice]
-	// refused is called for each request that it refuses and asks for rest.
+	// refused is called for each request that the upstream refuses with a requested
+	// backoff.
 	refused func(request string)
-	// poisoned, if it is set, is called for each request that may end the upstream, and
-	// reports whether it does. It is set while requests come.
+	// poisoned, if set, is called for each poison request, and reports whether the
+	// request terminates the upstream. It is set while requests are served.
 	poisoned atomic.Pointer[func(u *upstream) bool]
 }
 
@@ -124,22 +125,22 @@
 	u.setStartedAt(time.Now())
 	u.link = newLink(t, listener.Addr().String())
 	u.server = &http.Server{Handler: u, ReadHeaderTimeout: time.Second}
-	// Serve's error only says that the server was closed.
+	// The error of Serve only reports that the server was closed.
 	go func() { _ = u.server.Serve(listener) }()
 	t.Cleanup(func() { _ = u.server.Close() })
 	return u
 }
 
-// row is what the upstream writes about itself in the store.
+// row returns the upstream's row in the store.
 func (u *upstream) row(draining bool) platformtest.UpstreamRow {
 	return platformtest.UpstreamRow{Service: service, Address: u.link.address(), Zone: u.zone, Capacity: capacity, Draining: draining, ColdLeft: u.cold.remaining(), Born: time.Unix(0, u.startedAt.Load())}
 }
 
-// setStartedAt sets when its process started.
+// setStartedAt sets the start time of the upstream's process.
 func (u *upstream) setStartedAt(at time.Time) { u.startedAt.Store(at.UnixNano()) }
 
-// body is the response to a request: a client can tell whether it is its own
-// and whether it is whole.
+// body returns the response body of a request. It lets a client check that the response
+// belongs to its request and is complete.
 func body(id string) string {
 	return fmt.Sprintf("answer to %s %0*d", id, 50+len(id)*7, 7)
 }
@@ -147,7 +148,7 @@
 // ServeHTTP runs one request.
 func (u *upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d := defect(u.defect.Load())
-	// A body that breaks off is the client's or the gateway's business.
+	// A truncated request body is not the upstream's error.
 	_, _ = io.Copy(io.Discard, r.Body)
 	if n := u.notice.Load(); n != nil {
 		n.SetHeaders(w.Header())
@@ -187,8 +188,8 @@
 	u.respond(w, d, id)
 }
 
-// respond sends the response, or what a defect makes of it. Errors mean that
-// the connection has ended.
+// respond sends the response, modified by the defect. Errors are ignored, because they
+// mean that the connection has ended.
 func (u *upstream) respond(w http.ResponseWriter, d defect, id string) {
 	switch d {
 	case unresponsive:
@@ -222,17 +223,17 @@
 	}
 }
 
-// crash ends the upstream as the end of its process does: its connections end, and
-// its address refuses new ones.
+// crash closes the upstream's connections and refuses new ones, as at the end of a
+// process.
 func (u *upstream) crash() {
-	_ = u.disruptions.begin() // it never ends
+	_ = u.disruptions.begin() // this disruption never ends
 	u.link.close()
 	_ = u.server.Close()
 }
 
-// end ends the upstream at once, for good.
+// end stops the upstream permanently, without a drain.
 func (u *upstream) end() {
-	_ = u.disruptions.begin() // it never ends
+	_ = u.disruptions.begin() // this disruption never ends
 	_ = u.server.Close()
 	u.link.set(refuse)
 }
--- a/internal/gateway/soak/world_test.go
+++ b/internal/gateway/soak/world_test.go
@@ -18,22 +18,23 @@
 	hostname = "soak.example"
 	// service is the only service.
 	service = "work"
-	// upstreams is how many upstreams run.
+	// upstreams is the number of upstreams at the start of a run.
 	upstreams = 9
-	// minUpstreams is the number alive below which no fault takes one away.
+	// minUpstreams is the number of running upstreams below which no fault removes one.
 	minUpstreams = 6
-	// warmUpTime is how long an upstream is cold, and warmUpRate how many requests
-	// a second it bears then: the rate so low that two processes of each host
-	// exceed it together, if each takes the host's whole part.
+	// warmUpTime is how long an upstream is cold, and warmUpRate its maximum rate in
+	// this time, in requests per second. The rate is low enough that two successive
+	// processes of each host exceed it together if each uses the host's full share.
 	warmUpTime = time.Second
 	warmUpRate = 6
-	// roaming is how many clients send requests to the hosts that the directory
-	// names.
+	// directoryClients is the number of clients that send requests to the hosts in the
+	// directory.
 	directoryClients = 12
-	// persistentClientsPerHost is how many clients for each host cling to their connections.
+	// persistentClientsPerHost is the number of clients for each host that keep to their
+	// connection.
 	persistentClientsPerHost = 8
-	// longIdleLimit is the clients' idle limit to begin with: with it,
-	// connections are idle when a stopping host closes those that are.
+	// longIdleLimit is the initial idle limit of clients. It is long enough for
+	// connections to be idle when a stopping host closes idle connections.
 	longIdleLimit = 4 * time.Second
 )
 
@@ -42,7 +43,7 @@
 
 type zone struct{ name, region string }
 
-// world is one run.
+// world is the state of one run.
 type world struct {
 	t      *testing.T
 	seed   uint64
@@ -53,34 +54,35 @@
 	ledger *ledger
 
 	storeDisruptions disruptions
-	// evacuating is held while a zone is evacuated, and restoring while the store comes back
-	// from a copy.
+	// evacuating is held during the evacuation of a zone, and restoring during a restore
+	// of the store from a copy.
 	evacuating, restoring sync.Mutex
 
 	mu sync.Mutex
 	// rand is the seeded source of all faults.
 	rand *rand.Rand
-	// alive are the upstreams that no fault has taken away, oldest first.
+	// alive holds the upstreams that no fault has removed, oldest first.
 	alive []*upstream
-	// everyUpstream are all that ever ran.
+	// everyUpstream holds all upstreams that ever ran.
 	everyUpstream []*upstream
-	// lastUpstream is the number of the newest.
+	// lastUpstream is the number of the newest upstream.
 	lastUpstream int
-	// version is the newest configuration's, and acceptedAt when each was
-	// accepted by the store.
+	// version is that of the newest configuration, and acceptedAt the time at which the
+	// store accepted each version.
 	version    int
 	acceptedAt map[int]time.Time
-	// idleLimits are the clients' idle limits so far, the newest last.
+	// idleLimits holds the clients' idle limits so far, the newest last.
 	idleLimits []idleLimit
 	violations []string
-	// notRun are the requests that a host refused as not run: the host's
-	// address by the request's id.
+	// notRun holds the requests that a host refused as not run: the host's address by
+	// the request's ID.
 	notRun map[string]string
-	// closures are the requests whose connection was closed without a response.
+	// closedRequests holds the requests whose connection was closed without a response.
 	closedRequests []closedRequest
-	// said is what upstreams say in their responses.
+	// notices records the notices in upstreams' responses.
 	notices *noticeLog
-	// limitedSent is when each request of the limited account was sent, by its id.
+	// limitedSent is the time at which each request of the limited account was sent, by
+	// its ID.
 	limitedSent map[string]time.Time
 }
 
@@ -106,32 +108,34 @@
 	return w
 }
 
-// timedHosts is how many hosts the runs have that measure times.
+// timedHosts is the number of hosts in runs that measure times.
 const timedHosts = 9
 
-// timedMu is held by the test that runs timedHosts hosts: several beside each other,
-// under the race detector, leave the machine too little for tests that measure times.
+// timedMu is held by the test that runs timedHosts hosts. Several such tests at the same
+// time, under the race detector, would leave too little CPU time for tests that measure
+// times.
 var timedMu sync.Mutex
 
-// newTimedWorld makes a world of timedHosts hosts once it is the test's turn.
+// newTimedWorld returns a world of timedHosts hosts. It waits until no other such test
+// runs.
 func newTimedWorld(t *testing.T, seed uint64) *world {
 	t.Helper()
 	timedMu.Lock()
-	t.Cleanup(timedMu.Unlock) // after those of the world, which end its hosts
+	t.Cleanup(timedMu.Unlock) // runs after the world's cleanups, which end its hosts
 	w := newWorld(t, seed, timedHosts)
 	w.logStalls()
 	return w
 }
 
-// violation records that a guarantee did not hold.
+// violation records that a guarantee does not hold.
 func (w *world) violation(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// configure writes the next version of the configuration: it has a route for
-// each version so far, so that probes show which version a host uses.
+// configure writes the next version of the configuration. Each version has a route for
+// itself and each earlier one, so that probes show which version a host uses.
 func (w *world) configure() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -152,7 +156,7 @@
 	w.acceptedAt[w.version] = time.Now()
 }
 
-// idleLimit is an idle limit of clients, and when the configuration set it.
+// idleLimit is an idle limit of clients, and the time at which the configuration set it.
 type idleLimit struct {
 	from  time.Time
 	limit time.Duration
@@ -183,15 +187,15 @@
 	w.store.PutUpstream(u.ID, u.row(false))
 }
 
-// randomUpstream picks one of the upstreams alive.
+// randomUpstream returns a random running upstream.
 func (w *world) randomUpstream() *upstream {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.alive[w.rand.IntN(len(w.alive))]
 }
 
-// removeUpstream picks an upstream and counts it as alive no more; nil if too few
-// would be left.
+// removeUpstream removes a random upstream from alive and returns it, or nil if too few
+// would remain.
 func (w *world) removeUpstream() *upstream {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -206,7 +210,7 @@
 
 func (w *world) randomHost() *host { return w.hosts[w.intN(len(w.hosts))] }
 
-// hostAt gives the host that clients reach at an address, or nil.
+// hostAt returns the host with an address for clients, or nil.
 func (w *world) hostAt(address string) *host {
 	for _, h := range w.hosts {
 		if h.clients == address {
@@ -222,12 +226,13 @@
 	return w.rand.IntN(n)
 }
 
-// between gives a time from a to b.
+// randomDuration returns a random duration from a up to b, in whole milliseconds.
 func (w *world) randomDuration(a, b time.Duration) time.Duration {
 	return a + time.Duration(w.intN(int((b-a)/time.Millisecond)))*time.Millisecond
 }
 
-// calm reports whether store and hosts have been without faults for settleTime.
+// settled reports whether the store and all hosts have been without faults for
+// settleTime.
 func (w *world) settled() bool {
 	settled := w.storeDisruptions.settled()
 	for _, h := range w.hosts {
