--- a/internal/gateway/soak/client_test.go
+++ b/internal/gateway/soak/client_test.go
@@ -111,11 +111,11 @@
 // idleTime returns a random idle time for a persistent client: in half of the cases any
 // allowed time, else a time close to the longest.
 func (c *client) idleTime() time.Duration {
-	share := c.rand.Float64() * maxIdleFraction
+	fraction := c.rand.Float64() * maxIdleFraction
 	if c.rand.IntN(2) == 0 {
-		share = lateIdleFraction + c.rand.Float64()*(maxIdleFraction-lateIdleFraction)
+		fraction = lateIdleFraction + c.rand.Float64()*(maxIdleFraction-lateIdleFraction)
 	}
-	return time.Duration(share * float64(c.world.currentIdleLimit()))
+	return time.Duration(fraction * float64(c.world.currentIdleLimit()))
 }
 
 // resolve resolves the host name at the directory of a random host, as a client in the
--- a/internal/gateway/soak/cold_test.go
+++ b/internal/gateway/soak/cold_test.go
@@ -37,9 +37,9 @@
 	periods []*coldPeriod
 }
 
-// coldPeriod is a period in which an upstream is cold. The row announced it at
-// announcedAt, and hosts may send requests from from on. The field to is zero while the
-// upstream is cold.
+// coldPeriod is a period in which an upstream is cold. The upstream's row announced the
+// period at announcedAt, hosts may send requests since from, and the period ends at to,
+// which is zero while the upstream is cold.
 type coldPeriod struct{ announcedAt, from, to time.Time }
 
 // begin marks the upstream as cold from now on.
@@ -167,8 +167,8 @@
 	return out
 }
 
-// maxInASecond returns the maximum number of the ordered times from from to to that lie
-// within one second, and the first of them.
+// maxInASecond returns the maximum number of the ordered times between two times that
+// lie within one second, and the first of them.
 func maxInASecond(at []time.Time, from, to time.Time) (highest int, first time.Time) {
 	return maxInWindow(slices.DeleteFunc(slices.Clone(at), func(x time.Time) bool { return x.Before(from) || x.After(to) }), time.Second)
 }
--- a/internal/gateway/soak/disruptions_test.go
+++ b/internal/gateway/soak/disruptions_test.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// during reports whether a fault was active at any time from from to to, both included.
+// during reports whether a fault was active at any time between two times, both
+// included.
 func (d *disruptions) during(from, to time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -53,7 +54,7 @@
 	return !d.during(now.Add(-settleTime), now)
 }
 
-func TestDisruptionsAreCalmOnlyAWhileAfterTheLast(t *testing.T) {
+func TestDisruptionsAreSettledOnlyAfterSettleTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var d disruptions
 		require.True(t, d.settled())
--- a/internal/gateway/soak/notice_test.go
+++ b/internal/gateway/soak/notice_test.go
@@ -130,16 +130,16 @@
 // hosts that had to follow its notices by then. A host must follow them from noticeGrace
 // after its first request on.
 func (n *steadyLoad) boundArrivals(u *upstream, since time.Time) []time.Time {
-	var boundArrivals []time.Time
+	var bound []time.Time
 	for _, at := range n.arrivalsByHost(u, since) {
 		if len(at) == 0 {
 			continue
 		}
 		from := at[0].Add(noticeGrace)
-		boundArrivals = append(boundArrivals, slices.DeleteFunc(at, func(x time.Time) bool { return x.Before(from) })...)
+		bound = append(bound, slices.DeleteFunc(at, func(x time.Time) bool { return x.Before(from) })...)
 	}
-	slices.SortFunc(boundArrivals, time.Time.Compare)
-	return boundArrivals
+	slices.SortFunc(bound, time.Time.Compare)
+	return bound
 }
 
 // arrivalTimes returns the times of the arrivals at an upstream since a time.
@@ -157,9 +157,9 @@
 // upstream with a limit of 5.8 requests per second received 108 requests in 4 s from
 // hosts that had received the limit, and one with a limit of 7.4 received 51.
 //
-// Hosts read only known headers of a response and dropped all others without a log line,
-// so that no decision used the limit. In this test the header was in 38 to 60 responses
-// at each of the nine hosts and was ignored, and the upstream with a limit of 0.3
+// Hosts read only known headers of a response and dropped all others, so that no
+// decision used the limit. In this test the header was in 38 to 60 responses at each of
+// the nine hosts and was counted as unread, and the upstream with a limit of 0.3
 // received 74 requests in 4 s.
 func TestAnUpstreamsLimitHoldsOverAllHosts(t *testing.T) {
 	t.Parallel()
@@ -190,9 +190,9 @@
 // host that sent them. The upstream sent the notice in each response while the store was
 // unavailable, and its row still had the state ready.
 //
-// Hosts took the leaving state from the row only and ignored the header. Each host's
-// copy of the table had the upstream as ready until the store was available again, 13 s
-// later. In this test the header was in 4 to 46 responses at each host and was ignored.
+// Hosts took the leaving state from the row only. Each host's copy of the table had the
+// upstream as ready until the store was available again, 13 s later. In this test the
+// header was in 4 to 46 responses at each host and was counted as unread.
 func TestAnUpstreamThatSaysItLeavesGetsNoMore(t *testing.T) {
 	t.Parallel()
 	n := newSteadyLoad(t, defaultSeed)
@@ -236,7 +236,7 @@
 // next requests there as well, and a request that both upstreams had refused was refused
 // to its client. The logs had 969 attempts in four seconds that the same upstreams
 // refused. In this test the header was in 14 to 61 responses at each host and was
-// ignored.
+// counted as unread.
 func TestAnUpstreamThatAsksForRestGetsIt(t *testing.T) {
 	t.Parallel()
 	n := newSteadyLoad(t, defaultSeed)
@@ -247,7 +247,7 @@
 	require.Zero(t, n.refused.Load(), "each request has a second attempt, and the other upstreams have free capacity")
 	second := n.startBackoff(n.world.everyUpstream[1])
 	n.send(5 * time.Second)
-	for _, r := range []backoffPeriod{first, second} {
+	for _, r := range []backoffStart{first, second} {
 		most := 0
 		for _, at := range n.arrivalsByHost(r.upstream, r.since) {
 			most = max(most, maxInBackoff(at))
@@ -259,17 +259,17 @@
 	require.Equal(t, n.sent.Load(), n.served.Load(), "the other upstreams have free capacity")
 }
 
-// backoffPeriod is an upstream that requests a backoff since a time.
-type backoffPeriod struct {
+// backoffStart records when an upstream began to request a backoff.
+type backoffStart struct {
 	upstream *upstream
 	since    time.Time
 }
 
 // startBackoff makes an upstream refuse each request from now on and request a backoff.
-func (n *steadyLoad) startBackoff(u *upstream) backoffPeriod {
+func (n *steadyLoad) startBackoff(u *upstream) backoffStart {
 	since := time.Now()
 	u.notice.Store(&platformtest.Notice{Rest: fmt.Sprint(requestedBackoff.Seconds())})
-	return backoffPeriod{u, since}
+	return backoffStart{u, since}
 }
 
 // maxInBackoff returns the maximum number of a host's ordered requests during one
--- a/internal/gateway/soak/poison_test.go
+++ b/internal/gateway/soak/poison_test.go
@@ -189,7 +189,7 @@
 }
 
 // A request that terminates every upstream that runs it terminated 23 to 39 upstreams of
-// a service within seconds, in two incidents, and other requests were lost with them.
+// a service within seconds, twice, and other requests were lost with them.
 //
 // The request terminated its upstream at once. The host sent it to a second upstream,
 // which terminated 70 ms later. The client repeated it at other hosts in turn, with a
@@ -198,7 +198,7 @@
 // Hosts kept their state by request ID, service or upstream, so that each repetition was
 // a new request everywhere. Of the requests in flight at the terminations of the first
 // 20 upstreams, one was present in all of them and no other in more than four. Its
-// repetitions were sent to upstreams in good state.
+// repetitions were sent to upstreams that were known to be healthy.
 func TestARequestThatEndsUpstreamsIsSoonSentNoMore(t *testing.T) {
 	t.Parallel()
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
--- a/internal/gateway/soak/recovery_test.go
+++ b/internal/gateway/soak/recovery_test.go
@@ -44,8 +44,8 @@
 	h := w.hosts[0]
 	for _, c := range []struct {
 		name string
-		// happen causes the fault. The host may resume when it returns.
-		happen func()
+		// causeFault causes the fault. The host may resume when it returns.
+		causeFault func()
 	}{
 		{"a pause", func() {
 			h.signal(syscall.SIGSTOP)
@@ -59,7 +59,7 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			c.happen()
+			c.causeFault()
 			began := time.Now()
 			for range connections {
 				require.Equal(t, http.StatusOK, w.probe(h, 1))
--- a/internal/gateway/soak/restore_test.go
+++ b/internal/gateway/soak/restore_test.go
@@ -115,8 +115,8 @@
 }
 
 // Hosts that had applied an evacuation sent requests to the zone again after a restored
-// store lacked the evacuation. The store is restored twice. One host is paused during
-// the first restore, and one host is disconnected from the store.
+// store lacked the evacuation. The store is restored twice. In the meantime one host is
+// paused, and another one is disconnected from the store.
 func TestAnEvacuationHoldsWhileTheStoreComesBackTwice(t *testing.T) {
 	t.Parallel()
 	n := newSteadyLoad(t, defaultSeed)
--- a/internal/gateway/soak/said_test.go
+++ b/internal/gateway/soak/said_test.go
@@ -141,13 +141,13 @@
 }
 
 func (w *world) announceLimit(u *upstream) {
-	spell := limitPeriod{upstream: u, from: time.Now()}
+	period := limitPeriod{upstream: u, from: time.Now()}
 	u.notice.Store(&platformtest.Notice{Limit: fmt.Sprint(announcedLimit)})
 	time.Sleep(announcedLimitDuration)
-	spell.to = time.Now()
+	period.to = time.Now()
 	u.notice.Store(nil)
 	w.notices.mu.Lock()
-	w.notices.limits = append(w.notices.limits, spell)
+	w.notices.limits = append(w.notices.limits, period)
 	w.notices.mu.Unlock()
 	w.restoreUpstream(u)
 }
--- a/internal/gateway/soak/stall_test.go
+++ b/internal/gateway/soak/stall_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// during returns the total stall time from from to to.
+// during returns the total stall time between two times.
 func (s *stalls) during(from, to time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
