--- a/internal/gateway/soak/size_test.go
+++ b/internal/gateway/soak/size_test.go
@@ -13,73 +13,75 @@
 	"golang.org/x/sys/unix"
 )
 
-// Sizes of runs. The standard one is small; larger ones are played by hand, and
-// bounded so that they leave the machine room.
+// Sizes of runs. The default size is small. Larger runs are started manually and are
+// limited, so that other work on the machine can continue.
 const (
-	// maxHosts is the highest number of hosts.
+	// maxHosts is the maximum number of hosts.
 	maxHosts = 300
-	// memoryShare is the part of the machine's memory that the hosts of all runs
-	// of the test process may have together.
-	memoryShare = 0.5
-	// startTogether is how many hosts start at a time.
-	startTogether = 10
-	// maxClinging is how many clinging clients there are at most, but no fewer
-	// than hosts.
-	maxClinging = 160
-	// minProbeEvery is how often a host's version is probed, and probePause the
-	// time between any two probes, on average, if that is longer.
-	minProbeEvery = 60 * time.Millisecond
-	probePause    = 4 * time.Millisecond
+	// maxMemoryFraction is the maximum fraction of the machine's memory for the hosts of
+	// all runs in the test process.
+	maxMemoryFraction = 0.5
+	// startBatch is the number of hosts that start at a time.
+	startBatch = 10
+	// maxPersistentClients is the maximum number of persistent clients. There is always
+	// at least one for each host.
+	maxPersistentClients = 160
+	// minProbeInterval is the minimum interval between two probes of a host. With many
+	// hosts the interval is longer, so that any two probes are meanProbeGap apart on
+	// average.
+	minProbeInterval = 60 * time.Millisecond
+	meanProbeGap     = 4 * time.Millisecond
 )
 
-// startHosts starts all hosts, some at a time, and waits until they serve.
+// startHosts starts all hosts in batches, and waits until they serve requests.
 func (w *world) startHosts(timeout time.Duration) {
 	require.LessOrEqual(w.t, len(w.hosts), maxHosts, "SOAK_HOSTS is too high")
 	for i, h := range w.hosts {
 		h.start()
 		w.t.Cleanup(h.kill)
-		if i%startTogether == startTogether-1 {
+		if i%startBatch == startBatch-1 {
 			w.awaitHost(h, timeout)
 		}
 	}
 	w.awaitService(timeout)
 }
 
-// clinging is how many clinging clients there are.
-func (w *world) clinging() int {
-	return max(len(w.hosts), min(maxClinging, clingingPerHost*len(w.hosts)))
+// persistentClients returns the number of persistent clients.
+func (w *world) persistentClients() int {
+	return max(len(w.hosts), min(maxPersistentClients, persistentClientsPerHost*len(w.hosts)))
 }
 
-// probeEvery is how often each host is probed.
-func (w *world) probeEvery() time.Duration {
-	return max(minProbeEvery, time.Duration(len(w.hosts))*probePause)
+// probeInterval returns the interval between two probes of a host.
+func (w *world) probeInterval() time.Duration {
+	return max(minProbeInterval, time.Duration(len(w.hosts))*meanProbeGap)
 }
 
 // hostMemory is the memory of the hosts of all runs, in bytes.
 var hostMemory atomic.Int64
 
-// watchMemory ends the run, with a violation, once hosts have more than
-// memoryShare of the machine's memory, and logs the most that this run's had.
+// watchMemory ends the run with a violation when the hosts of all runs exceed
+// maxMemoryFraction of the machine's memory. It logs the peak memory of this run's
+// hosts.
 func (w *world) watchMemory(ctx context.Context, cancel context.CancelFunc) {
-	var now, most int64
+	var now, peak int64
 	defer func() {
 		hostMemory.Add(-now)
-		w.t.Logf("seed %d: %d hosts had %d MiB at most", w.seed, len(w.hosts), most>>20)
+		w.t.Logf("seed %d: %d hosts used at most %d MiB", w.seed, len(w.hosts), peak>>20)
 	}()
-	limit := int64(memoryShare * float64(machineMemory(w.t)))
+	limit := int64(maxMemoryFraction * float64(machineMemory(w.t)))
 	for ctx.Err() == nil {
-		was := now
+		previous := now
 		now = w.residentMemory()
-		most = max(most, now)
-		if all := hostMemory.Add(now - was); all > limit {
-			w.violation("size: hosts have %d MiB, more than the %d MiB that they may have", all>>20, limit>>20)
+		peak = max(peak, now)
+		if all := hostMemory.Add(now - previous); all > limit {
+			w.violation("size: hosts use %d MiB, more than the limit of %d MiB", all>>20, limit>>20)
 			cancel()
 		}
 		time.Sleep(time.Second)
 	}
 }
 
-// residentMemory is the memory of the run's hosts, in bytes.
+// residentMemory returns the resident memory of the run's hosts, in bytes.
 func (w *world) residentMemory() (sum int64) {
 	for _, h := range w.hosts {
 		h.mu.Lock()
@@ -87,7 +89,7 @@
 		h.mu.Unlock()
 		text, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/statm")
 		if err != nil {
-			continue // it has just ended
+			continue // the process has just ended
 		}
 		// The second field is the number of pages in memory.
 		if fields := strings.Fields(string(text)); len(fields) > 1 {
@@ -99,7 +101,7 @@
 	return sum
 }
 
-// machineMemory is the machine's memory in bytes.
+// machineMemory returns the machine's memory, in bytes.
 func machineMemory(t *testing.T) uint64 {
 	var info unix.Sysinfo_t
 	if err := unix.Sysinfo(&info); err != nil {
