--- a/internal/selector/entry/dispatch/dispatch.go
+++ b/internal/selector/entry/dispatch/dispatch.go
@@ -1,10 +1,11 @@
-// Package dispatch decides where a request goes, and sends it to one zone after
-// another until it is answered or must be given up.
+// Package dispatch routes a request: it sends the request to one zone after
+// another until an upstream responds or no further try is allowed.
 //
-// It owns the tries of one request at a time: how many there may be, whether
-// another may follow, where to wait and when to hedge. It relies on the
-// service's decider for the choice of zones, on admission for the slots of the
-// own zone and on forwarding for other hosts (docs/design/request.md).
+// The package controls the tries of each request: the maximum number, whether
+// another try may follow, in which queue the request waits and when it is
+// hedged. The service's decider chooses the zones, package admission provides
+// the slots of the host's own zone, and package forward reaches other hosts
+// (docs/design/request.md).
 package dispatch
 
 import (
@@ -22,7 +23,7 @@
 	"cairndock/internal/verdict"
 )
 
-// Admitter admits requests to the upstreams of the own zone.
+// Admitter admits requests to the upstreams of the host's own zone.
 type Admitter interface {
 	Acquire(ctx context.Context, service, rule string, until time.Time) (slot.Lease, error)
 	Cancel(service string, lease slot.Lease)
@@ -32,11 +33,12 @@
 // Forwarder forwards requests to other hosts.
 type Forwarder interface {
 	Forward(ctx context.Context, req *call.Request, zone, rule string, until time.Time) (*call.Response, error)
-	// ZoneMayHelp reports whether a host of the own zone reported a free slot.
+	// ZoneMayHelp reports whether another host of the same zone reported a free
+	// slot.
 	ZoneMayHelp(service string) bool
 }
 
-// Options are what a Dispatcher is made of.
+// Options configure a Dispatcher.
 type Options struct {
 	View      func() *config.View
 	Services  *services.Set
@@ -50,11 +52,11 @@
 // Dispatcher dispatches requests.
 type Dispatcher struct{ Options }
 
-// New makes a Dispatcher.
+// New returns a Dispatcher.
 func New(o Options) *Dispatcher { return &Dispatcher{o} }
 
-// Dispatch decides where a request goes, and offers it to other zones as long
-// as it provably did not run, or may be repeated. Its error is a
+// Dispatch sends a request to the best zone. It tries other zones while the
+// request provably did not run or may be repeated. Errors are of type
 // *verdict.Error.
 func (d *Dispatcher) Dispatch(ctx context.Context, req *call.Request) (*call.Response, error) {
 	ctx, span := d.Tracer.Start(ctx, "dispatch", trace.WithAttributes(attribute.String("service", req.Service)))
@@ -70,7 +72,7 @@
 	return resp, err
 }
 
-// begin counts a request as arrived and plans its tries.
+// begin registers a new request with the decider and plans its tries.
 func (d *Dispatcher) begin(svc *config.ServiceView, req *call.Request) *request {
 	r := &request{Dispatcher: d, svc: svc, state: d.Services.Get(req.Service), req: req}
 	r.state.Decide(func(dec *steer.Decider) { dec.Begin(&r.plan) })
--- a/internal/selector/entry/dispatch/dispatch_test.go
+++ b/internal/selector/entry/dispatch/dispatch_test.go
@@ -39,20 +39,20 @@
 share = 1.0
 `
 
-// outcome is how one try ends; nil is a whole response.
+// outcome is the result of one try; nil is a complete response.
 type outcome *verdict.Error
 
-// system is a host of costa-a. Its own zone and the other one each give
-// outcomes in their order, and whole responses after them.
+// system is a host of zone costa-a. Its own zone and the other zone each return
+// the listed outcomes in order, and complete responses afterwards.
 type system struct {
 	*Dispatcher
 	own   []outcome
 	other []outcome
-	// tries are the zones tried, in their order.
+	// tries are the zones tried, in order.
 	tries []string
 }
 
-func (s *system) end(zone string, from *[]outcome) (*call.Response, error) {
+func (s *system) respond(zone string, from *[]outcome) (*call.Response, error) {
 	s.tries = append(s.tries, zone)
 	if len(*from) > 0 {
 		next := (*from)[0]
@@ -64,7 +64,7 @@
 	return &call.Response{Status: 200, Length: 2, Verdict: verdict.Ran, Body: io.NopCloser(strings.NewReader("ok"))}, nil
 }
 
-// sender is the client of the own zone's upstreams.
+// sender is the client of the upstreams in the host's own zone.
 type sender struct {
 	*admission.Admitter
 	s *system
@@ -72,19 +72,19 @@
 
 func (a sender) Send(_ context.Context, req *call.Request, lease slot.Lease) (*call.Response, error) {
 	a.Cancel(req.Service, lease)
-	return a.s.end("costa-a", &a.s.own)
+	return a.s.respond("costa-a", &a.s.own)
 }
 
 func (s *system) Forward(_ context.Context, _ *call.Request, zone, _ string, _ time.Time) (*call.Response, error) {
-	return s.end(zone, &s.other)
+	return s.respond(zone, &s.other)
 }
 
 func (*system) ZoneMayHelp(string) bool { return false }
 
 func newSystem(t *testing.T) *system {
 	view := configtest.View(t, doc)
-	made := time.Now()
-	now := func() int64 { return int64(time.Hour) + int64(time.Since(made)) }
+	createdAt := time.Now()
+	now := func() int64 { return int64(time.Hour) + int64(time.Since(createdAt)) }
 	f := fence.New(now)
 	f.Start()
 	set := services.NewSet(view, func() float64 { return 0.5 })
@@ -111,9 +111,9 @@
 	return &call.Request{Service: "planning", Method: method, Target: "/x", Deadline: time.Now().Add(time.Second)}
 }
 
-// TestTries: a request that provably did not run goes to another zone; one
-// that may have run only when the service lets its method be repeated; and one
-// try in doubt leaves the whole request in doubt.
+// TestTries checks that a request that provably did not run goes to another
+// zone, that a request that may have run does so only if the service allows its
+// method to be repeated, and that one try in doubt leaves the request in doubt.
 func TestTries(t *testing.T) {
 	shed := outcome(verdict.New(verdict.NotRun, verdict.UpstreamShed, "shed"))
 	lost := outcome(verdict.New(verdict.MayHaveRun, verdict.UpstreamFailed, "lost"))
@@ -136,7 +136,7 @@
 			s := newSystem(t)
 			s.own, s.other = tc.own, tc.other
 			svc, _ := s.View().Service("planning")
-			for range 100 { // the budget of retries comes of requests
+			for range 100 { // arriving requests fill the retry budget
 				s.begin(svc, lookup(tc.method))
 			}
 			a, err := s.Dispatch(context.Background(), lookup(tc.method))
@@ -152,8 +152,9 @@
 	}
 }
 
-// A host with no retries left refused requests with "full" beside a zone with room, when
-// the upstream that it had tried could not be connected to. Nothing had been sent.
+// Guards against refusing a request with "full" although another zone has free
+// slots. A host with an empty retry budget did so when it could not connect to the
+// upstream that it tried first, although nothing had been sent.
 func TestATryThatWasNotSentNeedsNoRetry(t *testing.T) {
 	for _, reason := range []verdict.Reason{verdict.UpstreamFailed, verdict.PeerFailed, verdict.PeerStopping} {
 		t.Run(string(reason), func(t *testing.T) {
@@ -167,7 +168,7 @@
 	}
 }
 
-// fillQueue takes every slot of the own zone, and every place in its queue.
+// fillQueue acquires every slot of the host's own zone and fills its queue.
 func (s *system) fillQueue(ctx context.Context) {
 	gate := s.Services.Get("planning").Gate
 	for range gate.Load().Held {
@@ -178,8 +179,8 @@
 	}
 }
 
-// TestFullQueueIsPassedOver: a request that finds the queue of the nearest
-// full zone full as well waits at the next one, instead of being refused.
+// TestFullQueueIsPassedOver checks that a request waits in the next zone, instead
+// of being refused, when the queue of the nearest full zone is also full.
 func TestFullQueueIsPassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSystem(t)
@@ -189,17 +190,17 @@
 		synctest.Wait()
 		svc, _ := s.View().Service("planning")
 		r := s.begin(svc, lookup(http.MethodGet))
-		r.mayQueueAt(steer.Choice{Rule: "all", Zone: "costa-a", Local: true, Full: true})
-		r.mayQueueAt(steer.Choice{Rule: "all", Zone: "costa-b", Full: true})
-		answer, err := r.queue(ctx)
+		r.addQueueCandidate(steer.Choice{Rule: "all", Zone: "costa-a", Local: true, Full: true})
+		r.addQueueCandidate(steer.Choice{Rule: "all", Zone: "costa-b", Full: true})
+		response, err := r.queue(ctx)
 		require.NoError(t, err)
-		require.NoError(t, answer.Body.Close())
+		require.NoError(t, response.Body.Close())
 		require.Equal(t, []string{"costa-b"}, s.tries)
 	})
 }
 
-// TestBufferPrefix: a short response that breaks off is a verdict, a long one
-// goes on as it comes.
+// TestBufferPrefix checks that a truncated short response becomes a verdict, and
+// that a long response is passed on as it arrives.
 func TestBufferPrefix(t *testing.T) {
 	broken := func(n int) io.ReadCloser {
 		return io.NopCloser(io.MultiReader(strings.NewReader(strings.Repeat("x", n)), errReader{}))
--- a/internal/selector/entry/dispatch/request.go
+++ b/internal/selector/entry/dispatch/request.go
@@ -14,7 +14,7 @@
 	"cairndock/internal/verdict"
 )
 
-// request takes one request through its tries.
+// request is the state of one request across its tries.
 type request struct {
 	*Dispatcher
 	svc   *config.ServiceView
@@ -22,22 +22,26 @@
 	req   *call.Request
 	plan  steer.Plan
 	last  *verdict.Error
-	// doubt is set when a try may have run: the final verdict can't be less.
-	doubt bool
-	// offers counts the zones asked, and sends those that did not refuse for being
-	// full and from which an upstream may have got something: only these cost the
-	// budget of retries, since a zone that is full costs a hop, and is then not asked
-	// for a while. They and spent are used in state.Decide, as a hedge runs beside the first try.
+	// inDoubt is set when a try may have run. The final verdict then cannot be
+	// that the request did not run.
+	inDoubt bool
+	// offers counts the zones that the request was offered to. sends counts
+	// the offers that were not refused because the zone was full and that may
+	// have reached an upstream. Only sends use the retry budget: a full zone
+	// costs one hop and is then skipped for a while. Both counters and
+	// budgetSpent are accessed inside state.Decide, because a hedge runs
+	// concurrently with the first try.
 	offers int
 	sends  int
-	// spent is set when the budget of retries is used up.
-	spent bool
-	// queueAt holds the first full zones of each rule, where to wait at last.
-	queueAt []steer.Choice
+	// budgetSpent is set when the retry budget is used up.
+	budgetSpent bool
+	// queueCandidates are the first full zones of each rule. The request waits
+	// in their queues when no zone has a free slot.
+	queueCandidates []steer.Choice
 }
 
-// run offers the request to one zone after another, and at last waits at one
-// that was full.
+// run offers the request to one zone after another. When no zone takes the
+// request, run waits in the queue of a zone that was full.
 func (r *request) run(ctx context.Context) (*call.Response, error) {
 	for r.triesLeft() {
 		choice, ok := r.next()
@@ -45,31 +49,31 @@
 			break
 		}
 		if choice.Full && !choice.Local {
-			r.mayQueueAt(choice)
+			r.addQueueCandidate(choice)
 			continue
 		}
 		resp, err := r.try(ctx, choice)
 		if err == nil {
 			return resp, nil
 		}
-		if !r.noteFailure(ctx, choice, err) {
-			return nil, finalVerdict(r.last, r.doubt, r.plan.Capped)
+		if !r.recordFailure(ctx, choice, err) {
+			return nil, finalVerdict(r.last, r.inDoubt, r.plan.Capped)
 		}
 	}
 	return r.queue(ctx)
 }
 
-// triesLeft reports whether the request may be sent once more.
+// triesLeft reports whether the request may be sent again.
 func (r *request) triesLeft() bool {
 	may := false
-	r.state.Decide(func(*steer.Decider) { may = mayTry(r.sends, r.offers, r.spent) })
+	r.state.Decide(func(*steer.Decider) { may = mayTry(r.sends, r.offers, r.budgetSpent) })
 	return may
 }
 
-// queue waits for a slot at the best zone that was full.
+// queue waits for a slot in the best zone that was full.
 func (r *request) queue(ctx context.Context) (*call.Response, error) {
-	until := queueUntil(time.Now(), r.req.Deadline)
-	for _, choice := range r.queueAt {
+	until := queueDeadline(time.Now(), r.req.Deadline)
+	for _, choice := range r.queueCandidates {
 		if ctx.Err() != nil || !r.triesLeft() || time.Now().After(until) {
 			break
 		}
@@ -77,18 +81,18 @@
 		if err == nil {
 			return resp, nil
 		}
-		reason := r.note(err).Reason
+		reason := r.recordError(err).Reason
 		if reason == verdict.Full {
-			r.noteFull(choice)
+			r.recordFull(choice)
 		}
 		if !mayQueueElsewhere(reason) {
 			break
 		}
 	}
-	return nil, finalVerdict(r.last, r.doubt, r.plan.Capped)
+	return nil, finalVerdict(r.last, r.inDoubt, r.plan.Capped)
 }
 
-// next gives the zone to try next.
+// next returns the zone to try next.
 func (r *request) next() (choice steer.Choice, ok bool) {
 	now := r.Now()
 	held, out, latency := r.state.Usage()
@@ -99,13 +103,13 @@
 	return choice, ok
 }
 
-// commit counts a sending against the cap and, from the second on, against
-// the budget of retries.
+// commit counts a send against the cap of its rule. The second and later sends
+// also count against the retry budget.
 func (r *request) commit(c steer.Choice) (refusal *verdict.Error) {
 	r.state.Decide(func(dec *steer.Decider) {
 		switch {
 		case r.sends > 0 && !dec.Retries().Take():
-			r.spent = true
+			r.budgetSpent = true
 			refusal = verdict.New(verdict.NotRun, verdict.Full, "no retries left")
 		case !dec.Commit(&r.plan, c):
 			refusal = verdict.New(verdict.NotRun, verdict.Capped, "rule %q is at its cap", c.Rule).WithRetryAfter(admission.RetryAfter)
@@ -117,14 +121,14 @@
 	return refusal
 }
 
-// offer sends the request to a zone. Until says how long it may wait for a
-// slot there; the zero time is not at all.
+// offer sends the request to a zone, where it may wait for a slot until the
+// given time. With the zero time, the request does not wait.
 func (r *request) offer(ctx context.Context, c steer.Choice, until time.Time) (*call.Response, error) {
 	if !c.Local {
 		return r.offerPeers(ctx, c, until)
 	}
-	// Locally the slot is taken first: a request that finds none was not
-	// sent, and uses no room under the cap.
+	// In the host's own zone the slot is acquired first: a request that finds
+	// no slot was not sent and must not count against the cap.
 	lease, err := r.Admitter.Acquire(ctx, r.req.Service, c.Rule, until)
 	if err != nil {
 		if r.Forwarder.ZoneMayHelp(r.req.Service) {
@@ -137,24 +141,24 @@
 		return nil, err
 	}
 	resp, err := r.Admitter.Send(ctx, r.req, lease)
-	return r.untilEnd(c, resp, err)
+	return r.trackOutstanding(c, resp, err)
 }
 
-// offerPeers forwards the request to a host of the choice's zone; of the own
-// zone, when this host is full, to one that reported a free slot.
+// offerPeers forwards the request to a host of the chosen zone. When this host
+// is full, the target is a host of the same zone that reported a free slot.
 func (r *request) offerPeers(ctx context.Context, c steer.Choice, until time.Time) (*call.Response, error) {
 	if err := r.commit(c); err != nil {
 		return nil, err
 	}
 	resp, err := r.Forwarder.Forward(ctx, r.req, c.Zone, c.Rule, until)
-	return r.untilEnd(c, resp, err)
+	return r.trackOutstanding(c, resp, err)
 }
 
-// untilEnd counts a committed request as outstanding until its response is
-// read or it has failed.
-func (r *request) untilEnd(c steer.Choice, resp *call.Response, err error) (*call.Response, error) {
+// trackOutstanding counts a committed request as outstanding until the body of
+// its response is closed or the request has failed.
+func (r *request) trackOutstanding(c steer.Choice, resp *call.Response, err error) (*call.Response, error) {
 	if err != nil {
-		r.ended(c.Zone)
+		r.endOutstanding(c.Zone)
 		return nil, err
 	}
 	out := *resp
@@ -162,13 +166,13 @@
 	return &out, nil
 }
 
-// ended counts the request as no longer outstanding at a zone.
-func (r *request) ended(zone string) {
+// endOutstanding stops counting the request as outstanding in a zone.
+func (r *request) endOutstanding(zone string) {
 	r.state.Decide(func(dec *steer.Decider) { dec.Ended(zone) })
 }
 
-// countedBody is the body of a request that is outstanding at a zone until it
-// is closed for the first time.
+// countedBody is a response body. Its request counts as outstanding in the zone
+// until the body is closed for the first time.
 type countedBody struct {
 	io.ReadCloser
 	request *request
@@ -176,32 +180,33 @@
 	once    sync.Once
 }
 
-// Close closes the body and ends the count.
+// Close closes the body. The request is then no longer outstanding.
 func (b *countedBody) Close() error {
 	err := b.ReadCloser.Close()
-	b.once.Do(func() { b.request.ended(b.zone) })
+	b.once.Do(func() { b.request.endOutstanding(b.zone) })
 	return err
 }
 
-// noteFailure notes a failed try and says whether another may follow.
-func (r *request) noteFailure(ctx context.Context, c steer.Choice, err error) bool {
-	e := r.note(err)
+// recordFailure records a failed try and reports whether another may follow.
+func (r *request) recordFailure(ctx context.Context, c steer.Choice, err error) bool {
+	e := r.recordError(err)
 	if e.Reason == verdict.Full {
-		r.mayQueueAt(c)
-		r.noteFull(c)
+		r.addQueueCandidate(c)
+		r.recordFull(c)
 	}
 	if slowsRamp(e.Reason) {
 		r.state.Decide(func(dec *steer.Decider) { dec.Meter().Slow(c.Rule) })
 	}
-	// A quarantined request would be refused everywhere.
+	// Every zone refuses a quarantined request.
 	if e.Reason == verdict.Quarantined || ctx.Err() != nil || time.Now().After(r.req.Deadline) {
 		return false
 	}
 	return mayRetry(e.Verdict, r.repeatable(), r.ticketed())
 }
 
-// noteFull notes that a zone was full: nothing reached an upstream there.
-func (r *request) noteFull(c steer.Choice) {
+// recordFull records that a zone was full. The request did not reach an upstream
+// there, so the offer is not counted as a send.
+func (r *request) recordFull(c steer.Choice) {
 	now := r.Now()
 	r.state.Decide(func(dec *steer.Decider) {
 		dec.Refused(c.Zone, now)
@@ -209,30 +214,32 @@
 	})
 }
 
-// mayQueueAt remembers the first zones of a rule that were found full.
-func (r *request) mayQueueAt(c steer.Choice) {
+// addQueueCandidate stores a full zone, up to maxQueues zones for each rule.
+func (r *request) addQueueCandidate(c steer.Choice) {
 	ofRule := 0
-	for _, known := range r.queueAt {
+	for _, known := range r.queueCandidates {
 		if known.Rule == c.Rule {
 			ofRule++
 		}
 	}
 	if ofRule < maxQueues {
-		r.queueAt = append(r.queueAt, c)
+		r.queueCandidates = append(r.queueCandidates, c)
 	}
 }
 
-// repeatable reports whether the service lets the request's method be repeated.
+// repeatable reports whether the service allows the request's method to be
+// repeated.
 func (r *request) repeatable() bool { return r.svc.Repeat.Allows(r.req.Method) }
 
+// ticketed reports whether the request carries a ticket.
 func (r *request) ticketed() bool { return r.req.Ticket != "" }
 
-// note remembers how a try failed.
-func (r *request) note(err error) *verdict.Error {
+// recordError stores the verdict of a failed try.
+func (r *request) recordError(err error) *verdict.Error {
 	e := verdict.From(err)
 	r.last = e
 	if e.Verdict != verdict.NotRun {
-		r.doubt = true
+		r.inDoubt = true
 	}
 	if isUnsent(e.Verdict, e.Reason) {
 		r.state.Decide(func(*steer.Decider) { r.sends-- })
--- a/internal/selector/entry/dispatch/rules.go
+++ b/internal/selector/entry/dispatch/rules.go
@@ -8,46 +8,47 @@
 	"cairndock/internal/verdict"
 )
 
-// The decisions on a request's tries, each a function of what is known then.
+// The functions in this file decide about the tries of a request. Each depends
+// only on its arguments.
 
 const (
-	// maxTries bounds how often one request is sent to an upstream.
+	// maxTries limits how often one request is sent to an upstream.
 	maxTries = 4
-	// maxOffers bounds how often one request is offered to a zone, full ones
-	// included.
+	// maxOffers limits how often one request is offered to a zone. Offers to
+	// full zones are included.
 	maxOffers = 8
-	// queuePart is the part of the time left that a request may spend
-	// waiting for a slot: one in queuePart.
-	queuePart = 4
-	// maxQueues bounds the full zones of a rule at which a request asks to
-	// wait: where the first one's queue is full as well, another's may have
-	// room.
+	// queueTimeDivisor limits the time that a request may wait for a slot: the
+	// time left until the deadline, divided by queueTimeDivisor.
+	queueTimeDivisor = 4
+	// maxQueues limits the full zones of a rule whose queues a request may try.
+	// When the queue of the first zone is also full, the queue of the next may
+	// have free places.
 	maxQueues = 2
-	// hedgeAfter is how many usual latencies a lookup may take before a
-	// second one is sent.
-	hedgeAfter = 4
-	// hedgeLeast is the least time before a second lookup is sent.
-	hedgeLeast = 10 * time.Millisecond
+	// hedgeLatencyFactor multiplies the usual latency of the upstreams: a
+	// lookup that takes longer is hedged with a second one.
+	hedgeLatencyFactor = 4
+	// minHedgeDelay is the minimum time before a second lookup is sent.
+	minHedgeDelay = 10 * time.Millisecond
 )
 
-// mayTry says whether a request may be offered to one more zone. Sends counts
-// those from which an upstream may have got something, offers all, and spent is set when
-// the service's budget of retries is used up.
-func mayTry(sends, offers int, spent bool) bool {
-	return sends < maxTries && offers < maxOffers && !spent
+// mayTry reports whether a request may be offered to one more zone. The count
+// sends includes only offers that may have reached an upstream, offers includes
+// all. budgetSpent is set when the service's retry budget is used up.
+func mayTry(sends, offers int, budgetSpent bool) bool {
+	return sends < maxTries && offers < maxOffers && !budgetSpent
 }
 
-// mayRetry says whether a request may be sent again after a try that ended
-// with a verdict: always when it provably did not run, else when the service
-// lets its method be repeated. A ticket's request runs at most once
+// mayRetry reports whether a request may be sent again after a try with the
+// given verdict. A request that provably did not run may always be sent again.
+// Any other request needs a service that allows its method to be repeated, and
+// must have no ticket: a request with a ticket runs at most once
 // (docs/design/request.md).
 func mayRetry(v verdict.Verdict, repeatable, ticketed bool) bool {
 	return v == verdict.NotRun || repeatable && !ticketed
 }
 
-// isUnsent says whether a try that ended with a verdict for a reason was committed and
-// reached no upstream: there was no connection to it, or to the host that was asked, or
-// that host was stopping.
+// isUnsent reports whether a committed try reached no upstream: there was no
+// connection to the upstream or to the peer, or the peer was stopping.
 func isUnsent(v verdict.Verdict, r verdict.Reason) bool {
 	switch r {
 	case verdict.UpstreamFailed, verdict.PeerFailed, verdict.PeerStopping:
@@ -57,20 +58,21 @@
 	}
 }
 
-// slowsRamp says whether a failed try slows the ramp of its rule: a refusal or
-// shed there does (docs/design/shares.md).
+// slowsRamp reports whether a failed try slows the ramp of its rule. A full zone
+// and an upstream that sheds requests do (docs/design/shares.md).
 func slowsRamp(reason verdict.Reason) bool {
 	return reason == verdict.UpstreamShed || reason == verdict.Full
 }
 
-// queueUntil gives until when a request with a deadline may wait for a slot.
-func queueUntil(now, deadline time.Time) time.Time {
-	return now.Add(deadline.Sub(now) / queuePart)
+// queueDeadline returns the time until which a request with the given deadline
+// may wait for a slot.
+func queueDeadline(now, deadline time.Time) time.Time {
+	return now.Add(deadline.Sub(now) / queueTimeDivisor)
 }
 
-// mayQueueElsewhere says whether a request that was refused a place in a queue
-// may ask another zone: when its rule has come to its cap meanwhile, the queue was
-// full as well, or the host there leaves.
+// mayQueueElsewhere reports whether a request that was refused by the queue of
+// one zone may try another zone. It may when its rule reached the cap in the
+// meantime, the queue was also full, or the host of that zone is stopping.
 func mayQueueElsewhere(reason verdict.Reason) bool {
 	switch reason {
 	case verdict.Capped, verdict.Full, verdict.PeerStopping:
@@ -80,22 +82,22 @@
 	}
 }
 
-// mayHedge says whether a second try may run beside a request's first: only a
-// lookup may, as both may run.
+// mayHedge reports whether a second try may run concurrently with the first.
+// Only lookups are hedged, because both tries may run at upstreams.
 func mayHedge(class config.Class, repeatable, ticketed bool) bool {
 	return class == config.Interactive && repeatable && !ticketed
 }
 
-// hedgeDelay gives when the second try is sent, by the usual latency of the
-// service's upstreams here.
+// hedgeDelay returns the delay before the second try is sent, from the usual
+// latency of the service's upstreams in this zone.
 func hedgeDelay(latency time.Duration) time.Duration {
-	return max(hedgeLeast, hedgeAfter*latency)
+	return max(minHedgeDelay, hedgeLatencyFactor*latency)
 }
 
-// finalVerdict is the verdict over all tries. Last is how the last one ended,
-// nil when there was none; doubt is set when any of them may have run, and
-// capped when a rule was at its cap.
-func finalVerdict(last *verdict.Error, doubt, capped bool) *verdict.Error {
+// finalVerdict returns the verdict over all tries. The argument last is the error
+// of the last try, or nil when there was no try. inDoubt is set when any try may
+// have run, and capped when a rule was at its cap.
+func finalVerdict(last *verdict.Error, inDoubt, capped bool) *verdict.Error {
 	switch {
 	case last == nil && capped:
 		last = verdict.New(verdict.NotRun, verdict.Capped, "every rule is at its cap")
@@ -103,7 +105,7 @@
 		last = verdict.New(verdict.NotRun, verdict.NoUpstream, "no zone has an upstream that can be reached")
 	}
 	out := *last
-	if doubt && out.Verdict == verdict.NotRun {
+	if inDoubt && out.Verdict == verdict.NotRun {
 		out.Verdict = verdict.MayHaveRun
 	}
 	if out.RetryAfter == 0 && out.Verdict == verdict.NotRun && out.Reason != verdict.Stopping {
--- a/internal/selector/entry/dispatch/rules_test.go
+++ b/internal/selector/entry/dispatch/rules_test.go
@@ -11,7 +11,7 @@
 	"cairndock/internal/verdict"
 )
 
-// TestMayTry: sends, offers and the budget of retries each bound the tries.
+// TestMayTry checks that sends, offers and the retry budget each limit the tries.
 func TestMayTry(t *testing.T) {
 	require.True(t, mayTry(maxTries-1, maxOffers-1, false))
 	require.False(t, mayTry(maxTries, 0, false))
@@ -19,8 +19,8 @@
 	require.False(t, mayTry(0, 0, true))
 }
 
-// TestMayRetry: what may have run is repeated only where the service says so,
-// and never with a ticket.
+// TestMayRetry checks that a request that may have run is repeated only if the
+// service allows it, and never with a ticket.
 func TestMayRetry(t *testing.T) {
 	cases := []struct {
 		verdict              verdict.Verdict
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestReasons: which reasons slow a ramp, and which let a request ask for a
-// place in another zone's queue.
+// TestReasons checks which reasons slow a ramp and which allow a request to join
+// the queue of another zone.
 func TestReasons(t *testing.T) {
 	cases := []struct {
 		reason           verdict.Reason
@@ -60,47 +60,49 @@
 	}
 }
 
-// TestQueueUntil: a part of the time left, and none after the deadline.
-func TestQueueUntil(t *testing.T) {
+// TestQueueDeadline checks that a request may wait for a fraction of the time
+// left, and not at all after its deadline.
+func TestQueueDeadline(t *testing.T) {
 	now := time.Now()
-	require.Equal(t, now.Add(time.Second), queueUntil(now, now.Add(4*time.Second)))
-	require.False(t, queueUntil(now, now.Add(-time.Second)).After(now))
+	require.Equal(t, now.Add(time.Second), queueDeadline(now, now.Add(4*time.Second)))
+	require.False(t, queueDeadline(now, now.Add(-time.Second)).After(now))
 }
 
-// TestHedge: lookups alone are hedged, after several usual latencies.
+// TestHedge checks that only lookups are hedged, after a multiple of the usual
+// latency.
 func TestHedge(t *testing.T) {
 	require.True(t, mayHedge(config.Interactive, true, false))
 	require.False(t, mayHedge(config.Bulk, true, false))
 	require.False(t, mayHedge(config.Interactive, false, false))
 	require.False(t, mayHedge(config.Interactive, true, true))
-	require.Equal(t, hedgeLeast, hedgeDelay(time.Millisecond))
+	require.Equal(t, minHedgeDelay, hedgeDelay(time.Millisecond))
 	require.Equal(t, 400*time.Millisecond, hedgeDelay(100*time.Millisecond))
 }
 
-// TestFinalVerdict: one try in doubt leaves all in doubt, and only a request
-// that did not run is asked to come back.
+// TestFinalVerdict checks that a request is in doubt if one of its tries is, and
+// that only a request that did not run gets a RetryAfter.
 func TestFinalVerdict(t *testing.T) {
 	full := verdict.New(verdict.NotRun, verdict.Full, "full")
 	later := full.WithRetryAfter(time.Minute)
 	lost := verdict.New(verdict.MayHaveRun, verdict.PeerFailed, "lost")
 	cases := []struct {
-		name          string
-		last          *verdict.Error
-		doubt, capped bool
-		verdict       verdict.Verdict
-		reason        verdict.Reason
-		retry         time.Duration
+		name            string
+		last            *verdict.Error
+		inDoubt, capped bool
+		verdict         verdict.Verdict
+		reason          verdict.Reason
+		retry           time.Duration
 	}{
 		{"no try", nil, false, false, verdict.NotRun, verdict.NoUpstream, admission.RetryAfter},
-		{"no try, as all rules are at their caps", nil, false, true, verdict.NotRun, verdict.Capped, admission.RetryAfter},
+		{"no try because all rules are at their caps", nil, false, true, verdict.NotRun, verdict.Capped, admission.RetryAfter},
 		{"full", full, false, false, verdict.NotRun, verdict.Full, admission.RetryAfter},
-		{"full, and says when to come back", later, false, false, verdict.NotRun, verdict.Full, time.Minute},
-		{"full, after one in doubt", full, true, false, verdict.MayHaveRun, verdict.Full, 0},
+		{"full, with its own RetryAfter", later, false, false, verdict.NotRun, verdict.Full, time.Minute},
+		{"full, after a try in doubt", full, true, false, verdict.MayHaveRun, verdict.Full, 0},
 		{"lost", lost, true, false, verdict.MayHaveRun, verdict.PeerFailed, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			e := finalVerdict(tc.last, tc.doubt, tc.capped)
+			e := finalVerdict(tc.last, tc.inDoubt, tc.capped)
 			require.Equal(t, tc.verdict.String(), e.Verdict.String())
 			require.Equal(t, tc.reason, e.Reason)
 			require.Equal(t, tc.retry, e.RetryAfter)
--- a/internal/selector/entry/dispatch/try.go
+++ b/internal/selector/entry/dispatch/try.go
@@ -11,18 +11,19 @@
 	"cairndock/internal/verdict"
 )
 
-// result is how one of two tries ended; try is its index.
+// result is the outcome of one of two tries. The field try is the index of the
+// try.
 type result struct {
 	resp *call.Response
 	err  error
 	try  int
 }
 
-// try offers the request to a zone. A lookup that takes much longer than
-// usual is also offered to the next choice, within the budget of retries;
-// the first response wins and the other try is cancelled.
+// try offers the request to a zone. A lookup that takes much longer than usual
+// is also offered to the next zone, within the retry budget. The first response
+// is used and the other try is cancelled.
 func (r *request) try(ctx context.Context, c steer.Choice) (*call.Response, error) {
-	delay, ok := r.whenToHedge()
+	delay, ok := r.hedgeTiming()
 	if !ok {
 		return bufferPrefix(r.offer(ctx, c, time.Time{}))
 	}
@@ -42,8 +43,8 @@
 	return race(results, [2]context.CancelFunc{cancelFirst, r.start(ctx, next, 1, results)})
 }
 
-// start offers the request to a zone in a goroutine of its own, and gives what
-// cancels that.
+// start offers the request to a zone in a new goroutine and returns a function
+// that cancels the offer.
 func (r *request) start(ctx context.Context, c steer.Choice, try int, results chan<- result) context.CancelFunc {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
@@ -53,9 +54,10 @@
 	return cancel
 }
 
-// whenToHedge gives when to hedge the first try, and whether to hedge at all:
-// not before the upstreams' usual latency is known.
-func (r *request) whenToHedge() (time.Duration, bool) {
+// hedgeTiming returns the delay before the first try is hedged, and whether it
+// may be hedged. There is no hedging until the usual latency of the upstreams is
+// known.
+func (r *request) hedgeTiming() (time.Duration, bool) {
 	if !mayHedge(r.svc.Class, r.repeatable(), r.ticketed()) {
 		return 0, false
 	}
@@ -63,71 +65,73 @@
 	return hedgeDelay(latency), latency != 0
 }
 
-// race waits for the first response of two tries. When both fail, one that
-// may have run decides the verdict.
+// race returns the first response of two tries. When both fail, the verdict of
+// a try that may have run takes precedence.
 func race(results <-chan result, cancels [2]context.CancelFunc) (*call.Response, error) {
-	won := <-results
-	if won.err != nil {
-		if other := <-results; other.err == nil || verdict.From(won.err).Verdict == verdict.NotRun {
-			won = other
+	winner := <-results
+	if winner.err != nil {
+		if other := <-results; other.err == nil || verdict.From(winner.err).Verdict == verdict.NotRun {
+			winner = other
 		}
-		cancels[1-won.try]()
-		return finish(won, cancels[won.try])
+		cancels[1-winner.try]()
+		return finish(winner, cancels[winner.try])
 	}
-	cancels[1-won.try]()
+	cancels[1-winner.try]()
 	go func() {
-		if lost := <-results; lost.err == nil {
-			_ = lost.resp.Body.Close() // nobody reads it
+		if loser := <-results; loser.err == nil {
+			_ = loser.resp.Body.Close() // the response is discarded
 		}
 	}()
-	return finish(won, cancels[won.try])
+	return finish(winner, cancels[winner.try])
 }
 
-// finish gives the outcome of a try, whose context ends with the response's
-// body or at once when there is none.
-func finish(won result, cancel context.CancelFunc) (*call.Response, error) {
-	if won.err != nil {
+// finish returns the outcome of a try. The context of the try is cancelled when
+// the response body is closed, or immediately when there is no response.
+func finish(r result, cancel context.CancelFunc) (*call.Response, error) {
+	if r.err != nil {
 		cancel()
-		return nil, won.err
+		return nil, r.err
 	}
-	out := *won.resp
-	out.Body = cancelBody{won.resp.Body, cancel}
+	out := *r.resp
+	out.Body = cancelBody{r.resp.Body, cancel}
 	return &out, nil
 }
 
-// cancelBody ends its try's context once it is closed.
+// cancelBody is a response body that cancels the context of its try on Close.
 type cancelBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
 }
 
-// Close closes the body and then ends the context.
+// Close closes the body and then cancels the context.
 func (b cancelBody) Close() error {
 	err := b.ReadCloser.Close()
 	b.cancel()
 	return err
 }
 
-// maxPrefix is the size, in bytes, up to which a response is read whole before
-// any of it goes to the client: one that breaks off is then a verdict, and may
-// be asked for again (docs/design/request.md).
+// maxPrefix is the maximum size, in bytes, of a response that is read completely
+// before any of it is sent to the client. When such a response is truncated, the
+// client gets a verdict instead, and the request may be retried
+// (docs/design/request.md).
 const maxPrefix = 32 << 10
 
-// bufferedBody gives the buffered prefix and then the rest.
+// bufferedBody reads the buffered prefix and then the rest of the body.
 type bufferedBody struct {
 	io.Reader
 	io.Closer
 }
 
-// bufferPrefix reads the beginning of a response ahead: a short body whole, and
-// of one that is longer, or of unknown length, its first bytes. gateway/proxy
-// has its own, which always waits for the whole prefix.
+// bufferPrefix reads the beginning of a response body ahead. A body of at most
+// maxPrefix bytes is read completely. Of a longer body, or one of unknown length,
+// only the bytes of the first read are buffered. The counterpart in
+// gateway/proxy always waits for the whole prefix.
 func bufferPrefix(resp *call.Response, err error) (*call.Response, error) {
 	if err != nil {
 		return nil, err
 	}
 	small := resp.Length >= 0 && resp.Length <= maxPrefix
-	size := maxPrefix + 1 // one more, to see the end
+	size := maxPrefix + 1 // the extra byte detects the end of the body
 	if small {
 		size = int(resp.Length) + 1
 	}
@@ -142,7 +146,7 @@
 		}
 	}
 	if readErr != nil && readErr != io.EOF {
-		_ = resp.Body.Close() // the read error is the verdict
+		_ = resp.Body.Close() // the read error decides the verdict
 		return nil, verdict.New(verdict.MayHaveRun, verdict.AnswerTruncated, "the response broke off: %v", readErr).WithUpstream(resp.Upstream)
 	}
 	out := *resp
