--- a/internal/selector/entry/admission/admission.go
+++ b/internal/selector/entry/admission/admission.go
@@ -1,10 +1,10 @@
-// Package admission admits requests to the upstreams of the host's own zone:
-// it takes a slot, sends the request and releases the slot when the upstream
-// is done with it.
+// Package admission admits requests to the upstreams of the host's own zone: it
+// acquires a slot, sends the request and releases the slot when the upstream has
+// finished the request.
 //
-// It owns no state. It relies on the services' gates for the slots, on the
-// fence for the proof that they are this host's, and on the upstream client
-// for what became of a request.
+// The package has no state of its own. The gates of the services provide the
+// slots, the fence confirms that the slots belong to this host, and the upstream
+// client reports the outcome of a request.
 package admission
 
 import (
@@ -24,15 +24,16 @@
 	"cairndock/internal/verdict"
 )
 
-// RetryAfter is when a client whose request was refused is asked to come back.
+// RetryAfter is the delay after which a client may retry a refused request.
 const RetryAfter = time.Second
 
-// Client sends a request to an upstream, and calls done when the slot is free.
+// Client sends a request to an upstream and calls done when the slot can be
+// released.
 type Client interface {
 	Send(ctx context.Context, t upstream.Target, req *call.Request, done upstream.Done) (*call.Response, error)
 }
 
-// Options are what an Admitter is made of.
+// Options configure an Admitter.
 type Options struct {
 	Zone     string
 	View     func() *config.View
@@ -46,15 +47,17 @@
 // Admitter admits requests to the zone's upstreams.
 type Admitter struct{ Options }
 
-// New makes an Admitter.
+// New returns an Admitter.
 func New(o Options) *Admitter { return &Admitter{o} }
 
-// Acquire takes a slot for a request by a rule. It waits for one until a time;
-// the zero time is not at all. Its error is a *verdict.Error: not run.
+// Acquire acquires a slot for a request under a rule. It waits for a free slot
+// until the given time, or not at all if the time is zero. Errors are of type
+// *verdict.Error with the verdict NotRun.
 func (a *Admitter) Acquire(ctx context.Context, service, rule string, until time.Time) (slot.Lease, error) {
 	gate := a.Services.Get(service).Gate
 	lease, refusal := gate.Acquire(ctx, rule, until)
-	// Only now, as the host may have been paused while the request waited.
+	// The fence is checked after the wait, because the host may have been
+	// paused while the request waited.
 	if refusal == slot.Granted && !a.Fence.Open() {
 		gate.Release(lease, slot.Unused, 0)
 		return lease, verdict.New(verdict.NotRun, verdict.NotReady, "host was paused").WithRetryAfter(RetryAfter)
@@ -73,13 +76,13 @@
 	}
 }
 
-// Cancel releases a slot that no request was sent with.
+// Cancel releases a slot that was not used to send a request.
 func (a *Admitter) Cancel(service string, lease slot.Lease) {
 	a.Services.Get(service).Gate.Release(lease, slot.Unused, 0)
 }
 
-// Send sends a request to the upstream of a slot, and releases the slot when
-// the upstream is done. Its error is a *verdict.Error.
+// Send sends a request to the upstream of a slot and releases the slot when the
+// upstream has finished the request. Errors are of type *verdict.Error.
 func (a *Admitter) Send(ctx context.Context, req *call.Request, lease slot.Lease) (*call.Response, error) {
 	u, ok := a.View().LocalUpstream(lease.Upstream())
 	if !ok || u.Service != req.Service {
@@ -90,8 +93,8 @@
 	defer span.End()
 	gate := a.Services.Get(req.Service).Gate
 	target := upstream.Target{Name: u.Name, Zone: u.Zone, Addr: u.Addr}
-	resp, err := a.Client.Send(ctx, target, req, func(o slot.Outcome, latency time.Duration) {
-		gate.Release(lease, o, latency)
+	resp, err := a.Client.Send(ctx, target, req, func(outcome slot.Outcome, latency time.Duration) {
+		gate.Release(lease, outcome, latency)
 	})
 	if err != nil {
 		a.Metrics.Count(`cairndock_upstream_failures_total{verdict="` + verdict.From(err).Verdict.String() + `"}`)
--- a/internal/selector/entry/admission/admission_test.go
+++ b/internal/selector/entry/admission/admission_test.go
@@ -19,7 +19,7 @@
 	"cairndock/internal/verdict"
 )
 
-// client answers every request, or fails it when err is set.
+// client responds to every request, or returns err if it is set.
 type client struct{ err error }
 
 func (c client) Send(_ context.Context, _ upstream.Target, _ *call.Request, done upstream.Done) (*call.Response, error) {
@@ -30,8 +30,8 @@
 	return &call.Response{Status: 200}, nil
 }
 
-// newAdmitter holds one slot of up-1, which the rule "all" allows, and one of
-// an upstream that is not configured any more, which the rule "old" allows.
+// newAdmitter returns an Admitter with one slot of up-1, for the rule "all", and
+// one slot of an upstream that is no longer configured, for the rule "old".
 func newAdmitter(t *testing.T, c Client) *Admitter {
 	view := configtest.View(t, configtest.Planning)
 	set := services.NewSet(view, func() float64 { return 0.5 })
@@ -40,8 +40,8 @@
 		{Name: "limited", Upstreams: []int32{0}, InFlight: 0, Rate: -1},
 		{Name: "old", Upstreams: []int32{1}, InFlight: -1, Rate: -1},
 	})
-	made := time.Now()
-	f := fence.New(func() int64 { return int64(time.Hour) + int64(time.Since(made)) })
+	createdAt := time.Now()
+	f := fence.New(func() int64 { return int64(time.Hour) + int64(time.Since(createdAt)) })
 	f.Start()
 	return New(Options{
 		Zone: "costa-a", View: view, Services: set, Fence: f, Client: c,
@@ -49,7 +49,8 @@
 	})
 }
 
-// TestRefusals: each refusal is not run, says why, and leaves no slot taken.
+// TestRefusals checks that each refusal has the verdict NotRun and its reason, and
+// that no slot stays acquired.
 func TestRefusals(t *testing.T) {
 	cases := []struct {
 		name, rule string
@@ -79,7 +80,8 @@
 	}
 }
 
-// TestSlotsAreReleased: however a request ends, its slot is free afterwards.
+// TestSlotsAreReleased checks that the slot is free after every outcome of a
+// request.
 func TestSlotsAreReleased(t *testing.T) {
 	cases := []struct {
 		name, rule string
