--- a/internal/selector/entry/forward/forward.go
+++ b/internal/selector/entry/forward/forward.go
@@ -1,9 +1,9 @@
-// Package forward sends requests to other entry hosts that may admit them, and
-// serves those that other hosts send here (docs/design/request.md).
+// Package forward sends requests to other hosts that may admit them, and serves
+// requests that other hosts forward to this host (docs/design/request.md).
 //
-// It owns the message and its reply. It relies on the peers for who has free
-// slots, on admission for the own slots, and on the links for the pace of what
-// goes to other regions.
+// The package defines the message of the peer protocol and its reply. Package
+// peers knows which hosts have free slots, package admission provides the slots
+// of this host, and package links limits the rate of traffic to other regions.
 package forward
 
 import (
@@ -26,13 +26,13 @@
 	"cairndock/internal/verdict"
 )
 
-// Admitter admits requests to the upstreams of the own zone.
+// Admitter admits requests to the upstreams of the host's own zone.
 type Admitter interface {
 	Acquire(ctx context.Context, service, rule string, until time.Time) (slot.Lease, error)
 	Send(ctx context.Context, req *call.Request, lease slot.Lease) (*call.Response, error)
 }
 
-// Options are what a Forwarder is made of.
+// Options configure a Forwarder.
 type Options struct {
 	Zone     string
 	View     func() *config.View
@@ -41,7 +41,7 @@
 	Links    *links.Links
 	Admitter Admitter
 	Mesh     *peer.Mesh
-	// Random gives random numbers in [0, 1).
+	// Random returns random numbers in [0, 1).
 	Random  func() float64
 	Metrics *telemetry.Metrics
 	Tracer  trace.Tracer
@@ -50,11 +50,11 @@
 // Forwarder forwards requests between hosts.
 type Forwarder struct{ Options }
 
-// New makes a Forwarder.
+// New returns a Forwarder.
 func New(o Options) *Forwarder { return &Forwarder{o} }
 
-// Forward sends a request to the host of a zone that has most free slots. Its
-// error is a *verdict.Error.
+// Forward sends a request to the host with the most free slots in a zone. Errors
+// are of type *verdict.Error.
 func (f *Forwarder) Forward(ctx context.Context, req *call.Request, zone, rule string, until time.Time) (*call.Response, error) {
 	target, ok := f.Peers.WithMostFree(zone, req.Service, f.Random)
 	if !ok {
@@ -63,15 +63,16 @@
 	ctx, span := f.Tracer.Start(ctx, "peer", trace.WithAttributes(attribute.String("peer", target.Host)))
 	defer span.End()
 	msg := NewMessage(ctx, req, rule, until)
-	// A host of the own zone was asked since this one is full itself.
+	// A host of the same zone must not forward the request back, because this
+	// host is full.
 	msg.Passed = zone == f.Zone
 	f.Metrics.Count("cairndock_forwards_total")
 	return f.Exchange(ctx, target, peer.KindForward, msg)
 }
 
-// Exchange sends a message to a host and gives its response. What was never
-// sent did not run; what was sent and got no response may have. Its error is a
-// *verdict.Error.
+// Exchange sends a message to a host and returns the response. A request that
+// was never sent did not run. A request that was sent and got no response may
+// have run. Errors are of type *verdict.Error.
 func (f *Forwarder) Exchange(ctx context.Context, to member.Contact, kind peer.Kind, msg Message) (*call.Response, error) {
 	payload, err := peer.Encode(msg)
 	if err != nil {
@@ -99,7 +100,8 @@
 	}, nil
 }
 
-// readHead reads the head of a response, and the peer's slots with it.
+// readHead decodes the head of a response and records the free slots that the
+// peer reports in it.
 func (f *Forwarder) readHead(from member.Contact, stream *peer.Stream) (reply, error) {
 	head, err := peer.Decode[reply](stream.Payload)
 	if err != nil {
@@ -114,8 +116,8 @@
 	return head, nil
 }
 
-// exchangeError decides the verdict when a peer gave no reply. A ticket's
-// request may always have run before, at its issuer.
+// exchangeError returns the verdict on a request whose peer sent no reply. A
+// request with a ticket may always have run earlier, at the issuer of the ticket.
 func (f *Forwarder) exchangeError(ctx context.Context, to member.Contact, kind peer.Kind, err error) error {
 	if errors.Is(err, peer.ErrNotSent) {
 		f.Peers.RecordFailure(to.Host)
@@ -129,21 +131,21 @@
 	return verdict.New(verdict.MayHaveRun, verdict.PeerFailed, "lost %s: %v", to.Host, err)
 }
 
-// streamBody is the body of a response that comes from a peer.
+// streamBody is the body of a response from a peer.
 type streamBody struct {
 	*peer.Stream
 	cancel context.CancelFunc
 	stop   func() bool
 }
 
-// Close aborts the response if it was not read whole.
+// Close closes the stream. A response that was not read completely is aborted.
 func (b *streamBody) Close() error {
 	b.stop()
 	b.cancel()
 	return b.Stream.Close()
 }
 
-// ZoneMayHelp reports whether a host of the own zone reported a free slot.
+// ZoneMayHelp reports whether another host of the same zone reported a free slot.
 func (f *Forwarder) ZoneMayHelp(service string) bool {
 	_, ok := f.Peers.WithMostFree(f.Zone, service, f.Random)
 	return ok
--- a/internal/selector/entry/forward/forward_test.go
+++ b/internal/selector/entry/forward/forward_test.go
@@ -20,15 +20,16 @@
 	"cairndock/internal/verdict"
 )
 
-// admitter refuses requests until it is asked to wait, when waiting helps.
+// admitter refuses requests for the given reason. If waiting is set, it admits
+// requests that may wait.
 type admitter struct {
 	reason  verdict.Reason
 	waiting bool
-	asked   int
+	calls   int
 }
 
 func (a *admitter) Acquire(_ context.Context, _, _ string, until time.Time) (slot.Lease, error) {
-	a.asked++
+	a.calls++
 	if a.reason == "" || a.waiting && !until.IsZero() {
 		return slot.Lease{}, nil
 	}
@@ -48,15 +49,15 @@
 	})
 }
 
-// TestAdmit: a request of another host waits for a slot only when it may and
-// only for room; a refusal says why.
+// TestAdmit checks that a request from another host waits for a slot only if it is
+// allowed to wait and the host is full, and that a refusal has the right reason.
 func TestAdmit(t *testing.T) {
 	cases := []struct {
 		name     string
 		service  string
 		wait     int64
 		admitter admitter
-		asked    int
+		calls    int
 		reason   verdict.Reason
 	}{
 		{"a free slot", "planning", 0, admitter{}, 1, ""},
@@ -64,13 +65,13 @@
 		{"full, and must not wait", "planning", 0, admitter{reason: verdict.Full}, 1, verdict.Full},
 		{"full, and a slot comes free", "planning", 100, admitter{reason: verdict.Full, waiting: true}, 2, ""},
 		{"full, and none comes free", "planning", 100, admitter{reason: verdict.Full}, 2, verdict.Full},
-		{"capped, which waiting does not help", "planning", 100, admitter{reason: verdict.Capped}, 1, verdict.Capped},
+		{"capped, and waiting does not help", "planning", 100, admitter{reason: verdict.Capped}, 1, verdict.Capped},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newForwarder(t, &tc.admitter)
 			_, err := f.admit(context.Background(), Message{Service: tc.service, Rule: "all", LeftMillis: 1000, WaitMillis: tc.wait})
-			require.Equal(t, tc.asked, tc.admitter.asked)
+			require.Equal(t, tc.calls, tc.admitter.calls)
 			if tc.reason == "" {
 				require.NoError(t, err)
 				return
@@ -80,8 +81,8 @@
 	}
 }
 
-// TestLostExchange: only what was never sent did not run, and the request of
-// a ticket may have run at its issuer before.
+// TestLostExchange checks that only a request that was never sent has the verdict
+// NotRun, and that a request with a ticket may have run earlier at the issuer.
 func TestLostExchange(t *testing.T) {
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -109,8 +110,9 @@
 	}
 }
 
-// TestMessageKeepsTheTimeLeft: a deadline travels as the time left, as the
-// clocks of two hosts may differ, and a time to wait is never negative.
+// TestMessageKeepsTheTimeLeft checks that a deadline is sent as the time left,
+// because the clocks of two hosts may differ, and that the waiting time is never
+// negative.
 func TestMessageKeepsTheTimeLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		req := &call.Request{Service: "planning", Method: http.MethodGet, Target: "/x", Deadline: time.Now().Add(time.Second)}
--- a/internal/selector/entry/forward/message.go
+++ b/internal/selector/entry/forward/message.go
@@ -13,8 +13,8 @@
 	"cairndock/internal/verdict"
 )
 
-// Message forwards a request to a host that may admit it, or that issued its
-// ticket.
+// Message carries a forwarded request to a host that may admit the request, or
+// that issued its ticket.
 type Message struct {
 	Service string      `msgpack:"s"`
 	Rule    string      `msgpack:"r"`
@@ -23,16 +23,16 @@
 	Header  http.Header `msgpack:"h"`
 	Body    []byte      `msgpack:"b"`
 	Ticket  string      `msgpack:"k"`
-	// LeftMillis is the time left until the deadline, and WaitMillis the
-	// time the request may wait for a slot.
+	// LeftMillis is the time left until the deadline, and WaitMillis the time
+	// that the request may wait for a slot, both in milliseconds.
 	LeftMillis int64 `msgpack:"l"`
 	WaitMillis int64 `msgpack:"w"`
-	// Passed is set when the host may not forward the request again.
+	// Passed is set when the receiver must not forward the request again.
 	Passed bool              `msgpack:"p"`
 	Trace  map[string]string `msgpack:"c"`
 }
 
-// reply is a response's head, or a refusal.
+// reply is the head of a response, or a refusal.
 type reply struct {
 	Status   int             `msgpack:"s"`
 	Header   http.Header     `msgpack:"h"`
@@ -43,12 +43,13 @@
 	Reason      verdict.Reason `msgpack:"r"`
 	Detail      string         `msgpack:"d"`
 	RetryMillis int64          `msgpack:"y"`
-	// Free is the admitting host's slots, in every reply.
+	// Free reports the slots of the replying host. It is set in every reply.
 	Free member.ServiceSlots `msgpack:"f"`
 }
 
-// err gives the verdict that a reply holds. That its host is stopping is not said of this
-// one, whose client would be sent away.
+// err returns the verdict of a refusal. The reason Stopping of the peer becomes
+// PeerStopping: with Stopping, this host would tell its own client to leave it for
+// another host.
 func (r reply) err() *verdict.Error {
 	reason := r.Reason
 	if reason == verdict.Stopping {
@@ -58,8 +59,8 @@
 	return e.WithRetryAfter(time.Duration(r.RetryMillis) * time.Millisecond)
 }
 
-// NewMessage makes the message of a request, which may wait for a slot until a
-// time; the zero time is not at all.
+// NewMessage returns the message for a request that may wait for a slot until the
+// given time. With the zero time, the request does not wait.
 func NewMessage(ctx context.Context, req *call.Request, rule string, until time.Time) Message {
 	carrier := propagation.MapCarrier{}
 	otel.GetTextMapPropagator().Inject(ctx, carrier)
@@ -72,7 +73,8 @@
 	}
 }
 
-// Request gives the request that a message carries.
+// Request returns the request that the message carries. Its deadline is computed
+// from the time left.
 func (m Message) Request() *call.Request {
 	return &call.Request{
 		Service: m.Service, Method: m.Method, Target: m.Target, Header: m.Header, Body: m.Body, Ticket: m.Ticket,
--- a/internal/selector/entry/forward/reply_test.go
+++ b/internal/selector/entry/forward/reply_test.go
@@ -9,8 +9,9 @@
 	"cairndock/internal/verdict"
 )
 
-// A host whose peer stopped told its own client to leave it for another host.
-func TestThatAPeerIsStoppingIsNotSaidOfThisHost(t *testing.T) {
+// Guards against passing on the reason Stopping of a peer. The client then took its
+// own host to be stopping and left it for another host.
+func TestAStoppingPeerIsNotReportedAsThisHost(t *testing.T) {
 	e := reply{Verdict: verdict.NotRun, Reason: verdict.Stopping, Detail: "no slots"}.err()
 	require.Equal(t, verdict.PeerStopping, e.Reason)
 	require.Equal(t, verdict.NotRun, e.Verdict)
--- a/internal/selector/entry/forward/serve.go
+++ b/internal/selector/entry/forward/serve.go
@@ -17,7 +17,7 @@
 	"cairndock/internal/verdict"
 )
 
-// Serve admits a peer's request or refuses it as not run.
+// Serve admits a request from a peer, or refuses it with the verdict NotRun.
 func (f *Forwarder) Serve(ctx context.Context, from peer.Hello, msg Message, w *peer.Responder) {
 	ctx = otel.GetTextMapPropagator().Extract(ctx, propagation.MapCarrier(msg.Trace))
 	ctx, span := f.Tracer.Start(ctx, "admit", trace.WithAttributes(attribute.String("from", from.Host)))
@@ -26,8 +26,9 @@
 	f.Respond(ctx, from, msg.Service, resp, err, w)
 }
 
-// admit takes a slot for a peer's request, here or, when this host is full
-// and another of the zone is not, there.
+// admit acquires a slot for a request from a peer and sends the request. When this
+// host is full or stopping and another host of the zone has a free slot, admit
+// forwards the request to that host.
 func (f *Forwarder) admit(ctx context.Context, msg Message) (*call.Response, error) {
 	req := msg.Request()
 	if _, ok := f.View().Service(msg.Service); !ok {
@@ -35,7 +36,7 @@
 	}
 	until := time.Now().Add(time.Duration(msg.WaitMillis) * time.Millisecond)
 	lease, err := f.Admitter.Acquire(ctx, msg.Service, msg.Rule, time.Time{})
-	if err != nil && mayPass(verdict.From(err).Reason) && !msg.Passed && f.ZoneMayHelp(msg.Service) {
+	if err != nil && mayForwardAgain(verdict.From(err).Reason) && !msg.Passed && f.ZoneMayHelp(msg.Service) {
 		resp, err := f.Forward(ctx, req, f.Zone, msg.Rule, time.Time{})
 		if err == nil || verdict.From(err).Verdict != verdict.NotRun {
 			return resp, err
@@ -50,17 +51,18 @@
 	return f.Admitter.Send(ctx, req, lease)
 }
 
-// mayPass reports whether another host of the zone may take a request that this one
-// refused for a reason.
-func mayPass(r verdict.Reason) bool { return r == verdict.Full || r == verdict.Stopping }
+// mayForwardAgain reports whether another host of the zone may admit a request that
+// this host refused for the given reason.
+func mayForwardAgain(r verdict.Reason) bool { return r == verdict.Full || r == verdict.Stopping }
 
-// Respond sends a response, or the verdict err, to the peer that sent the
-// request, at the pace of the link to it.
+// Respond sends a response, or the verdict err, to the peer that sent the request.
+// The rate is limited by the link to the peer's region.
 func (f *Forwarder) Respond(ctx context.Context, from peer.Hello, service string, resp *call.Response, err error, w *peer.Responder) {
 	free := f.Services.Get(service).Free()
 	if err != nil {
 		e := verdict.From(err)
-		// Where it can't be sent the connection is lost, and the peer knows.
+		// A failed send means that the connection is lost, which the peer
+		// detects itself.
 		_ = w.Send(reply{
 			Verdict: e.Verdict, Reason: e.Reason, Detail: e.Detail, Upstream: e.Upstream,
 			RetryMillis: e.RetryAfter.Milliseconds(), Free: free,
@@ -72,20 +74,21 @@
 		Status: resp.Status, Header: resp.Header, Length: resp.Length, Upstream: resp.Upstream, Verdict: resp.Verdict, Free: free,
 	})
 	if err != nil || f.Links.Wait(ctx, service, from.Zone, len(head)) != nil || w.Reply(head) != nil {
-		// The peer has no reply when its deadline ends: may have run.
+		// The peer gets no reply before its deadline, and its verdict is that
+		// the request may have run.
 		return
 	}
 	if err := f.copyBody(ctx, from, service, resp.Body, w); err != nil {
-		_ = w.Fail() // the connection may be what failed
+		_ = w.Fail() // the connection itself may have failed
 		return
 	}
-	_ = w.End() // as above
+	_ = w.End() // the peer detects a lost connection itself
 }
 
-// chunks are the buffers of bodies on their way.
+// chunks is a pool of buffers for copying response bodies.
 var chunks = sync.Pool{New: func() any { return new([link.MaxChunk]byte) }}
 
-// copyBody sends a body in chunks, each at the pace of the link.
+// copyBody sends a body in chunks. Each chunk waits for the rate limit of the link.
 func (f *Forwarder) copyBody(ctx context.Context, from peer.Hello, service string, body io.Reader, w *peer.Responder) error {
 	pooled := chunks.Get().(*[link.MaxChunk]byte)
 	defer chunks.Put(pooled)
