--- a/internal/selector/entry/drain/drain.go
+++ b/internal/selector/entry/drain/drain.go
@@ -1,9 +1,9 @@
-// Package drain counts the work that is still outstanding at upstreams, over
-// all hosts that may have some there.
+// Package drain counts the requests that are still outstanding at upstreams, over
+// all hosts that may have sent some.
 //
-// It owns the message that asks for it. It relies on the rosters for who may
-// have work in a zone, and on the services and upstreams' states of each host
-// for how much.
+// The package defines the message that queries other hosts. The roster lists the
+// hosts that may have requests in a zone; each host counts its own requests from
+// the states of its services and upstreams.
 package drain
 
 import (
@@ -18,51 +18,54 @@
 	"cairndock/internal/selector/slot"
 )
 
-// Drained says how far upstreams are from having no work. The names of its
-// fields are on the wire between hosts.
+// Drained reports how far upstreams are drained. The field names are part of the
+// protocol between hosts.
 type Drained struct {
-	// Outstanding sums the requests still running at the upstreams.
+	// Outstanding is the number of requests still running at the upstreams.
 	Outstanding int `json:"outstanding"`
-	// Taking counts hosts that may still send new work there.
+	// Taking is the sum, over the upstreams, of the hosts that may still send
+	// new requests there.
 	Taking int `json:"taking"`
-	// Unknown names the hosts that could not be asked.
+	// Unknown lists the hosts and zones that could not be queried.
 	Unknown []string `json:"unknown,omitempty"`
 }
 
+// add adds the counts of o to d.
 func (d *Drained) add(o Drained) {
 	d.Outstanding += o.Outstanding
 	d.Taking += o.Taking
 	d.Unknown = append(d.Unknown, o.Unknown...)
 }
 
-// Request asks a host how far upstreams of its zone are drained.
+// Request queries a host for how far upstreams of its zone are drained.
 type Request struct {
 	Upstreams []string `msgpack:"u"`
-	// Zone asks the host to ask its whole zone.
+	// Zone is set when the host must query its whole zone.
 	Zone bool `msgpack:"z"`
 }
 
-// Options are what a Counter is made of.
+// Options configure a Counter.
 type Options struct {
 	Host     string
 	Zone     string
 	View     func() *config.View
 	Peers    *peers.Table
 	Services *services.Set
-	// Roster gives the newest roster of this host's zone.
+	// Roster returns the latest roster of this host's zone.
 	Roster func() roster.Roster
-	// Leaving reports whether an upstream gets no new work from this host.
+	// Leaving reports whether this host sends an upstream no new requests.
 	Leaving func(u config.Upstream) bool
 	Mesh    *peer.Mesh
 }
 
-// Counter counts outstanding work at upstreams.
+// Counter counts outstanding requests at upstreams.
 type Counter struct{ Options }
 
-// New makes a Counter.
+// New returns a Counter.
 func New(o Options) *Counter { return &Counter{o} }
 
-// Count asks every host that may have work at the upstreams.
+// Count queries every host that may have requests at the upstreams and returns the
+// sum. Upstreams that are not configured are ignored.
 func (c *Counter) Count(ctx context.Context, names []string) Drained {
 	byZone := map[string][]string{}
 	for _, name := range names {
@@ -76,22 +79,22 @@
 			sum.add(c.countZone(ctx, names))
 			continue
 		}
-		sum.add(c.ask(ctx, zone, c.Peers.Contacts(zone, false), Request{Upstreams: names, Zone: true}))
+		sum.add(c.query(ctx, zone, c.Peers.Contacts(zone, false), Request{Upstreams: names, Zone: true}))
 	}
 	return sum
 }
 
-// Serve counts for another host.
+// Serve handles a request of another host.
 func (c *Counter) Serve(ctx context.Context, req Request) Drained {
 	if req.Zone {
 		return c.countZone(ctx, req.Upstreams)
 	}
-	return c.countOwn(req.Upstreams)
+	return c.countLocal(req.Upstreams)
 }
 
-// ask asks the first of some hosts that answers. When none does, name is
-// reported as unknown.
-func (c *Counter) ask(ctx context.Context, name string, hosts []member.Contact, req Request) Drained {
+// query returns the reply of the first host that responds. When no host responds,
+// name is reported as unknown.
+func (c *Counter) query(ctx context.Context, name string, hosts []member.Contact, req Request) Drained {
 	reply, ok := peers.CallFirst[Drained](ctx, c.Mesh, hosts, peer.KindDrain, req)
 	if !ok {
 		return Drained{Unknown: []string{name}}
@@ -99,22 +102,22 @@
 	return reply
 }
 
-// countZone asks every member of the own zone.
+// countZone counts the requests of every member of the host's own zone.
 func (c *Counter) countZone(ctx context.Context, names []string) Drained {
-	sum := c.countOwn(names)
+	sum := c.countLocal(names)
 	cur := c.Roster()
 	for _, m := range cur.Members {
 		if m.Host == c.Host || m.State == roster.Gone {
 			continue
 		}
 		to := member.Contact{Host: m.Host, Zone: cur.Zone, PeerAddr: m.PeerAddr}
-		sum.add(c.ask(ctx, m.Host, []member.Contact{to}, Request{Upstreams: names}))
+		sum.add(c.query(ctx, m.Host, []member.Contact{to}, Request{Upstreams: names}))
 	}
 	return sum
 }
 
-// countOwn counts this host's own work.
-func (c *Counter) countOwn(names []string) Drained {
+// countLocal counts the requests of this host.
+func (c *Counter) countLocal(names []string) Drained {
 	var d Drained
 	for _, name := range names {
 		u, ok := c.View().LocalUpstream(name)
--- a/internal/selector/entry/drain/drain_test.go
+++ b/internal/selector/entry/drain/drain_test.go
@@ -29,7 +29,7 @@
 slots = 4
 `
 
-// newCounter is of costa-a-1, with one request at up-1.
+// newCounter returns the Counter of host costa-a-1, with one request at up-1.
 func newCounter(t *testing.T, r roster.Roster, leaving bool) *Counter {
 	view := configtest.View(t, doc)
 	set := services.NewSet(view, func() float64 { return 0.5 })
@@ -47,9 +47,9 @@
 	})
 }
 
-// TestCount: work of this host is counted, that of hosts and zones that can't
-// be asked is unknown, and that of the gone, whose deadlines the roster waits
-// for, is left out.
+// TestCount checks that requests of this host are counted and that hosts and zones
+// that cannot be queried are unknown. Members that are gone are left out, because
+// the roster waits for the deadlines of their requests.
 func TestCount(t *testing.T) {
 	alone := roster.Roster{Zone: "costa-a"}.WithMember(roster.Member{Host: "costa-a-1", State: roster.Active})
 	with := func(s roster.State) roster.Roster {
@@ -62,13 +62,13 @@
 		leaving   bool
 		want      Drained
 	}{
-		{"taking work", []string{"up-1"}, alone, false, Drained{Outstanding: 1, Taking: 1}},
+		{"taking requests", []string{"up-1"}, alone, false, Drained{Outstanding: 1, Taking: 1}},
 		{"leaving", []string{"up-1"}, alone, true, Drained{Outstanding: 1}},
 		{"unknown upstream", []string{"up-9"}, alone, true, Drained{}},
-		{"a member can't be asked", []string{"up-1"}, with(roster.Active), true, Drained{Outstanding: 1, Unknown: []string{"costa-a-2"}}},
-		{"a leaving member can't be asked", []string{"up-1"}, with(roster.Leaving), true, Drained{Outstanding: 1, Unknown: []string{"costa-a-2"}}},
+		{"a member cannot be queried", []string{"up-1"}, with(roster.Active), true, Drained{Outstanding: 1, Unknown: []string{"costa-a-2"}}},
+		{"a leaving member cannot be queried", []string{"up-1"}, with(roster.Leaving), true, Drained{Outstanding: 1, Unknown: []string{"costa-a-2"}}},
 		{"a member is gone", []string{"up-1"}, with(roster.Gone), true, Drained{Outstanding: 1}},
-		{"another zone can't be asked", []string{"up-1", "up-far"}, alone, true, Drained{Outstanding: 1, Unknown: []string{"sierra-a"}}},
+		{"another zone cannot be queried", []string{"up-1", "up-far"}, alone, true, Drained{Outstanding: 1, Unknown: []string{"sierra-a"}}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -77,8 +77,9 @@
 	}
 }
 
-// TestServeAsksTheZoneOnce: a host asked for itself alone asks no other.
-func TestServeAsksTheZoneOnce(t *testing.T) {
+// TestServeQueriesTheZoneOnlyIfRequested checks that a host that is queried only
+// for itself queries no other host.
+func TestServeQueriesTheZoneOnlyIfRequested(t *testing.T) {
 	r := roster.Roster{Zone: "costa-a"}.WithMember(roster.Member{Host: "costa-a-2", State: roster.Active})
 	c := newCounter(t, r, true)
 	require.Equal(t, Drained{Outstanding: 1}, c.Serve(context.Background(), Request{Upstreams: []string{"up-1"}}))
