--- a/internal/selector/entry/fence/fence.go
+++ b/internal/selector/entry/fence/fence.go
@@ -1,9 +1,10 @@
-// Package fence keeps a host from sending to upstreams when it may have lost
-// its slots to others (self-fencing): after it was paused, or when nobody has
-// answered it for a while.
+// Package fence stops a host from sending requests to upstreams when other hosts
+// may have taken over its slots (self-fencing). This can happen after the process
+// was paused, or when nothing has responded to the host for a while.
 //
-// It owns the times of the last proof and the last answer. It relies on the
-// host's loop to call Tick, and on the rosters to prove the slots anew.
+// The package tracks when the slots were last confirmed and when the host last
+// received a response. The host's loop calls Tick, and the rosters confirm the
+// slots again.
 package fence
 
 import (
@@ -13,59 +14,66 @@
 )
 
 const (
-	// maxPause is the longest gap between two ticks of the host's loop (every
-	// 250 ms) before the host takes itself for paused: it is below
-	// member.LostAfter, the silence after which slots are given away.
+	// maxPause is the maximum gap between two ticks of the host's loop, which
+	// runs every 250 ms. After a longer gap the host assumes that it was
+	// paused. The value is below member.LostAfter, the silence after which the
+	// slots of a host are reassigned.
 	maxPause = 2 * time.Second
-	// maxIsolation is the longest silence of peers, platform and upstreams
-	// all together before the host takes itself for cut off from everything.
-	// It is below member.LostAfter, the silence after which a host that the
-	// platform calls gone loses its slots: a cut-off host stopped 4.15 s
-	// after the cut, of 5 s (commit 46dc213).
+	// maxIsolation is the maximum time without a response from any peer,
+	// platform or upstream before the host assumes that it is isolated. The
+	// value is below member.LostAfter (5 s), the silence after which a host
+	// that the platform reports as gone loses its slots. In a test, an
+	// isolated host stopped sending 4.15 s after it lost all connections.
 	maxIsolation = 4 * time.Second
 )
 
-// Fence says whether a host may send new work to upstreams.
+// Fence controls whether a host may send new requests to upstreams. It is safe for
+// concurrent use.
 type Fence struct {
-	// now reads a monotonic clock in nanoseconds, far above zero.
+	// now reads a monotonic clock in nanoseconds. The value must be greater than
+	// maxPause, because provedAt is 0 while the fence is closed.
 	now func() int64
 
-	// provedAt is when the host last knew that its slots are its own, and
-	// answeredAt when anyone last answered; as read by now.
+	// provedAt is the last time when the host was sure to own its slots, and
+	// answeredAt the last time when a peer, the platform or an upstream
+	// responded. Both are readings of now.
 	provedAt   atomic.Int64
 	answeredAt atomic.Int64
 	proving    atomic.Bool
 }
 
-// New makes a closed Fence. Now reads a monotonic clock, in nanoseconds.
+// New returns a closed Fence. The function now reads a monotonic clock in
+// nanoseconds.
 func New(now func() int64) *Fence { return &Fence{now: now} }
 
-// Start opens the fence of a starting host, which holds no slots.
+// Start opens the fence of a starting host. Such a host holds no slots yet.
 func (f *Fence) Start() {
 	f.provedAt.Store(f.now())
 	f.answeredAt.Store(f.now())
 }
 
-// Open reports whether the host may send new work to upstreams.
+// Open reports whether the host may send new requests to upstreams.
 func (f *Fence) Open() bool { return f.now()-f.provedAt.Load() < int64(maxPause) }
 
-// Answered notes that a peer, the platform or an upstream answered.
+// Answered records that a peer, the platform or an upstream responded.
 func (f *Fence) Answered() { f.answeredAt.Store(f.now()) }
 
-// Close makes the host prove its slots before it sends anything more.
+// Close stops the host from sending requests until its slots are confirmed again.
 func (f *Fence) Close() { f.provedAt.Store(0) }
 
-// Tick keeps the fence open from one tick of the host's loop to the next. When
-// the host was paused or cut off, it closes the fence and opens it again once
-// prove reports that the host has seen its zone's roster.
+// Tick keeps the fence open until the next tick of the host's loop. When the host
+// was paused or isolated, Tick closes the fence and calls prove in a goroutine. The
+// fence opens again when prove reports that the host has seen the roster of its
+// zone. Only one call of prove runs at a time.
 func (f *Fence) Tick(ctx context.Context, prove func(context.Context) bool) {
 	isolated := f.now()-f.answeredAt.Load() > int64(maxIsolation)
 	if f.Open() && !isolated {
 		f.provedAt.Store(f.now())
 		return
 	}
-	// What is admitted now may run for its deadline, and the slots may be
-	// given away after member.LostAfter and as long. So it ends here.
+	// A request admitted now may run until its deadline, and the slots may be
+	// reassigned after member.LostAfter plus the longest deadline. Admission
+	// therefore stops here.
 	f.Close()
 	if !f.proving.CompareAndSwap(false, true) {
 		return
