--- a/internal/selector/entry/tickets/bench_test.go
+++ b/internal/selector/entry/tickets/bench_test.go
@@ -10,6 +10,7 @@
 	"cairndock/internal/selector/ticket"
 )
 
+// heapMB returns the size of the live heap in megabytes.
 func heapMB() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -18,8 +19,8 @@
 	return float64(m.HeapAlloc) / 1e6
 }
 
-// BenchmarkTicket is a ticket minted, used and answered; it also gives the
-// memory that a kept one takes.
+// BenchmarkTicket measures issuing, using and finishing a ticket. The metric kept-B
+// is the memory that each retained ticket takes, in bytes.
 func BenchmarkTicket(b *testing.B) {
 	i := newIssuer(b, nil)
 	before, n := heapMB(), 0
--- a/internal/selector/entry/tickets/run.go
+++ b/internal/selector/entry/tickets/run.go
@@ -13,10 +13,12 @@
 	"cairndock/internal/verdict"
 )
 
-// maxResponse bounds the response to a request with a ticket, in bytes.
+// maxResponse is the maximum body size of a response to a request with a ticket, in
+// bytes. Such responses are kept in memory.
 const maxResponse = 4 << 20
 
-// use runs a ticket's request, or gives the outcome of its first use.
+// use runs the request of a ticket. If the ticket was used before, use returns the
+// outcome of the first use.
 func (i *Issuer) use(ctx context.Context, store *ticket.Store, t ticket.Ticket, req *call.Request) (*call.Response, error) {
 	digest := ticket.DigestOf(req.Service, req.Method, req.Target, req.Body)
 	i.mu.Lock()
@@ -31,7 +33,7 @@
 	return i.run(ctx, store, t, req)
 }
 
-// ticketError gives the verdict on a ticket that its store refuses.
+// ticketError returns the verdict on a ticket that was refused by its store.
 func ticketError(err error) error {
 	switch {
 	case errors.Is(err, ticket.ErrOtherRequest):
@@ -39,12 +41,13 @@
 	case errors.Is(err, ticket.ErrForged):
 		return verdict.New(verdict.NotRun, verdict.BadTicket, "%s: %v", call.HeaderTicket, err)
 	default:
-		// Expired or closed: an earlier use may have run and be forgotten.
+		// The ticket has expired or its store is sealed. An earlier use of the
+		// ticket may have run and its record may have been removed.
 		return verdict.New(verdict.MayHaveRun, verdict.TicketUnknown, "%v", err)
 	}
 }
 
-// keptResponse gives the outcome of a request that was dispatched before.
+// keptResponse returns the outcome of a request that was dispatched before.
 func keptResponse(rec ticket.Record) (*call.Response, error) {
 	o := rec.Outcome
 	switch {
@@ -61,15 +64,15 @@
 	}, nil
 }
 
-// result is how a ticket's request ended.
+// result is the outcome of the request of a ticket.
 type result struct {
 	resp *call.Response
 	err  error
 }
 
-// run dispatches a ticket's request detached from its client, up to the
-// service's max_timeout: a client that leaves, or whose deadline lapses, can ask
-// for the outcome later.
+// run dispatches the request of a ticket independently of its client, with the
+// service's max_timeout as the limit. A client that disconnects, or whose deadline
+// passes, can query the outcome later.
 func (i *Issuer) run(ctx context.Context, store *ticket.Store, t ticket.Ticket, req *call.Request) (*call.Response, error) {
 	done := make(chan result, 1)
 	run := *req
@@ -92,7 +95,8 @@
 	}
 }
 
-// settle keeps the outcome of a ticket's request, whole or not at all.
+// settle stores the outcome of the request of a ticket. A response is stored only
+// with its complete body.
 func (i *Issuer) settle(store *ticket.Store, t ticket.Ticket, resp *call.Response, err error) result {
 	var body []byte
 	if err == nil {
@@ -111,7 +115,8 @@
 	return result{resp: &out}
 }
 
-// readWhole reads the body of a response, which must be kept whole.
+// readWhole reads the complete body of a response. It returns an error if the body
+// is truncated or larger than maxResponse.
 func readWhole(resp *call.Response) ([]byte, error) {
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponse+1))
--- a/internal/selector/entry/tickets/tickets.go
+++ b/internal/selector/entry/tickets/tickets.go
@@ -1,9 +1,9 @@
-// Package tickets issues this host's tickets and serves the requests that carry
-// one, so that each runs at most once (docs/design/tickets.md).
+// Package tickets issues the tickets of this host and serves the requests that carry
+// a ticket, so that each of them runs at most once (docs/design/tickets.md).
 //
-// It owns the host's own ticket store and those of the stopped hosts whose
-// successor it is. It relies on dispatch to run a request, and on forwarding to
-// reach the issuer of another host's ticket.
+// The package keeps the ticket store of this host and the stores of stopped hosts
+// whose successor this host is. Package dispatch runs the requests, and package
+// forward reaches the issuer of a ticket of another host.
 package tickets
 
 import (
@@ -29,7 +29,7 @@
 	Respond(ctx context.Context, from peer.Hello, service string, resp *call.Response, err error, w *peer.Responder)
 }
 
-// Options are what an Issuer is made of.
+// Options configure an Issuer.
 type Options struct {
 	Host        string
 	Zone        string
@@ -49,21 +49,21 @@
 
 	mu  sync.Mutex
 	own *ticket.Store
-	// adopted are the stores of stopped hosts, by incarnation, and handovers
-	// what other hosts are to know of them.
+	// adopted maps incarnations of stopped hosts to their stores. handovers is
+	// the same information as it is sent to other hosts.
 	adopted   map[string]adoptedStore
 	handovers []member.Successor
 
 	running sync.WaitGroup
 }
 
-// adoptedStore is the store of a stopped host, and when it came here.
+// adoptedStore is the store of a stopped host, with the time of its adoption.
 type adoptedStore struct {
 	*ticket.Store
-	at time.Time
+	adoptedAt time.Time
 }
 
-// New makes an Issuer that has issued no ticket.
+// New returns an Issuer that has issued no tickets.
 func New(o Options) *Issuer {
 	return &Issuer{
 		Options: o,
@@ -72,24 +72,25 @@
 	}
 }
 
-// Wait waits until no request is running.
+// Wait waits until no request with a ticket is running on this host.
 func (i *Issuer) Wait() { i.running.Wait() }
 
-// Kept counts the used tickets of this host that are kept.
+// Kept returns the number of used tickets that are stored for this host.
 func (i *Issuer) Kept() int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.own.Len()
 }
 
-// Running counts this host's tickets whose requests have no outcome yet.
+// Running returns the number of tickets of this host whose requests have no outcome
+// yet.
 func (i *Issuer) Running() int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.own.Running()
 }
 
-// Issue makes a ticket for one request to a service. Its error is a
+// Issue returns a new ticket for one request to a service. Errors are of type
 // *verdict.Error.
 func (i *Issuer) Issue(service string) (ticket.Ticket, error) {
 	if _, ok := i.View().Service(service); !ok {
@@ -104,8 +105,9 @@
 	return t, nil
 }
 
-// Do serves a request with a ticket: here when this host issued it or is the
-// successor of the host that did, else there. Its error is a *verdict.Error.
+// Do serves a request with a ticket. The request runs on this host if this host is
+// the issuer or the successor of the issuer; otherwise it is forwarded to the issuer.
+// Errors are of type *verdict.Error.
 func (i *Issuer) Do(ctx context.Context, req *call.Request) (*call.Response, error) {
 	t, err := ticket.Parse(req.Ticket)
 	if err != nil {
@@ -114,12 +116,12 @@
 	if store := i.storeOf(t); store != nil {
 		return i.use(ctx, store, t, req)
 	}
-	return i.askIssuer(ctx, t, req, false)
+	return i.forwardToIssuer(ctx, t, req, false)
 }
 
-// askIssuer forwards a ticket's request to its issuer, or to a host of the
-// issuer's zone, which knows the issuer and forwards it once more.
-func (i *Issuer) askIssuer(ctx context.Context, t ticket.Ticket, req *call.Request, passed bool) (*call.Response, error) {
+// forwardToIssuer forwards the request of a ticket to the issuer, or to a host of the
+// issuer's zone, which may know the issuer and forward the request once more.
+func (i *Issuer) forwardToIssuer(ctx context.Context, t ticket.Ticket, req *call.Request, passed bool) (*call.Response, error) {
 	to, ok := i.Peers.ForTicket(t.Host, t.Incarnation, t.Zone, !passed)
 	if !ok {
 		return nil, verdict.New(verdict.MayHaveRun, verdict.TicketUnknown, "the ticket's host %s can't be reached", t.Host)
@@ -129,7 +131,8 @@
 	return i.Forwarder.Exchange(ctx, to, peer.KindTicket, msg)
 }
 
-// storeOf gives the store that a ticket belongs to, if it is here.
+// storeOf returns the store that a ticket belongs to, or nil if this host does not
+// have the store.
 func (i *Issuer) storeOf(t ticket.Ticket) *ticket.Store {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -139,8 +142,9 @@
 	return i.adopted[t.Incarnation].Store
 }
 
-// Serve serves a ticket's request that another host forwarded. It forwards it
-// once more when it is not the issuer but may know it.
+// Serve serves a request with a ticket that another host forwarded. If this host does
+// not have the ticket, it forwards the request to the issuer, unless the request has
+// been forwarded twice already.
 func (i *Issuer) Serve(ctx context.Context, from peer.Hello, msg forward.Message, w *peer.Responder) {
 	req := msg.Request()
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
@@ -152,7 +156,7 @@
 	case err != nil:
 		err = verdict.New(verdict.NotRun, verdict.BadTicket, "%s: %v", call.HeaderTicket, err)
 	case store == nil && !msg.Passed:
-		resp, err = i.askIssuer(ctx, t, req, true)
+		resp, err = i.forwardToIssuer(ctx, t, req, true)
 	case store == nil:
 		err = verdict.New(verdict.MayHaveRun, verdict.TicketUnknown, "%s has not the ticket", i.Host)
 	default:
--- a/internal/selector/entry/tickets/tickets_test.go
+++ b/internal/selector/entry/tickets/tickets_test.go
@@ -23,22 +23,23 @@
 	"cairndock/internal/verdict"
 )
 
-// forwarder notes where requests were sent.
+// forwarder records the messages that were sent.
 type forwarder struct{ sent []forward.Message }
 
 func (f *forwarder) Exchange(_ context.Context, _ member.Contact, _ peer.Kind, msg forward.Message) (*call.Response, error) {
 	f.sent = append(f.sent, msg)
-	return answer("there"), nil
+	return response("there"), nil
 }
 
 func (*forwarder) Respond(context.Context, peer.Hello, string, *call.Response, error, *peer.Responder) {
 }
 
-func answer(body string) *call.Response {
+func response(body string) *call.Response {
 	return &call.Response{Status: 200, Length: int64(len(body)), Verdict: verdict.Ran, Body: io.NopCloser(strings.NewReader(body))}
 }
 
-// newIssuer is costa-a-1, which runs requests by a function.
+// newIssuer returns the Issuer of host costa-a-1. Its requests are run by the
+// function run.
 func newIssuer(tb testing.TB, run func(context.Context, *call.Request) (*call.Response, error)) *Issuer {
 	view := configtest.View(tb, configtest.Planning)
 	return New(Options{
@@ -56,23 +57,24 @@
 	}
 }
 
-// TestOutcomeIsKept: a resend gets the outcome of the first use; only what
-// provably did not run is dispatched again.
+// TestOutcomeIsKept checks that a resend returns the outcome of the first use, and
+// that only a request that provably did not run is dispatched again.
 func TestOutcomeIsKept(t *testing.T) {
 	large := bytes.Repeat([]byte("x"), maxResponse+1)
 	cases := []struct {
 		name  string
 		first func() (*call.Response, error)
-		// runs is how often two uses run it; told is what the second is told.
-		runs int
-		told verdict.Verdict
+		// runs is the number of runs after two uses, and second the verdict of
+		// the second use.
+		runs   int
+		second verdict.Verdict
 	}{
-		{"answered", func() (*call.Response, error) { return answer("done"), nil }, 1, verdict.Ran},
+		{"answered", func() (*call.Response, error) { return response("done"), nil }, 1, verdict.Ran},
 		{"proved not to have run", func() (*call.Response, error) { return nil, verdict.New(verdict.NotRun, verdict.Full, "full") }, 2, verdict.NotRun},
 		{"in doubt", func() (*call.Response, error) {
 			return nil, verdict.New(verdict.MayHaveRun, verdict.PeerFailed, "lost")
 		}, 1, verdict.MayHaveRun},
-		{"too large", func() (*call.Response, error) { return answer(string(large)), nil }, 1, verdict.MayHaveRun},
+		{"too large", func() (*call.Response, error) { return response(string(large)), nil }, 1, verdict.MayHaveRun},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -85,25 +87,26 @@
 			require.NoError(t, err)
 			_, _ = i.Do(context.Background(), booking(tk))
 			_, err = i.Do(context.Background(), booking(tk))
-			told := verdict.Ran
+			second := verdict.Ran
 			if err != nil {
-				told = verdict.From(err).Verdict
+				second = verdict.From(err).Verdict
 			}
-			require.Equal(t, tc.told.String(), told.String())
+			require.Equal(t, tc.second.String(), second.String())
 			require.Equal(t, tc.runs, runs)
 		})
 	}
 }
 
-// TestRunsOnWithoutItsClient: the request of a client that left runs on, up
-// to the service's max_timeout, and a resend gets the response.
-func TestRunsOnWithoutItsClient(t *testing.T) {
+// TestRequestContinuesAfterClientLeaves checks that a request continues after its
+// client has left, with the service's max_timeout as the limit, and that a resend
+// returns the response.
+func TestRequestContinuesAfterClientLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		i := newIssuer(t, func(ctx context.Context, req *call.Request) (*call.Response, error) {
 			require.Equal(t, 2*time.Second, time.Until(req.Deadline))
 			time.Sleep(1500 * time.Millisecond)
 			require.NoError(t, ctx.Err())
-			return answer("done"), nil
+			return response("done"), nil
 		})
 		tk, err := i.Issue("planning")
 		require.NoError(t, err)
@@ -123,18 +126,18 @@
 	})
 }
 
-// TestSuccessorServesTheTickets: a ticket of a stopped host is served by its
-// successor until all of its tickets have expired, and elsewhere by asking.
+// TestSuccessorServesTheTickets checks that the successor of a stopped host serves
+// the tickets of that host until all of them have expired.
 func TestSuccessorServesTheTickets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		run := func(context.Context, *call.Request) (*call.Response, error) { return answer("here"), nil }
+		run := func(context.Context, *call.Request) (*call.Response, error) { return response("here"), nil }
 		stopped, successor := newIssuer(t, run), newIssuer(t, run)
 		stopped.Incarnation, stopped.Host = "2", "costa-a-2"
 		stopped.own = ticket.NewStore("costa-a-2", "costa-a", "2", ticket.NewKey())
 		tk, err := stopped.Issue("planning")
 		require.NoError(t, err)
 		_, err = successor.Do(context.Background(), booking(tk))
-		require.Equal(t, verdict.TicketUnknown, verdict.From(err).Reason, "nobody knows the issuer")
+		require.Equal(t, verdict.TicketUnknown, verdict.From(err).Reason, "no host knows the issuer")
 
 		require.False(t, stopped.HandOver(context.Background()), "there is no other host")
 		_, err = stopped.Issue("planning")
@@ -154,8 +157,9 @@
 	})
 }
 
-// TestAsksTheIssuer: a request with another host's ticket goes there once.
-func TestAsksTheIssuer(t *testing.T) {
+// TestForwardsToTheIssuerOnce checks that a request with a ticket of another host is
+// forwarded to that host once.
+func TestForwardsToTheIssuerOnce(t *testing.T) {
 	i := newIssuer(t, nil)
 	b := member.Heartbeat{Contact: member.Contact{Host: "sierra-a-1", Zone: "sierra-a", PeerAddr: "sierra-a-1:2"}}
 	i.Peers.Update(func(p *member.Peers) { p.RecordHeartbeat(b, time.Now(), time.Millisecond) })
