--- a/internal/selector/entry/suspicions/suspicions.go
+++ b/internal/selector/entry/suspicions/suspicions.go
@@ -1,10 +1,10 @@
-// Package suspicions keeps requests that end the upstreams that run them from being sent
-// on and on (poison requests, package poison).
+// Package suspicions stops requests that terminate the upstreams that run them (poison
+// requests, see package poison) from being sent to more upstreams.
 //
-// It stands before the client that sends requests to upstreams, where all of a zone's
-// requests pass, forwarded ones and those of tickets included. It owns what counts as an
-// upstream's end; the table of suspicions is shared with other hosts by package
-// heartbeats (docs/design/poison.md).
+// The package wraps the client that sends requests to upstreams. All requests of a zone
+// use this client, including forwarded requests and requests with tickets. The package
+// decides which failures count as the termination of an upstream. Package heartbeats
+// shares the table of suspicions with other hosts (docs/design/poison.md).
 package suspicions
 
 import (
@@ -28,16 +28,18 @@
 )
 
 const (
-	// dialTimeout bounds the connection that tells whether an upstream has ended:
-	// far above a round trip within a zone.
+	// dialTimeout limits the connection attempt that checks whether an upstream has
+	// terminated. It is far longer than a round trip within a zone.
 	dialTimeout = 500 * time.Millisecond
-	// settles is how long it must last, as a process that ends closes its listener and
-	// its connections one by one.
-	settles = 20 * time.Millisecond
-	// retryAfter is when a client should return whose request is quarantined: not while
-	// people have not looked at what it does.
+	// minOpenTime is how long that connection must stay open to show that the upstream
+	// still runs. A terminating process closes its listener and its connections one by
+	// one, so it may accept a connection and close it shortly afterwards.
+	minOpenTime = 20 * time.Millisecond
+	// retryAfter is the delay after which a client may retry a quarantined request. It is
+	// long because operators first have to examine the request.
 	retryAfter = time.Minute
-	// headerCredential tells who sends a request; empty where clients send none.
+	// headerCredential is the header that identifies the client. Its value is empty for
+	// clients that send no credential.
 	headerCredential = "Authorization"
 )
 
@@ -46,13 +48,14 @@
 	Send(ctx context.Context, t upstream.Target, req *call.Request, done upstream.Done) (*call.Response, error)
 }
 
-// Options are what a Guard is made of.
+// Options configure a Guard.
 type Options struct {
 	Sender Sender
 	Table  *poison.Table
-	// Dial makes connections to upstreams; nil is TCP.
+	// Dial connects to upstreams. The default for nil is a net.Dialer with dialTimeout.
 	Dial upstream.DialFunc
-	// Leaving reports whether an upstream takes no new work: its end is planned.
+	// Leaving reports whether an upstream takes no new requests. Its termination is then
+	// planned.
 	Leaving func(upstream string) bool
 	Log     zerolog.Logger
 }
@@ -60,7 +63,7 @@
 // Guard is a Sender that refuses quarantined requests.
 type Guard struct{ Options }
 
-// New makes a Guard.
+// New returns a Guard.
 func New(o Options) *Guard {
 	if o.Dial == nil {
 		o.Dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
@@ -68,72 +71,76 @@
 	return &Guard{o}
 }
 
-// Send sends a request unless it is quarantined, and notes whether the upstream ends by
-// it.
+// Send sends a request unless it is quarantined, and records whether the upstream
+// terminates while it runs the request. Errors are of type *verdict.Error.
 func (g *Guard) Send(ctx context.Context, t upstream.Target, req *call.Request, done upstream.Done) (*call.Response, error) {
 	if !g.Table.Empty() && g.Table.Quarantined(fingerprint(req), time.Now()) {
 		done(slot.Unused, 0)
 		return nil, verdict.New(verdict.NotRun, verdict.Quarantined, "upstreams ended when they ran this request").WithRetryAfter(retryAfter)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	resp, err := g.Sender.Send(ctx, t, req, done)
 	if err != nil {
-		end := poison.Attempt{Began: began, Ended: time.Now()}
-		end.Run = runThatEnded(t, end.Ended)
-		g.noteFailure(ctx, t, req, end, verdict.From(err))
+		termination := poison.Attempt{Began: startedAt, Ended: time.Now()}
+		termination.Run = terminatedRun(t, termination.Ended)
+		g.recordFailure(ctx, t, req, termination, verdict.From(err))
 		return nil, err
 	}
 	out := *resp
-	out.Body = &watchedBody{ReadCloser: resp.Body, whole: func() { g.noteResponse(req, resp.Status) }}
+	out.Body = &watchedBody{ReadCloser: resp.Body, onEOF: func() { g.recordResponse(req, resp.Status) }}
 	return &out, nil
 }
 
-// runThatEnded names the run of an upstream that ended at a time, to the second. What an
-// upstream reported of its incarnation may be of the run before: a poison request can be
-// the first that a new one gets. Two hosts may give one run two names, which does no harm,
-// as two attempts that ended together never count as one after the other.
-func runThatEnded(t upstream.Target, at time.Time) string {
+// terminatedRun returns a name for the run of an upstream that terminated at the given
+// time, rounded down to the second. The incarnation that the upstream last reported is not
+// used, because it may belong to the previous run: a poison request can be the first
+// request of a new run. Two hosts may use different names for the same run. This does no
+// harm, because two attempts that ended together never count as successive attempts.
+func terminatedRun(t upstream.Target, at time.Time) string {
 	return t.Zone + "/" + t.Name + "@" + strconv.FormatInt(at.Unix(), 10)
 }
 
-// fingerprint identifies a request by its content. Its ticket is no part of that: it
-// comes again with another.
+// fingerprint identifies a request by its content. The ticket is not included, because a
+// client may send the same request again with a different ticket.
 func fingerprint(req *call.Request) poison.Fingerprint {
 	return poison.Content{
 		Credential: req.Header.Get(headerCredential), Method: req.Method, Host: req.Service, Target: req.Target, Body: req.Body,
 	}.Fingerprint()
 }
 
-// noteFailure looks whether an upstream has ended that gave no response. A request that
-// is suspected already waits for that, as it must not go to the next upstream meanwhile.
-func (g *Guard) noteFailure(ctx context.Context, t upstream.Target, req *call.Request, end poison.Attempt, e *verdict.Error) {
+// recordFailure checks whether an upstream that sent no response has terminated. For a
+// request that is already suspected, the check is synchronous, because the request must
+// not be sent to the next upstream before the result is known.
+func (g *Guard) recordFailure(ctx context.Context, t upstream.Target, req *call.Request, termination poison.Attempt, e *verdict.Error) {
 	if e.Verdict != verdict.MayHaveRun || e.Reason != verdict.UpstreamFailed || ctx.Err() != nil {
 		return
 	}
 	f := fingerprint(req)
-	look := func() {
+	check := func() {
 		if g.Leaving(t.Name) || !g.refusesConnections(ctx, t.Addr) {
 			return
 		}
-		g.Log.Warn().Str("upstream", end.Run).Str("fingerprint", f.String()).Str("target", req.Target).Msg("suspicions: an upstream ended under a request")
-		g.Table.RecordTermination(f, end)
+		g.Log.Warn().Str("upstream", termination.Run).Str("fingerprint", f.String()).Str("target", req.Target).Msg("suspicions: upstream terminated while running a request")
+		g.Table.RecordTermination(f, termination)
 	}
 	if g.Table.Suspected(f) {
-		look()
+		check()
 		return
 	}
-	go look()
+	go check()
 }
 
-// noteResponse clears the request of suspicion: a poison request gets no response.
-func (g *Guard) noteResponse(req *call.Request, status int) {
+// recordResponse clears a request of suspicion, because a poison request gets no
+// response. Responses with a status of 500 or above do not clear it.
+func (g *Guard) recordResponse(req *call.Request, status int) {
 	if status < http.StatusInternalServerError && !g.Table.Empty() {
 		g.Table.RecordResponse(fingerprint(req))
 	}
 }
 
-// refusesConnections reports whether nothing listens at an address any more: the process
-// has ended. It makes a connection, and another one if the first ends at once.
+// refusesConnections reports whether an address refuses connections, which shows that the
+// process has terminated. If a connection is closed within minOpenTime, another one is
+// made, until dialTimeout has passed.
 func (g *Guard) refusesConnections(ctx context.Context, addr string) bool {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), dialTimeout)
 	defer cancel()
@@ -142,9 +149,9 @@
 		if err != nil {
 			return errors.Is(err, syscall.ECONNREFUSED)
 		}
-		_ = c.SetReadDeadline(time.Now().Add(settles)) // Read reports an error
+		_ = c.SetReadDeadline(time.Now().Add(minOpenTime)) // an error is reported by Read
 		_, err = c.Read(make([]byte, 1))
-		_ = c.Close() // it was made only to see this
+		_ = c.Close() // the connection served only as a check
 		var timeout net.Error
 		if err == nil || errors.As(err, &timeout) && timeout.Timeout() {
 			return false
@@ -153,18 +160,18 @@
 	return false
 }
 
-// watchedBody tells when a body was read whole.
+// watchedBody is a response body that calls onEOF once it has been read to its end.
 type watchedBody struct {
 	io.ReadCloser
 	once  sync.Once
-	whole func()
+	onEOF func()
 }
 
-// Read implements io.Reader.
+// Read implements io.Reader. It calls onEOF at the first io.EOF.
 func (b *watchedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == io.EOF {
-		b.once.Do(b.whole)
+		b.once.Do(b.onEOF)
 	}
 	return n, err
 }
--- a/internal/selector/entry/suspicions/suspicions_test.go
+++ b/internal/selector/entry/suspicions/suspicions_test.go
@@ -20,14 +20,15 @@
 	"cairndock/internal/verdict"
 )
 
-type nobody struct{}
+// nopObserver is an observer that ignores all events.
+type nopObserver struct{}
 
-func (nobody) SuspicionsChanged()                   {}
-func (nobody) UpstreamTerminated(string, time.Time) {}
-func (nobody) Quarantined(poison.Quarantine)        {}
-func (nobody) Released(poison.Fingerprint, bool)    {}
+func (nopObserver) SuspicionsChanged()                   {}
+func (nopObserver) UpstreamTerminated(string, time.Time) {}
+func (nopObserver) Quarantined(poison.Quarantine)        {}
+func (nopObserver) Released(poison.Fingerprint, bool)    {}
 
-// sender ends each request in the same way.
+// sender returns err for each request, or a complete response if err is nil.
 type sender struct {
 	err  error
 	sent int
@@ -47,7 +48,8 @@
 	noResponse = verdict.New(verdict.MayHaveRun, verdict.UpstreamFailed, "no response")
 )
 
-// dialTo gives an error, or a connection that stays open.
+// dialTo returns a dial function that fails with err, or that makes connections that
+// stay open if err is nil.
 func dialTo(err error) upstream.DialFunc {
 	return func(context.Context, string, string) (net.Conn, error) {
 		if err != nil {
@@ -58,7 +60,7 @@
 	}
 }
 
-func TestOnlyEndsOfUpstreamsCountAgainstARequest(t *testing.T) {
+func TestOnlyTerminationsOfUpstreamsCountAgainstARequest(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		failure *verdict.Error
@@ -66,12 +68,12 @@
 		leaving bool
 		counts  bool
 	}{
-		{"it ended", noResponse, errRefused, false, true},
-		{"it takes new connections", noResponse, nil, false, false},
-		{"it can't be reached", noResponse, context.DeadlineExceeded, false, false},
-		{"its end was planned", noResponse, errRefused, true, false},
+		{"upstream terminated", noResponse, errRefused, false, true},
+		{"upstream accepts connections", noResponse, nil, false, false},
+		{"upstream unreachable", noResponse, context.DeadlineExceeded, false, false},
+		{"planned termination", noResponse, errRefused, true, false},
 		{"nothing was sent", verdict.New(verdict.NotRun, verdict.UpstreamFailed, "not sent"), errRefused, false, false},
-		{"it refused", verdict.New(verdict.NotRun, verdict.UpstreamShed, ""), errRefused, false, false},
+		{"upstream shed the request", verdict.New(verdict.NotRun, verdict.UpstreamShed, ""), errRefused, false, false},
 		{"the deadline passed", verdict.New(verdict.MayHaveRun, verdict.DeadlineLapsed, ""), errRefused, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -79,7 +81,7 @@
 			for range 5 {
 				_, err := g.send(t, "ticket", "/x")
 				require.Error(t, err)
-				time.Sleep(2 * settles) // the first is noted beside the response
+				time.Sleep(2 * minOpenTime) // the first failure is recorded asynchronously
 			}
 			require.Equal(t, c.counts, !g.Table.Empty())
 			if c.counts {
@@ -92,7 +94,7 @@
 	}
 }
 
-// guard is a Guard whose upstreams end at the times of the test.
+// guard is a Guard with helpers for the tests.
 type guard struct{ *Guard }
 
 func newGuard(failure *verdict.Error, dial error, leaving bool) (guard, *sender) {
@@ -101,12 +103,12 @@
 		s.err = failure
 	}
 	return guard{New(Options{
-		Sender: s, Table: poison.NewTable("h", time.Now(), nobody{}), Dial: dialTo(dial),
+		Sender: s, Table: poison.NewTable("h", time.Now(), nopObserver{}), Dial: dialTo(dial),
 		Leaving: func(string) bool { return leaving }, Log: zerolog.Nop(),
 	})}, s
 }
 
-// names are different upstreams, one for each request.
+// names are the names of the upstreams. Each request goes to the next one.
 var names = []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}
 
 func (g guard) send(t *testing.T, ticket, target string) (*call.Response, error) {
@@ -117,7 +119,7 @@
 	resp, err := g.Send(t.Context(), upstream.Target{Name: name, Zone: "z", Addr: name + ":1"}, &call.Request{
 		Service: "s", Method: "POST", Target: target, Ticket: ticket, Deadline: time.Now().Add(time.Second),
 	}, func(slot.Outcome, time.Duration) { released++ })
-	require.Equal(t, 1, released, "its slot is free once")
+	require.Equal(t, 1, released, "the slot must be released exactly once")
 	return resp, err
 }
 
@@ -128,27 +130,27 @@
 func TestAQuarantinedRequestIsRefusedWithAnotherTicketToo(t *testing.T) {
 	g, s := newGuard(noResponse, errRefused, false)
 	for range 3 {
-		_, _ = g.send(t, "one", "/x") // they fail
-		time.Sleep(2 * settles)
+		_, _ = g.send(t, "one", "/x") // the sender fails each request
+		time.Sleep(2 * minOpenTime)
 	}
 	_, err := g.send(t, "two", "/x")
 	require.Equal(t, verdict.Quarantined, verdict.From(err).Reason)
 	require.Equal(t, verdict.NotRun, verdict.From(err).Verdict)
 	require.Equal(t, retryAfter, verdict.From(err).RetryAfter)
 	_, err = g.send(t, "two", "/y")
-	require.Equal(t, verdict.UpstreamFailed, verdict.From(err).Reason, "it is another request")
+	require.Equal(t, verdict.UpstreamFailed, verdict.From(err).Reason, "a different request is not quarantined")
 	require.Equal(t, 4, s.sent)
 }
 
-func TestAWholeResponseClearsARequest(t *testing.T) {
+func TestACompleteResponseClearsARequest(t *testing.T) {
 	g, s := newGuard(noResponse, errRefused, false)
-	_, _ = g.send(t, "", "/x") // it fails
-	time.Sleep(2 * settles)
+	_, _ = g.send(t, "", "/x") // the sender fails the request
+	time.Sleep(2 * minOpenTime)
 	require.False(t, g.Table.Empty())
 	s.err = nil
 	resp, err := g.send(t, "", "/x")
 	require.NoError(t, err)
-	require.False(t, g.Table.Empty(), "the response is not whole yet")
+	require.False(t, g.Table.Empty(), "the response is not complete yet")
 	_, err = io.ReadAll(resp.Body)
 	require.NoError(t, err)
 	require.True(t, g.Table.Empty())
