--- a/internal/selector/entry/upstreams/upstreams.go
+++ b/internal/selector/entry/upstreams/upstreams.go
@@ -1,10 +1,10 @@
 // Package upstreams tracks the state of the upstreams of a host's zone: which
-// incarnation of each runs, and which incarnations are leaving.
+// incarnation of each upstream is running, and which incarnations are leaving.
 //
-// It owns what upstreams, the platform's host list and other hosts of the zone
-// reported, and the probes of the upstreams that fall to this host. A report
-// that an incarnation is leaving is never taken back; only another incarnation of
-// the upstream ends it.
+// The package merges reports of the upstreams, of the platform's host list and of
+// other hosts of the zone, and probes the upstreams that are assigned to this host.
+// A report that an incarnation is leaving is never revoked. It applies until another
+// incarnation of the upstream is seen.
 package upstreams
 
 import (
@@ -24,20 +24,21 @@
 	"cairndock/internal/selector/upstream"
 )
 
-// Options are what a Tracker is made of.
+// Options configure a Tracker.
 type Options struct {
 	Host     string
 	View     func() *config.View
 	Services *services.Set
 	Peers    *peers.Table
-	// Answered is called when an upstream has answered.
+	// Answered is called when an upstream has responded.
 	Answered func()
-	// Changed is called, without a lock, when this host saw a change first.
+	// Changed is called, without a lock held, when this host sees a change that
+	// no other host has reported.
 	Changed func()
 	Log     zerolog.Logger
 }
 
-// incarnationKey is one incarnation of an upstream.
+// incarnationKey identifies one incarnation of an upstream.
 type incarnationKey struct{ upstream, incarnation string }
 
 // Tracker tracks the states of the zone's upstreams.
@@ -45,29 +46,31 @@
 	Options
 
 	mu sync.Mutex
-	// incarnations is the last one seen of each upstream, and departed the
-	// incarnations that are leaving. One that is gone never comes back.
-	incarnations map[string]string
-	departed     map[incarnationKey]struct{}
-	probing      map[string]struct{} // upstreams that this host probes
-	// listed is the platform's host list as last read, with what it named
-	// before.
+	// incarnations maps each upstream to its latest incarnation.
+	// leavingIncarnations contains the incarnations that are leaving. They are
+	// kept, because an incarnation that has stopped never runs again.
+	incarnations        map[string]string
+	leavingIncarnations map[incarnationKey]struct{}
+	probing             map[string]struct{} // upstreams that this host probes
+	// listed is the platform's host list. It keeps the last state of hosts that
+	// only earlier lists contained.
 	listed map[string]store.State
 }
 
-// New makes a Tracker that has seen no upstream.
+// New returns a Tracker that has seen no upstream.
 func New(o Options) *Tracker {
 	return &Tracker{
-		Options:      o,
-		incarnations: map[string]string{},
-		departed:     map[incarnationKey]struct{}{},
-		probing:      map[string]struct{}{},
-		listed:       map[string]store.State{},
+		Options:             o,
+		incarnations:        map[string]string{},
+		leavingIncarnations: map[incarnationKey]struct{}{},
+		probing:             map[string]struct{}{},
+		listed:              map[string]store.State{},
 	}
 }
 
-// Leaving reports whether an upstream is to get no new work: by the
-// configuration, by the platform's host list or by its own report.
+// Leaving reports whether an upstream must get no new requests, according to the
+// configuration, the platform's host list, or a report of the upstream or of another
+// host.
 func (t *Tracker) Leaving(u config.Upstream) bool {
 	if u.State == config.StateLeaving {
 		return true
@@ -77,11 +80,11 @@
 	if state := t.listed[u.Name]; state == store.Leaving || state == store.Gone {
 		return true
 	}
-	_, departed := t.departed[incarnationKey{u.Name, t.incarnations[u.Name]}]
-	return departed
+	_, leaving := t.leavingIncarnations[incarnationKey{u.Name, t.incarnations[u.Name]}]
+	return leaving
 }
 
-// Statuses gives what this host reports of the upstreams to its zone.
+// Statuses returns the upstream states that this host reports to its zone.
 func (t *Tracker) Statuses() []member.UpstreamStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,29 +94,30 @@
 			out = append(out, member.UpstreamStatus{Upstream: name, Instance: incarnation, Seen: true})
 		}
 	}
-	for key := range t.departed {
+	for key := range t.leavingIncarnations {
 		out = append(out, member.UpstreamStatus{Upstream: key.upstream, Instance: key.incarnation, Leaving: true})
 	}
 	return out
 }
 
-// Merge takes in what another host reports, and says whether anything changed.
+// Merge merges the report of another host and reports whether anything changed.
 func (t *Tracker) Merge(statuses []member.UpstreamStatus) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	changed := false
 	for _, s := range statuses {
-		changed = t.note(s) || changed
+		changed = t.record(s) || changed
 	}
 	return changed
 }
 
-// Observe takes in what an upstream reported with a response or a probe.
-func (t *Tracker) Observe(name string, w upstream.Status) {
+// Observe merges the state that an upstream reported in a response to a request or
+// a probe.
+func (t *Tracker) Observe(name string, status upstream.Status) {
 	t.Answered()
 	t.mu.Lock()
 	before := t.incarnations[name]
-	changed := t.note(member.UpstreamStatus{Upstream: name, Instance: w.Incarnation, Leaving: w.Leaving, Seen: true})
+	changed := t.record(member.UpstreamStatus{Upstream: name, Instance: status.Incarnation, Leaving: status.Leaving, Seen: true})
 	t.mu.Unlock()
 	if changed {
 		t.Changed()
@@ -123,17 +127,17 @@
 		return
 	}
 	gate := t.Services.Get(u.Service).Gate
-	if w.Load >= 0 {
-		gate.Report(name, w.Load)
+	if status.Load >= 0 {
+		gate.Report(name, status.Load)
 	}
-	if before != "" && w.Incarnation != "" && before != w.Incarnation {
+	if before != "" && status.Incarnation != "" && before != status.Incarnation {
 		gate.Do(func(p *slot.Pool) { p.Restarted(name) })
 	}
 }
 
-// MergeList takes in the platform's host list, which names upstreams as well
-// as entry hosts. What it said of an upstream's leaving holds even when a
-// later list, which may be older, says that it is live.
+// MergeList merges the platform's host list, which contains upstreams and hosts. An
+// upstream that was listed as leaving stays so even if a list that is read later
+// reports it as live, because that list may be older.
 func (t *Tracker) MergeList(hosts []store.HostState) {
 	v := t.View()
 	t.mu.Lock()
@@ -143,7 +147,7 @@
 		t.listed[s.Name] = s.State
 		changed = changed || old != s.State
 		if _, local := v.LocalUpstream(s.Name); local && s.State != store.Live {
-			t.note(member.UpstreamStatus{Upstream: s.Name, Instance: t.incarnations[s.Name], Leaving: true})
+			t.record(member.UpstreamStatus{Upstream: s.Name, Instance: t.incarnations[s.Name], Leaving: true})
 		}
 	}
 	t.mu.Unlock()
@@ -152,7 +156,7 @@
 	}
 }
 
-// Listed reports whether the platform's host list ever named a host.
+// Listed reports whether the platform's host list has ever contained a host.
 func (t *Tracker) Listed(host string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -160,48 +164,51 @@
 	return ok
 }
 
-// note takes in what is known of an incarnation and reports whether anything
-// changed; t.mu is held.
-func (t *Tracker) note(s member.UpstreamStatus) bool {
+// record merges one reported state of an incarnation and reports whether anything
+// changed. The caller must hold t.mu.
+func (t *Tracker) record(s member.UpstreamStatus) bool {
 	changed := false
 	if s.Seen && s.Instance != "" && t.incarnations[s.Upstream] != s.Instance {
-		t.adoptIncarnation(s)
+		t.recordIncarnation(s)
 		changed = true
 	}
 	key := incarnationKey{s.Upstream, s.Instance}
-	if _, known := t.departed[key]; s.Leaving && !known {
-		t.departed[key] = struct{}{}
+	if _, known := t.leavingIncarnations[key]; s.Leaving && !known {
+		t.leavingIncarnations[key] = struct{}{}
 		changed = true
 	}
 	return changed
 }
 
-// adoptIncarnation notes the incarnation seen. A report of leaving that came before
-// any incarnation was seen belongs to the first one seen; t.mu is held.
-func (t *Tracker) adoptIncarnation(s member.UpstreamStatus) {
-	unseen := incarnationKey{s.Upstream, ""}
-	if _, leaving := t.departed[unseen]; leaving && t.incarnations[s.Upstream] == "" {
-		delete(t.departed, unseen)
-		t.departed[incarnationKey{s.Upstream, s.Instance}] = struct{}{}
+// recordIncarnation stores the latest incarnation of an upstream. A report of leaving
+// that was received before any incarnation was seen applies to the first incarnation
+// seen. The caller must hold t.mu.
+func (t *Tracker) recordIncarnation(s member.UpstreamStatus) {
+	unidentified := incarnationKey{s.Upstream, ""}
+	if _, leaving := t.leavingIncarnations[unidentified]; leaving && t.incarnations[s.Upstream] == "" {
+		delete(t.leavingIncarnations, unidentified)
+		t.leavingIncarnations[incarnationKey{s.Upstream, s.Instance}] = struct{}{}
 	}
 	t.incarnations[s.Upstream] = s.Instance
 }
 
 const (
-	// probeInterval is the time between two probes of an upstream. Traffic
-	// reports sooner; this bounds an idle upstream's.
+	// probeInterval is the time between two probes of an upstream. Responses to
+	// requests report changes sooner; for an idle upstream, this interval limits
+	// the delay.
 	probeInterval = 2 * time.Second
-	// probeTimeout bounds one probe.
+	// probeTimeout is the time limit of one probe.
 	probeTimeout = time.Second
-	// maxProbes bounds the probes of one interval, whatever falls to a host.
+	// maxProbes is the maximum number of probes in one interval, however many
+	// upstreams are assigned to this host.
 	maxProbes = 20
 )
 
-// Probe asks an upstream for its state.
+// Probe queries an upstream for its state.
 type Probe func(ctx context.Context, target upstream.Target) (upstream.Status, error)
 
-// ProbeLoop probes the zone's upstreams until ctx ends. Each is probed by one
-// host, which reports a change to the others.
+// ProbeLoop probes the upstreams that are assigned to this host until ctx is done.
+// Each upstream of the zone is probed by one host, which reports changes to the others.
 func (t *Tracker) ProbeLoop(ctx context.Context, send Probe) {
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
@@ -211,7 +218,7 @@
 			return
 		case <-ticker.C:
 		}
-		all := t.probed()
+		all := t.assigned()
 		for i := range min(maxProbes, len(all)) {
 			go t.probe(ctx, send, all[(next+i)%len(all)])
 		}
@@ -219,8 +226,9 @@
 	}
 }
 
-// probed gives the upstreams that fall to this host to probe.
-func (t *Tracker) probed() []config.Upstream {
+// assigned returns the upstreams that this host must probe and stores their names in
+// t.probing.
+func (t *Tracker) assigned() []config.Upstream {
 	hosts := t.Peers.UpNames()
 	var out []config.Upstream
 	probing := map[string]struct{}{}
@@ -238,15 +246,16 @@
 	return out
 }
 
-// probe asks one upstream for its state.
+// probe queries one upstream for its state.
 func (t *Tracker) probe(ctx context.Context, send Probe, u config.Upstream) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	w, err := send(ctx, upstream.Target{Name: u.Name, Zone: u.Zone, Addr: u.Addr})
+	status, err := send(ctx, upstream.Target{Name: u.Name, Zone: u.Zone, Addr: u.Addr})
 	if err != nil {
-		// Only requests decide whether an upstream can be used.
+		// A failed probe changes nothing, because only requests decide whether
+		// an upstream can be used.
 		t.Log.Debug().Str("upstream", u.Name).Err(err).Msg("entry: probe failed")
 		return
 	}
-	t.Observe(u.Name, w)
+	t.Observe(u.Name, status)
 }
--- a/internal/selector/entry/upstreams/upstreams_test.go
+++ b/internal/selector/entry/upstreams/upstreams_test.go
@@ -15,27 +15,28 @@
 	"cairndock/internal/selector/upstream"
 )
 
-// newTracker is a tracker of one upstream, up-1. It counts what was changed.
+// newTracker returns a Tracker of one upstream, up-1, and the number of calls of
+// Changed.
 func newTracker(t *testing.T) (tracker *Tracker, changes *int) {
-	now := configtest.View(t, configtest.Planning)
+	view := configtest.View(t, configtest.Planning)
 	changes = new(int)
 	return New(Options{
-		Host: "costa-a-1", View: now, Services: services.NewSet(now, func() float64 { return 0.5 }),
+		Host: "costa-a-1", View: view, Services: services.NewSet(view, func() float64 { return 0.5 }),
 		Peers:    peers.New(member.Contact{Host: "costa-a-1", Zone: "costa-a"}),
 		Answered: func() {}, Changed: func() { *changes++ }, Log: zerolog.Nop(),
 	}), changes
 }
 
-// TestLeavingIsNeverTakenBack: whoever reported first that an instance is
-// leaving, only another instance ends it.
-func TestLeavingIsNeverTakenBack(t *testing.T) {
+// TestLeavingIsNeverRevoked checks that a report that an instance is leaving, from any
+// source, applies until another instance is seen.
+func TestLeavingIsNeverRevoked(t *testing.T) {
 	type step func(tr *Tracker)
 	seen := func(instance string, leaving bool) step {
 		return func(tr *Tracker) {
 			tr.Observe("up-1", upstream.Status{Incarnation: instance, Leaving: leaving, Load: -1})
 		}
 	}
-	told := func(instance string) step {
+	reported := func(instance string) step {
 		return func(tr *Tracker) {
 			tr.Merge([]member.UpstreamStatus{{Upstream: "up-1", Instance: instance, Leaving: true}})
 		}
@@ -53,11 +54,11 @@
 		{"its own report", []step{seen("1", true)}, true},
 		{"its own report, then none", []step{seen("1", true), seen("1", false)}, true},
 		{"its own report, then another instance", []step{seen("1", true), seen("2", false)}, false},
-		{"another host's report", []step{seen("1", false), told("1")}, true},
-		{"another host's report of an old instance", []step{seen("2", false), told("1")}, false},
-		{"a report before any instance was seen belongs to the first seen", []step{told(""), seen("1", false)}, true},
-		{"the list, which then goes back", []step{seen("1", false), listed(store.Leaving), listed(store.Live)}, true},
-		{"the list, which goes back, then another instance", []step{seen("1", false), listed(store.Leaving), listed(store.Live), seen("2", false)}, false},
+		{"another host's report", []step{seen("1", false), reported("1")}, true},
+		{"another host's report of an old instance", []step{seen("2", false), reported("1")}, false},
+		{"a report before any instance was seen belongs to the first seen", []step{reported(""), seen("1", false)}, true},
+		{"the list, then an older list", []step{seen("1", false), listed(store.Leaving), listed(store.Live)}, true},
+		{"the list, then an older list, then another instance", []step{seen("1", false), listed(store.Leaving), listed(store.Live), seen("2", false)}, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -72,9 +73,10 @@
 	}
 }
 
-// TestOnlyNewsIsSpread: the zone is told once of what this host saw first,
-// and not of what it learned from the zone.
-func TestOnlyNewsIsSpread(t *testing.T) {
+// TestOnlyFirstObservationsAreReported checks that this host reports a change to the
+// zone once if it saw the change first, and not at all if it learned of the change from
+// another host.
+func TestOnlyFirstObservationsAreReported(t *testing.T) {
 	tr, changes := newTracker(t)
 	tr.Observe("up-1", upstream.Status{Incarnation: "1", Load: -1})
 	tr.Observe("up-1", upstream.Status{Incarnation: "1", Load: -1})
@@ -84,6 +86,7 @@
 	require.Equal(t, 1, *changes)
 }
 
+// prober is a Probe that sends the probed addresses on a channel.
 type prober chan string
 
 func (p prober) Probe(_ context.Context, target upstream.Target) (upstream.Status, error) {
@@ -91,12 +94,12 @@
 	return upstream.Status{Incarnation: "1", Load: -1}, nil
 }
 
-// TestProbesAreSharedOut: a host probes the upstreams that fall to it, and
-// reports their instances.
-func TestProbesAreSharedOut(t *testing.T) {
+// TestProbesAreDistributed checks that a host probes the upstreams that are assigned to
+// it and reports their instances.
+func TestProbesAreDistributed(t *testing.T) {
 	tr, _ := newTracker(t)
 	require.Empty(t, tr.Statuses())
-	all := tr.probed()
+	all := tr.assigned()
 	require.Len(t, all, 1, "the only host of its zone probes all")
 	p := make(prober, 1)
 	tr.probe(context.Background(), p.Probe, all[0])
