--- a/internal/selector/entry/links/links.go
+++ b/internal/selector/entry/links/links.go
@@ -1,10 +1,8 @@
-// Package links keeps what a host sends to other regions under the limits of
-// the links there.
+// Package links enforces the bandwidth limits of the links to other regions.
 //
-// It owns one pacer for each link that the host has sent on, and the loans of
-// unused rate between the hosts of a region. It relies on the configuration
-// for the limits and on the roster and the peers for who else sends on the same
-// links.
+// The package keeps one pacer for each link that this host has used, and the loans of
+// unused rate between the hosts of a region. The limits come from the configuration.
+// The roster and the peers provide the number of hosts that send on the same links.
 package links
 
 import (
@@ -20,47 +18,49 @@
 	"cairndock/internal/selector/member"
 )
 
-// maxLenders is how many hosts are asked for a loan at once.
+// maxLenders is the maximum number of hosts that are queried for a loan at once.
 const maxLenders = 8
 
-// Options are what Links are made of.
+// Options configure Links.
 type Options struct {
 	Host   string
 	Zone   string
 	Region string
 	View   func() *config.View
 	Peers  *peers.Table
-	// ZoneHosts counts the hosts of this host's zone.
+	// ZoneHosts returns the number of hosts in this host's zone.
 	ZoneHosts func() int
 	Mesh      *peer.Mesh
 }
 
-// Links are the links from this host's region to others, as this host sends
-// on them.
+// Links are the links from this host's region to other regions, with the rates at
+// which this host may send. Links is safe for concurrent use.
 type Links struct {
 	Options
-	// started is when the process started.
+	// started is the start time of the process. Loans that an earlier process of
+	// this host granted may still be in use until some time after it.
 	started time.Time
 
 	mu     sync.Mutex
 	pacers map[string]*pacedLink // by the region sent to
 }
 
-// New makes Links that nothing was sent on.
+// New returns Links that have not been used yet.
 func New(o Options) *Links {
 	return &Links{Options: o, started: time.Now(), pacers: map[string]*pacedLink{}}
 }
 
-// pacedLink is a link as this host sends on it.
+// pacedLink is the state of one link on this host.
 type pacedLink struct {
 	*link.Pacer
-	loans *link.Loans // under Links.mu
-	// used is what was sent lately, in bytes per second.
+	loans *link.Loans // guarded by Links.mu
+	// used is the recent send rate, in bytes per second.
 	used float64
 }
 
-// Wait waits until n bytes of a service's traffic may go to a zone. It does
-// not wait within the region, or where the link has no limit.
+// Wait waits until n bytes of a service's traffic may be sent to a zone. It returns
+// immediately for zones of the same region and for links without a limit. The error is
+// that of ctx.
 func (l *Links) Wait(ctx context.Context, service, zone string, n int) error {
 	v := l.View()
 	limit, ok := l.limitTo(v, zone)
@@ -74,7 +74,7 @@
 	return l.pacer(limit).Wait(ctx, class, n)
 }
 
-// Chunk gives how many bytes to send to a zone at once.
+// Chunk returns the number of bytes to send to a zone at once.
 func (l *Links) Chunk(zone string) int {
 	if limit, ok := l.limitTo(l.View(), zone); ok {
 		return l.pacer(limit).Chunk()
@@ -82,7 +82,7 @@
 	return link.MaxChunk
 }
 
-// limitTo gives the limited link to a zone's region, if there is one.
+// limitTo returns the limited link to the region of a zone, if there is one.
 func (l *Links) limitTo(v *config.View, zone string) (config.Link, bool) {
 	region := v.Region(zone)
 	if region == l.Region || region == "" {
@@ -91,28 +91,28 @@
 	return v.Link(l.Region, region)
 }
 
-// pacer gives the pacer of a link, making it when there is none.
+// pacer returns the pacer of a link. A missing pacer is created.
 func (l *Links) pacer(limit config.Link) *pacedLink {
-	part := l.evenPart(limit)
+	share := l.evenShare(limit)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := l.pacers[limit.To]
 	if p == nil {
 		loans := link.NewLoans(l.started)
-		p = &pacedLink{Pacer: link.NewPacer(loans.Rate(part, time.Now()), limit.ReservedShare()), loans: loans}
+		p = &pacedLink{Pacer: link.NewPacer(loans.Rate(share, time.Now()), limit.ReservedShare()), loans: loans}
 		l.pacers[limit.To] = p
 	}
 	return p
 }
 
-// evenPart is this host's part of a link when the region's hosts share it
-// evenly, in bytes per second.
-func (l *Links) evenPart(limit config.Link) float64 {
+// evenShare returns this host's share of the rate of a link, in bytes per second, when
+// all hosts of the region have equal shares.
+func (l *Links) evenShare(limit config.Link) float64 {
 	return float64(limit.BytesPerSecond) / float64(l.regionHosts())
 }
 
-// regionHosts counts the hosts that may send on the region's links. A zone
-// that has not reported yet counts as large as the own.
+// regionHosts returns the number of hosts that may send on the region's links. A zone
+// that has not reported yet is assumed to have as many hosts as this host's zone.
 func (l *Links) regionHosts() int {
 	own := max(1, l.ZoneHosts())
 	total := own
@@ -132,7 +132,7 @@
 	return total
 }
 
-// lenders gives the other hosts of the region to ask for a loan.
+// lenders returns the other hosts of the region that are queried for a loan.
 func (l *Links) lenders() []member.Contact {
 	v := l.View()
 	var out []member.Contact
@@ -144,8 +144,8 @@
 	return out[:min(maxLenders, len(out))]
 }
 
-// Retune applies changes of the limits, of the region's hosts and of loans,
-// and asks for a loan where this host's part is too little.
+// Retune updates the pacers after changes of the limits, of the region's hosts and of
+// the loans. It requests loans for links on which this host needs more than its share.
 func (l *Links) Retune(ctx context.Context) {
 	v := l.View()
 	l.mu.Lock()
@@ -157,10 +157,10 @@
 			continue
 		}
 		used, more := p.Demand()
-		part := l.evenPart(limit)
+		share := l.evenShare(limit)
 		l.mu.Lock()
 		p.used = used
-		p.Configure(p.loans.Rate(part, time.Now()), limit.ReservedShare())
+		p.Configure(p.loans.Rate(share, time.Now()), limit.ReservedShare())
 		l.mu.Unlock()
 		if more {
 			l.borrow(ctx, p, to)
@@ -168,49 +168,51 @@
 	}
 }
 
-// LoanRequest asks a host for its unused part of the link to a region.
+// LoanRequest asks a host to lend its unused share of the link to the region To.
 type LoanRequest struct {
 	Host string `msgpack:"h"`
 	To   string `msgpack:"t"`
 }
 
-// borrow asks the region's hosts for what they do not use of a link.
+// borrow requests the unused shares of a link from other hosts of the region. It does
+// not wait for their replies.
 func (l *Links) borrow(ctx context.Context, p *pacedLink, to string) {
 	for _, c := range l.lenders() {
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, link.Term/2)
 			defer cancel()
-			asked := time.Now()
+			requestedAt := time.Now()
 			rate, err := peer.Call[float64](ctx, l.Mesh, c.PeerAddr, peer.KindLend, LoanRequest{Host: l.Host, To: to})
 			if err != nil || rate <= 0 {
-				// Without a loan the even part holds; the next Retune asks again.
+				// Without a loan, the even share applies. The next call of Retune
+				// may request a loan again.
 				return
 			}
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			p.loans.Borrowed(c.Host, rate, asked)
+			p.loans.Borrowed(c.Host, rate, requestedAt)
 		}()
 	}
 }
 
-// Lend gives the rate lent to a host, in bytes per second. This host reduces
-// its own rate before the borrower can use it.
+// Lend handles a LoanRequest and returns the rate lent, in bytes per second. This host
+// reduces its own rate before the borrower can use the loan.
 func (l *Links) Lend(req LoanRequest) float64 {
 	limit, ok := l.View().Link(l.Region, req.To)
 	if !ok {
 		return 0
 	}
 	p := l.pacer(limit)
-	part := l.evenPart(limit)
+	share := l.evenShare(limit)
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	rate := p.loans.Lend(req.Host, p.loans.Spare(part, p.used, now), now)
-	p.Configure(p.loans.Rate(part, now), limit.ReservedShare())
+	rate := p.loans.Lend(req.Host, p.loans.Spare(share, p.used, now), now)
+	p.Configure(p.loans.Rate(share, now), limit.ReservedShare())
 	return rate
 }
 
-// Sent is how many bytes this host has put on its link to a region.
+// Sent returns the number of bytes that this host has sent on its link to a region.
 func (l *Links) Sent(region string) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/selector/entry/links/links_test.go
+++ b/internal/selector/entry/links/links_test.go
@@ -33,14 +33,15 @@
 `
 )
 
-// newLinks are the links of one of a zone's hosts.
+// newLinks returns the Links of a host that started an hour ago, in a zone with the
+// given number of hosts.
 func newLinks(t *testing.T, hosts int) *Links {
 	l := startedLinks(t, hosts)
 	l.started = time.Now().Add(-time.Hour)
 	return l
 }
 
-// startedLinks is newLinks of a host that has just started.
+// startedLinks returns the Links of a host that has just started.
 func startedLinks(t *testing.T, hosts int) *Links {
 	view := configtest.View(t, doc)
 	return New(Options{
@@ -50,7 +51,7 @@
 	})
 }
 
-// TestOnlyLimitedLinksArePaced: traffic within the region, to a region
+// TestOnlyLimitedLinksArePaced checks that traffic within the region, to a region
 // without a limit and to an unknown zone is neither delayed nor counted.
 func TestOnlyLimitedLinksArePaced(t *testing.T) {
 	for zone, counted := range map[string]int64{"costa-a": 0, "marmara-a": 0, "nowhere": 0, "sierra-a": 100} {
@@ -63,19 +64,20 @@
 	}
 }
 
-// TestHostsShareALinkEvenly: each host of the region starts with the same
-// part of the link.
+// TestHostsShareALinkEvenly checks that each host of the region starts with the same
+// share of the link.
 func TestHostsShareALinkEvenly(t *testing.T) {
 	for _, hosts := range []int{1, 2, 4} {
 		l := newLinks(t, hosts)
 		got, ok := l.View().Link("costa", "sierra")
 		require.True(t, ok)
-		require.InDelta(t, limit/float64(hosts), l.evenPart(got), 1)
+		require.InDelta(t, limit/float64(hosts), l.evenShare(got), 1)
 	}
 }
 
-// TestZonesOfARegionShareALink: a zone that has not reported its hosts counts
-// as large as the own; zones of other regions do not count.
+// TestZonesOfARegionShareALink checks that a zone that has not reported its hosts is
+// assumed to have as many hosts as the own zone, and that zones of other regions are
+// not counted.
 func TestZonesOfARegionShareALink(t *testing.T) {
 	l := newLinks(t, 3)
 	d, err := config.ParseDocument([]byte("[[zone]]\nname = \"costa-b\"\nregion = \"costa\"\n"))
@@ -93,17 +95,18 @@
 	require.Len(t, l.lenders(), 1)
 }
 
-// TestAStartingHostSendsAndLendsWhatItCantHaveLent: loans of the process before it
-// may still run.
-func TestAStartingHostSendsAndLendsWhatItCantHaveLent(t *testing.T) {
+// TestAStartingHostReservesRateForEarlierLoans checks that a starting host neither
+// lends nor uses rate that its previous process may have lent. Such loans may still be
+// in use, and the limit of the link would be exceeded.
+func TestAStartingHostReservesRateForEarlierLoans(t *testing.T) {
 	l := startedLinks(t, 2)
 	require.Zero(t, l.Lend(LoanRequest{Host: "costa-a-2", To: "sierra"}))
 	require.Less(t, l.pacers["sierra"].loans.Rate(limit/2, time.Now()), float64(limit)/4)
 }
 
-// TestLoansStayBelowTheEvenPart: what a host lends is less than its part, and
-// nothing is lent of a link that has no limit.
-func TestLoansStayBelowTheEvenPart(t *testing.T) {
+// TestLoansStayBelowTheEvenShare checks that a host lends less than its share, and that
+// no loan is granted for a link without a limit.
+func TestLoansStayBelowTheEvenShare(t *testing.T) {
 	l := newLinks(t, 2)
 	rate := l.Lend(LoanRequest{Host: "costa-a-2", To: "sierra"})
 	require.Positive(t, rate)
