--- a/internal/selector/entry/services/services.go
+++ b/internal/selector/entry/services/services.go
@@ -1,8 +1,8 @@
-// Package services holds what a host knows and uses of each service: the
-// slots it holds at the service's upstreams, and the choice of zones.
+// Package services holds the state of each service on a host: the slots that the host
+// holds at the service's upstreams, and the decider that chooses zones for requests.
 //
-// It owns the gates and the deciders. Slots are given to it by the host's
-// rosters, and reports of other zones by heartbeats.
+// The package keeps the gates and the deciders. Package rosters assigns the slots, and
+// package heartbeats provides the reports of other zones.
 package services
 
 import (
@@ -19,7 +19,7 @@
 	"cairndock/internal/selector/steer"
 )
 
-// Service is one service's state on this host.
+// Service is the state of one service on this host.
 type Service struct {
 	name string
 	// Gate admits requests to the slots that this host holds.
@@ -27,34 +27,35 @@
 
 	mu      sync.Mutex
 	decider *steer.Decider
-	adopted bool // the shares of another host
+	adopted bool // AdoptShares has been applied
 }
 
-// Decide runs f on the service's choice of zones, which it must not keep. No
-// other lock may be taken in f but the gate's.
+// Decide calls f with the service's decider while the service is locked. The function f
+// must not retain the decider, and must not acquire any lock except the gate's.
 func (s *Service) Decide(f func(d *steer.Decider)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.decider)
 }
 
-// Usage gives the service's slots held and taken here, and the usual latency
-// of its upstreams.
-func (s *Service) Usage() (held, out int, latency time.Duration) {
+// Usage returns the number of the service's slots that this host holds, the number of
+// those in use, and the usual latency of the service's upstreams.
+func (s *Service) Usage() (held, taken int, latency time.Duration) {
 	s.Gate.Do(func(p *slot.Pool) {
-		held, out = p.Usage()
+		held, taken = p.Usage()
 		latency = p.Latency()
 	})
-	return held, out, latency
+	return held, taken, latency
 }
 
-// Free gives the service's slots as they are reported to other hosts.
+// Free returns the service's slots as they are reported to other hosts.
 func (s *Service) Free() member.ServiceSlots {
 	load := s.Gate.Load()
 	return member.ServiceSlots{Service: s.name, Free: load.Free, Held: load.Held, Warm: load.Warm}
 }
 
-// Set is all services that this host has ever had a configuration of.
+// Set contains all services that have been configured since this host started. It is
+// safe for concurrent use.
 type Set struct {
 	view     func() *config.View
 	random   func() float64
@@ -62,13 +63,13 @@
 	leaving  atomic.Bool
 }
 
-// NewSet makes a Set of the services of a changing view. Random gives random
-// numbers in [0, 1); it is used by many goroutines at once.
+// NewSet returns a Set of the services in the configuration that view returns. The
+// function random returns random numbers in [0, 1) and must be safe for concurrent use.
 func NewSet(view func() *config.View, random func() float64) *Set {
 	return &Set{view: view, random: random}
 }
 
-// Get gives a service's state, making it when it is new.
+// Get returns the state of a service. The state of a new service is created.
 func (s *Set) Get(name string) *Service {
 	if svc, ok := s.services.Load(name); ok {
 		return svc.(*Service)
@@ -81,8 +82,9 @@
 	return svc.(*Service)
 }
 
-// Leave has the gates of all services, also of new ones, say that the host is leaving
-// once it holds no slots.
+// Leave marks the host as leaving at the gates of all services, including services that
+// are added later. Once the host holds no slots, the gates refuse requests with
+// slot.Leaving.
 func (s *Set) Leave() {
 	s.leaving.Store(true)
 	for _, svc := range s.All() {
@@ -90,15 +92,15 @@
 	}
 }
 
-// All gives every service by its name, those that are no longer configured
-// included.
+// All iterates over all services by name, including services that are no longer
+// configured.
 func (s *Set) All() iter.Seq2[string, *Service] {
 	return func(yield func(string, *Service) bool) {
 		s.services.Range(func(name, svc any) bool { return yield(name.(string), svc.(*Service)) })
 	}
 }
 
-// Free gives the slots of each configured service.
+// Free returns the slots of each configured service.
 func (s *Set) Free() []member.ServiceSlots {
 	var out []member.ServiceSlots
 	for _, svc := range s.view().Services() {
@@ -107,16 +109,16 @@
 	return out
 }
 
-// Outstanding counts the slots that are taken now.
+// Outstanding returns the number of slots that are in use, over all services.
 func (s *Set) Outstanding() int {
-	out := 0
+	count := 0
 	for _, svc := range s.All() {
-		out += svc.Gate.Load().Outstanding
+		count += svc.Gate.Load().Outstanding
 	}
-	return out
+	return count
 }
 
-// Within reports whether only slots are taken that this host holds.
+// Within reports whether all slots in use are slots that this host holds.
 func (s *Set) Within() bool {
 	ok := true
 	for _, svc := range s.All() {
@@ -128,7 +130,7 @@
 	return ok
 }
 
-// Shares gives the present share of each rule of the configured services.
+// Shares returns the current share of each rule of the configured services.
 func (s *Set) Shares() map[string]float64 {
 	out := map[string]float64{}
 	for _, svc := range s.view().Services() {
@@ -141,8 +143,8 @@
 	return out
 }
 
-// AdoptShares starts the ramps of the configured services from the shares of
-// another host of the zone. Each service does so once.
+// AdoptShares starts the ramps of the configured services at the shares of another host
+// of the zone. It is applied only once to each service.
 func (s *Set) AdoptShares(shares map[string]float64) {
 	if len(shares) == 0 {
 		return
@@ -158,7 +160,8 @@
 	}
 }
 
-// MaxTimeout is the longest deadline that a request of any service can have.
+// MaxTimeout returns the longest max_timeout of the configured services, which limits
+// the time until the deadline of any request.
 func (s *Set) MaxTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, svc := range s.view().Services() {
@@ -167,15 +170,15 @@
 	return longest
 }
 
-// Refresh gives each service the latest reports of the zones, and advances its
-// ramps unless the configuration is frozen. Clock is the reading of the
-// host's monotonic clock, in nanoseconds, at the time now.
+// Refresh passes the latest reports of the zones to each service, and advances the ramps
+// of the service unless the configuration is frozen. The argument clock is the reading
+// of the host's monotonic clock, in nanoseconds, at the time now.
 func (s *Set) Refresh(zones []peers.ZoneReport, frozen bool, now time.Time, clock int64) {
 	for _, svc := range s.view().Services() {
 		state := s.Get(svc.Name)
-		held, out, latency := state.Usage()
+		held, taken, latency := state.Usage()
 		state.Decide(func(d *steer.Decider) {
-			d.SetLocal(held, out, latency)
+			d.SetLocal(held, taken, latency)
 			d.SetFrozen(frozen)
 			d.Meter().Advance(now, frozen)
 			for _, z := range zones {
@@ -186,7 +189,8 @@
 	}
 }
 
-// reportOf gives what a zone reported of a service, by the host's clock.
+// reportOf returns the report of a zone about a service. Its time is converted to the
+// host's monotonic clock.
 func reportOf(z peers.ZoneReport, service string, now time.Time, clock int64) steer.Report {
 	slots, ok := peers.SlotsOf(z.Free, service)
 	if !ok {
--- a/internal/selector/entry/services/services_test.go
+++ b/internal/selector/entry/services/services_test.go
@@ -39,14 +39,15 @@
 	return s
 }
 
-// hold gives a service some slots at its upstream.
+// hold configures the slots that this host holds at the upstream of the service
+// planning.
 func hold(s *Set, held int) {
 	s.Get("planning").Gate.Configure([]slot.Spec{{Name: "up-1", Held: held}},
 		[]slot.RuleSpec{{Name: "all", Upstreams: []int32{0}, InFlight: -1, Rate: -1}})
 }
 
-// TestTakenSlotsAreCounted: a slot that is taken away while a request has it
-// stays outstanding, and the host is no longer within what it holds.
+// TestTakenSlotsAreCounted checks that a slot that is reassigned while a request uses it
+// stays outstanding, and that Within is false until the slot is released.
 func TestTakenSlotsAreCounted(t *testing.T) {
 	s := newSet(t)
 	hold(s, 1)
@@ -62,8 +63,8 @@
 	require.True(t, s.Within())
 }
 
-// TestSharesAreAdoptedOnce: a later host of the zone changes no ramp that
-// already moves here.
+// TestSharesAreAdoptedOnce checks that shares of a second host do not change ramps that
+// have already started on this host.
 func TestSharesAreAdoptedOnce(t *testing.T) {
 	s := newSet(t)
 	s.AdoptShares(nil)
@@ -73,8 +74,8 @@
 	require.Equal(t, map[string]float64{"all": 0.25, "rest": 0.75}, s.Shares())
 }
 
-// TestMaxTimeoutIsOfAllServices: a slot rests for the longest deadline that
-// any request can have.
+// TestMaxTimeoutIsOfAllServices checks that MaxTimeout covers all services. A reassigned
+// slot stays unused for that time, the longest deadline that any request can have.
 func TestMaxTimeoutIsOfAllServices(t *testing.T) {
 	require.Equal(t, time.Minute, newSet(t).MaxTimeout())
 }
