--- a/internal/selector/entry/rosters/membership.go
+++ b/internal/selector/entry/rosters/membership.go
@@ -144,7 +144,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	cur := m.holder.Current().Epoch
-	acked = m.acked != cur && m.configured == cur && m.Services.Within()
+	acked = m.acked != cur && m.configured == cur && m.Services.WithinHeld()
 	if acked {
 		m.acked = cur
 	}
--- a/internal/selector/entry/services/services.go
+++ b/internal/selector/entry/services/services.go
@@ -118,8 +118,8 @@
 	return count
 }
 
-// Within reports whether all slots in use are slots that this host holds.
-func (s *Set) Within() bool {
+// WithinHeld reports whether all slots in use are slots that this host holds.
+func (s *Set) WithinHeld() bool {
 	ok := true
 	for _, svc := range s.All() {
 		svc.Gate.Do(func(p *slot.Pool) { ok = p.WithinHeld() })
--- a/internal/selector/entry/services/services_test.go
+++ b/internal/selector/entry/services/services_test.go
@@ -47,7 +47,7 @@
 }
 
 // TestTakenSlotsAreCounted checks that a slot that is reassigned while a request uses it
-// stays outstanding, and that Within is false until the slot is released.
+// stays outstanding, and that WithinHeld is false until the slot is released.
 func TestTakenSlotsAreCounted(t *testing.T) {
 	s := newSet(t)
 	hold(s, 1)
@@ -56,11 +56,11 @@
 	lease, refusal := gate.Acquire(t.Context(), "all", time.Time{})
 	require.Equal(t, slot.Granted, refusal)
 	require.Equal(t, 1, s.Outstanding())
-	require.True(t, s.Within())
+	require.True(t, s.WithinHeld())
 	hold(s, 0)
-	require.False(t, s.Within(), "the slot belongs to another host now")
+	require.False(t, s.WithinHeld(), "the slot belongs to another host now")
 	gate.Release(lease, slot.Unused, 0)
-	require.True(t, s.Within())
+	require.True(t, s.WithinHeld())
 }
 
 // TestSharesAreAdoptedOnce checks that shares of a second host do not change ramps that
