--- a/internal/selector/entry/forward/forward.go
+++ b/internal/selector/entry/forward/forward.go
@@ -2,7 +2,7 @@
 // requests that other hosts forward to this host (docs/design/request.md).
 //
 // The package defines the message of the peer protocol and its reply. Package
-// peers knows which hosts have free slots, package admission provides the slots
+// peers tracks which hosts have free slots, package admission provides the slots
 // of this host, and package links limits the rate of traffic to other regions.
 package forward
 
