--- a/internal/selector/entry/services/services_test.go
+++ b/internal/selector/entry/services/services_test.go
@@ -39,14 +39,15 @@
 	return s
 }
 
-// hold gives a service some slots at its upstream.
+// hold configures the slots that this host holds at the upstream of the service
+// planning.
 func hold(s *Set, held int) {
 	s.Get("planning").Gate.Configure([]slot.Spec{{Name: "up-1", Held: held}},
 		[]slot.RuleSpec{{Name: "all", Upstreams: []int32{0}, InFlight: -1, Rate: -1}})
 }
 
-// TestTakenSlotsAreCounted: a slot that is taken away while a request has it
-// stays outstanding, and the host is no longer within what it holds.
+// TestTakenSlotsAreCounted checks that a slot that is reassigned while a request uses it
+// stays outstanding, and that WithinHeld is false until the slot is released.
 func TestTakenSlotsAreCounted(t *testing.T) {
 	s := newSet(t)
 	hold(s, 1)
@@ -55,15 +56,15 @@
 	lease, refusal := gate.Acquire(t.Context(), "all", time.Time{})
 	require.Equal(t, slot.Granted, refusal)
 	require.Equal(t, 1, s.Outstanding())
-	require.True(t, s.Within())
+	require.True(t, s.WithinHeld())
 	hold(s, 0)
-	require.False(t, s.Within(), "the slot belongs to another host now")
+	require.False(t, s.WithinHeld(), "the slot belongs to another host now")
 	gate.Release(lease, slot.Unused, 0)
-	require.True(t, s.Within())
+	require.True(t, s.WithinHeld())
 }
 
-// TestSharesAreAdoptedOnce: a later host of the zone changes no ramp that
-// already moves here.
+// TestSharesAreAdoptedOnce checks that shares of a second host do not change ramps that
+// have already started on this host.
 func TestSharesAreAdoptedOnce(t *testing.T) {
 	s := newSet(t)
 	s.AdoptShares(nil)
@@ -73,8 +74,8 @@
 	require.Equal(t, map[string]float64{"all": 0.25, "rest": 0.75}, s.Shares())
 }
 
-// TestMaxTimeoutIsOfAllServices: a slot rests for the longest deadline that
-// any request can have.
+// TestMaxTimeoutIsOfAllServices checks that MaxTimeout covers all services. A reassigned
+// slot stays unused for that time, the longest deadline that any request can have.
 func TestMaxTimeoutIsOfAllServices(t *testing.T) {
 	require.Equal(t, time.Minute, newSet(t).MaxTimeout())
 }
