--- a/internal/gateway/loadmodel/attempt.go
+++ b/internal/gateway/loadmodel/attempt.go
@@ -8,105 +8,108 @@
 	"cairndock/internal/verdict"
 )
 
-// attempt is a pass's request at one upstream.
+// attempt is one transmission of a request to one upstream.
 type attempt struct {
-	pass    *pass
-	choice  balance.Choice
-	server  *server
-	began   time.Time
-	overdue *event
-	late    bool
-	work    *work
-	over    bool
+	request      *request
+	choice       balance.Choice
+	upstream     *upstreamSim
+	startedAt    time.Time
+	overdueTimer *event
+	isOverdue    bool
+	job          *job
+	done         bool
 }
 
-// answer is the upstream's response.
-func (a *attempt) answer(r response) {
-	if a.over {
+// handleResponse processes the upstream's response.
+func (a *attempt) handleResponse(r response) {
+	if a.done {
 		return
 	}
-	h, now := a.pass.host, a.pass.host.model.clock.now
+	h, now := a.request.host, a.request.host.model.clock.now
 	h.balancer.ObserveLoad(a.choice.Upstream, r.running, r.waiting, now)
 	if !r.executed {
-		a.end(a.refusal(r))
+		a.fail(a.refusalReason(r))
 		return
 	}
-	service := a.pass.call.route.Service
-	if a.late {
-		h.detector.RecordLatency(service, now.Sub(a.began))
+	service := a.request.call.route.Service
+	if a.isOverdue {
+		h.detector.RecordLatency(service, now.Sub(a.startedAt))
 	} else {
-		h.detector.RecordSuccess(service, a.choice.Upstream.Run(), now.Sub(a.began), now)
+		h.detector.RecordSuccess(service, a.choice.Upstream.Run(), now.Sub(a.startedAt), now)
 	}
 	a.release(outlier.Succeeded)
-	a.pass.finish()
-	a.pass.call.served()
+	a.request.finish()
+	a.request.call.served()
 }
 
-// refusal is why an upstream refused, by the load that it reported.
-func (a *attempt) refusal(r response) verdict.Reason {
+// refusalReason derives the reason of a refusal from the load that the upstream
+// reported: a refusal with free slots and an empty queue is not due to load.
+func (a *attempt) refusalReason(r response) verdict.Reason {
 	if r.waiting == 0 && r.running < a.choice.Upstream.Capacity {
 		return verdict.UpstreamDeclined
 	}
 	return verdict.UpstreamShed
 }
 
-// end is a failure of the attempt.
-func (a *attempt) end(reason verdict.Reason) {
-	if a.over {
+// fail ends the attempt with a failure. It starts a retry if the rules allow one.
+func (a *attempt) fail(reason verdict.Reason) {
+	if a.done {
 		return
 	}
-	p, h := a.pass, a.pass.host
+	req, h := a.request, a.request.host
 	outcome := outlier.Rejected
 	if reason == verdict.ConnectionRefused {
-		p.refused++
+		req.refusedConnections++
 		outcome = outlier.Unreachable
 		h.detector.RecordFailure(a.choice.Upstream.Run(), h.model.clock.now)
 	}
 	a.release(outcome)
-	if p.ended || p.anyOnTime() {
+	if req.finished || req.anyNotOverdue() {
 		return
 	}
-	if c, ok := p.retry(reason); ok {
-		p.start(c)
+	if c, ok := req.retry(reason); ok {
+		req.start(c)
 		return
 	}
-	if len(p.running) == 0 {
-		p.refuse(reason)
+	if len(req.running) == 0 {
+		req.refuse(reason)
 	}
 }
 
-// markOverdue is the rule of a response that is overdue.
+// markOverdue runs when the response is overdue. It records a failure of the
+// upstream and sends the request to another one if the rules allow a hedge.
 func (a *attempt) markOverdue() {
-	p := a.pass
-	if a.over || p.ended {
+	req := a.request
+	if a.done || req.finished {
 		return
 	}
-	a.late = true
-	h, now := p.host, p.host.model.clock.now
+	a.isOverdue = true
+	h, now := req.host, req.host.model.clock.now
 	h.detector.RecordFailure(a.choice.Upstream.Run(), now)
-	after := a.overdue.at.Sub(a.began)
-	if !h.variant.Hedge || !p.state().MayHedge(p.timeout.at.Sub(now), after) {
+	delay := a.overdueTimer.at.Sub(a.startedAt)
+	if !h.variant.Hedge || !req.state().MayHedge(req.timeout.at.Sub(now), delay) {
 		return
 	}
-	if c, ok := p.choose(); ok {
-		p.start(c)
+	if c, ok := req.choose(); ok {
+		req.start(c)
 	}
 }
 
-// release ends an attempt at its upstream.
+// release ends an attempt and reports its outcome to the host's balancer and outlier
+// detector.
 func (a *attempt) release(o outlier.Outcome) {
-	if a.over {
+	if a.done {
 		return
 	}
-	a.over = true
-	a.overdue.cancel()
-	p := a.pass
-	for i, r := range p.running {
+	a.done = true
+	a.overdueTimer.cancel()
+	req := a.request
+	for i, r := range req.running {
 		if r == a {
-			p.running = append(p.running[:i], p.running[i+1:]...)
+			req.running = append(req.running[:i], req.running[i+1:]...)
 			break
 		}
 	}
-	p.host.balancer.Done(a.choice)
-	p.host.detector.RecordOutcome(a.choice.Upstream.Run(), o, p.host.model.clock.now)
+	req.host.balancer.Done(a.choice)
+	req.host.detector.RecordOutcome(a.choice.Upstream.Run(), o, req.host.model.clock.now)
 }
--- a/internal/gateway/loadmodel/client.go
+++ b/internal/gateway/loadmodel/client.go
@@ -7,31 +7,32 @@
 	"time"
 )
 
-// call is what a client wants: one response, over its tries.
+// call is one call of a client with all its tries. It ends with one outcome.
 type call struct {
 	model *Model
 	route *Route
-	zone  *place
-	// object is what it is about; empty without objects.
+	zone  *zoneState
+	// object is the requested object; empty if the route has no objects.
 	object string
 	sent   time.Time
 	tries  int
 }
 
-// source sends the calls of a route from a zone. It has random numbers of its own,
-// so that all variants get the same calls.
+// source generates the calls of a route from a zone. It has a random generator of
+// its own, so that all variants get the same calls.
 type source struct {
 	model  *Model
 	route  *Route
-	zone   *place
+	zone   *zoneState
 	random *rand.Rand
 }
 
-// next sends the next call, and so on until the end.
+// next schedules the next call. Each call schedules its successor until the end of
+// the load.
 func (s *source) next() {
 	m := s.model
-	pause := s.random.ExpFloat64() / max(minRate, m.rate(s.route, s.zone))
-	m.clock.in(time.Duration(pause*float64(time.Second)), func() {
+	interval := s.random.ExpFloat64() / max(minArrivalRate, m.rate(s.route, s.zone))
+	m.clock.after(time.Duration(interval*float64(time.Second)), func() {
 		if m.clock.now.After(m.end) {
 			return
 		}
@@ -41,7 +42,7 @@
 	})
 }
 
-// object picks one of the objects that the clients of the zone's region ask for.
+// object picks one of the objects that the clients of the zone's region request.
 func (s *source) object() string {
 	if s.route.Objects == 0 {
 		return ""
@@ -49,64 +50,66 @@
 	return s.route.Name + "/" + s.zone.Region + "/" + strconv.Itoa(s.random.IntN(s.route.Objects))
 }
 
-// minRate keeps the arrivals of a zone without load going, in requests a second,
-// as its load may change.
-const minRate = 0.01
+// minArrivalRate, in requests per second, keeps arrivals scheduled in a zone without
+// load, because the load of the zone may change later.
+const minArrivalRate = 0.01
 
-// rate is the requests a second of a route from a zone now.
-func (m *Model) rate(r *Route, z *place) float64 {
-	rate := r.Rate * z.Load / m.load * z.factor
+// rate returns the current requests per second of a route from a zone.
+func (m *Model) rate(r *Route, z *zoneState) float64 {
+	rate := r.Rate * z.Load / m.totalLoad * z.factor
 	if r.Period > 0 {
-		turn := m.clock.now.Sub(m.begin).Seconds()/time.Duration(r.Period).Seconds() + z.Phase
-		rate *= 1 + r.Swing*math.Sin(2*math.Pi*turn)
+		cycles := m.clock.now.Sub(m.start).Seconds()/time.Duration(r.Period).Seconds() + z.Phase
+		rate *= 1 + r.Swing*math.Sin(2*math.Pi*cycles)
 	}
 	return rate
 }
 
-// left is how long the client still waits.
-func (c *call) left() time.Duration {
+// remaining returns the time until the deadline of the client.
+func (c *call) remaining() time.Duration {
 	return time.Duration(c.route.Deadline) - c.model.clock.now.Sub(c.sent)
 }
 
-// try sends the call to a host of the client's zone.
+// try sends the call to a random host of the client's zone.
 func (c *call) try() {
 	c.tries++
 	host := c.zone.hosts[c.model.random.IntN(len(c.zone.hosts))]
-	c.model.clock.in(c.model.delay.client, func() { host.serve(c) })
+	c.model.clock.after(c.model.delay.client, func() { host.serve(c) })
 }
 
-// served is told that the response is on its way.
+// served delivers a response to the client.
 func (c *call) served() {
-	c.model.clock.in(c.model.delay.client, func() {
-		took := c.model.clock.now.Sub(c.sent)
-		if took > time.Duration(c.route.Deadline) {
-			c.model.result.add(c, gaveUp, took)
+	c.model.clock.after(c.model.delay.client, func() {
+		latency := c.model.clock.now.Sub(c.sent)
+		if latency > time.Duration(c.route.Deadline) {
+			c.model.result.add(c, timedOut, latency)
 			return
 		}
-		c.model.result.add(c, answered, took)
+		c.model.result.add(c, responded, latency)
 	})
 }
 
-// refused is told that the call did not run, and when to return. The client waits
-// as told, up to a third of the time that it has left.
-func (c *call) refused(pause time.Duration) {
-	c.model.clock.in(c.model.delay.client, func() {
-		wait := min(pause, c.left()/3)
+// refused delivers a refusal: the call did not run, and the host requests a retry
+// after the delay. The client waits for the delay, but at most for a third of the
+// time that remains until its deadline.
+func (c *call) refused(delay time.Duration) {
+	c.model.clock.after(c.model.delay.client, func() {
+		wait := min(delay, c.remaining()/3)
 		if c.tries > c.route.Returns || wait <= 0 {
 			c.model.result.add(c, rejected, 0)
 			return
 		}
-		c.model.clock.in(wait, c.try)
+		c.model.clock.after(wait, c.try)
 	})
 }
 
-// failed is told that the call may have run. A repeatable one is tried again.
+// failed delivers a failure after which the call may have run. The client retries a
+// repeatable call at once.
 func (c *call) failed() {
-	c.model.clock.in(c.model.delay.client, func() {
-		if c.route.Repeatable && c.tries <= c.route.Returns && c.left() > 0 {
+	c.model.clock.after(c.model.delay.client, func() {
+		if c.route.Repeatable && c.tries <= c.route.Returns && c.remaining() > 0 {
 			c.try()
 			return
 		}
-		c.model.result.add(c, broken, 0)
+		c.model.result.add(c, errored, 0)
 	})
 }
--- a/internal/gateway/loadmodel/clock.go
+++ b/internal/gateway/loadmodel/clock.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// clock is virtual time with what is due.
+// clock is a virtual clock with a queue of scheduled events.
 type clock struct {
-	now    time.Time
-	queue  events
-	number int
+	now      time.Time
+	queue    events
+	sequence int
 }
 
-// event is something that is due; number keeps those of one moment in order.
+// event is a scheduled function. Events of the same time run in the order of their
+// sequence numbers.
 type event struct {
 	at       time.Time
-	number   int
+	sequence int
 	run      func()
 	canceled bool
 }
 
-// in runs a function after a time.
-func (c *clock) in(d time.Duration, run func()) *event {
-	c.number++
-	e := &event{at: c.now.Add(max(0, d)), number: c.number, run: run}
+// after schedules a function to run once d has passed. A negative d counts as zero.
+func (c *clock) after(d time.Duration, run func()) *event {
+	c.sequence++
+	e := &event{at: c.now.Add(max(0, d)), sequence: c.sequence, run: run}
 	heap.Push(&c.queue, e)
 	return e
 }
 
-// every runs a function again and again until a moment.
+// every runs a function at the interval d up to and including the time until.
 func (c *clock) every(d time.Duration, until time.Time, run func()) {
-	c.in(d, func() {
+	c.after(d, func() {
 		if c.now.After(until) {
 			return
 		}
@@ -39,8 +40,8 @@
 	})
 }
 
-// play runs all that is due until nothing is.
-func (c *clock) play() {
+// run executes events in order until the queue is empty.
+func (c *clock) run() {
 	for len(c.queue) > 0 {
 		e := heap.Pop(&c.queue).(*event)
 		c.now = e.at
@@ -50,20 +51,21 @@
 	}
 }
 
-// cancel makes an event that has not run yet do nothing; nil is none.
+// cancel prevents an event that has not run yet from running. A nil event is
+// ignored.
 func (e *event) cancel() {
 	if e != nil {
 		e.canceled = true
 	}
 }
 
-// events is a heap, the next one first.
+// events is a heap of events, ordered by time and sequence number.
 type events []*event
 
 func (q events) Len() int { return len(q) }
 func (q events) Less(i, j int) bool {
 	if q[i].at.Equal(q[j].at) {
-		return q[i].number < q[j].number
+		return q[i].sequence < q[j].sequence
 	}
 	return q[i].at.Before(q[j].at)
 }
--- a/internal/gateway/loadmodel/host.go
+++ b/internal/gateway/loadmodel/host.go
@@ -12,77 +12,78 @@
 	"cairndock/internal/verdict"
 )
 
-// heartbeatEvery is how often hosts of a region tell each other what failed
-// (package fleet).
-const heartbeatEvery = 800 * time.Millisecond
+// heartbeatInterval is the interval at which the hosts of a region exchange observed
+// failures (package fleet).
+const heartbeatInterval = 800 * time.Millisecond
 
-// host is one host with the real decisions of a gateway.
+// host is one simulated host. Its decisions are made by the real code of a gateway.
 type host struct {
 	model    *Model
 	name     string
-	zone     *place
+	zone     *zoneState
 	variant  Variant
 	balancer *balance.Balancer
 	detector *outlier.Detector
 	budget   *retry.Budget
 }
 
-// unlimited is a warm-up quota: the model's upstreams do not turn cold.
-type unlimited struct{}
+// unlimitedQuotas grants unlimited warm-up quotas, because the simulated upstreams
+// never become cold.
+type unlimitedQuotas struct{}
 
 // WarmUpQuota implements balance.WarmUpQuotas.
-func (unlimited) WarmUpQuota(string, string, float64) warmup.Quota { return warmup.Quota{} }
+func (unlimitedQuotas) WarmUpQuota(string, string, float64) warmup.Quota { return warmup.Quota{} }
 
-// silent is an outlier.Reporter: the model's hosts send what they saw with the
-// next heartbeat.
-type silent struct{}
+// discardReporter is an outlier.Reporter that does nothing, because simulated hosts
+// send their observations with the next heartbeat.
+type discardReporter struct{}
 
 // FailureSeen implements outlier.Reporter.
-func (silent) FailureSeen() {}
+func (discardReporter) FailureSeen() {}
 
 // Ejected implements outlier.Reporter.
-func (silent) Ejected(outlier.Ejection) {}
+func (discardReporter) Ejected(outlier.Ejection) {}
 
-func newHost(m *Model, z *place, number int, v Variant) *host {
+func newHost(m *Model, z *zoneState, number int, v Variant) *host {
 	h := &host{model: m, name: z.Name + "-" + strconv.Itoa(number), zone: z, variant: v}
 	h.restart()
 	return h
 }
 
-// restart forgets all that the host knows. Its retry budget is that of a process
-// which has run for a window.
+// restart discards the state of the host. The new retry budget is that of a process
+// that has run for one window.
 func (h *host) restart() {
 	m := h.model
-	h.detector = outlier.New(silent{})
-	h.balancer = balance.New(balance.Location{Zone: h.zone.Name, Region: h.zone.Region, Regions: len(m.regions)}, unlimited{}, h.detector, h.variant.Balance)
+	h.detector = outlier.New(discardReporter{})
+	h.balancer = balance.New(balance.Location{Zone: h.zone.Name, Region: h.zone.Region, Regions: len(m.regions)}, unlimitedQuotas{}, h.detector, h.variant.Balance)
 	h.budget = retry.NewBudget(m.limits, m.clock.now.Add(-m.limits.Window), 0)
 }
 
-// serve takes a call.
+// serve handles a call that arrives at the host.
 func (h *host) serve(c *call) {
 	now := h.model.clock.now
-	p := &pass{host: h, call: c, began: now}
+	req := &request{host: h, call: c, startedAt: now}
 	h.budget.RecordRequest(c.route.Service, now)
-	choice, reason := h.balancer.Choose(p.query())
+	choice, reason := h.balancer.Choose(req.query())
 	if reason != balance.Chosen {
-		p.refuse(reasonOf(reason))
+		req.refuse(verdictReason(reason))
 		return
 	}
-	p.timeout = h.model.clock.in(p.hold(), p.lapse)
-	p.start(choice)
+	req.timeout = h.model.clock.after(req.timeLimit(), req.timeOut)
+	req.start(choice)
 }
 
-// pause is when a client that was refused should return.
-func (h *host) pause(reason verdict.Reason) time.Duration {
-	pause := retry.After(verdict.NotRun, reason)
+// retryDelay returns the delay after which a refused client should retry.
+func (h *host) retryDelay(reason verdict.Reason) time.Duration {
+	delay := retry.After(verdict.NotRun, reason)
 	if h.variant.PauseLeast > 0 {
-		pause = retry.Delay{Min: time.Duration(h.variant.PauseLeast), Jitter: time.Duration(h.variant.PauseJitter)}
+		delay = retry.Delay{Min: time.Duration(h.variant.PauseLeast), Jitter: time.Duration(h.variant.PauseJitter)}
 	}
-	return pause.Min + time.Duration(h.model.random.Float64()*float64(pause.Jitter))
+	return delay.Min + time.Duration(h.model.random.Float64()*float64(delay.Jitter))
 }
 
-// reasonOf is the reason of a call that no upstream was chosen for.
-func reasonOf(r balance.Reason) verdict.Reason {
+// verdictReason returns the reason reported for a call if no upstream was chosen.
+func verdictReason(r balance.Reason) verdict.Reason {
 	switch r {
 	case balance.NoUpstream:
 		return verdict.NoUpstream
@@ -93,7 +94,7 @@
 	}
 }
 
-// heartbeat tells the region's other hosts what failed.
+// heartbeat sends the observed failures to the other hosts of the region.
 func (h *host) heartbeat() {
 	now := h.model.clock.now
 	observations := h.detector.Observations(now)
@@ -107,8 +108,8 @@
 	}
 }
 
-// way is the one-way delay between a zone and an upstream.
-func (m *Model) way(z *place, u *upstream.Upstream) time.Duration {
+// oneWayDelay returns the one-way network delay between a zone and an upstream.
+func (m *Model) oneWayDelay(z *zoneState, u *upstream.Upstream) time.Duration {
 	switch {
 	case z.Name == u.Zone:
 		return 0
--- a/internal/gateway/loadmodel/model.go
+++ b/internal/gateway/loadmodel/model.go
@@ -12,43 +12,44 @@
 	"cairndock/internal/gateway/upstream"
 )
 
-// Model is one run of a scenario with one variant.
+// Model is the state of one run of a scenario with one variant.
 type Model struct {
 	clock   clock
 	random  *rand.Rand
-	begin   time.Time
+	start   time.Time
 	end     time.Time
 	delay   delays
 	limits  retry.Limits
 	regions map[string]bool
-	places  map[string]*place
-	// load is the sum of all zones' loads.
-	load    float64
-	hosts   []*host
-	servers map[string]*server
-	// byService has the servers of a service in their order, and entries what
-	// hosts know of them.
-	byService map[string][]*server
+	zones   map[string]*zoneState
+	// totalLoad is the sum of the loads of all zones.
+	totalLoad float64
+	hosts     []*host
+	upstreams map[string]*upstreamSim
+	// byService has the upstreams of each service in the order of their creation;
+	// entries has their registrations as hosts see them.
+	byService map[string][]*upstreamSim
 	entries   map[string][]*upstream.Upstream
 	result    *Result
 }
 
-// delays are one-way delays.
+// delays are one-way network delays.
 type delays struct{ client, zone, region time.Duration }
 
-// place is a zone in a run. factor multiplies its load.
-type place struct {
+// zoneState is a zone in a run. factor multiplies the load of the zone.
+type zoneState struct {
 	Zone
 	hosts  []*host
 	factor float64
 }
 
-// Run plays a scenario with a variant. Its own seed is that of the scenario plus
-// another, so that a run can be repeated with other chances.
+// Run simulates a scenario with a variant. The random generator is seeded with the
+// seed of the scenario and the given seed, so that a scenario can be run again with
+// other random numbers.
 func Run(s Scenario, v Variant, seed uint64) *Result {
 	m := newModel(s, seed)
-	for _, name := range slices.Sorted(maps.Keys(m.places)) {
-		z := m.places[name]
+	for _, name := range slices.Sorted(maps.Keys(m.zones)) {
+		z := m.zones[name]
 		for i := range z.Hosts {
 			h := newHost(m, z, i, v)
 			z.hosts = append(z.hosts, h)
@@ -57,109 +58,109 @@
 	}
 	m.result.Variant = v.Name
 	m.schedule(s)
-	m.clock.play()
-	for _, name := range slices.Sorted(maps.Keys(m.servers)) {
-		m.result.FirstLoads += m.servers[name].firstLoads
+	m.clock.run()
+	for _, name := range slices.Sorted(maps.Keys(m.upstreams)) {
+		m.result.FirstLoads += m.upstreams[name].firstLoads
 	}
 	return m.result
 }
 
 func newModel(s Scenario, seed uint64) *Model {
-	// The moment does not matter, but for counting from it.
-	begin := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
+	// The date is arbitrary; it only serves as the origin of virtual time.
+	start := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 	m := &Model{
-		random: rand.New(rand.NewPCG(s.Seed, seed)), begin: begin, end: begin.Add(s.length()),
+		random: rand.New(rand.NewPCG(s.Seed, seed)), start: start, end: start.Add(s.length()),
 		delay:   delays{client: time.Duration(s.Delay.Client), zone: time.Duration(s.Delay.Zone), region: time.Duration(s.Delay.Region)},
 		limits:  retry.Limits{Ratio: s.Retries.Ratio, Window: cmp.Or(time.Duration(s.Retries.Window), defaultWindow), Slack: s.Retries.Slack},
-		regions: map[string]bool{}, places: map[string]*place{}, servers: map[string]*server{},
-		byService: map[string][]*server{}, entries: map[string][]*upstream.Upstream{}, result: newResult(),
+		regions: map[string]bool{}, zones: map[string]*zoneState{}, upstreams: map[string]*upstreamSim{},
+		byService: map[string][]*upstreamSim{}, entries: map[string][]*upstream.Upstream{}, result: newResult(),
 	}
-	m.clock.now = begin
+	m.clock.now = start
 	for _, z := range s.Zones {
-		m.places[z.Name] = &place{Zone: z, factor: 1}
+		m.zones[z.Name] = &zoneState{Zone: z, factor: 1}
 		m.regions[z.Region] = true
-		m.load += z.Load
+		m.totalLoad += z.Load
 	}
 	for _, v := range s.Services {
-		m.addServers(v)
+		m.addUpstreams(v)
 	}
 	return m
 }
 
-// defaultWindow is the window of the retry budget where a scenario names none.
+// defaultWindow is the window of the retry budget if a scenario sets none.
 const defaultWindow = 10 * time.Second
 
-// addServers makes a service's upstreams.
-func (m *Model) addServers(v Service) {
+// addUpstreams creates the upstreams of a service.
+func (m *Model) addUpstreams(v Service) {
 	for _, zone := range slices.Sorted(maps.Keys(v.Upstreams)) {
 		for i := range v.Upstreams[zone] {
 			id := v.Name + "-" + zone + "-" + strconv.Itoa(i)
 			entry := &upstream.Upstream{Registration: upstream.Registration{
-				ID: id, Service: v.Name, Zone: zone, Region: m.places[zone].Region, Capacity: v.Slots,
+				ID: id, Service: v.Name, Zone: zone, Region: m.zones[zone].Region, Capacity: v.Slots,
 			}}
-			s := &server{model: m, entry: entry, setup: v, slow: 1}
-			m.servers[id] = s
-			m.byService[v.Name] = append(m.byService[v.Name], s)
+			u := &upstreamSim{model: m, entry: entry, config: v, slow: 1}
+			m.upstreams[id] = u
+			m.byService[v.Name] = append(m.byService[v.Name], u)
 			m.entries[v.Name] = append(m.entries[v.Name], entry)
 		}
 	}
 }
 
-// schedule makes the arrivals, heartbeats and faults due.
+// schedule schedules the arrivals, heartbeats and faults.
 func (m *Model) schedule(s Scenario) {
 	for i := range s.Routes {
-		for _, name := range slices.Sorted(maps.Keys(m.places)) {
-			if z := m.places[name]; len(z.hosts) > 0 && z.Load > 0 {
-				from := &source{model: m, route: &s.Routes[i], zone: z, random: rand.New(rand.NewPCG(m.random.Uint64(), m.random.Uint64()))}
-				from.next()
+		for _, name := range slices.Sorted(maps.Keys(m.zones)) {
+			if z := m.zones[name]; len(z.hosts) > 0 && z.Load > 0 {
+				src := &source{model: m, route: &s.Routes[i], zone: z, random: rand.New(rand.NewPCG(m.random.Uint64(), m.random.Uint64()))}
+				src.next()
 			}
 		}
 	}
 	for _, h := range m.hosts {
-		m.clock.every(heartbeatEvery, m.end, h.heartbeat)
+		m.clock.every(heartbeatInterval, m.end, h.heartbeat)
 	}
 	for _, f := range s.Faults {
-		m.clock.in(time.Duration(f.At), func() { m.strike(f, true) })
-		m.clock.in(time.Duration(f.At)+time.Duration(f.For), func() { m.strike(f, false) })
+		m.clock.after(time.Duration(f.At), func() { m.setFault(f, true) })
+		m.clock.after(time.Duration(f.At)+time.Duration(f.For), func() { m.setFault(f, false) })
 	}
 }
 
-// strike begins or ends a fault.
-func (m *Model) strike(f Fault, begins bool) {
+// setFault starts or ends a fault.
+func (m *Model) setFault(f Fault, starting bool) {
 	switch f.Kind {
 	case Burst:
-		for _, z := range m.places {
+		for _, z := range m.zones {
 			if f.Zone == "" || f.Zone == z.Name {
-				z.factor = pick(begins, f.Factor, 1)
+				z.factor = pick(starting, f.Factor, 1)
 			}
 		}
 	case Restart:
-		if begins {
+		if starting {
 			for _, h := range m.hosts {
 				h.restart()
 			}
 		}
 	default:
-		servers := m.byService[f.Service]
-		for _, s := range servers[:int(f.Part*float64(len(servers)))] {
-			s.strike(f, begins)
+		upstreams := m.byService[f.Service]
+		for _, u := range upstreams[:int(f.Part*float64(len(upstreams)))] {
+			u.setFault(f, starting)
 		}
 	}
 }
 
-// strike begins or ends a fault of one upstream.
-func (s *server) strike(f Fault, begins bool) {
+// setFault starts or ends a fault of one upstream.
+func (u *upstreamSim) setFault(f Fault, starting bool) {
 	switch f.Kind {
 	case Slow:
-		s.slow = pick(begins, f.Factor, 1)
+		u.slow = pick(starting, f.Factor, 1)
 	case Shed:
-		s.shed = pick(begins, f.Factor, 0)
+		u.shed = pick(starting, f.Factor, 0)
 	case Down:
-		s.down = begins
+		u.down = starting
 	}
 }
 
-// pick gives the first of two values if a condition holds.
+// pick returns yes if the condition is true, and no otherwise.
 func pick(condition bool, yes, no float64) float64 {
 	if condition {
 		return yes
--- a/internal/gateway/loadmodel/pass.go
+++ b/internal/gateway/loadmodel/pass.go
@@ -10,109 +10,112 @@
 	"cairndock/internal/verdict"
 )
 
-// pass is one try of a call at a host.
-type pass struct {
-	host  *host
-	call  *call
-	began time.Time
-	tried []string
-	// refused is how many of tried refused the connection.
-	refused int
-	running []*attempt
-	ended   bool
-	timeout *event
+// request is one try of a call at a host.
+type request struct {
+	host      *host
+	call      *call
+	startedAt time.Time
+	tried     []string
+	// refusedConnections is the number of upstreams in tried that refused the
+	// connection.
+	refusedConnections int
+	running            []*attempt
+	finished           bool
+	timeout            *event
 }
 
-// hold is how long the host holds the call.
-func (p *pass) hold() time.Duration {
-	hold := p.call.left()
-	if t := time.Duration(p.call.route.Timeout); t > 0 {
-		hold = min(hold, t)
+// timeLimit returns how long the host works on the request at most.
+func (req *request) timeLimit() time.Duration {
+	limit := req.call.remaining()
+	if t := time.Duration(req.call.route.Timeout); t > 0 {
+		limit = min(limit, t)
 	}
-	return hold
+	return limit
 }
 
-func (p *pass) query() balance.Query {
-	r := p.call.route
-	key := p.call.object
+func (req *request) query() balance.Query {
+	r := req.call.route
+	key := req.call.object
 	if key == "" {
-		key = strconv.Itoa(p.host.model.random.Int())
+		key = strconv.Itoa(req.host.model.random.Int())
 	}
 	return balance.Query{
-		Key: key, NoAffinity: r.Objects == 0, Upstreams: p.host.model.entries[r.Service],
-		Priority: r.Priority, Tried: p.tried, Now: p.host.model.clock.now,
+		Key: key, NoAffinity: r.Objects == 0, Upstreams: req.host.model.entries[r.Service],
+		Priority: r.Priority, Tried: req.tried, Now: req.host.model.clock.now,
 	}
 }
 
-// start sends the call to an upstream.
-func (p *pass) start(c balance.Choice) {
-	h, m := p.host, p.host.model
-	p.tried = append(p.tried, c.Upstream.ID)
-	a := &attempt{pass: p, choice: c, server: m.servers[c.Upstream.ID], began: m.clock.now}
-	p.running = append(p.running, a)
-	if after := h.detector.OverdueAfter(p.call.route.Service, c.Load); after > 0 {
-		a.overdue = m.clock.in(after, a.markOverdue)
+// start sends the request to an upstream.
+func (req *request) start(c balance.Choice) {
+	h, m := req.host, req.host.model
+	req.tried = append(req.tried, c.Upstream.ID)
+	a := &attempt{request: req, choice: c, upstream: m.upstreams[c.Upstream.ID], startedAt: m.clock.now}
+	req.running = append(req.running, a)
+	if overdueDelay := h.detector.OverdueAfter(req.call.route.Service, c.Load); overdueDelay > 0 {
+		a.overdueTimer = m.clock.after(overdueDelay, a.markOverdue)
 	}
 	h.balancer.Sent(c, m.clock.now)
-	way := m.way(h.zone, c.Upstream)
-	if a.server.down {
-		m.clock.in(2*way, func() { a.end(verdict.ConnectionRefused) })
+	delay := m.oneWayDelay(h.zone, c.Upstream)
+	if a.upstream.down {
+		m.clock.after(2*delay, func() { a.fail(verdict.ConnectionRefused) })
 		return
 	}
 	m.result.sent(h.zone, c.Upstream)
-	a.work = &work{route: p.call.route, object: p.call.object}
-	a.work.done = func(r response) { m.clock.in(way, func() { a.answer(r) }) }
-	m.clock.in(way, func() {
-		if !a.work.canceled {
-			a.server.receive(a.work)
+	a.job = &job{route: req.call.route, object: req.call.object}
+	a.job.done = func(r response) { m.clock.after(delay, func() { a.handleResponse(r) }) }
+	m.clock.after(delay, func() {
+		if !a.job.canceled {
+			a.upstream.receive(a.job)
 		}
 	})
 }
 
-// anyOnTime reports whether an attempt runs that is not overdue.
-func (p *pass) anyOnTime() bool {
-	for _, a := range p.running {
-		if !a.late {
+// anyNotOverdue reports whether an attempt is in flight that is not overdue.
+func (req *request) anyNotOverdue() bool {
+	for _, a := range req.running {
+		if !a.isOverdue {
 			return true
 		}
 	}
 	return false
 }
 
-// retry chooses another upstream for a call whose attempt failed for a reason.
-func (p *pass) retry(reason verdict.Reason) (balance.Choice, bool) {
-	if !p.host.variant.Retry || !p.state().MayRetry(p.ended) {
+// retry chooses another upstream after an attempt failed with the reason. It reports
+// whether there is one and the rules allow the retry.
+func (req *request) retry(reason verdict.Reason) (balance.Choice, bool) {
+	if !req.host.variant.Retry || !req.state().MayRetry(req.finished) {
 		return balance.Choice{}, false
 	}
 	if reason != verdict.ConnectionRefused {
-		return p.choose()
+		return req.choose()
 	}
-	c, why := p.host.balancer.Choose(p.query())
-	if why != balance.Chosen {
+	c, result := req.host.balancer.Choose(req.query())
+	if result != balance.Chosen {
 		return c, false
 	}
-	if !p.state().MayUseUpstream(c.Load) {
-		p.host.balancer.Done(c)
+	if !req.state().MayUseUpstream(c.Load) {
+		req.host.balancer.Done(c)
 		return c, false
 	}
 	return c, true
 }
 
-// state is what the rules of retries look at. An attempt of the model fails only
-// without having run, or with the whole pass at its timeout.
-func (p *pass) state() retry.State {
-	r := p.call.route
-	return retry.State{Attempts: len(p.tried), Refused: p.refused, MaxAttempts: r.Attempts, Repeatable: r.Repeatable}
+// state returns the input of the retry rules. A simulated attempt fails only if it
+// did not run, or together with the whole request at its timeout.
+func (req *request) state() retry.State {
+	r := req.call.route
+	return retry.State{Attempts: len(req.tried), Refused: req.refusedConnections, MaxAttempts: r.Attempts, Repeatable: r.Repeatable}
 }
 
-// choose takes a retry from the budget and chooses an upstream for it.
-func (p *pass) choose() (balance.Choice, bool) {
-	h, now := p.host, p.host.model.clock.now
-	service := p.call.route.Service
+// choose takes a retry from the budget and chooses an upstream for the retry. The
+// retry is returned to the budget if no upstream is available.
+func (req *request) choose() (balance.Choice, bool) {
+	h, now := req.host, req.host.model.clock.now
+	service := req.call.route.Service
 	if !h.budget.TryRetry(service, 1/float64(len(h.model.hosts)), now) {
 		return balance.Choice{}, false
 	}
-	c, reason := h.balancer.Choose(p.query())
+	c, reason := h.balancer.Choose(req.query())
 	if reason != balance.Chosen {
 		h.budget.Return(service, now)
 		return balance.Choice{}, false
@@ -120,31 +123,31 @@
 	return c, true
 }
 
-// lapse is the end of the time that the host holds the call.
-func (p *pass) lapse() {
-	if p.ended {
+// timeOut fails the request when its time limit has passed.
+func (req *request) timeOut() {
+	if req.finished {
 		return
 	}
-	p.finish()
-	p.call.failed()
+	req.finish()
+	req.call.failed()
 }
 
-// finish gives up what still runs.
-func (p *pass) finish() {
-	p.ended = true
-	p.timeout.cancel()
-	for len(p.running) > 0 {
-		a := p.running[0]
-		if a.work != nil {
-			a.server.cancel(a.work)
+// finish ends the request and cancels the attempts that are still in flight.
+func (req *request) finish() {
+	req.finished = true
+	req.timeout.cancel()
+	for len(req.running) > 0 {
+		a := req.running[0]
+		if a.job != nil {
+			a.upstream.cancel(a.job)
 		}
 		a.release(outlier.Canceled)
 	}
 }
 
-// refuse answers that the call did not run.
-func (p *pass) refuse(reason verdict.Reason) {
-	p.ended = true
-	p.timeout.cancel()
-	p.call.refused(p.host.pause(reason))
+// refuse responds to the client that the call did not run.
+func (req *request) refuse(reason verdict.Reason) {
+	req.finished = true
+	req.timeout.cancel()
+	req.call.refused(req.host.retryDelay(reason))
 }
--- a/internal/gateway/loadmodel/result.go
+++ b/internal/gateway/loadmodel/result.go
@@ -13,28 +13,30 @@
 	"cairndock/internal/gateway/upstream"
 )
 
-// ending is how a call ended.
+// ending is the way in which a call ended.
 type ending uint8
 
 const (
-	// answered is a response that the client still waited for.
-	answered ending = iota
-	// gaveUp is a client whose deadline passed before the response came.
-	gaveUp
-	// rejected is a client that was refused and did not return.
+	// responded is a response that arrived before the deadline of the client.
+	responded ending = iota
+	// timedOut is a response that arrived after the deadline of the client.
+	timedOut
+	// rejected is a call that was refused and not retried.
 	rejected
-	// broken is a call that failed and may have run.
-	broken
+	// errored is a call that failed and may have run.
+	errored
 )
 
-// Figures are what clients got.
+// Figures counts calls by their results. InTime and Late count the responses within
+// and after the objective of the route. Failed includes the calls that timed out.
 type Figures struct {
 	Calls, InTime, Late, Refused, Failed int
-	// Owed is what all calls were worth, and Earned what they brought.
+	// Owed is the weight of all calls, and Earned the weight of the responses, where a
+	// late response has the late weight of its route.
 	Owed, Earned float64
 }
 
-// Credit is the part of what was owed that was earned.
+// Credit returns Earned as a fraction of Owed, or 0 without calls.
 func (f Figures) Credit() float64 {
 	if f.Owed == 0 {
 		return 0
@@ -42,40 +44,42 @@
 	return f.Earned / f.Owed
 }
 
-// Result is what a run's clients got.
+// Result has the figures of one run.
 type Result struct {
 	Variant string
 	Total   Figures
-	// Regions, Routes and Seconds have the same by the client's region, by route
-	// and by the second in which the client sent its call.
+	// Regions, Routes and Seconds have the figures by the region of the client, by
+	// route, and by the second of the run in which the client sent its call.
 	Regions map[string]*Figures
 	Routes  map[string]*Figures
 	Seconds map[int]*Figures
-	// FirstLoads is how often an upstream got an object that it did not keep.
+	// FirstLoads is the number of requests for objects that were not in the cache of
+	// the upstream.
 	FirstLoads int
-	// Attempts is how many requests were sent to upstreams, and Away how many of
-	// these to another region than the host's.
+	// Attempts is the number of requests sent to upstreams. Away is the number of
+	// these that went to a region other than that of the host.
 	Attempts, Away int
 
-	took *hdrhistogram.Histogram
+	latencies *hdrhistogram.Histogram
 }
 
-// maxLatency bounds the latencies that are told apart, in milliseconds.
-const maxLatency = 60_000
+// maxLatencyMS is the largest latency that the histogram records, in milliseconds.
+const maxLatencyMS = 60_000
 
 func newResult() *Result {
 	return &Result{
 		Regions: map[string]*Figures{}, Routes: map[string]*Figures{}, Seconds: map[int]*Figures{},
-		took: hdrhistogram.New(1, maxLatency, 3),
+		latencies: hdrhistogram.New(1, maxLatencyMS, 3),
 	}
 }
 
-// Latency is the time within which a part of the responses came, in percent.
+// Latency returns a percentile of the latency of responses that arrived before the
+// deadline. The percentile is in percent, from 0 to 100.
 func (r *Result) Latency(percent float64) time.Duration {
-	return time.Duration(r.took.ValueAtQuantile(percent)) * time.Millisecond
+	return time.Duration(r.latencies.ValueAtQuantile(percent)) * time.Millisecond
 }
 
-// WorstRegion is the least credit of a region's clients.
+// WorstRegion returns the smallest credit of all regions, or 1 without regions.
 func (r *Result) WorstRegion() float64 {
 	worst := 1.0
 	for _, f := range r.Regions {
@@ -84,41 +88,41 @@
 	return worst
 }
 
-// sent counts a request that was sent to an upstream.
-func (r *Result) sent(from *place, to *upstream.Upstream) {
+// sent records a request that was sent to an upstream.
+func (r *Result) sent(from *zoneState, to *upstream.Upstream) {
 	r.Attempts++
 	if from.Region != to.Region {
 		r.Away++
 	}
 }
 
-// add counts how a call ended, and how long its response took.
-func (r *Result) add(c *call, e ending, took time.Duration) {
-	if e == answered {
-		// An error means a latency above maxLatency, which no deadline allows.
-		_ = r.took.RecordValue(took.Milliseconds())
+// add records the end of a call and the latency of its response.
+func (r *Result) add(c *call, e ending, latency time.Duration) {
+	if e == responded {
+		// An error means a latency above maxLatencyMS, which no deadline allows.
+		_ = r.latencies.RecordValue(latency.Milliseconds())
 	}
-	second := int(c.sent.Sub(c.model.begin) / time.Second)
-	for _, f := range []*Figures{&r.Total, figures(r.Regions, c.zone.Region), figures(r.Routes, c.route.Name), figures(r.Seconds, second)} {
-		f.add(c.route, e, took)
+	second := int(c.sent.Sub(c.model.start) / time.Second)
+	for _, f := range []*Figures{&r.Total, figuresOf(r.Regions, c.zone.Region), figuresOf(r.Routes, c.route.Name), figuresOf(r.Seconds, second)} {
+		f.add(c.route, e, latency)
 	}
 }
 
-func figures[K comparable](m map[K]*Figures, key K) *Figures {
+func figuresOf[K comparable](m map[K]*Figures, key K) *Figures {
 	if m[key] == nil {
 		m[key] = &Figures{}
 	}
 	return m[key]
 }
 
-func (f *Figures) add(r *Route, e ending, took time.Duration) {
+func (f *Figures) add(r *Route, e ending, latency time.Duration) {
 	f.Calls++
 	f.Owed += r.Weight
 	switch {
-	case e == answered && (r.Objective == 0 || took <= time.Duration(r.Objective)):
+	case e == responded && (r.Objective == 0 || latency <= time.Duration(r.Objective)):
 		f.InTime++
 		f.Earned += r.Weight
-	case e == answered:
+	case e == responded:
 		f.Late++
 		f.Earned += r.LateWeight
 	case e == rejected:
@@ -128,7 +132,9 @@
 	}
 }
 
-// Print writes the results of a scenario's variants side by side.
+// Print writes the results of a scenario's variants as a table: one row for each
+// variant, then the credit of each variant by second. It returns an error if writing
+// fails.
 func Print(w io.Writer, results []*Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "variant\tcalls\tcredit\tworst region\tin time\tlate\trefused\tfailed\tfirst loads\taway\tp50\tp99\t")
@@ -139,7 +145,7 @@
 			r.FirstLoads, float64(r.Away)/float64(max(1, r.Attempts)), r.Latency(50), r.Latency(99))
 	}
 	fmt.Fprintln(t, "\nsecond\tcredit of each variant\t")
-	for _, second := range seconds(results) {
+	for _, second := range allSeconds(results) {
 		fmt.Fprintf(t, "%d\t", second)
 		for _, r := range results {
 			if f := r.Seconds[second]; f != nil {
@@ -151,8 +157,8 @@
 	return t.Flush()
 }
 
-// seconds are those of any result.
-func seconds(results []*Result) []int {
+// allSeconds returns the sorted seconds for which any result has figures.
+func allSeconds(results []*Result) []int {
 	all := map[int]bool{}
 	for _, r := range results {
 		for s := range r.Seconds {
--- a/internal/gateway/loadmodel/scenario.go
+++ b/internal/gateway/loadmodel/scenario.go
@@ -12,13 +12,13 @@
 	"cairndock/internal/tomlfile"
 )
 
-// Scenario is a deployment, its load, its faults and the variants to play.
+// Scenario is a deployment, its load, its faults and the variants to simulate.
 type Scenario struct {
 	Name string `toml:"name"`
 	Seed uint64 `toml:"seed"`
-	// Length is how long requests arrive.
+	// Length is the period in which requests arrive.
 	Length settings.Duration `toml:"length"`
-	// Delay is the one-way delay between two places.
+	// Delay has the one-way network delays.
 	Delay    Delay     `toml:"delay"`
 	Zones    []Zone    `toml:"zone"`
 	Services []Service `toml:"service"`
@@ -28,13 +28,15 @@
 	Variants []Variant `toml:"-"`
 }
 
-// file is a scenario as it is written. A variant names only what it changes.
+// file is a scenario as written in TOML. A variant has only the settings that differ
+// from the default variant.
 type file struct {
 	Scenario
 	Variants []map[string]any `toml:"variant"`
 }
 
-// Delay is the one-way delay between two places.
+// Delay has the one-way network delays: between a client and a host (Client), between
+// zones of a region (Zone) and between regions (Region).
 type Delay struct {
 	Client settings.Duration `toml:"client"`
 	Zone   settings.Duration `toml:"zone"`
@@ -46,10 +48,11 @@
 	Name   string `toml:"name"`
 	Region string `toml:"region"`
 	Hosts  int    `toml:"hosts"`
-	// Load is the part of each route's requests that the zone's clients send, in
-	// proportion to the other zones.
+	// Load is the weight of the zone in each route's requests: the clients of the zone
+	// send Load / (sum of Load over all zones) of the requests.
 	Load float64 `toml:"load"`
-	// Phase is where in its wave the load of the zone begins, from 0 to 1.
+	// Phase is the position in the period of the load at which the zone begins, from 0
+	// to 1.
 	Phase float64 `toml:"phase"`
 }
 
@@ -57,107 +60,118 @@
 type Service struct {
 	Name      string         `toml:"name"`
 	Upstreams map[string]int `toml:"upstreams"`
-	// Slots is how many requests an upstream works on at once, Queue how many more
-	// it holds, and Keeps how many objects it remembers.
+	// Slots is the number of requests that an upstream processes at once, Queue the
+	// number of requests that may wait in addition, and Keeps the number of objects in
+	// its cache.
 	Slots int `toml:"slots"`
 	Queue int `toml:"queue"`
 	Keeps int `toml:"keeps"`
 }
 
-// Route is a sort of requests.
+// Route is a class of requests to one service.
 type Route struct {
 	Name    string `toml:"name"`
 	Service string `toml:"service"`
-	// Rate is the requests a second of all zones together. It swings by Swing
-	// around that, over Period.
+	// Rate is the mean number of requests per second from all zones together. The rate
+	// varies as a sine wave with the relative amplitude Swing and the period Period;
+	// it is constant if Period is zero.
 	Rate   float64           `toml:"rate"`
 	Swing  float64           `toml:"swing"`
 	Period settings.Duration `toml:"period"`
-	// Work is how long an upstream works on an unknown object, with a relative
-	// spread; of a known one it takes KnownPart of that.
+	// Work is the mean processing time of an object that is not in the cache of the
+	// upstream, and Spread its relative standard deviation. A cached object takes
+	// KnownPart of that time.
 	Work      settings.Duration `toml:"work"`
 	Spread    float64           `toml:"spread"`
 	KnownPart float64           `toml:"known_part"`
-	// Objects is how many objects each region's clients ask for; zero is none, and
-	// then no object is known.
+	// Objects is the number of different objects that the clients of a region request.
+	// With zero, requests have no object and no response is cached.
 	Objects int `toml:"objects"`
-	// Objective is the time within which a response is worth most, Timeout how long
-	// a host holds a request, and Deadline how long a client waits.
+	// Objective is the latency up to which a response has the full weight (zero: any
+	// latency), Timeout the time after which a host fails a request (zero: the
+	// deadline), and Deadline the time after which a client times out.
 	Objective settings.Duration `toml:"objective"`
 	Timeout   settings.Duration `toml:"timeout"`
 	Deadline  settings.Duration `toml:"deadline"`
-	// Weight is what a response is worth, and LateWeight what a late one is.
+	// Weight is the weight of a response within the objective, and LateWeight that of a
+	// later one.
 	Weight     float64 `toml:"weight"`
 	LateWeight float64 `toml:"late_weight"`
 	Priority   int     `toml:"priority"`
 	Repeatable bool    `toml:"repeatable"`
-	// Attempts bounds the upstreams that a host tries, and Returns how often a
-	// client comes back.
+	// Attempts is the maximum number of upstreams that a host tries, and Returns the
+	// maximum number of retries by a client.
 	Attempts int `toml:"attempts"`
 	Returns  int `toml:"returns"`
 }
 
-// FaultKind is a sort of fault.
+// FaultKind is a kind of fault.
 type FaultKind string
 
-// The sorts of faults.
+// The kinds of faults.
 const (
-	// Slow multiplies the work of a part of a service's upstreams by Factor.
+	// Slow multiplies the processing time of a fraction of a service's upstreams by
+	// Factor.
 	Slow FaultKind = "slow"
-	// Shed makes a part of them refuse Factor of their requests at random.
+	// Shed makes a fraction of the upstreams refuse the fraction Factor of their
+	// requests at random.
 	Shed FaultKind = "shed"
-	// Down makes a part of them refuse connections.
+	// Down makes a fraction of the upstreams refuse connections.
 	Down FaultKind = "down"
-	// Burst multiplies the load of a zone, or of all, by Factor.
+	// Burst multiplies the load of one zone, or of all zones, by Factor.
 	Burst FaultKind = "burst"
-	// Restart makes all hosts forget what they know.
+	// Restart restarts all hosts, which then have no state.
 	Restart FaultKind = "restart"
 )
 
-// Fault is something that goes wrong for a time.
+// Fault is a fault that starts at At and lasts for For, both counted in virtual time.
 type Fault struct {
 	Kind FaultKind         `toml:"kind"`
 	At   settings.Duration `toml:"at"`
 	For  settings.Duration `toml:"for"`
-	// Service and Part say which upstreams: the first Part of them.
+	// Service and Part select the upstreams with the fault: the first Part (a fraction
+	// from 0 to 1) of the upstreams of Service.
 	Service string  `toml:"service"`
 	Part    float64 `toml:"part"`
-	Zone    string  `toml:"zone"`
-	Factor  float64 `toml:"factor"`
+	// Zone is the zone with the fault; empty for all zones (Burst only).
+	Zone   string  `toml:"zone"`
+	Factor float64 `toml:"factor"`
 }
 
-// Retries are the limits that hosts share (retry.Limits).
+// Retries has the limits of the retry budget that the hosts share (retry.Limits).
 type Retries struct {
 	Ratio  float64           `toml:"ratio"`
 	Window settings.Duration `toml:"window"`
 	Slack  float64           `toml:"slack"`
 }
 
-// Variant is a policy to play. What it does not name is as hosts have it.
+// Variant is a policy to simulate. Settings that a scenario omits have the defaults of
+// hosts.
 type Variant struct {
 	Name    string         `toml:"name"`
 	Balance balance.Policy `toml:"balance"`
-	// Hedge and Retry switch these mechanisms.
+	// Hedge and Retry enable these mechanisms.
 	Hedge bool `toml:"hedge"`
 	Retry bool `toml:"retry"`
-	// PauseLeast and PauseJitter replace when a client that was refused returns;
-	// zero leaves it as hosts have it.
+	// PauseLeast and PauseJitter replace the minimum and the jitter of the delay after
+	// which a refused client retries. If PauseLeast is zero, the delay is that of
+	// hosts.
 	PauseLeast  settings.Duration `toml:"pause_least"`
 	PauseJitter settings.Duration `toml:"pause_jitter"`
 }
 
-// DefaultVariant is what hosts run.
+// DefaultVariant returns the policy that hosts use.
 func DefaultVariant() Variant {
 	return Variant{Name: "default", Balance: balance.DefaultPolicy(), Hedge: true, Retry: true}
 }
 
-// WithBalance gives the variant another name and balance policy.
+// WithBalance returns the variant with another name and balance policy.
 func (v Variant) WithBalance(name string, p balance.Policy) Variant {
 	v.Name, v.Balance = name, p
 	return v
 }
 
-// Load reads a scenario from a TOML file. Its error names the faults.
+// Load reads a scenario from a TOML file. The error describes what is invalid.
 func Load(path string) (Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -166,7 +180,8 @@
 	return Parse(text)
 }
 
-// Parse reads a scenario. Each variant is decoded over the default one.
+// Parse decodes and validates a scenario in TOML. Each variant is decoded over the
+// default variant. The error describes what is invalid.
 func Parse(text []byte) (Scenario, error) {
 	var f file
 	if err := tomlfile.Decode(text, &f); err != nil {
@@ -186,7 +201,7 @@
 	return s, s.check()
 }
 
-// decodeVariant changes the default variant.
+// decodeVariant applies changes to the default variant.
 func decodeVariant(changes map[string]any) (Variant, error) {
 	text, err := toml.Marshal(changes)
 	if err != nil {
@@ -196,7 +211,7 @@
 	return v, tomlfile.Decode(text, &v)
 }
 
-// check names the first fault of a scenario.
+// check returns an error for the first invalid value of a scenario.
 func (s Scenario) check() error {
 	services := map[string]bool{}
 	for _, v := range s.Services {
@@ -208,14 +223,14 @@
 	for _, r := range s.Routes {
 		switch {
 		case !services[r.Service]:
-			return eris.Errorf("route %s: service %q is not there", r.Name, r.Service)
+			return eris.Errorf("route %s: service %q is not defined", r.Name, r.Service)
 		case r.Rate <= 0 || r.Work <= 0 || r.Deadline <= 0:
 			return eris.Errorf("route %s: rate, work and deadline must be above 0", r.Name)
 		}
 	}
 	for _, f := range s.Faults {
 		if (f.Kind == Slow || f.Kind == Shed || f.Kind == Down) && !services[f.Service] {
-			return eris.Errorf("fault %s: service %q is not there", f.Kind, f.Service)
+			return eris.Errorf("fault %s: service %q is not defined", f.Kind, f.Service)
 		}
 	}
 	hosts, load := 0, 0.0
@@ -229,5 +244,5 @@
 	return nil
 }
 
-// length is how long requests arrive.
+// length returns the period in which requests arrive.
 func (s Scenario) length() time.Duration { return time.Duration(s.Length) }
--- a/internal/gateway/loadmodel/upstream.go
+++ b/internal/gateway/loadmodel/upstream.go
@@ -7,111 +7,112 @@
 	"cairndock/internal/gateway/upstream"
 )
 
-// server is an upstream as it is.
-type server struct {
-	model *Model
-	entry *upstream.Upstream
-	setup Service
-	// running and waiting are the requests that it works on, and that wait.
+// upstreamSim is a simulated upstream with its actual state, which hosts see only in
+// its reports.
+type upstreamSim struct {
+	model  *Model
+	entry  *upstream.Upstream
+	config Service
+	// running is the number of requests being processed; waiting is the queue.
 	running int
-	waiting []*work
-	// objects are those that it keeps, the last used at the end.
+	waiting []*job
+	// objects is the cache of objects, with the most recently used one at the end.
 	objects []string
-	// slow multiplies its work, shed is the part of its requests that it refuses,
-	// and down makes it refuse connections.
+	// slow multiplies the processing time, shed is the fraction of requests that the
+	// upstream refuses at random, and down makes it refuse connections.
 	slow float64
 	shed float64
 	down bool
-	// firstLoads counts the objects that it got and did not keep.
+	// firstLoads counts the requests for objects that were not in the cache.
 	firstLoads int
 }
 
-// work is one request at an upstream.
-type work struct {
+// job is one request at an upstream.
+type job struct {
 	route  *Route
 	object string
-	// done is told the response; canceled is set when nobody waits for it.
+	// done receives the response; canceled is set when the host no longer waits for it.
 	done     func(response)
 	canceled bool
 	finish   *event
 }
 
-// response is what an upstream answers.
+// response is the response of an upstream.
 type response struct {
-	// executed is false for a refusal.
+	// executed is false if the upstream refused the request.
 	executed bool
-	// running and waiting are the load that it reports.
+	// running and waiting are the load that the upstream reports, in requests.
 	running, waiting int
 }
 
-// receive takes a request.
-func (s *server) receive(w *work) {
+// receive starts, queues or refuses a request.
+func (u *upstreamSim) receive(j *job) {
 	switch {
-	case s.model.random.Float64() < s.shed, len(s.waiting) >= s.setup.Queue && s.running >= s.setup.Slots:
-		s.answer(w, false)
-	case s.running < s.setup.Slots:
-		s.start(w)
+	case u.model.random.Float64() < u.shed, len(u.waiting) >= u.config.Queue && u.running >= u.config.Slots:
+		u.respond(j, false)
+	case u.running < u.config.Slots:
+		u.start(j)
 	default:
-		s.waiting = append(s.waiting, w)
+		u.waiting = append(u.waiting, j)
 	}
 }
 
-// start works on a request.
-func (s *server) start(w *work) {
-	s.running++
-	took := float64(w.route.Work) * max(0.3, 1+w.route.Spread*s.model.random.NormFloat64()) * s.slow
-	if s.knows(w.object) {
-		took *= w.route.KnownPart
+// start begins to process a request.
+func (u *upstreamSim) start(j *job) {
+	u.running++
+	duration := float64(j.route.Work) * max(0.3, 1+j.route.Spread*u.model.random.NormFloat64()) * u.slow
+	if u.lookup(j.object) {
+		duration *= j.route.KnownPart
 	}
-	w.finish = s.model.clock.in(time.Duration(took), func() { s.end(w) })
+	j.finish = u.model.clock.after(time.Duration(duration), func() { u.complete(j) })
 }
 
-// end answers a request and starts the next one.
-func (s *server) end(w *work) {
-	s.running--
-	if !w.canceled {
-		s.answer(w, true)
+// complete responds to a request and starts the next one from the queue.
+func (u *upstreamSim) complete(j *job) {
+	u.running--
+	if !j.canceled {
+		u.respond(j, true)
 	}
-	for len(s.waiting) > 0 && s.running < s.setup.Slots {
-		next := s.waiting[0]
-		s.waiting = s.waiting[1:]
+	for len(u.waiting) > 0 && u.running < u.config.Slots {
+		next := u.waiting[0]
+		u.waiting = u.waiting[1:]
 		if !next.canceled {
-			s.start(next)
+			u.start(next)
 		}
 	}
 }
 
-// cancel drops a request whose connection was closed.
-func (s *server) cancel(w *work) {
-	if w.canceled {
+// cancel drops a request whose connection the host closed.
+func (u *upstreamSim) cancel(j *job) {
+	if j.canceled {
 		return
 	}
-	w.canceled = true
-	if w.finish != nil && !w.finish.canceled && w.finish.at.After(s.model.clock.now) {
-		w.finish.cancel()
-		s.end(w)
+	j.canceled = true
+	if j.finish != nil && !j.finish.canceled && j.finish.at.After(u.model.clock.now) {
+		j.finish.cancel()
+		u.complete(j)
 	}
 }
 
-func (s *server) answer(w *work, executed bool) {
-	w.done(response{executed: executed, running: s.running, waiting: len(s.waiting)})
+func (u *upstreamSim) respond(j *job, executed bool) {
+	j.done(response{executed: executed, running: u.running, waiting: len(u.waiting)})
 }
 
-// knows reports whether the upstream keeps an object, and makes it keep it: it is
-// fast on an object from the start of the first request on.
-func (s *server) knows(object string) bool {
+// lookup reports whether an object is in the cache, and adds it if not. The object
+// counts as cached from the start of its first request on.
+func (u *upstreamSim) lookup(object string) bool {
 	if object == "" {
 		return false
 	}
-	i := slices.Index(s.objects, object)
+	i := slices.Index(u.objects, object)
 	if i >= 0 {
-		s.objects = append(slices.Delete(s.objects, i, i+1), object)
+		u.objects = append(slices.Delete(u.objects, i, i+1), object)
 		return true
 	}
-	s.firstLoads++
-	s.objects = append(s.objects, object)
-	if len(s.objects) > s.setup.Keeps {
-		s.objects = s.objects[1:]
+	u.firstLoads++
+	u.objects = append(u.objects, object)
+	if len(u.objects) > u.config.Keeps {
+		u.objects = u.objects[1:]
 	}
 	return false
 }
