--- a/internal/docscheck/logs_test.go
+++ b/internal/docscheck/logs_test.go
@@ -10,19 +10,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fieldMethods are the methods of a log line that add a field by name.
+// fieldMethods are the zerolog.Event methods that add a named field.
 var fieldMethods = map[string]bool{
 	"Str": true, "Strs": true, "Int": true, "Int64": true, "Uint64": true, "Float64": true, "Bool": true, "Dur": true,
 }
 
-// eventLog is the package that writes the gateway's log.
+// eventLog is the path of the package that writes the gateway's log.
 const eventLog = "internal/gateway/eventlog/"
 
-// gatewayEvents gives the values of the field "event" in the gateway's log,
-// and the names of all its fields.
+// gatewayEvents returns the values of the field "event" in the gateway's log and the
+// names of all fields.
 func gatewayEvents(s *source) (events, fields map[string]bool) {
 	events, fields = map[string]bool{}, map[string]bool{"level": true, "message": true}
-	begins, constants := eventLogNames(s)
+	lineStarters, constants := eventLogNames(s)
 	for _, f := range s.files {
 		if f.isTest() || commandOf(f) != gateway {
 			continue
@@ -39,7 +39,7 @@
 				addField(c, events, fields)
 			case inLog && method == "Err":
 				fields["error"] = true
-			case inLog && begins[method], method == "Process":
+			case inLog && lineStarters[method], method == "Process":
 				addText(events, c.Args[0], constants)
 			}
 			return true
@@ -48,10 +48,10 @@
 	return events, fields
 }
 
-// eventLogNames gives the functions of the log that begin a line, whose first
-// argument is the event, and the log's constants.
-func eventLogNames(s *source) (begins map[string]bool, constants map[string]string) {
-	begins, constants = map[string]bool{}, map[string]string{}
+// eventLogNames returns the functions of the log package that start a line (their first
+// argument is the event) and the string constants of the package.
+func eventLogNames(s *source) (lineStarters map[string]bool, constants map[string]string) {
+	lineStarters, constants = map[string]bool{}, map[string]string{}
 	for _, f := range s.files {
 		if f.isTest() || !strings.HasPrefix(f.path, eventLog) {
 			continue
@@ -59,7 +59,7 @@
 		ast.Inspect(f.ast, func(n ast.Node) bool {
 			switch n := n.(type) {
 			case *ast.FuncDecl:
-				begins[n.Name.Name] = returnsLine(n)
+				lineStarters[n.Name.Name] = returnsLine(n)
 			case *ast.ValueSpec:
 				for i, value := range n.Values {
 					if text, ok := literal(value); ok {
@@ -70,7 +70,7 @@
 			return true
 		})
 	}
-	return begins, constants
+	return lineStarters, constants
 }
 
 // returnsLine reports whether a function returns a *zerolog.Event.
@@ -78,15 +78,16 @@
 	if d.Type.Results == nil || len(d.Type.Results.List) != 1 {
 		return false
 	}
-	star, ok := d.Type.Results.List[0].Type.(*ast.StarExpr)
+	pointer, ok := d.Type.Results.List[0].Type.(*ast.StarExpr)
 	if !ok {
 		return false
 	}
-	sel, ok := star.X.(*ast.SelectorExpr)
-	return ok && sel.Sel.Name == "Event"
+	selector, ok := pointer.X.(*ast.SelectorExpr)
+	return ok && selector.Sel.Name == "Event"
 }
 
-// addField notes a field, and the event where the field is the event's name.
+// addField adds the name of a field to fields. If the field is "event", it also adds the
+// value to events.
 func addField(c *ast.CallExpr, events, fields map[string]bool) {
 	name, ok := literal(c.Args[0])
 	if !ok {
@@ -98,7 +99,7 @@
 	}
 }
 
-// addText adds the value of a literal or of a constant.
+// addText adds the value of a string literal or constant to the set.
 func addText(set map[string]bool, e ast.Expr, constants map[string]string) {
 	text, ok := literal(e)
 	if id, isName := e.(*ast.Ident); isName {
@@ -109,6 +110,8 @@
 	}
 }
 
+// Guards against events and fields that the page omits, or lists although they were
+// removed.
 func TestMetricsPageListsEveryEventOfTheGateway(t *testing.T) {
 	wantEvents, wantFields := gatewayEvents(loadSource(t))
 	events, fields := map[string]bool{}, map[string]bool{}
@@ -133,7 +136,7 @@
 	requireSame(t, "field", wantFields, fields)
 }
 
-// serveMessages gives the messages of the log of serve.
+// serveMessages returns the messages in the log of serve.
 func serveMessages(s *source) map[string]bool {
 	messages := map[string]bool{}
 	for _, f := range s.files {
@@ -167,7 +170,7 @@
 	requireSame(t, "message", serveMessages(loadSource(t)), listed)
 }
 
-// verdictReasons gives the reasons of final responses.
+// verdictReasons returns the reasons of final responses.
 func verdictReasons(s *source) map[string]bool {
 	reasons := map[string]bool{}
 	for _, f := range s.files {
@@ -198,8 +201,8 @@
 	requireSame(t, "reason", verdictReasons(loadSource(t)), listed)
 }
 
-// traces has the recorded logs of failures and what cairndock trace prints of
-// them.
+// traces is the folder of recorded logs of failures and of the output of cairndock trace
+// for them.
 const traces = "internal/gateway/reqtrace/testdata"
 
 func TestOperationsPageShowsTracesAsRecorded(t *testing.T) {
@@ -218,9 +221,9 @@
 	for found {
 		var rest string
 		block, rest, found = strings.Cut(block, "```")
-		require.True(t, found, "a block of log lines does not end")
+		require.True(t, found, "a block of log lines is not closed")
 		for line := range strings.Lines(block) {
-			require.True(t, recorded[strings.TrimSpace(line)], "no recorded line: %s", line)
+			require.True(t, recorded[strings.TrimSpace(line)], "line is not in any recorded log: %s", line)
 		}
 		_, block, found = strings.Cut(rest, "```log\n")
 	}
--- a/internal/docscheck/metrics_test.go
+++ b/internal/docscheck/metrics_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// metricsPage is the page that explains metrics and log lines.
+// metricsPage is the page that documents metrics and log lines.
 const metricsPage = "docs/operations/metrics.md"
 
 // The commands that register metrics and write logs.
@@ -19,10 +19,10 @@
 	serve   = "serve"
 )
 
-// metric is what the code says of a metric.
+// metric is a metric as found in the code.
 type metric struct {
-	// commands are those that register it, and labels the names of its
-	// labels, both in order.
+	// commands are the commands that register the metric, and labels the names of its
+	// labels. Both are sorted.
 	commands, labels []string
 }
 
@@ -31,8 +31,8 @@
 	metricLabel = regexp.MustCompile(`[{,]([a-z_]+)=`)
 )
 
-// metricNames gives the metrics that the code names, from the expressions
-// that hold a literal beginning with the common prefix.
+// metricNames returns the metrics in the code by name. It finds them in string
+// expressions that start with the common prefix.
 func metricNames(s *source) map[string]*metric {
 	found := map[string]*metric{}
 	for _, f := range s.files {
@@ -58,7 +58,7 @@
 	return found
 }
 
-// commandOf gives the command that a file belongs to.
+// commandOf returns the command to which a file belongs.
 func commandOf(f sourceFile) string {
 	if strings.HasPrefix(f.path, "internal/selector/") || f.path == "cmd/serve.go" {
 		return serve
@@ -74,8 +74,8 @@
 	return slices.Insert(sorted, at, s)
 }
 
-// literalExpressions gives the text of each string literal, and of each sum
-// the literals in it joined.
+// literalExpressions returns the text of each string literal. For a concatenation with
+// literals, it returns one text with all of them.
 func literalExpressions(file *ast.File) []string {
 	var texts []string
 	ast.Inspect(file, func(n ast.Node) bool {
@@ -83,7 +83,7 @@
 		if !ok {
 			return true
 		}
-		text, ok := joined(e)
+		text, ok := joinLiterals(e)
 		if ok {
 			texts = append(texts, text)
 		}
@@ -92,15 +92,16 @@
 	return texts
 }
 
-// joined joins the literals of a literal or of a sum that has one.
-func joined(e ast.Expr) (string, bool) {
+// joinLiterals returns the text of a literal, or the literals of a concatenation joined.
+// It reports whether there is any literal.
+func joinLiterals(e ast.Expr) (string, bool) {
 	sum, ok := e.(*ast.BinaryExpr)
 	if !ok {
 		return literal(e)
 	}
-	left, okLeft := joined(sum.X)
-	right, okRight := joined(sum.Y)
-	return left + right, okLeft || okRight
+	left, leftOK := joinLiterals(sum.X)
+	right, rightOK := joinLiterals(sum.Y)
+	return left + right, leftOK || rightOK
 }
 
 func TestMetricsPageListsEveryMetric(t *testing.T) {
@@ -109,7 +110,7 @@
 	for _, row := range readPage(t, metricsPage).table(t, "Metrics") {
 		require.Len(t, row, 6, row)
 		names := codeIn(row[0])
-		require.Len(t, names, 1, "one metric a row: %v", row)
+		require.Len(t, names, 1, "each row must have one metric: %v", row)
 		name := names[0]
 		require.False(t, listed[name], "%s is listed twice", name)
 		listed[name] = true
@@ -125,18 +126,19 @@
 	requireSame(t, "metric", want, listed)
 }
 
-// requireSame fails for each name that is in the code or on the page alone.
-func requireSame[V any](t *testing.T, what string, code map[string]V, page map[string]bool) {
+// requireSame reports an error for each name that is only in the code or only on the
+// page.
+func requireSame[V any](t *testing.T, kind string, code map[string]V, page map[string]bool) {
 	t.Helper()
 	require.NotEmpty(t, code)
 	for _, name := range sortedKeys(code) {
 		if !page[name] {
-			t.Errorf("the %s %q is in the code and not on the page", what, name)
+			t.Errorf("the %s %q is in the code but not on the page", kind, name)
 		}
 	}
 	for _, name := range sortedKeys(page) {
 		if _, ok := code[name]; !ok {
-			t.Errorf("the %s %q is on the page and not in the code", what, name)
+			t.Errorf("the %s %q is on the page but not in the code", kind, name)
 		}
 	}
 }
--- a/internal/docscheck/names_test.go
+++ b/internal/docscheck/names_test.go
@@ -1,7 +1,6 @@
-// Package docscheck has only tests: they hold README.md and the pages under
-// docs against the code. A page that names a package, file, test, flag,
-// setting, metric or log line that isn't there fails, and so does a metric or
-// log line that no page explains.
+// Package docscheck has only tests. They compare README.md and the pages under docs with
+// the code. They fail if a page names a package, file, test, flag, setting, metric or log
+// line that does not exist, and if a metric or log line is not documented.
 package docscheck
 
 import (
@@ -14,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// allowed are names that stand on a page though the repository has no such
-// thing, each with the reason.
+// allowed has names that pages may use although they do not exist in the repository,
+// each with the reason.
 var allowed = map[string]string{
 	"admin/metrics": "is the platform's name of a listener and a path there",
 	"PORT/PATH":     "stands for such a name",
@@ -26,26 +25,26 @@
 	"--days":        "is a flag of the users' bench, not of this program",
 }
 
-// transient are paths that the repository has at times, each with the reason.
-// Whether they are there now makes no difference.
+// transient has paths that exist only at times, each with the reason. Pages may use them
+// whether or not they exist at present.
 var transient = map[string]string{
 	"KNOWN-RED.txt":    "exists only while a test is known to fail",
 	"target/cairndock": "is what the build writes",
 	"target/":          "is where the build writes",
 }
 
-// kind is one kind of name that pages use.
+// kind is a kind of name that pages use.
 type kind struct {
 	name string
-	// pattern finds the names in a piece of code; its first group, if it has
-	// one, is the name.
+	// pattern matches the names in a piece of code. If the pattern has a group, the
+	// group is the name.
 	pattern *regexp.Regexp
-	// exists reports whether a page in a folder may use the name.
+	// exists reports whether a name used by a page in the folder dir exists.
 	exists func(s *source, dir, name string) bool
 }
 
-// kinds are all kinds of names that are checked. A pattern between ^ and $
-// sees one word of a piece of code at a time, others the whole piece.
+// kinds has all kinds of names that are checked. A pattern that starts with ^ is matched
+// against each word of a piece of code, any other against the whole piece.
 var kinds = []kind{
 	{"command", regexp.MustCompile(`(?:\bcairndock|\bgo run \.) ([a-z]+)`), func(s *source, _, name string) bool {
 		return s.commands[name]
@@ -75,8 +74,8 @@
 	}},
 }
 
-// isPath reports whether a path leads from the root or from the page's folder
-// to a file or folder. A pattern of packages ends in three dots.
+// isPath reports whether a file or folder exists at the path relative to the root or to
+// the page's folder. A package pattern ends with three dots.
 func isPath(_ *source, dir, name string) bool {
 	name = strings.TrimSuffix(name, "/...")
 	if name == "./..." || name == "." {
@@ -85,9 +84,9 @@
 	return exists(root, name) || exists(root, dir, name)
 }
 
-// isSetting reports whether each part of a dotted key is a key of a settings
-// file; a key that begins with a dot leaves out its section. File names are
-// paths.
+// isSetting reports whether each part of a dotted key is a key of a settings file. A key
+// that starts with a dot omits its section. File names are accepted, because they are
+// checked as paths.
 func isSetting(s *source, _, name string) bool {
 	if path.Ext(name) == ".md" || path.Ext(name) == ".go" || path.Ext(name) == ".toml" || path.Ext(name) == ".txt" {
 		return true
@@ -100,13 +99,13 @@
 	return true
 }
 
-// fault is a name that does not exist.
-type fault struct{ kind, name string }
+// missingName is a name that does not exist.
+type missingName struct{ kind, name string }
 
-// missing gives the names on a page that do not exist, and notes in used
-// which exceptions it needed.
-func (p page) missing(s *source, used map[string]bool) []fault {
-	var faults []fault
+// missing returns the names on a page that do not exist. It adds the exceptions that the
+// page needs to used.
+func (p page) missing(s *source, used map[string]bool) []missingName {
+	var missingNames []missingName
 	for _, piece := range p.code() {
 		for _, k := range kinds {
 			for _, name := range k.find(piece) {
@@ -121,14 +120,14 @@
 					used[name] = true
 					continue
 				}
-				faults = append(faults, fault{k.name, name})
+				missingNames = append(missingNames, missingName{k.name, name})
 			}
 		}
 	}
-	return faults
+	return missingNames
 }
 
-// find gives the names of a kind in a piece of code.
+// find returns the names of a kind in a piece of code.
 func (k kind) find(piece string) []string {
 	pieces := []string{piece}
 	if strings.HasPrefix(k.pattern.String(), "^") {
@@ -143,8 +142,8 @@
 	return names
 }
 
-// words splits a piece of code, without the punctuation around its words but
-// for the dots of a pattern of packages.
+// words splits a piece of code into words. It removes the punctuation around them, except
+// for the dots of a package pattern.
 func words(piece string) []string {
 	var all []string
 	for word := range strings.FieldsSeq(piece) {
@@ -161,30 +160,31 @@
 	s := loadSource(t)
 	used := map[string]bool{}
 	for _, p := range loadPages(t) {
-		faults := p.missing(s, used) // of every page, also when -run names one
+		missingNames := p.missing(s, used) // for all pages, even if -run selects one, because used must be complete
 		t.Run(p.path, func(t *testing.T) {
-			for _, f := range faults {
-				t.Errorf("%s names the %s %q, which isn't there", p.path, f.kind, f.name)
+			for _, f := range missingNames {
+				t.Errorf("%s names the %s %q, which does not exist", p.path, f.kind, f.name)
 			}
 		})
 	}
 	exceptions := maps.Clone(allowed)
 	maps.Copy(exceptions, transient)
-	require.Equal(t, sortedKeys(exceptions), sortedKeys(used), "an exception that no page needs")
+	require.Equal(t, sortedKeys(exceptions), sortedKeys(used), "the exceptions differ from those that pages need")
 }
 
-func TestLinksLeadToAPageAndHeading(t *testing.T) {
+func TestLinksHaveAnExistingTarget(t *testing.T) {
 	for _, p := range loadPages(t) {
 		t.Run(p.path, func(t *testing.T) {
 			for _, link := range p.links() {
 				if _, ok := transient[path.Base(link)]; !ok && !p.hasLinkTarget(t, link) {
-					t.Errorf("%s links to %q, which isn't there", p.path, link)
+					t.Errorf("%s links to %q, which does not exist", p.path, link)
 				}
 			}
 		})
 	}
 }
 
+// citedPage matches the path of a page in a comment.
 var citedPage = regexp.MustCompile(`docs/[\w/.-]+\.md`)
 
 func TestCommentsCiteOnlyPagesThatExist(t *testing.T) {
@@ -192,53 +192,53 @@
 		for _, group := range f.ast.Comments {
 			for _, cited := range citedPage.FindAllString(group.Text(), -1) {
 				if !exists(root, cited) {
-					t.Errorf("a comment of %s cites %s, which isn't there", f.path, cited)
+					t.Errorf("a comment in %s cites %s, which does not exist", f.path, cited)
 				}
 			}
 		}
 	}
 }
 
-// citedName is a package and an exported name in it, as comments cite them.
+// citedName matches an exported name with its package, as comments cite names.
 var citedName = regexp.MustCompile(`(?:^|[\s(])(([a-z]\w+)\.[A-Z]\w*)`)
 
 func TestCommentsCiteOnlyNamesThatExist(t *testing.T) {
 	s := loadSource(t)
-	own := map[string]bool{}
+	modulePackages := map[string]bool{}
 	for _, f := range s.files {
-		own[strings.TrimSuffix(f.ast.Name.Name, "_test")] = true
+		modulePackages[strings.TrimSuffix(f.ast.Name.Name, "_test")] = true
 	}
 	for _, f := range s.files {
 		for _, group := range f.ast.Comments {
 			for _, cited := range citedName.FindAllStringSubmatch(group.Text(), -1) {
-				if own[cited[2]] && !s.members[cited[1]] {
-					t.Errorf("a comment of %s cites %s, which isn't there", f.path, cited[1])
+				if modulePackages[cited[2]] && !s.members[cited[1]] {
+					t.Errorf("a comment in %s cites %s, which does not exist", f.path, cited[1])
 				}
 			}
 		}
 	}
 }
 
-func TestANameThatIsNotThereIsFound(t *testing.T) {
+func TestMissingNameIsFound(t *testing.T) {
 	s := loadSource(t)
 	for _, c := range []struct {
 		name, text string
-		want       []fault
+		want       []missingName
 	}{
-		{"command", "`cairndock serve` and `cairndock fly`", []fault{{"command", "fly"}}},
-		{"command by go run", "    go run . fly --once", []fault{{"command", "fly"}}},
-		{"flag", "`serve --settings FILE --wings`", []fault{{"flag", "--wings"}}},
-		{"test", "`go test -run 'TestSoak|TestFlight'`", []fault{{"test", "TestFlight"}}},
-		{"metric", "`cairndock_flights_total{reason=\"full\"}`", []fault{{"metric", "cairndock_flights_total"}}},
-		{"package", "`internal/verdict` and `internal/wings`", []fault{{"path", "internal/wings"}}},
-		{"packages", "    go test ./internal/wings/...", []fault{{"path", "./internal/wings/..."}}},
-		{"file", "`main.go`, `wings.go`", []fault{{"path", "wings.go"}}},
-		{"member", "`verdict.NotRun`, `verdict.Error.Wings`", []fault{{"member", "verdict.Error.Wings"}}},
-		{"setting", "`host.name`, `.zone`, `host.wings`", []fault{{"setting", "host.wings"}}},
-		{"identifier", "`RetryAfter`, `wingSpan`", []fault{{"identifier", "wingSpan"}}},
-		{"environment", "`CAIRNDOCK_TOKEN=x` `CAIRNDOCK_WINGS=x`", []fault{{"environment", "CAIRNDOCK_WINGS"}}},
-		{"header", "`Cairndock-Verdict`, `Cairndock-Wings`", []fault{{"header", "Cairndock-Wings"}}},
-		{"fenced block", "```\ninternal/wings\n```\n", []fault{{"path", "internal/wings"}}},
+		{"command", "`cairndock serve` and `cairndock fly`", []missingName{{"command", "fly"}}},
+		{"command by go run", "    go run . fly --once", []missingName{{"command", "fly"}}},
+		{"flag", "`serve --settings FILE --wings`", []missingName{{"flag", "--wings"}}},
+		{"test", "`go test -run 'TestSoak|TestFlight'`", []missingName{{"test", "TestFlight"}}},
+		{"metric", "`cairndock_flights_total{reason=\"full\"}`", []missingName{{"metric", "cairndock_flights_total"}}},
+		{"package", "`internal/verdict` and `internal/wings`", []missingName{{"path", "internal/wings"}}},
+		{"packages", "    go test ./internal/wings/...", []missingName{{"path", "./internal/wings/..."}}},
+		{"file", "`main.go`, `wings.go`", []missingName{{"path", "wings.go"}}},
+		{"member", "`verdict.NotRun`, `verdict.Error.Wings`", []missingName{{"member", "verdict.Error.Wings"}}},
+		{"setting", "`host.name`, `.zone`, `host.wings`", []missingName{{"setting", "host.wings"}}},
+		{"identifier", "`RetryAfter`, `wingSpan`", []missingName{{"identifier", "wingSpan"}}},
+		{"environment", "`CAIRNDOCK_TOKEN=x` `CAIRNDOCK_WINGS=x`", []missingName{{"environment", "CAIRNDOCK_WINGS"}}},
+		{"header", "`Cairndock-Verdict`, `Cairndock-Wings`", []missingName{{"header", "Cairndock-Wings"}}},
+		{"fenced block", "```\ninternal/wings\n```\n", []missingName{{"path", "internal/wings"}}},
 		{"output", "```log\ninternal/wings\n```\n", nil},
 		{"prose", "the internal/wings of it", nil},
 	} {
@@ -249,7 +249,7 @@
 	}
 }
 
-func TestALinkThatLeadsNowhereIsFound(t *testing.T) {
+func TestBrokenLinkIsFound(t *testing.T) {
 	p := page{path: "docs/page.md", text: "# The page\n\n## Who owns it?\n"}
 	for _, c := range []struct {
 		link string
--- a/internal/docscheck/page_test.go
+++ b/internal/docscheck/page_test.go
@@ -18,8 +18,8 @@
 	text string
 }
 
-// loadPages reads README.md and all pages under docs but the reports of
-// incidents, which say what held on their day.
+// loadPages reads README.md and all pages under docs. It skips incident reports, because
+// they describe the system at the time of the incident.
 func loadPages(t *testing.T) []page {
 	t.Helper()
 	pages := []page{readPage(t, "README.md")}
@@ -56,9 +56,9 @@
 	indented   = regexp.MustCompile(`^(    |\t)`)
 )
 
-// code gives the pieces of code on the page: inline code, indented blocks and
-// fenced blocks. A fenced block with a language is a file or the output of a
-// program and is left out.
+// code returns the pieces of code on the page: inline code and the lines of indented and
+// fenced blocks. Fenced blocks with a language are omitted, because they are files or the
+// output of a program.
 func (p page) code() []string {
 	var pieces, prose []string
 	fenced, skipped := false, false
@@ -82,7 +82,7 @@
 	return pieces
 }
 
-// links gives the targets of the page's links that stay in the repository.
+// links returns the targets of the page's links within the repository.
 func (p page) links() []string {
 	var targets []string
 	for _, m := range inlineLink.FindAllStringSubmatch(p.text, -1) {
@@ -93,8 +93,8 @@
 	return targets
 }
 
-// hasLinkTarget reports whether a link of the page leads to a file and, where
-// it names one, to a heading.
+// hasLinkTarget reports whether the file of a link exists and, if the link has an anchor,
+// whether the file has a heading for the anchor.
 func (p page) hasLinkTarget(t *testing.T, link string) bool {
 	t.Helper()
 	path, anchor, _ := strings.Cut(link, "#")
@@ -108,10 +108,10 @@
 	return anchor == "" || readPage(t, target).hasAnchor(anchor)
 }
 
-var anchorless = regexp.MustCompile(`[^a-z0-9 _-]`)
+var notInAnchor = regexp.MustCompile(`[^a-z0-9 _-]`)
 
-// hasAnchor reports whether a heading of the page has an anchor, as forges
-// make them.
+// hasAnchor reports whether a heading of the page has the anchor. Anchors are derived from
+// headings as Git hosting services do.
 func (p page) hasAnchor(anchor string) bool {
 	for line := range strings.Lines(p.text) {
 		heading, ok := strings.CutPrefix(line, "#")
@@ -119,15 +119,15 @@
 			continue
 		}
 		heading = strings.ToLower(strings.TrimSpace(strings.TrimLeft(heading, "#")))
-		if strings.ReplaceAll(anchorless.ReplaceAllString(heading, ""), " ", "-") == anchor {
+		if strings.ReplaceAll(notInAnchor.ReplaceAllString(heading, ""), " ", "-") == anchor {
 			return true
 		}
 	}
 	return false
 }
 
-// table gives the cells of the rows of the first table under a heading,
-// without its head.
+// table returns the cells of the first table under a heading, by row and without the
+// header.
 func (p page) table(t *testing.T, heading string) [][]string {
 	t.Helper()
 	_, section, ok := strings.Cut(p.text, "\n## "+heading+"\n")
@@ -156,7 +156,7 @@
 	return parts
 }
 
-// codeIn gives the pieces of inline code in a cell.
+// codeIn returns the pieces of inline code in a cell.
 func codeIn(cell string) []string {
 	var found []string
 	for _, m := range inlineCode.FindAllStringSubmatch(cell, -1) {
--- a/internal/docscheck/source_test.go
+++ b/internal/docscheck/source_test.go
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// root is the repository's root, seen from this package.
+// root is the path of the repository's root, relative to this package.
 const root = "../.."
 
 // sourceFile is one parsed Go file.
@@ -30,10 +30,10 @@
 
 func (f sourceFile) isTest() bool { return strings.HasSuffix(f.path, "_test.go") }
 
-// source is the module's Go code as far as pages may name it.
+// source has the Go files of the module and the names in them that pages may use.
 type source struct {
 	files []sourceFile
-	// tests has the names of test functions and benchmarks.
+	// tests has the names of tests, benchmarks and fuzz tests.
 	tests map[string]bool
 	// identifiers has the names of all declarations and fields.
 	identifiers map[string]bool
@@ -41,20 +41,20 @@
 	members map[string]bool
 	// literals has the values of all string literals.
 	literals map[string]bool
-	// commands and flags are those of the command line.
+	// commands and flags are the names of the commands and flags of the command line.
 	commands, flags map[string]bool
-	// settings has the keys of TOML files, without their sections.
+	// settings has the keys of TOML files without their sections.
 	settings map[string]bool
 	metrics  map[string]*metric
 }
 
 var testName = regexp.MustCompile(`^(Test|Benchmark|Fuzz)[A-Z]`)
 
-// parsed is the repository's Go code, parsed once for all tests, which only read
-// it.
+// parsed parses the Go code of the repository once for all tests. The tests must not
+// modify the result.
 var parsed = sync.OnceValues(parseSource)
 
-// loadSource gives all Go files of the repository.
+// loadSource returns the parsed Go code of the repository.
 func loadSource(t *testing.T) *source {
 	t.Helper()
 	s, err := parsed()
@@ -169,7 +169,8 @@
 	}
 }
 
-// addCommands adds the commands of cmd's table, whose first field is the name.
+// addCommands adds the commands of the table in package cmd. The first field of each row
+// is the name.
 func (s *source) addCommands(table ast.Expr) {
 	for _, command := range table.(*ast.CompositeLit).Elts {
 		name, ok := command.(*ast.CompositeLit).Elts[0].(*ast.BasicLit)
@@ -182,7 +183,7 @@
 	}
 }
 
-// fields gives a struct's fields or an interface's methods.
+// fields returns the fields of a struct type or the methods of an interface type.
 func fields(e ast.Expr) []*ast.Field {
 	switch e := e.(type) {
 	case *ast.StructType:
@@ -196,8 +197,8 @@
 
 func receiver(d *ast.FuncDecl) string {
 	e := d.Recv.List[0].Type
-	if star, ok := e.(*ast.StarExpr); ok {
-		e = star.X
+	if pointer, ok := e.(*ast.StarExpr); ok {
+		e = pointer.X
 	}
 	if index, ok := e.(*ast.IndexExpr); ok {
 		e = index.X
@@ -208,7 +209,7 @@
 	return ""
 }
 
-// literal gives the value of a string literal.
+// literal returns the value of a string literal.
 func literal(e ast.Expr) (string, bool) {
 	lit, ok := e.(*ast.BasicLit)
 	if !ok || lit.Kind != token.STRING {
@@ -218,7 +219,7 @@
 	return text, err == nil
 }
 
-// flagName gives the name in a call such as f.StringVar(&v, "name", ...).
+// flagName returns the name of the flag in a call such as f.StringVar(&v, "name", ...).
 func flagName(c *ast.CallExpr) (string, bool) {
 	name, ok := calledMethod(c)
 	if !ok || !strings.HasSuffix(name, "Var") || len(c.Args) < 3 {
@@ -227,16 +228,16 @@
 	return literal(c.Args[1])
 }
 
-// calledMethod gives the last name of what is called: x.Name(...).
+// calledMethod returns Name for a call x.Name(...).
 func calledMethod(c *ast.CallExpr) (string, bool) {
-	sel, ok := c.Fun.(*ast.SelectorExpr)
+	selector, ok := c.Fun.(*ast.SelectorExpr)
 	if !ok {
 		return "", false
 	}
-	return sel.Sel.Name, true
+	return selector.Sel.Name, true
 }
 
-// settingsKey gives the key that a field has in settings files, or nothing.
+// settingsKey returns the key of a field in settings files, or "" if it has none.
 func settingsKey(tag *ast.BasicLit) string {
 	if tag == nil {
 		return ""
@@ -246,13 +247,13 @@
 	return key
 }
 
-// exists reports whether a path names a file or folder of the repository.
+// exists reports whether a file or folder exists at the joined path.
 func exists(elem ...string) bool {
 	_, err := os.Stat(filepath.Join(elem...))
 	return err == nil
 }
 
-// sortedKeys gives a set's elements in order.
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
