--- a/internal/gateway/loadmodel/scenario.go
+++ b/internal/gateway/loadmodel/scenario.go
@@ -80,10 +80,10 @@
 	Period settings.Duration `toml:"period"`
 	// Work is the mean processing time of an object that is not in the cache of the
 	// upstream, and Spread its relative standard deviation. A cached object takes
-	// KnownPart of that time.
+	// CachedFraction of that time.
 	Work      settings.Duration `toml:"work"`
 	Spread    float64           `toml:"spread"`
-	KnownPart float64           `toml:"known_part"`
+	CachedFraction float64           `toml:"known_part"`
 	// Objects is the number of different objects that the clients of a region request.
 	// With zero, requests have no object and no response is cached.
 	Objects int `toml:"objects"`
--- a/internal/gateway/loadmodel/upstream.go
+++ b/internal/gateway/loadmodel/upstream.go
@@ -62,7 +62,7 @@
 	u.running++
 	duration := float64(j.route.Work) * max(0.3, 1+j.route.Spread*u.model.random.NormFloat64()) * u.slow
 	if u.lookup(j.object) {
-		duration *= j.route.KnownPart
+		duration *= j.route.CachedFraction
 	}
 	j.finish = u.model.clock.after(time.Duration(duration), func() { u.complete(j) })
 }
