--- a/internal/gateway/loadmodel/model.go
+++ b/internal/gateway/loadmodel/model.go
@@ -142,7 +142,7 @@
 		}
 	default:
 		upstreams := m.byService[f.Service]
-		for _, u := range upstreams[:int(f.Part*float64(len(upstreams)))] {
+		for _, u := range upstreams[:int(f.Fraction*float64(len(upstreams)))] {
 			u.setFault(f, starting)
 		}
 	}
--- a/internal/gateway/loadmodel/model_test.go
+++ b/internal/gateway/loadmodel/model_test.go
@@ -101,9 +101,9 @@
 func TestEveryCallEnds(t *testing.T) {
 	s := loadScenario(t, "uneven-regions")
 	s.Faults = []Fault{
-		{Kind: Slow, At: duration(time.Second), For: duration(2 * time.Second), Service: "profiles", Part: 0.3, Factor: 10},
-		{Kind: Shed, At: duration(2 * time.Second), For: duration(2 * time.Second), Service: "vault", Part: 1, Factor: 0.5},
-		{Kind: Down, At: duration(3 * time.Second), For: duration(2 * time.Second), Service: "desk", Part: 0.5},
+		{Kind: Slow, At: duration(time.Second), For: duration(2 * time.Second), Service: "profiles", Fraction: 0.3, Factor: 10},
+		{Kind: Shed, At: duration(2 * time.Second), For: duration(2 * time.Second), Service: "vault", Fraction: 1, Factor: 0.5},
+		{Kind: Down, At: duration(3 * time.Second), For: duration(2 * time.Second), Service: "desk", Fraction: 0.5},
 		{Kind: Burst, At: duration(time.Second), For: duration(3 * time.Second), Factor: 2},
 		{Kind: Restart, At: duration(4 * time.Second)},
 	}
@@ -244,7 +244,7 @@
 func TestRetriesServeWhatUpstreamsShed(t *testing.T) {
 	t.Parallel()
 	s := loadScenario(t, "uneven-regions")
-	s.Faults = []Fault{{Kind: Shed, At: duration(3 * time.Second), For: duration(8 * time.Second), Service: "profiles", Part: 1, Factor: 0.2}}
+	s.Faults = []Fault{{Kind: Shed, At: duration(3 * time.Second), For: duration(8 * time.Second), Service: "profiles", Fraction: 1, Factor: 0.2}}
 	without := DefaultVariant()
 	without.Retry = false
 	require.Greater(t, mean(s, DefaultVariant(), credit), mean(s, without, credit)+0.005)
@@ -253,7 +253,7 @@
 func TestEjectionAvoidsSlowUpstreams(t *testing.T) {
 	t.Parallel()
 	s := loadScenario(t, "uneven-regions")
-	s.Faults = []Fault{{Kind: Slow, At: duration(3 * time.Second), For: duration(8 * time.Second), Service: "profiles", Part: 0.15, Factor: 12}}
+	s.Faults = []Fault{{Kind: Slow, At: duration(3 * time.Second), For: duration(8 * time.Second), Service: "profiles", Fraction: 0.15, Factor: 12}}
 	without := withPolicy("no ejection", func(p *balance.Policy) { p.Ejections = false })
 	require.Greater(t, mean(s, DefaultVariant(), credit), mean(s, without, credit))
 }
@@ -293,7 +293,7 @@
 func TestClientsRefusedWithFreeCapacityReturnInTime(t *testing.T) {
 	t.Parallel()
 	s := loadScenario(t, "uneven-regions")
-	s.Faults = []Fault{{Kind: Shed, At: duration(3 * time.Second), For: duration(8 * time.Second), Service: "profiles", Part: 1, Factor: 0.5}}
+	s.Faults = []Fault{{Kind: Shed, At: duration(3 * time.Second), For: duration(8 * time.Second), Service: "profiles", Fraction: 1, Factor: 0.5}}
 	asIfFull := DefaultVariant()
 	asIfFull.PauseLeast, asIfFull.PauseJitter = duration(350*time.Millisecond), duration(400*time.Millisecond)
 	late := func(r *Result) float64 { return float64(r.Total.Late) / float64(r.Total.Calls) }
--- a/internal/gateway/loadmodel/scenario.go
+++ b/internal/gateway/loadmodel/scenario.go
@@ -129,10 +129,10 @@
 	Kind FaultKind         `toml:"kind"`
 	At   settings.Duration `toml:"at"`
 	For  settings.Duration `toml:"for"`
-	// Service and Part select the upstreams with the fault: the first Part (a fraction
+	// Service and Fraction select the upstreams with the fault: the first Fraction (a fraction
 	// from 0 to 1) of the upstreams of Service.
 	Service string  `toml:"service"`
-	Part    float64 `toml:"part"`
+	Fraction    float64 `toml:"part"`
 	// Zone is the zone with the fault; empty for all zones (Burst only).
 	Zone   string  `toml:"zone"`
 	Factor float64 `toml:"factor"`
