--- a/internal/gateway/loadmodel/scenario.go
+++ b/internal/gateway/loadmodel/scenario.go
@@ -61,11 +61,11 @@
 	Name      string         `toml:"name"`
 	Upstreams map[string]int `toml:"upstreams"`
 	// Slots is the number of requests that an upstream processes at once, Queue the
-	// number of requests that may wait in addition, and Keeps the number of objects in
+	// number of requests that may wait in addition, and CacheSize the number of objects in
 	// its cache.
 	Slots int `toml:"slots"`
 	Queue int `toml:"queue"`
-	Keeps int `toml:"keeps"`
+	CacheSize int `toml:"keeps"`
 }
 
 // Route is a class of requests to one service.
--- a/internal/gateway/loadmodel/upstream.go
+++ b/internal/gateway/loadmodel/upstream.go
@@ -111,7 +111,7 @@
 	}
 	u.firstLoads++
 	u.objects = append(u.objects, object)
-	if len(u.objects) > u.config.Keeps {
+	if len(u.objects) > u.config.CacheSize {
 		u.objects = u.objects[1:]
 	}
 	return false
