--- a/internal/gateway/loadmodel/host.go
+++ b/internal/gateway/loadmodel/host.go
@@ -76,8 +76,8 @@
 // retryDelay returns the delay after which a refused client should retry.
 func (h *host) retryDelay(reason verdict.Reason) time.Duration {
 	delay := retry.After(verdict.NotRun, reason)
-	if h.variant.PauseLeast > 0 {
-		delay = retry.Delay{Min: time.Duration(h.variant.PauseLeast), Jitter: time.Duration(h.variant.PauseJitter)}
+	if h.variant.MinRetryDelay > 0 {
+		delay = retry.Delay{Min: time.Duration(h.variant.MinRetryDelay), Jitter: time.Duration(h.variant.PauseJitter)}
 	}
 	return delay.Min + time.Duration(h.model.random.Float64()*float64(delay.Jitter))
 }
--- a/internal/gateway/loadmodel/scenario.go
+++ b/internal/gateway/loadmodel/scenario.go
@@ -153,10 +153,10 @@
 	// Hedge and Retry enable these mechanisms.
 	Hedge bool `toml:"hedge"`
 	Retry bool `toml:"retry"`
-	// PauseLeast and PauseJitter replace the minimum and the jitter of the delay after
-	// which a refused client retries. If PauseLeast is zero, the delay is that of
+	// MinRetryDelay and PauseJitter replace the minimum and the jitter of the delay after
+	// which a refused client retries. If MinRetryDelay is zero, the delay is that of
 	// hosts.
-	PauseLeast  settings.Duration `toml:"pause_least"`
+	MinRetryDelay  settings.Duration `toml:"pause_least"`
 	PauseJitter settings.Duration `toml:"pause_jitter"`
 }
 
