--- a/internal/gateway/loadmodel/host.go
+++ b/internal/gateway/loadmodel/host.go
@@ -77,7 +77,7 @@
 func (h *host) retryDelay(reason verdict.Reason) time.Duration {
 	delay := retry.After(verdict.NotRun, reason)
 	if h.variant.MinRetryDelay > 0 {
-		delay = retry.Delay{Min: time.Duration(h.variant.MinRetryDelay), Jitter: time.Duration(h.variant.PauseJitter)}
+		delay = retry.Delay{Min: time.Duration(h.variant.MinRetryDelay), Jitter: time.Duration(h.variant.RetryJitter)}
 	}
 	return delay.Min + time.Duration(h.model.random.Float64()*float64(delay.Jitter))
 }
--- a/internal/gateway/loadmodel/model_test.go
+++ b/internal/gateway/loadmodel/model_test.go
@@ -295,7 +295,7 @@
 	s := loadScenario(t, "uneven-regions")
 	s.Faults = []Fault{{Kind: Shed, At: duration(3 * time.Second), For: duration(8 * time.Second), Service: "profiles", Fraction: 1, Factor: 0.5}}
 	asIfFull := DefaultVariant()
-	asIfFull.MinRetryDelay, asIfFull.PauseJitter = duration(350*time.Millisecond), duration(400*time.Millisecond)
+	asIfFull.MinRetryDelay, asIfFull.RetryJitter = duration(350*time.Millisecond), duration(400*time.Millisecond)
 	late := func(r *Result) float64 { return float64(r.Total.Late) / float64(r.Total.Calls) }
 	current, previous := runSeeds(s, DefaultVariant()), runSeeds(s, asIfFull)
 	require.Less(t, current.mean(late), 0.8*previous.mean(late))
--- a/internal/gateway/loadmodel/scenario.go
+++ b/internal/gateway/loadmodel/scenario.go
@@ -153,11 +153,11 @@
 	// Hedge and Retry enable these mechanisms.
 	Hedge bool `toml:"hedge"`
 	Retry bool `toml:"retry"`
-	// MinRetryDelay and PauseJitter replace the minimum and the jitter of the delay after
+	// MinRetryDelay and RetryJitter replace the minimum and the jitter of the delay after
 	// which a refused client retries. If MinRetryDelay is zero, the delay is that of
 	// hosts.
 	MinRetryDelay  settings.Duration `toml:"pause_least"`
-	PauseJitter settings.Duration `toml:"pause_jitter"`
+	RetryJitter settings.Duration `toml:"pause_jitter"`
 }
 
 // DefaultVariant returns the policy that hosts use.
