--- a/internal/gateway/loadmodel/client.go
+++ b/internal/gateway/loadmodel/client.go
@@ -94,7 +94,7 @@
 func (c *call) refused(delay time.Duration) {
 	c.model.clock.after(c.model.delay.client, func() {
 		wait := min(delay, c.remaining()/3)
-		if c.tries > c.route.Returns || wait <= 0 {
+		if c.tries > c.route.MaxClientRetries || wait <= 0 {
 			c.model.result.add(c, rejected, 0)
 			return
 		}
@@ -106,7 +106,7 @@
 // repeatable call at once.
 func (c *call) failed() {
 	c.model.clock.after(c.model.delay.client, func() {
-		if c.route.Repeatable && c.tries <= c.route.Returns && c.remaining() > 0 {
+		if c.route.Repeatable && c.tries <= c.route.MaxClientRetries && c.remaining() > 0 {
 			c.try()
 			return
 		}
--- a/internal/gateway/loadmodel/scenario.go
+++ b/internal/gateway/loadmodel/scenario.go
@@ -99,10 +99,10 @@
 	LateWeight float64 `toml:"late_weight"`
 	Priority   int     `toml:"priority"`
 	Repeatable bool    `toml:"repeatable"`
-	// Attempts is the maximum number of upstreams that a host tries, and Returns the
+	// Attempts is the maximum number of upstreams that a host tries, and MaxClientRetries the
 	// maximum number of retries by a client.
 	Attempts int `toml:"attempts"`
-	Returns  int `toml:"returns"`
+	MaxClientRetries  int `toml:"returns"`
 }
 
 // FaultKind is a kind of fault.
