--- a/internal/gateway/loadmodel/result.go
+++ b/internal/gateway/loadmodel/result.go
@@ -31,17 +31,17 @@
 // and after the objective of the route. Failed includes the calls that timed out.
 type Figures struct {
 	Calls, InTime, Late, Refused, Failed int
-	// Owed is the weight of all calls, and Earned the weight of the responses, where a
+	// TotalWeight is the weight of all calls, and Earned the weight of the responses, where a
 	// late response has the late weight of its route.
-	Owed, Earned float64
+	TotalWeight, Earned float64
 }
 
-// Credit returns Earned as a fraction of Owed, or 0 without calls.
+// Credit returns Earned as a fraction of TotalWeight, or 0 without calls.
 func (f Figures) Credit() float64 {
-	if f.Owed == 0 {
+	if f.TotalWeight == 0 {
 		return 0
 	}
-	return f.Earned / f.Owed
+	return f.Earned / f.TotalWeight
 }
 
 // Result has the figures of one run.
@@ -117,7 +117,7 @@
 
 func (f *Figures) add(r *Route, e ending, latency time.Duration) {
 	f.Calls++
-	f.Owed += r.Weight
+	f.TotalWeight += r.Weight
 	switch {
 	case e == responded && (r.Objective == 0 || latency <= time.Duration(r.Objective)):
 		f.InTime++
