--- a/internal/gateway/loadmodel/result.go
+++ b/internal/gateway/loadmodel/result.go
@@ -31,17 +31,17 @@
 // and after the objective of the route. Failed includes the calls that timed out.
 type Figures struct {
 	Calls, InTime, Late, Refused, Failed int
-	// TotalWeight is the weight of all calls, and Earned the weight of the responses, where a
+	// TotalWeight is the weight of all calls, and EarnedWeight the weight of the responses, where a
 	// late response has the late weight of its route.
-	TotalWeight, Earned float64
+	TotalWeight, EarnedWeight float64
 }
 
-// Credit returns Earned as a fraction of TotalWeight, or 0 without calls.
+// Credit returns EarnedWeight as a fraction of TotalWeight, or 0 without calls.
 func (f Figures) Credit() float64 {
 	if f.TotalWeight == 0 {
 		return 0
 	}
-	return f.Earned / f.TotalWeight
+	return f.EarnedWeight / f.TotalWeight
 }
 
 // Result has the figures of one run.
@@ -121,10 +121,10 @@
 	switch {
 	case e == responded && (r.Objective == 0 || latency <= time.Duration(r.Objective)):
 		f.InTime++
-		f.Earned += r.Weight
+		f.EarnedWeight += r.Weight
 	case e == responded:
 		f.Late++
-		f.Earned += r.LateWeight
+		f.EarnedWeight += r.LateWeight
 	case e == rejected:
 		f.Refused++
 	default:
