--- a/internal/gateway/loadmodel/model_test.go
+++ b/internal/gateway/loadmodel/model_test.go
@@ -74,7 +74,7 @@
 }
 
 func credit(r *Result) float64       { return r.Total.Credit() }
-func awayFraction(r *Result) float64 { return float64(r.Away) / float64(r.Attempts) }
+func awayFraction(r *Result) float64 { return float64(r.CrossRegion) / float64(r.Attempts) }
 
 func withPolicy(name string, change func(*balance.Policy)) Variant {
 	p := balance.DefaultPolicy()
--- a/internal/gateway/loadmodel/result.go
+++ b/internal/gateway/loadmodel/result.go
@@ -56,9 +56,9 @@
 	// FirstLoads is the number of requests for objects that were not in the cache of
 	// the upstream.
 	FirstLoads int
-	// Attempts is the number of requests sent to upstreams. Away is the number of
+	// Attempts is the number of requests sent to upstreams. CrossRegion is the number of
 	// these that went to a region other than that of the host.
-	Attempts, Away int
+	Attempts, CrossRegion int
 
 	latencies *hdrhistogram.Histogram
 }
@@ -92,7 +92,7 @@
 func (r *Result) sent(from *zoneState, to *upstream.Upstream) {
 	r.Attempts++
 	if from.Region != to.Region {
-		r.Away++
+		r.CrossRegion++
 	}
 }
 
@@ -142,7 +142,7 @@
 		n := float64(max(1, r.Total.Calls))
 		fmt.Fprintf(t, "%s\t%d\t%.4f\t%.4f\t%.4f\t%.4f\t%.4f\t%.4f\t%d\t%.3f\t%s\t%s\t\n", r.Variant, r.Total.Calls, r.Total.Credit(), r.WorstRegion(),
 			float64(r.Total.InTime)/n, float64(r.Total.Late)/n, float64(r.Total.Refused)/n, float64(r.Total.Failed)/n,
-			r.FirstLoads, float64(r.Away)/float64(max(1, r.Attempts)), r.Latency(50), r.Latency(99))
+			r.FirstLoads, float64(r.CrossRegion)/float64(max(1, r.Attempts)), r.Latency(50), r.Latency(99))
 	}
 	fmt.Fprintln(t, "\nsecond\tcredit of each variant\t")
 	for _, second := range allSeconds(results) {
