--- a/internal/gateway/loadmodel/result.go
+++ b/internal/gateway/loadmodel/result.go
@@ -31,8 +31,8 @@
 // and after the objective of the route. Failed includes the calls that timed out.
 type Figures struct {
 	Calls, InTime, Late, Refused, Failed int
-	// TotalWeight is the weight of all calls, and EarnedWeight the weight of the responses, where a
-	// late response has the late weight of its route.
+	// TotalWeight is the weight of all calls, and EarnedWeight the weight of the
+	// responses, where a late response has the late weight of its route.
 	TotalWeight, EarnedWeight float64
 }
 
--- a/internal/gateway/loadmodel/scenario.go
+++ b/internal/gateway/loadmodel/scenario.go
@@ -63,8 +63,8 @@
 	// Slots is the number of requests that an upstream processes at once, Queue the
 	// number of requests that may wait in addition, and CacheSize the number of objects in
 	// its cache.
-	Slots int `toml:"slots"`
-	Queue int `toml:"queue"`
+	Slots     int `toml:"slots"`
+	Queue     int `toml:"queue"`
 	CacheSize int `toml:"keeps"`
 }
 
@@ -81,11 +81,11 @@
 	// Work is the mean processing time of an object that is not in the cache of the
 	// upstream, and Spread its relative standard deviation. A cached object takes
 	// CachedFraction of that time.
-	Work      settings.Duration `toml:"work"`
-	Spread    float64           `toml:"spread"`
+	Work           settings.Duration `toml:"work"`
+	Spread         float64           `toml:"spread"`
 	CachedFraction float64           `toml:"known_part"`
 	// Objects is the number of different objects that the clients of a region request.
-	// With zero, requests have no object and no response is cached.
+	// With zero, requests have no object and no object is cached.
 	Objects int `toml:"objects"`
 	// Objective is the latency up to which a response has the full weight (zero: any
 	// latency), Timeout the time after which a host fails a request (zero: the
@@ -99,10 +99,10 @@
 	LateWeight float64 `toml:"late_weight"`
 	Priority   int     `toml:"priority"`
 	Repeatable bool    `toml:"repeatable"`
-	// Attempts is the maximum number of upstreams that a host tries, and MaxClientRetries the
-	// maximum number of retries by a client.
-	Attempts int `toml:"attempts"`
-	MaxClientRetries  int `toml:"returns"`
+	// Attempts is the maximum number of upstreams that a host tries, and
+	// MaxClientRetries the maximum number of retries by a client.
+	Attempts         int `toml:"attempts"`
+	MaxClientRetries int `toml:"returns"`
 }
 
 // FaultKind is a kind of fault.
@@ -120,7 +120,7 @@
 	Down FaultKind = "down"
 	// Burst multiplies the load of one zone, or of all zones, by Factor.
 	Burst FaultKind = "burst"
-	// Restart restarts all hosts, which then have no state.
+	// Restart discards the state of all hosts, as a restart does.
 	Restart FaultKind = "restart"
 )
 
@@ -129,10 +129,10 @@
 	Kind FaultKind         `toml:"kind"`
 	At   settings.Duration `toml:"at"`
 	For  settings.Duration `toml:"for"`
-	// Service and Fraction select the upstreams with the fault: the first Fraction (a fraction
-	// from 0 to 1) of the upstreams of Service.
-	Service string  `toml:"service"`
-	Fraction    float64 `toml:"part"`
+	// Service and Fraction select the upstreams with the fault: the first upstreams of
+	// Service, up to Fraction (0 to 1) of their number.
+	Service  string  `toml:"service"`
+	Fraction float64 `toml:"part"`
 	// Zone is the zone with the fault; empty for all zones (Burst only).
 	Zone   string  `toml:"zone"`
 	Factor float64 `toml:"factor"`
@@ -156,8 +156,8 @@
 	// MinRetryDelay and RetryJitter replace the minimum and the jitter of the delay after
 	// which a refused client retries. If MinRetryDelay is zero, the delay is that of
 	// hosts.
-	MinRetryDelay  settings.Duration `toml:"pause_least"`
-	RetryJitter settings.Duration `toml:"pause_jitter"`
+	MinRetryDelay settings.Duration `toml:"pause_least"`
+	RetryJitter   settings.Duration `toml:"pause_jitter"`
 }
 
 // DefaultVariant returns the policy that hosts use.
