--- a/internal/selector/operator/config.go
+++ b/internal/selector/operator/config.go
@@ -19,29 +19,32 @@
 )
 
 const (
-	// HeaderChange is the header with the submitter's own id of a change. A
-	// change sent again with the same id is accepted once.
+	// HeaderChange is the header with the change id that the submitter chose. A
+	// change that is sent again with the same id is accepted only once.
 	HeaderChange = "Cairndock-Change"
-	// maxDocument limits a configuration document, in bytes. Chosen, three times
-	// the 20.1 MB of TOML of the planned size (standin.PlannedSize).
-	maxDocument = 64 << 20
-	// defaultWait is how long a change waits to be in force everywhere unless
-	// the request sets it: one second above the 5 s after which a zone that
-	// can't be reached no longer counts (docs/design/configuration.md).
+	// maxDocumentBytes limits a configuration document to about three times the
+	// 20.1 MB of TOML of the planned size (standin.PlannedSize).
+	maxDocumentBytes = 64 << 20
+	// defaultWait is how long a request waits for its change to be in force
+	// everywhere, unless the request sets a duration. It is one second above the
+	// 5 s after which an unreachable zone is no longer waited for
+	// (docs/design/configuration.md).
 	defaultWait = 6 * time.Second
-	// longestWait limits the wait that a request may set.
-	longestWait = time.Minute
+	// maxWait limits the wait that a request may set.
+	maxWait = time.Minute
 )
 
-// rejected is the error of a change that was not accepted, with every problem.
+// rejected returns the error response to a change that was not accepted. Its
+// body lists every problem.
 func rejected(status int, problems ...string) error {
 	return echo.NewHTTPError(status, struct {
 		Errors []string `json:"errors"`
 	}{problems})
 }
 
-// faulty rejects a change for the faults joined in err, one line each.
-func faulty(err error) error {
+// invalid returns the error response to a change whose faults are joined in
+// err, one per line.
+func invalid(err error) error {
 	return rejected(http.StatusBadRequest, strings.Split(err.Error(), "\n")...)
 }
 
@@ -60,18 +63,18 @@
 	if err != nil {
 		return err
 	}
-	wait, err := waitOf(c.QueryParam("wait"))
+	wait, err := parseWait(c.QueryParam("wait"))
 	if err != nil {
 		return rejected(http.StatusBadRequest, "wait: must be a duration")
 	}
 	applied, err := h.host.Apply(c.Request().Context(), change, wait)
 	var conflict *config.Conflict
-	var fault tomlfile.KeyError
+	var keyErr tomlfile.KeyError
 	switch {
 	case errors.As(err, &conflict):
 		return c.JSON(http.StatusConflict, conflict)
-	case errors.As(err, &fault):
-		return faulty(err)
+	case errors.As(err, &keyErr):
+		return invalid(err)
 	case err != nil:
 		if abort.Aborted(c.Request().Context()) {
 			abort.Cut(c.Response())
@@ -89,18 +92,19 @@
 	return c.JSON(status, applied)
 }
 
-// waitOf is how long a change waits to be in force: the request's duration
-// within 0 and longestWait, or defaultWait without one.
-func waitOf(text string) (time.Duration, error) {
+// parseWait returns how long to wait for a change to be in force: the duration
+// in the request, limited to the range from 0 to maxWait, or defaultWait if the
+// request has none.
+func parseWait(text string) (time.Duration, error) {
 	if text == "" {
 		return defaultWait, nil
 	}
 	d, err := time.ParseDuration(text)
-	return max(0, min(d, longestWait)), err
+	return max(0, min(d, maxWait)), err
 }
 
-// readChange reads a document and the versions that it is based on. Its error is
-// the response.
+// readChange reads a document and the versions that it is based on. The returned
+// error is the response to send.
 func readChange(c echo.Context) (config.Change, error) {
 	var none config.Change
 	r := c.Request()
@@ -110,9 +114,9 @@
 	}
 	doc, err := config.ParseDocument(body)
 	if err != nil {
-		return none, faulty(err)
+		return none, invalid(err)
 	}
-	base, hasBase, err := ifMatch(r.Header.Get("If-Match"))
+	base, hasBase, err := parseIfMatch(r.Header.Get("If-Match"))
 	if err != nil {
 		return none, rejected(http.StatusBadRequest, "If-Match: must be a revision")
 	}
@@ -126,7 +130,7 @@
 	}
 	change, err := doc.Change(id, base)
 	if err != nil {
-		return none, faulty(err)
+		return none, invalid(err)
 	}
 	if len(change.Edits) == 0 {
 		return none, rejected(http.StatusBadRequest, "the document names no object")
@@ -134,23 +138,25 @@
 	return change, nil
 }
 
-// readDocument reads the whole body within its limit. Its error is the response.
+// readDocument reads the whole body, up to maxDocumentBytes. The returned error
+// is the response to send.
 func readDocument(c echo.Context) ([]byte, error) {
 	r := c.Request()
 	defer abort.EndReads(c.Response(), r)()
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxDocument+1))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxDocumentBytes+1))
 	switch {
 	case err != nil && abort.Aborted(r.Context()):
 		abort.Cut(c.Response())
 		return nil, rejected(http.StatusServiceUnavailable, "the host is stopping; the change was not accepted")
-	case err != nil || len(body) > maxDocument:
+	case err != nil || len(body) > maxDocumentBytes:
 		return nil, rejected(http.StatusRequestEntityTooLarge, "the document can't be read or is too large")
 	}
 	return body, nil
 }
 
-// ifMatch reads the revision in an If-Match header, and whether there is one.
-func ifMatch(header string) (uint64, bool, error) {
+// parseIfMatch returns the revision in an If-Match header, and whether the header
+// is present.
+func parseIfMatch(header string) (uint64, bool, error) {
 	if header == "" {
 		return 0, false, nil
 	}
--- a/internal/selector/operator/operator.go
+++ b/internal/selector/operator/operator.go
@@ -1,10 +1,10 @@
-// Package operator serves operators and their automation over HTTP: health and
-// metrics, the host's status, the explanation of a choice, and the
-// configuration with the progress of its changes. It translates between HTTP
-// and the Host, and keeps no state.
+// Package operator serves the HTTP API for operators and their automation:
+// health checks, metrics, the host's status, the explanation of a routing
+// decision, and the configuration with the progress of its changes. It
+// translates between HTTP and the Host, and keeps no state.
 //
-// Only writes need the token; the listener is meant for an internal network,
-// or for mutual TLS.
+// Only writes require the token, because the listener is meant for an internal
+// network or for mutual TLS.
 package operator
 
 import (
@@ -34,37 +34,39 @@
 const (
 	// headerTimeout limits reading a request's headers.
 	headerTimeout = 10 * time.Second
-	// idleTimeout ends an operator's connection without a request.
+	// idleTimeout closes an operator's connection that has no request in flight.
 	idleTimeout = 2 * time.Minute
-	// minToken is the shortest token, in characters.
-	minToken = 16
+	// minTokenLength is the minimum length of the token, in bytes.
+	minTokenLength = 16
 )
 
-// Host is what operators look at and change.
+// Host is the state and configuration that operators read and change.
 type Host interface {
-	// Ready reports whether the host may get clients' requests.
+	// Ready reports whether the host is ready for clients' requests.
 	Ready() bool
-	// View is the configuration in force.
+	// View returns the configuration in force.
 	View() *config.View
-	// Status is the host's own state and its view of the other zones.
+	// Status returns the host's own state and its view of the other zones.
 	Status() entry.Status
-	// Explain returns how a request of a client at an address would be placed.
+	// Explain returns how a request of a client at the given address would be
+	// routed. It fails if the service is unknown.
 	Explain(service string, caller netip.Addr) (entry.Explanation, error)
-	// Apply appends a change to the log, and waits at most wait until it is in
-	// force everywhere. Its errors are those of config.Log.Append.
+	// Apply appends a change to the log and waits, at most for the given
+	// duration, until the change is in force everywhere. It returns the errors
+	// of config.Log.Append.
 	Apply(ctx context.Context, c config.Change, wait time.Duration) (configsync.Applied, error)
-	// ChangeProgress returns how far an accepted change is, and whether there
-	// is one with this id.
+	// ChangeProgress returns the progress of an accepted change, and whether a
+	// change with this id was accepted.
 	ChangeProgress(ctx context.Context, id string) (configsync.Applied, bool, error)
-	// DrainProgress returns what all hosts together still have at the named
-	// upstreams.
+	// DrainProgress returns the requests that all hosts together still have
+	// outstanding at the named upstreams.
 	DrainProgress(ctx context.Context, names []string) drain.Drained
 }
 
 // Check adds the faults of the settings' section [operators] to f.
 func Check(s servesettings.Operators, f *settings.Faults) {
 	f.Require(s.Listen != "", "operators.listen", "must be set")
-	f.Require(len(s.Token) >= minToken, "operators.token", "must have at least "+strconv.Itoa(minToken)+" characters")
+	f.Require(len(s.Token) >= minTokenLength, "operators.token", "must have at least "+strconv.Itoa(minTokenLength)+" characters")
 	tlsfiles.Check("operators.tls", s.TLS, f)
 }
 
@@ -76,8 +78,9 @@
 	metrics  *telemetry.Metrics
 }
 
-// New makes a server, which does not listen yet. When it aborts a change that
-// waits to be in force everywhere, the operator is told that it is pending.
+// New returns a server that does not listen yet. If the server aborts a request
+// that is waiting for its change to be in force everywhere, the response reports
+// the change as pending.
 func New(s servesettings.Operators, host Host, log zerolog.Logger, m *telemetry.Metrics) *abort.Server {
 	h := &handler{settings: s, host: host, log: log, metrics: m}
 	e := echo.New()
@@ -97,11 +100,11 @@
 	})
 }
 
-// requireToken rejects a request without the settings' token.
+// requireToken rejects a request that does not carry the configured token.
 func (h *handler) requireToken(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		given, ok := strings.CutPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
-		if !ok || subtle.ConstantTimeCompare([]byte(given), []byte(h.settings.Token)) != 1 {
+		token, ok := strings.CutPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
+		if !ok || subtle.ConstantTimeCompare([]byte(token), []byte(h.settings.Token)) != 1 {
 			c.Response().Header().Set("WWW-Authenticate", "Bearer")
 			return echo.NewHTTPError(http.StatusUnauthorized, "a bearer token is needed")
 		}
--- a/internal/selector/operator/operator_test.go
+++ b/internal/selector/operator/operator_test.go
@@ -27,11 +27,11 @@
 	goodDoc   = "[[zone]]\nname = \"a\"\nregion = \"r\"\n"
 )
 
-// fakeHost returns a fixed result of a change and keeps the last change.
+// fakeHost returns a fixed result for every change and records the last change.
 type fakeHost struct {
 	applied configsync.Applied
 	err     error
-	got     *config.Change
+	last    *config.Change
 }
 
 func (h *fakeHost) Ready() bool          { return false }
@@ -43,7 +43,7 @@
 }
 
 func (h *fakeHost) Apply(_ context.Context, c config.Change, _ time.Duration) (configsync.Applied, error) {
-	h.got = &c
+	h.last = &c
 	return h.applied, h.err
 }
 
@@ -78,11 +78,11 @@
 		{name: "no base", auth: auth, doc: goodDoc, status: 428, want: "If-Match"},
 		{name: "bad base", auth: auth, match: "new", doc: goodDoc, status: 400, want: "If-Match"},
 		{name: "bad document", auth: auth, match: "1", doc: "[[zone]]\nname = \"a\"\ncolour = 1", status: 400, want: "colour"},
-		{name: "nothing in it", auth: auth, match: "1", doc: "", status: 400, want: "names no object"},
+		{name: "empty document", auth: auth, match: "1", doc: "", status: 400, want: "names no object"},
 		{name: "bad wait", auth: auth, match: "1", doc: goodDoc, query: "?wait=long", status: 400, want: "wait"},
 		{name: "accepted", auth: auth, match: `"1"`, doc: goodDoc, host: fakeHost{applied: configsync.Applied{State: configsync.StateAccepted}}, status: 200, want: "accepted", reached: true},
 		{name: "pending", auth: auth, match: "1", doc: goodDoc, host: fakeHost{applied: configsync.Applied{State: configsync.StatePending}}, status: 202, want: "pending", reached: true},
-		{name: "versions in place of a base", auth: auth, doc: goodDoc + "[versions]\n\"zone/a\" = 3\n", host: fakeHost{applied: configsync.Applied{State: configsync.StateAccepted}}, status: 200, reached: true},
+		{name: "versions instead of a base", auth: auth, doc: goodDoc + "[versions]\n\"zone/a\" = 3\n", host: fakeHost{applied: configsync.Applied{State: configsync.StateAccepted}}, status: 200, reached: true},
 		{name: "conflict", auth: auth, match: "1", doc: goodDoc, host: fakeHost{err: conflict}, status: 409, want: `"winner_change":"theirs"`, reached: true},
 		{name: "outcome unknown", auth: auth, match: "1", doc: goodDoc, host: fakeHost{err: errors.New("lost")}, status: 503, want: "same id: mine", reached: true},
 	}
@@ -103,23 +103,23 @@
 			require.NoError(t, err)
 			require.Equal(t, tc.status, resp.StatusCode, string(body))
 			require.Contains(t, string(body), tc.want)
-			require.Equal(t, tc.reached, h.got != nil)
+			require.Equal(t, tc.reached, h.last != nil)
 			if tc.reached {
-				require.Equal(t, "mine", h.got.ID)
+				require.Equal(t, "mine", h.last.ID)
 			}
 		})
 	}
 }
 
-func TestWaitOfAChange(t *testing.T) {
+func TestParseWait(t *testing.T) {
 	for text, want := range map[string]time.Duration{
-		"": defaultWait, "0s": 0, "2s": 2 * time.Second, "-1s": 0, "2h": longestWait,
+		"": defaultWait, "0s": 0, "2s": 2 * time.Second, "-1s": 0, "2h": maxWait,
 	} {
-		got, err := waitOf(text)
+		got, err := parseWait(text)
 		require.NoError(t, err, text)
 		require.Equal(t, want, got, text)
 	}
-	_, err := waitOf("soon")
+	_, err := parseWait("soon")
 	require.Error(t, err)
 }
 
