--- a/internal/selector/caller/caller.go
+++ b/internal/selector/caller/caller.go
@@ -1,10 +1,10 @@
-// Package caller serves clients over HTTP: the hosts to use (/v1/entries),
-// tickets (/v1/tickets) and the requests themselves (/s/SERVICE/...). It reads
-// and checks a request, passes it to the Host and writes the upstream's
-// response, or an error of its own as RFC 9457 problem details. It keeps no
-// state; where a request goes is decided in the entry package.
+// Package caller serves the HTTP API for clients: the hosts to use
+// (/v1/entries), tickets (/v1/tickets) and the requests themselves
+// (/s/SERVICE/...). It reads and checks a request, passes it to the Host and
+// writes the upstream's response, or its own error as RFC 9457 problem details.
+// It keeps no state. Package entry decides where a request goes.
 //
-// Settings, metrics and headers call clients callers.
+// In settings, metrics and headers a client is named caller.
 package caller
 
 import (
@@ -33,59 +33,59 @@
 )
 
 const (
-	// defaultMaxBody limits a request's body, in bytes, unless callers.max_body
-	// is set.
+	// defaultMaxBody is the default of callers.max_body, in bytes.
 	defaultMaxBody = 256 << 10
-	// largestMaxBody is the highest callers.max_body, in bytes: a request
-	// travels between hosts in one frame of at most 1 MB (package peer), with
-	// its headers.
-	largestMaxBody = 768 << 10
-	// defaultMaxHeader limits a request's headers, in bytes, unless
-	// callers.max_header is set.
+	// maxBodyLimit is the upper bound of callers.max_body, in bytes. A request
+	// is sent between hosts with its headers in one frame, which is limited to
+	// 1 MB (package peer).
+	maxBodyLimit = 768 << 10
+	// defaultMaxHeader is the default of callers.max_header, in bytes.
 	defaultMaxHeader = 16 << 10
-	// defaultTTL is how long clients may cache /v1/entries unless callers.ttl
-	// is set.
+	// defaultTTL is the default of callers.ttl: how long clients may cache
+	// /v1/entries.
 	defaultTTL = 5 * time.Second
-	// headerFactor is how many times callers.max_header the HTTP server reads,
-	// so that a request above the limit is rejected with a verdict instead of
-	// the server's bare 431.
+	// headerFactor is the ratio of the HTTP server's header limit to
+	// callers.max_header. The server's limit is higher so that most requests
+	// above callers.max_header are rejected with a verdict instead of the
+	// server's own 431 response, which has none.
 	headerFactor = 8
 	// headerTimeout limits reading a request's headers.
 	headerTimeout = 10 * time.Second
-	// idleTimeout ends a client's connection without a request.
+	// idleTimeout closes a client's connection that has no request in flight.
 	idleTimeout = 2 * time.Minute
 )
 
-// Host serves the requests.
+// Host serves the requests that this package has read and checked.
 type Host interface {
-	// Serving reports whether the host ever had a configuration that was known
-	// to be the newest. A host that is leaving still serves.
+	// Serving reports whether the host has ever had a configuration that was
+	// confirmed to be the newest. A host that is leaving still serves.
 	Serving() bool
-	// View is the configuration in force.
+	// View returns the configuration in force.
 	View() *config.View
 	// InFlight counts a request as in flight until the returned function is
 	// called.
 	InFlight() func()
-	// Do runs a request. Its error is a *verdict.Error.
+	// Do forwards a request and returns the response. Its error is a
+	// *verdict.Error.
 	Do(ctx context.Context, req *call.Request) (*call.Response, error)
-	// EntriesFor returns, as JSON, the hosts that a client at an address should
-	// use for a service.
-	EntriesFor(service string, caller netip.Addr) ([]byte, error)
+	// EntriesFor returns, as JSON, the hosts that a client at the given address
+	// should use for a service.
+	EntriesFor(service string, client netip.Addr) ([]byte, error)
 	// IssueTicket issues a ticket for a request to a service.
 	IssueTicket(service string) (ticket.Ticket, error)
 }
 
-// Default applies the defaults of the settings' section [callers].
+// Default applies the defaults of the section [callers] of the settings.
 func Default(s *servesettings.Callers) {
 	s.MaxBody = cmp.Or(s.MaxBody, defaultMaxBody)
 	s.MaxHeader = cmp.Or(s.MaxHeader, defaultMaxHeader)
 	s.TTL = cmp.Or(s.TTL, settings.Duration(defaultTTL))
 }
 
-// Check adds the section's faults to f.
+// Check adds the faults of the section [callers] of the settings to f.
 func Check(s servesettings.Callers, f *settings.Faults) {
 	f.Require(s.Listen != "", "callers.listen", "must be set")
-	f.Require(s.MaxBody > 0 && s.MaxBody <= largestMaxBody, "callers.max_body", "must be from 1 to "+strconv.Itoa(largestMaxBody))
+	f.Require(s.MaxBody > 0 && s.MaxBody <= maxBodyLimit, "callers.max_body", "must be from 1 to "+strconv.Itoa(maxBodyLimit))
 	f.Require(s.MaxHeader > 0, "callers.max_header", "must be above 0")
 	f.Require(s.TTL > 0, "callers.ttl", "must be above 0")
 }
@@ -98,8 +98,9 @@
 	metrics  *telemetry.Metrics
 }
 
-// New makes a server, which does not listen yet. When it aborts a request, the
-// client gets an error response that says what is proved.
+// New returns a server that does not listen yet. If the server aborts a request,
+// the client gets an error response whose verdict states whether the request is
+// known not to have run.
 func New(s servesettings.Callers, host Host, tp trace.TracerProvider, m *telemetry.Metrics) *abort.Server {
 	h := &handler{settings: s, host: host, tracer: telemetry.Tracer(tp), metrics: m}
 	e := echo.New()
@@ -115,7 +116,7 @@
 	})
 }
 
-// rejectUnrouted writes the response to a request that no route matches.
+// rejectUnrouted writes the response to a request that matches no route.
 func (h *handler) rejectUnrouted(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
@@ -129,7 +130,7 @@
 	writeProblem(c.Response(), e, status)
 }
 
-// reject writes the response to a request that failed.
+// reject writes the error response to a request that was declined or failed.
 func (h *handler) reject(c echo.Context, err error) error {
 	e := verdict.From(err)
 	if e.Reason == verdict.Stopping || abort.Aborted(c.Request().Context()) && e.Reason == verdict.Interrupted {
@@ -163,14 +164,14 @@
 }
 
 func (h *handler) forward(c echo.Context) error {
-	began := time.Now()
+	start := time.Now()
 	done := h.host.InFlight()
 	defer done()
 	r := c.Request()
 	ctx := otel.GetTextMapPropagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	ctx, span := h.tracer.Start(ctx, "caller")
 	defer span.End()
-	req, err := h.readRequest(c, began)
+	req, err := h.readRequest(c, start)
 	if err != nil {
 		return h.reject(c, err)
 	}
@@ -178,10 +179,10 @@
 	defer cancel()
 	resp, err := h.host.Do(ctx, req)
 	if err != nil {
-		return h.reject(c, whenAborted(ctx, err))
+		return h.reject(c, abortError(ctx, err))
 	}
 	defer resp.Body.Close()
-	h.metrics.Observe(`cairndock_request_seconds{service="`+req.Service+`"}`, time.Since(began).Seconds())
+	h.metrics.Observe(`cairndock_request_seconds{service="`+req.Service+`"}`, time.Since(start).Seconds())
 	h.writeResponse(c.Response(), resp)
 	return nil
 }
--- a/internal/selector/caller/caller_test.go
+++ b/internal/selector/caller/caller_test.go
@@ -25,12 +25,12 @@
 	"cairndock/internal/verdict"
 )
 
-// fakeHost returns a fixed response or error and keeps the last request.
+// fakeHost returns a fixed response or error and records the last request.
 type fakeHost struct {
 	view *config.View
 	resp *call.Response
 	err  error
-	got  *call.Request
+	last *call.Request
 }
 
 func (h *fakeHost) Serving() bool      { return h.view.Revision() > 0 }
@@ -38,12 +38,12 @@
 func (h *fakeHost) InFlight() func()   { return func() {} }
 
 func (h *fakeHost) Do(_ context.Context, req *call.Request) (*call.Response, error) {
-	h.got = req
+	h.last = req
 	return h.resp, h.err
 }
 
-func (h *fakeHost) EntriesFor(service string, caller netip.Addr) ([]byte, error) {
-	return fmt.Appendf(nil, "%s for %s", service, caller), nil
+func (h *fakeHost) EntriesFor(service string, client netip.Addr) ([]byte, error) {
+	return fmt.Appendf(nil, "%s for %s", service, client), nil
 }
 
 func (h *fakeHost) IssueTicket(string) (ticket.Ticket, error) {
@@ -81,8 +81,9 @@
 	}
 }
 
-// TestRefusals: a request with a fault was not run, and the response names the
-// fault.
+// TestRefusals guards against a response that hides why a request failed, or
+// whose verdict differs from the error's verdict. An invalid request must never
+// reach the host.
 func TestRefusals(t *testing.T) {
 	cases := []struct {
 		name, method, path string
@@ -129,21 +130,21 @@
 				require.Equal(t, "2", resp.Header.Get("Retry-After"), "rounded up")
 			}
 			if tc.err == nil {
-				require.Nil(t, h.got, "nothing was passed on")
+				require.Nil(t, h.last, "the request did not reach the host")
 			}
 		})
 	}
 }
 
 func TestRetryAfterIsInWholeSecondsRoundedUp(t *testing.T) {
-	for pause, want := range map[time.Duration]string{
+	for delay, want := range map[time.Duration]string{
 		time.Millisecond: "1", time.Second: "1", 1001 * time.Millisecond: "2", 3 * time.Second: "3",
 	} {
-		require.Equal(t, want, retryAfter(pause), pause)
+		require.Equal(t, want, retryAfter(delay), delay)
 	}
 }
 
-func TestStalledBodyIsCutByTheDeadline(t *testing.T) {
+func TestStalledBodyEndsAtTheDeadline(t *testing.T) {
 	h := &fakeHost{resp: ok("x")}
 	addr := newServer(t, h, nil)
 	c, err := net.Dial("tcp", addr)
@@ -156,7 +157,7 @@
 	defer resp.Body.Close()
 	require.Equal(t, http.StatusGatewayTimeout, resp.StatusCode)
 	require.Equal(t, "not-run", resp.Header.Get("Cairndock-Verdict"))
-	require.Nil(t, h.got)
+	require.Nil(t, h.last)
 }
 
 func TestForwarding(t *testing.T) {
@@ -177,16 +178,16 @@
 	require.Equal(t, "the response", string(body))
 	require.Equal(t, "z/up", resp.Header.Get("Cairndock-Upstream"))
 	require.Equal(t, "1", resp.Header.Get("X-Mine"))
-	require.Empty(t, resp.Header.Get("Cairndock-Verdict"), "an upstream can't speak for the system")
-	require.Equal(t, "/a%2Fb/c?x=1&y=%20", h.got.Target)
-	require.Equal(t, "body", string(h.got.Body))
-	require.Equal(t, "1", h.got.Header.Get("X-Kept"))
-	require.Empty(t, h.got.Header.Get("X-Dropped"))
-	require.Empty(t, h.got.Header.Get("Cairndock-Shed"))
-	require.LessOrEqual(t, time.Until(h.got.Deadline), 2*time.Second, "bounded by max_timeout")
+	require.Empty(t, resp.Header.Get("Cairndock-Verdict"), "an upstream can't set a reserved header")
+	require.Equal(t, "/a%2Fb/c?x=1&y=%20", h.last.Target)
+	require.Equal(t, "body", string(h.last.Body))
+	require.Equal(t, "1", h.last.Header.Get("X-Kept"))
+	require.Empty(t, h.last.Header.Get("X-Dropped"))
+	require.Empty(t, h.last.Header.Get("Cairndock-Shed"))
+	require.LessOrEqual(t, time.Until(h.last.Deadline), 2*time.Second, "bounded by max_timeout")
 }
 
-// brokenBody ends early.
+// brokenBody adds a Close method to a reader that fails.
 type brokenBody struct{ io.Reader }
 
 func (brokenBody) Close() error { return nil }
@@ -222,7 +223,7 @@
 	}
 }
 
-func TestCallerAddress(t *testing.T) {
+func TestClientAddress(t *testing.T) {
 	for trust, want := range map[bool]string{false: "s for 127.0.0.1", true: "s for 10.2.0.9"} {
 		addr := newServer(t, &fakeHost{}, func(s *servesettings.Callers) { s.TrustForwarded = trust })
 		req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/v1/entries?service=s", nil)
--- a/internal/selector/caller/request.go
+++ b/internal/selector/caller/request.go
@@ -19,13 +19,13 @@
 	"cairndock/internal/verdict"
 )
 
-// reservedPrefix starts the headers that only hosts may set: they are removed
-// from requests and responses that pass.
+// reservedPrefix is the prefix of the headers that only hosts may set. Such
+// headers are removed from forwarded requests and responses.
 const reservedPrefix = "Cairndock-"
 
-// readRequest reads and checks a client's request that began at a time. A
-// request with a fault was not run, whatever the fault.
-func (h *handler) readRequest(c echo.Context, began time.Time) (*call.Request, error) {
+// readRequest reads and checks a client's request. The request's timeout starts
+// at start. Every error has the verdict not-run.
+func (h *handler) readRequest(c echo.Context, start time.Time) (*call.Request, error) {
 	r := c.Request()
 	name := c.Param("service")
 	if !h.host.Serving() {
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	deadline := began.Add(timeout)
+	deadline := start.Add(timeout)
 	text := r.Header.Get(call.HeaderTicket)
 	if text != "" {
 		if _, err := ticket.Parse(text); err != nil {
@@ -59,8 +59,8 @@
 	}, nil
 }
 
-// headerSize is the size of the names and values in bytes, each name counted
-// with each of its values.
+// headerSize returns the size of the names and values, in bytes. A name is
+// counted once for each of its values.
 func headerSize(h http.Header) int {
 	n := 0
 	for name, values := range h {
@@ -71,8 +71,9 @@
 	return n
 }
 
-// requestTimeout is the rule for a request's time: the header's duration, at
-// most the service's max_timeout; without the header the service's timeout.
+// requestTimeout returns the timeout of a request: the duration in the header,
+// limited to the service's max_timeout, or the service's timeout if there is no
+// header.
 func requestTimeout(header string, svc *config.ServiceView) (time.Duration, error) {
 	if header == "" {
 		return time.Duration(svc.Timeout), nil
@@ -84,9 +85,9 @@
 	return min(d, time.Duration(svc.MaxTimeout)), nil
 }
 
-// readBody reads the whole body within its limit and the deadline. A body that
-// is not read to its end closes the connection, as the next request on it could
-// not be found.
+// readBody reads the whole body within callers.max_body and the deadline. If the
+// body is not read to its end, the connection is closed, because the start of
+// the next request on it is unknown.
 func (h *handler) readBody(c echo.Context, deadline time.Time) ([]byte, error) {
 	r := c.Request()
 	if r.Body == nil || r.Body == http.NoBody {
@@ -119,8 +120,8 @@
 	return body, nil
 }
 
-// upstreamTarget is the path and query after the service's prefix, as the
-// client encoded them.
+// upstreamTarget returns the path and query after the service's prefix, in the
+// client's encoding.
 func upstreamTarget(r *http.Request, service string) string {
 	path := strings.TrimPrefix(r.URL.EscapedPath(), "/s/"+service)
 	if !strings.HasPrefix(path, "/") {
@@ -133,7 +134,7 @@
 }
 
 // forwardedHeader returns the headers to send to the upstream: the end-to-end
-// ones without those reserved for hosts.
+// headers without those that only hosts may set.
 func forwardedHeader(h http.Header) http.Header {
 	out := httpheader.EndToEnd(h)
 	for name := range out {
@@ -145,9 +146,10 @@
 	return out
 }
 
-// clientAddr is the client's address: the first one in X-Forwarded-For if the
-// settings trust it and it can be parsed, else that of the connection. An
-// unknown one is 0.0.0.0, which only a block of all addresses contains.
+// clientAddr returns the client's address: the first address in X-Forwarded-For
+// if the settings trust that header and the address can be parsed, otherwise
+// the address of the connection. An unknown address is returned as 0.0.0.0,
+// which only a block of all addresses contains.
 func (h *handler) clientAddr(r *http.Request) netip.Addr {
 	if h.settings.TrustForwarded {
 		first, _, _ := strings.Cut(r.Header.Get("X-Forwarded-For"), ",")
--- a/internal/selector/caller/request_test.go
+++ b/internal/selector/caller/request_test.go
@@ -19,12 +19,12 @@
 		want         time.Duration
 		bad          bool
 	}{
-		{name: "the service's without a header", want: 2 * time.Second},
-		{name: "the header's", header: "5s", want: 5 * time.Second},
+		{name: "service timeout without a header", want: 2 * time.Second},
+		{name: "header value", header: "5s", want: 5 * time.Second},
 		{name: "at most max_timeout", header: "1h", want: 10 * time.Second},
-		{name: "zero is refused", header: "0s", bad: true},
-		{name: "a negative one is refused", header: "-1s", bad: true},
-		{name: "no duration is refused", header: "soon", bad: true},
+		{name: "zero is rejected", header: "0s", bad: true},
+		{name: "negative duration is rejected", header: "-1s", bad: true},
+		{name: "not a duration is rejected", header: "soon", bad: true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/selector/caller/response.go
+++ b/internal/selector/caller/response.go
@@ -16,11 +16,11 @@
 	"cairndock/internal/verdict"
 )
 
-// copyBuffer is the buffer for copying a response's body, in bytes: the size
-// that io.Copy uses.
-const copyBuffer = 32 << 10
+// copyBufferSize is the size of the buffer for copying a response's body, in
+// bytes. io.Copy uses the same size.
+const copyBufferSize = 32 << 10
 
-// problem is the body of an error response of this host (RFC 9457).
+// problem is the body of an error response from this host (RFC 9457).
 type problem struct {
 	Type    string `json:"type"`
 	Title   string `json:"title"`
@@ -40,20 +40,21 @@
 	}
 	switch {
 	case e.Reason == verdict.Stopping:
-		h.Set("Retry-After", "0") // another host serves the request at once
+		h.Set("Retry-After", "0") // another host can serve the request at once
 	case e.RetryAfter > 0:
 		h.Set("Retry-After", retryAfter(e.RetryAfter))
 	}
 	w.WriteHeader(status)
-	// An error means that the client has left.
+	// An error means that the client has disconnected.
 	_ = json.NewEncoder(w).Encode(problem{
 		Type: "urn:cairndock:" + string(e.Reason), Title: string(e.Reason),
 		Status: status, Detail: e.Detail, Verdict: e.Verdict.String(),
 	})
 }
 
-// writeResponse writes an upstream's response. If its body breaks off, the
-// client's connection is closed, so that the response can't look complete.
+// writeResponse writes an upstream's response. If copying the body fails, the
+// client's connection is closed, so that a truncated response does not look
+// complete.
 func (h *handler) writeResponse(w *echo.Response, resp *call.Response) {
 	for name, values := range resp.Header {
 		if !strings.HasPrefix(name, reservedPrefix) {
@@ -68,20 +69,20 @@
 	}
 }
 
-// buffers are the copy buffers, used again from response to response.
-var buffers = sync.Pool{New: func() any { return new([copyBuffer]byte) }}
+// buffers is the pool of copy buffers, which are reused across responses.
+var buffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// copyBody copies a body. One of unknown length may be a stream, and is flushed
-// after each part.
+// copyBody copies a response's body. A body of unknown length may be a stream,
+// so it is flushed after each chunk.
 func copyBody(w *echo.Response, resp *call.Response) error {
-	pooled := buffers.Get().(*[copyBuffer]byte)
+	pooled := buffers.Get().(*[copyBufferSize]byte)
 	defer buffers.Put(pooled)
 	buf := pooled[:]
 	for {
 		n, err := resp.Body.Read(buf)
 		if n > 0 {
-			if _, werr := w.Write(buf[:n]); werr != nil {
-				return werr
+			if _, writeErr := w.Write(buf[:n]); writeErr != nil {
+				return writeErr
 			}
 			if resp.Length < 0 {
 				w.Flush()
@@ -96,22 +97,24 @@
 	}
 }
 
-// refusalRetryAfter is when a client should return to a host that has no
-// configuration yet, or that is stopping: the shortest time that whole seconds
-// can say, and what the entry package sets for every other refusal.
+// refusalRetryAfter is the Retry-After of a host that has no configuration yet
+// or that is stopping. It is the shortest time above 0 in whole seconds, and the
+// value that package entry sets for every other refusal.
 const refusalRetryAfter = time.Second
 
-// notReady is the error of a host that never had the newest configuration.
+// notReady returns the error of a host that has never had a configuration
+// confirmed to be the newest.
 func notReady() *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.NotReady, "host is not ready").WithRetryAfter(refusalRetryAfter)
 }
 
-// retryAfter is the value of Retry-After for a pause above 0: whole seconds, as
-// RFC 9110 section 10.2.3 requires, rounded up, since a client that returns
-// early would only be refused again.
+// retryAfter returns the value of Retry-After for a delay above 0. RFC 9110
+// section 10.2.3 requires whole seconds. The delay is rounded up because a
+// client that retries too early would only be refused again.
 //
-// internal/gateway/proxy differs: its clients read fractions, so that it sets
-// 150 to 750 ms by the cause, and spreads those refused for load at random.
-func retryAfter(pause time.Duration) string {
-	return strconv.Itoa(int(math.Ceil(pause.Seconds())))
+// internal/gateway/proxy differs because its clients accept fractions of a
+// second. It sets 150 to 750 ms depending on the cause, and adds random jitter
+// to refusals for load.
+func retryAfter(delay time.Duration) string {
+	return strconv.Itoa(int(math.Ceil(delay.Seconds())))
 }
--- a/internal/selector/caller/stop.go
+++ b/internal/selector/caller/stop.go
@@ -8,22 +8,24 @@
 	"cairndock/internal/verdict"
 )
 
-// whenAborted gives the error of a request that Host.Do ended. Where that is
-// for the end of an aborted context, the host can't tell it from a client that
-// left, or from a wait that was in vain: the client, who still waits, is told
-// that the host is stopping, with the verdict as it was proved.
-func whenAborted(ctx context.Context, err error) error {
+// abortError returns the error to send for a request that failed in Host.Do. If
+// the host's stop aborted the request's context, Host.Do reports the same errors
+// as for a client that disconnected or a wait that timed out. The client is
+// still waiting in this case, so the error is replaced by the host's stop. The
+// verdict stays unchanged.
+func abortError(ctx context.Context, err error) error {
 	e := verdict.From(err)
-	// A deadline that came first ends the context with another error.
-	if !errors.Is(ctx.Err(), context.Canceled) || !abort.Aborted(ctx) || !endsWithContext(e) {
+	// If the deadline passed before the abort, ctx.Err is DeadlineExceeded.
+	if !errors.Is(ctx.Err(), context.Canceled) || !abort.Aborted(ctx) || !causedByContext(e) {
 		return err
 	}
 	return stopped(e.Verdict).WithUpstream(e.Upstream).WithRetryAfter(e.RetryAfter)
 }
 
-// endsWithContext reports whether the end of a request's context has this error:
-// an attempt, a wait for a slot or for another host, or a response, broke off.
-func endsWithContext(e *verdict.Error) bool {
+// causedByContext reports whether the end of a request's context can cause this
+// error: by interrupting an attempt, a wait for a slot or for another host, or
+// a response.
+func causedByContext(e *verdict.Error) bool {
 	switch e.Reason {
 	case verdict.CallerLeft, verdict.DeadlineLapsed, verdict.Full, verdict.PeerFailed, verdict.AnswerTruncated:
 		return e.Verdict != verdict.Ran
@@ -32,7 +34,7 @@
 	}
 }
 
-// stopped is the error of a request that was cut by the host's stop.
+// stopped returns the error of a request that was aborted by the host's stop.
 func stopped(v verdict.Verdict) *verdict.Error {
 	reason := verdict.Interrupted
 	if v == verdict.NotRun {
