--- a/internal/selector/load/arrivals.go
+++ b/internal/selector/load/arrivals.go
@@ -9,8 +9,8 @@
 	"cairndock/internal/pause"
 )
 
-// dueAt is when request i of a class is due after the begin: the rate rises
-// evenly over the ramp and then stays.
+// dueAt returns when request i of a class is due, as the time since the start of
+// the load. The rate rises linearly over the ramp and is constant afterwards.
 func dueAt(c Class, i int) time.Duration {
 	ramp := c.Ramp.Seconds()
 	inRamp := c.Rate * ramp / 2
@@ -21,52 +21,53 @@
 	return time.Duration((ramp + (n-inRamp)/c.Rate) * float64(time.Second))
 }
 
-// arrive sends a class's requests when they are due until "until" ends, whether
-// or not earlier ones have ended (open loop). ctx is the requests' own context.
-func (r *run) arrive(until, ctx context.Context, cr *classRun) {
-	began := time.Now()
+// sendArrivals sends a class's requests when they are due, until arrivalsCtx is
+// done. It does not wait for earlier requests (open loop). ctx is the context of
+// the requests.
+func (r *run) sendArrivals(arrivalsCtx, ctx context.Context, cr *classRun) {
+	start := time.Now()
 	for i := 0; ; i++ {
-		due := began.Add(dueAt(cr.class, i))
+		due := start.Add(dueAt(cr.class, i))
 		if d := time.Until(due); d > 0 {
-			pause.For(until, d)
+			pause.For(arrivalsCtx, d)
 		}
-		if until.Err() != nil {
+		if arrivalsCtx.Err() != nil {
 			return
 		}
 		select {
-		case r.slots <- struct{}{}:
+		case r.outstanding <- struct{}{}:
 		default:
 			r.skipped.Add(1)
 			continue
 		}
-		r.wait.Go(func() {
-			defer func() { <-r.slots }()
+		r.requests.Go(func() {
+			defer func() { <-r.outstanding }()
 			r.sendOne(ctx, cr, i, due)
 		})
 	}
 }
 
-// sendOne sends request i of a class, which was due at a time, and records what
-// came of it.
+// sendOne sends request i of a class and records its outcome, with the latency
+// since due.
 func (r *run) sendOne(ctx context.Context, cr *classRun, i int, due time.Time) {
 	hosts := *r.hosts.Load()
-	host := hosts[i%min(len(hosts), nearHosts)]
-	text := ""
+	host := hosts[i%min(len(hosts), nearestHosts)]
+	ticket := ""
 	if cr.class.Ticket {
-		text = r.ticket(ctx, host, cr.class.Service)
+		ticket = r.takeTicket(ctx, host, cr.class.Service)
 	}
-	got := r.send(ctx, host, cr.class, i, text)
-	if cr.class.Resend && text != "" {
-		again := r.send(ctx, hosts[(i+1)%len(hosts)], cr.class, i, text)
-		if got.verdict == answered && again.verdict == answered && !bytes.Equal(got.body, again.body) {
-			r.wrong.Add(1)
+	last := r.send(ctx, host, cr.class, i, ticket)
+	if cr.class.Resend && ticket != "" {
+		resent := r.send(ctx, hosts[(i+1)%len(hosts)], cr.class, i, ticket)
+		if last.verdict == responded && resent.verdict == responded && !bytes.Equal(last.body, resent.body) {
+			r.wrongResponses.Add(1)
 		}
-		got = again
+		last = resent
 	}
-	if text != "" {
+	if ticket != "" {
 		r.mu.Lock()
-		r.verdicts[text] = got.verdict
+		r.verdicts[ticket] = last.verdict
 		r.mu.Unlock()
 	}
-	cr.record(got, time.Since(due))
+	cr.record(last, time.Since(due))
 }
--- a/internal/selector/load/changes.go
+++ b/internal/selector/load/changes.go
@@ -12,47 +12,49 @@
 )
 
 const (
-	// maxChangeRate is the highest rate of changes, per second: hundreds of
-	// times the planned 0.22 a second.
+	// maxChangeRate is the highest rate of changes, per second. It is hundreds of
+	// times the planned rate of 0.22 per second.
 	maxChangeRate = 100
-	// everywhereWait is how long a change may take to be in force everywhere:
-	// the default of the operator API.
-	everywhereWait = "6s"
+	// inForceWait is how long a request waits for its change to be in force
+	// everywhere. It equals the default of the operator API.
+	inForceWait = "6s"
 )
 
-// Changes are configuration changes sent beside a load, one after another.
+// Changes describes configuration changes that are sent during a load, one at a
+// time.
 type Changes struct {
-	// Operator is the address for operators of a host, and Token its token.
+	// Operator is the operator address of a host, and Token its token.
 	Operator string
 	Token    string
-	// Rate is the changes per second.
+	// Rate is the number of changes per second.
 	Rate float64
-	// Everywhere waits until each change is in force in every zone.
+	// Everywhere makes each change wait until it is in force in every zone.
 	Everywhere bool
-	// Service and Rule name the rule that is changed; it must exist.
+	// Service and Rule name the rule to change, which must exist.
 	Service string
 	Rule    string
 }
 
-// ChangeResult is the outcome of the changes.
+// ChangeResult is the outcome of Changes.
 type ChangeResult struct {
 	Accepted int `json:"accepted"`
 	Failed   int `json:"failed"`
-	// P50 and P99 are the times, in microseconds, from sending a change until
-	// it is in force in every zone that can be reached, or without
-	// Changes.Everywhere until it is in the log.
+	// P50 and P99 are percentiles, in microseconds, of the time from sending a
+	// change until it is in force in every reachable zone, or until it is in
+	// the log if Changes.Everywhere is false.
 	P50 int64 `json:"p50_us"`
 	P99 int64 `json:"p99_us"`
 }
 
-// RunChanges sends changes until ctx ends. A change that fails is counted and not
-// sent again.
+// RunChanges sends changes until ctx is done. A change that fails is counted and
+// not sent again. RunChanges fails if the rate is out of range or the operator
+// address is not a loopback address.
 func RunChanges(ctx context.Context, c Changes) (ChangeResult, error) {
 	if err := checkLoopback(c.Operator); err != nil {
 		return ChangeResult{}, err
 	}
 	if c.Rate <= 0 || c.Rate > maxChangeRate {
-		return ChangeResult{}, eris.Errorf("changes must be above 0 and at most %d a second", maxChangeRate)
+		return ChangeResult{}, eris.Errorf("rate of changes must be above 0 and at most %d per second", maxChangeRate)
 	}
 	var out ChangeResult
 	latencies := newLatencies()
@@ -65,7 +67,7 @@
 			return out, nil
 		case <-ticker.C:
 		}
-		began := time.Now()
+		start := time.Now()
 		if err := c.send(ctx, i); err != nil {
 			if ctx.Err() == nil {
 				out.Failed++
@@ -73,12 +75,12 @@
 			continue
 		}
 		out.Accepted++
-		// A time above longestLatency is counted but not recorded.
-		_ = latencies.RecordValue(time.Since(began).Microseconds())
+		// A latency above maxLatencyMicros is not recorded in the histogram.
+		_ = latencies.RecordValue(time.Since(start).Microseconds())
 	}
 }
 
-// send changes the rule's ramp, which moves no traffic.
+// send sends change i, which alters the rule's ramp. This does not move traffic.
 func (c Changes) send(ctx context.Context, i int) error {
 	var status struct {
 		Revision uint64 `json:"revision"`
@@ -88,14 +90,14 @@
 	}
 	wait := "0s"
 	if c.Everywhere {
-		wait = everywhereWait
+		wait = inForceWait
 	}
 	doc := fmt.Sprintf("[[rule]]\nname = %q\nservice = %q\nselector = \"tier=main\"\nshare = 1.0\nramp = %d.0\n", c.Rule, c.Service, 1+i%2)
 	base := http.Header{"If-Match": {fmt.Sprint(status.Revision)}}
 	return c.request(ctx, http.MethodPut, "/v1/config?wait="+wait, doc, base, nil)
 }
 
-// request sends a request to the host with the token and more headers.
+// request sends a request with the token and the given headers to the host.
 func (c Changes) request(ctx context.Context, method, path, body string, header http.Header, out any) error {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.Operator+path, strings.NewReader(body))
 	if err != nil {
--- a/internal/selector/load/hosts.go
+++ b/internal/selector/load/hosts.go
@@ -9,7 +9,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// discover requests the hosts to use from the nearest known one, as clients do.
+// discover requests the list of hosts to use from the nearest known host, as
+// clients do.
 func (r *run) discover(ctx context.Context) error {
 	host := r.options.Entry
 	if known := r.hosts.Load(); known != nil {
@@ -30,14 +31,14 @@
 		}
 	}
 	if len(hosts) == 0 {
-		return eris.New("no host on loopback was named")
+		return eris.New("host list contains no loopback address")
 	}
 	r.hosts.Store(&hosts)
 	return nil
 }
 
-// roundTrip sends a request and decodes the response into out, unless that is
-// nil.
+// roundTrip sends a request and decodes the JSON response into out, unless out is
+// nil. It fails if the status is 300 or above.
 func roundTrip(client *http.Client, req *http.Request, out any) error {
 	resp, err := client.Do(req)
 	if err != nil {
@@ -53,7 +54,7 @@
 	return eris.Wrap(json.NewDecoder(resp.Body).Decode(out), "decode response")
 }
 
-// request sends a request without a body.
+// request sends a request without a body and decodes the response into out.
 func (r *run) request(ctx context.Context, method, url string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, method, url, nil)
 	if err != nil {
@@ -62,7 +63,8 @@
 	return roundTrip(r.client, req, out)
 }
 
-func (r *run) keepDiscovering(ctx context.Context) {
+// refreshHosts updates the hosts to use every refreshInterval until ctx is done.
+func (r *run) refreshHosts(ctx context.Context) {
 	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
 	for {
@@ -70,7 +72,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			_ = r.discover(ctx) // on an error the hosts known so far stay in use
+			_ = r.discover(ctx) // after an error the current hosts stay in use
 		}
 	}
 }
--- a/internal/selector/load/ledger.go
+++ b/internal/selector/load/ledger.go
@@ -7,8 +7,8 @@
 	"cairndock/internal/verdict"
 )
 
-// readLedgers compares the verdicts that clients got with what the upstreams
-// ran, and counts the violations in report.
+// readLedgers compares the verdicts that clients received with the requests in
+// the upstreams' ledgers, and adds the violations to report.
 func (r *run) readLedgers(ctx context.Context, report *Report) error {
 	runs := map[string]int{}
 	for _, addr := range r.options.Upstreams {
--- a/internal/selector/load/load.go
+++ b/internal/selector/load/load.go
@@ -1,9 +1,9 @@
-// Package load sends an open-loop load to a running system, as many clients
-// would, and compares the verdicts they got with the ledgers of the stand-in
-// upstreams (package standin): a request that ran twice, that ran in spite of
-// not-run, that began without a slot or that got another request's response is a
-// violation. `cairndock load` and the quick start use it. It sends to loopback
-// only.
+// Package load generates an open-loop load, as many clients do, against a running
+// system, and compares the verdicts that the clients received with the ledgers of
+// the stand-in upstreams (package standin). A violation is a request that ran
+// twice, that ran although its verdict was not-run, that started without a free
+// slot, or that got the response to another request. `cairndock load` and the
+// quick start use this package. It sends to loopback addresses only.
 package load
 
 import (
@@ -17,29 +17,30 @@
 	"github.com/rotisserie/eris"
 )
 
-// The limits of every load: a mistyped flag
-// should not occupy the machine for hours.
+// Limits of every load, so that a mistyped flag does not occupy the machine for
+// hours.
 const (
-	// maxDuration is the longest load.
+	// maxDuration is the maximum duration of a load.
 	maxDuration = 10 * time.Minute
-	// maxRate is the highest sum of the classes' rates, in requests per second.
+	// maxRate is the maximum sum of the classes' rates, in requests per second.
 	maxRate = 100_000
-	// maxOutstanding is the most requests at a time; arrivals beyond it are
-	// counted as skipped.
+	// maxOutstanding is the maximum number of concurrent requests. Arrivals above
+	// it are counted as skipped.
 	maxOutstanding = 4_000
 )
 
 const (
-	// longestLatency is the highest latency that histograms distinguish, in
-	// microseconds: twice the longest timeout of the quick start, 60 s.
-	longestLatency = int64(2 * time.Minute / time.Microsecond)
+	// maxLatencyMicros is the highest latency that the histograms distinguish, in
+	// microseconds. It is twice the longest timeout of the quick start, 60 s.
+	maxLatencyMicros = int64(2 * time.Minute / time.Microsecond)
 	// latencyDigits is the histograms' precision, in significant digits.
 	latencyDigits = 3
-	// refreshInterval is how often the hosts to use are requested again.
+	// refreshInterval is the interval at which the hosts to use are requested
+	// again.
 	refreshInterval = time.Second
-	// nearHosts is how many of the nearest hosts share the load, as clients
-	// that cache the entries do.
-	nearHosts = 3
+	// nearestHosts is the number of nearest hosts that share the load, as with
+	// clients that cache the entries.
+	nearestHosts = 3
 )
 
 // Class is one kind of request of a load.
@@ -47,36 +48,40 @@
 	Name    string
 	Service string
 	Method  string
-	// Path is the path to send to; %d in it is the request's number.
+	// Path is the path of the request. %d in it is replaced by the request's
+	// number.
 	Path string
 	Body string
-	// Rate is the arrivals per second; it rises evenly from zero over Ramp.
+	// Rate is the number of arrivals per second. It rises linearly from zero
+	// over Ramp.
 	Rate float64
 	Ramp time.Duration
-	// Ticket makes each request take a ticket first; Resend sends such a
-	// request again through another host.
+	// Ticket makes each request take a ticket first. Resend sends such a
+	// request a second time through another host.
 	Ticket bool
 	Resend bool
-	// Timeout is sent with each request; zero leaves it to the service.
+	// Timeout is sent with each request. If it is zero, the service's timeout
+	// applies.
 	Timeout time.Duration
-	// Echo means that a response contains its request's path, so that a
-	// response to another request is noticed.
+	// Echo means that a response contains the path of its request, which makes
+	// the response to another request detectable.
 	Echo bool
 }
 
-// Lookups are short requests.
+// Lookups returns a class of short requests at a rate per second.
 func Lookups(service string, rate float64) Class {
 	return Class{Name: "lookups", Service: service, Method: http.MethodGet, Path: "/tracks/%d", Rate: rate, Echo: true}
 }
 
-// Bookings are requests with tickets, each sent twice by two hosts.
+// Bookings returns a class of requests with tickets at a rate per second. Each
+// request is sent twice, through two hosts.
 func Bookings(service string, rate float64) Class {
 	return Class{Name: "bookings", Service: service, Method: http.MethodPost, Path: "/bookings", Body: "{}", Rate: rate, Ticket: true, Resend: true}
 }
 
-// Options are a load.
+// Options describes a load.
 type Options struct {
-	// Entry is the address for clients of any host.
+	// Entry is the client address of any host.
 	Entry    string
 	Classes  []Class
 	Duration time.Duration
@@ -105,7 +110,7 @@
 	return nil
 }
 
-// checkLoopback returns an error for every address that is not loopback.
+// checkLoopback returns an error unless addr is a loopback address with a port.
 func checkLoopback(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -118,48 +123,48 @@
 	return nil
 }
 
-// run is a load that is being sent.
+// run is the state of a load in progress.
 type run struct {
 	options Options
 	client  *http.Client
-	// hosts are the addresses of the hosts to use, the nearest first.
-	hosts   atomic.Pointer[[]string]
-	slots   chan struct{} // one for each outstanding request
-	skipped atomic.Int64
-	wrong   atomic.Int64
-	wait    sync.WaitGroup
+	// hosts are the addresses of the hosts to use, nearest first.
+	hosts          atomic.Pointer[[]string]
+	outstanding    chan struct{} // holds one value per outstanding request
+	skipped        atomic.Int64
+	wrongResponses atomic.Int64
+	requests       sync.WaitGroup
 
 	mu       sync.Mutex
-	verdicts map[string]string // the last verdict by ticket
+	verdicts map[string]string // the last verdict of each ticket
 }
 
-// Run sends a load and waits for all responses. It fails if the options have a
-// fault, if no host can be found, or if a ledger can't be read.
+// Run sends a load and waits for all responses. It fails if the options are
+// invalid, if the hosts to use can't be discovered, or if a ledger can't be read.
 func Run(ctx context.Context, o Options) (Report, error) {
 	if err := o.Check(); err != nil {
 		return Report{}, err
 	}
 	r := &run{
-		options: o, slots: make(chan struct{}, maxOutstanding), verdicts: map[string]string{},
+		options: o, outstanding: make(chan struct{}, maxOutstanding), verdicts: map[string]string{},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxOutstanding}},
 	}
 	if err := r.discover(ctx); err != nil {
 		return Report{}, err
 	}
-	runCtx, cancel := context.WithTimeout(ctx, o.Duration)
+	arrivalsCtx, cancel := context.WithTimeout(ctx, o.Duration)
 	defer cancel()
-	go r.keepDiscovering(runCtx)
-	began := time.Now()
+	go r.refreshHosts(arrivalsCtx)
+	start := time.Now()
 	var classes []*classRun
 	var arrivals sync.WaitGroup
 	for _, c := range o.Classes {
 		cr := newClassRun(c)
 		classes = append(classes, cr)
-		arrivals.Go(func() { r.arrive(runCtx, ctx, cr) })
+		arrivals.Go(func() { r.sendArrivals(arrivalsCtx, ctx, cr) })
 	}
 	arrivals.Wait()
-	r.wait.Wait()
-	report := Report{Seconds: time.Since(began).Seconds(), Skipped: int(r.skipped.Load()), Wrong: int(r.wrong.Load())}
+	r.requests.Wait()
+	report := Report{Seconds: time.Since(start).Seconds(), Skipped: int(r.skipped.Load()), Wrong: int(r.wrongResponses.Load())}
 	for _, cr := range classes {
 		report.Results = append(report.Results, cr.finish())
 	}
--- a/internal/selector/load/load_test.go
+++ b/internal/selector/load/load_test.go
@@ -32,12 +32,13 @@
 
 func TestArrivalsFollowTheRamp(t *testing.T) {
 	c := Class{Rate: 100, Ramp: 2 * time.Second}
-	require.Equal(t, 2*time.Second, dueAt(c, 100), "half the rate on average while it rises")
+	require.Equal(t, 2*time.Second, dueAt(c, 100), "the average rate during the ramp is half the rate")
 	require.Equal(t, 3*time.Second, dueAt(c, 200))
 	require.Equal(t, time.Second, dueAt(Class{Rate: 100}, 100))
 }
 
-// fakeSystem serves a mux that names itself as the one host to use.
+// fakeSystem starts a server whose list of hosts contains only itself. It returns
+// the server's mux and address.
 func fakeSystem(t *testing.T) (*http.ServeMux, string) {
 	mux := http.NewServeMux()
 	server := httptest.NewServer(mux)
@@ -49,7 +50,9 @@
 	return mux, addr
 }
 
-// TestViolationsAreFound runs against a system whose verdicts are false.
+// TestViolationsAreFound guards against violations that the report misses. The
+// system reports not-run for a request that its ledger shows as run twice, and
+// requests above the slots.
 func TestViolationsAreFound(t *testing.T) {
 	mux, addr := fakeSystem(t)
 	mux.HandleFunc("/v1/tickets", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{"ticket":"t"}`)) })
@@ -76,7 +79,8 @@
 	require.Equal(t, 3, report.Over)
 }
 
-// TestWrongResponsesAreFound runs against a system that mixes responses up.
+// TestWrongResponsesAreFound guards against a response to another request that
+// goes unnoticed. The system sends the same echo to every request.
 func TestWrongResponsesAreFound(t *testing.T) {
 	mux, addr := fakeSystem(t)
 	mux.HandleFunc("/s/", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{"path":"/tracks/1"}`)) })
@@ -85,5 +89,5 @@
 		Classes: []Class{{Name: "lookups", Service: "s", Method: "GET", Path: "/tracks/%d", Rate: 100, Echo: true}},
 	})
 	require.NoError(t, err)
-	require.Equal(t, report.Results[0].Offered-1, report.Wrong, "all but the one that it fits")
+	require.Equal(t, report.Results[0].Offered-1, report.Wrong, "all but the request with this path")
 }
--- a/internal/selector/load/report.go
+++ b/internal/selector/load/report.go
@@ -8,47 +8,48 @@
 	"time"
 )
 
-// Result is what one class got.
+// Result is the outcome of one class.
 type Result struct {
 	Class    string         `json:"class"`
 	Offered  int            `json:"offered"`
 	Verdicts map[string]int `json:"verdicts"`
 	Zones    map[string]int `json:"zones"`
 	Bytes    int64          `json:"bytes"`
-	// P50 to Max are latencies of responses of upstreams, from when a request
-	// was due, in microseconds.
+	// P50 to Max are latencies of upstreams' responses, in microseconds since
+	// the request was due.
 	P50  int64 `json:"p50_us"`
 	P99  int64 `json:"p99_us"`
 	P999 int64 `json:"p999_us"`
 	Max  int64 `json:"max_us"`
-	// RefusedP50 and RefusedP99 are percentiles of all other outcomes.
+	// RefusedP50 and RefusedP99 are the same percentiles of all other outcomes.
 	RefusedP50 int64 `json:"refused_p50_us"`
 	RefusedP99 int64 `json:"refused_p99_us"`
 }
 
-// Report is the outcome of a load, also as JSON.
+// Report is the outcome of a load. It can be encoded as JSON.
 type Report struct {
 	Seconds float64  `json:"seconds"`
 	Results []Result `json:"results"`
-	// Skipped counts arrivals that were not sent, as maxOutstanding requests
+	// Skipped counts arrivals that were not sent because maxOutstanding requests
 	// were outstanding.
 	Skipped int `json:"skipped"`
-	// Wrong counts responses to another request, and responses to a resend
-	// that differ from the first.
+	// Wrong counts responses that belong to another request, and responses to a
+	// resent request that differ from the first response.
 	Wrong int `json:"wrong_answers"`
 	// RanTwice counts tickets whose request ran more than once.
 	RanTwice int `json:"ran_twice"`
 	// RanDespiteNotRun counts tickets whose request ran although its last
 	// verdict was not-run.
 	RanDespiteNotRun int `json:"told_not_run_but_ran"`
-	// Over counts requests that began while all slots of their upstream were in
-	// use.
+	// Over counts requests that started while all slots of their upstream were
+	// in use.
 	Over int `json:"beyond_slots"`
-	// Changes are the configuration changes sent beside the load, if any.
+	// Changes is the outcome of the configuration changes sent during the load.
+	// It is nil if there were none.
 	Changes *ChangeResult `json:"changes,omitempty"`
 }
 
-// HasViolations reports whether there was any violation.
+// HasViolations reports whether any violation was found.
 func (r Report) HasViolations() bool { return r.Wrong+r.RanTwice+r.RanDespiteNotRun+r.Over > 0 }
 
 // Print writes the report as a table.
@@ -70,4 +71,5 @@
 	fmt.Fprintf(w, "not sent in time %d; wrong answers %d, ran twice %d, told not-run but ran %d, beyond a slot %d\n", r.Skipped, r.Wrong, r.RanTwice, r.RanDespiteNotRun, r.Over)
 }
 
+// micros converts microseconds to a duration.
 func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
--- a/internal/selector/load/request.go
+++ b/internal/selector/load/request.go
@@ -13,42 +13,43 @@
 	"cairndock/internal/verdict"
 )
 
-// maxKeptBody is how much of a response is kept to compare it, in bytes: the
-// stand-ins' echoes are far shorter.
+// maxKeptBody is the number of bytes of a response's body that are kept for
+// comparison. The echo responses of the stand-ins are far shorter.
 const maxKeptBody = 4 << 10
 
-// ticket takes a ticket from a host. On any error it is "", and the request is
-// sent without one: what it gets is counted, and its ticket is not checked.
-func (r *run) ticket(ctx context.Context, host, service string) string {
+// takeTicket requests a ticket from a host. It returns "" after any error. The
+// request is then sent without a ticket: its outcome is counted, but it is not
+// compared with the ledgers.
+func (r *run) takeTicket(ctx context.Context, host, service string) string {
 	var out struct {
 		Ticket string `json:"ticket"`
 	}
-	// After an error there is no ticket.
+	// After an error out.Ticket is empty.
 	_ = r.request(ctx, http.MethodPost, "http://"+host+"/v1/tickets?service="+service, &out)
 	return out.Ticket
 }
 
-// reply is what one request got.
-type reply struct {
-	// verdict is a host's verdict, answered or broken.
+// outcome is the outcome of one request.
+type outcome struct {
+	// verdict is a host's verdict, responded or broken.
 	verdict string
-	// zone is the zone of the upstream, if known.
+	// zone is the upstream's zone, or "" if unknown.
 	zone string
 	// bytes is the length of the body.
 	bytes int64
-	// body is the beginning of the body, at most maxKeptBody.
+	// body is the start of the body, at most maxKeptBody bytes.
 	body []byte
 }
 
 // send sends request i of a class through a host.
-func (r *run) send(ctx context.Context, host string, c Class, i int, ticket string) reply {
+func (r *run) send(ctx context.Context, host string, c Class, i int, ticket string) outcome {
 	path := c.Path
 	if strings.Contains(path, "%d") {
 		path = fmt.Sprintf(path, i)
 	}
 	req, err := http.NewRequestWithContext(ctx, c.Method, "http://"+host+"/s/"+c.Service+path, bytes.NewReader([]byte(c.Body)))
 	if err != nil {
-		return reply{verdict: broken}
+		return outcome{verdict: broken}
 	}
 	if ticket != "" {
 		req.Header.Set(call.HeaderTicket, ticket)
@@ -58,19 +59,19 @@
 	}
 	resp, err := r.client.Do(req)
 	if err != nil {
-		return reply{verdict: broken}
+		return outcome{verdict: broken}
 	}
 	defer resp.Body.Close()
-	out := readReply(resp)
-	if c.Echo && out.verdict == answered && !bytes.Contains(out.body, []byte(strconv.Quote(path))) {
-		r.wrong.Add(1)
+	out := readOutcome(resp)
+	if c.Echo && out.verdict == responded && !bytes.Contains(out.body, []byte(strconv.Quote(path))) {
+		r.wrongResponses.Add(1)
 	}
 	return out
 }
 
-// readReply reads the whole response, and keeps the beginning of its body.
-func readReply(resp *http.Response) reply {
-	out := reply{verdict: answered}
+// readOutcome reads the whole response and keeps the start of its body.
+func readOutcome(resp *http.Response) outcome {
+	out := outcome{verdict: responded}
 	out.zone, _, _ = strings.Cut(resp.Header.Get(call.HeaderUpstream), "/")
 	if v := resp.Header.Get(verdict.Header); v != "" {
 		out.verdict = v
