--- a/cmd/apply.go
+++ b/cmd/apply.go
@@ -17,17 +17,18 @@
 )
 
 const (
-	// submitAttempts is how often a change is sent until a host responds with
-	// another status than 503.
+	// submitAttempts is the maximum number of times that a change is sent. It is
+	// sent again after an error or the status 503.
 	submitAttempts = 3
-	// submitPause is the pause after each.
-	submitPause = time.Second
-	// followPause is the pause between two looks at a change's progress.
-	followPause = 500 * time.Millisecond
-	// followAttempts limits the wait for a change to a minute.
-	followAttempts = 120
+	// submitRetryDelay is the delay after each of these attempts that failed.
+	submitRetryDelay = time.Second
+	// progressInterval is the interval at which a change's progress is polled.
+	progressInterval = 500 * time.Millisecond
+	// maxProgressPolls limits the wait for a change to a minute.
+	maxProgressPolls = 120
 )
 
+// applyCmd submits a configuration change.
 type applyCmd struct {
 	client
 	file   string
@@ -59,11 +60,11 @@
 	if err != nil || !c.wait {
 		return err
 	}
-	return c.follow(ctx, applied)
+	return c.followProgress(ctx, applied)
 }
 
-// submit sends the change, again with the same id if the response is lost: the
-// log accepts an id once.
+// submit sends the change. If the response is lost, the change is sent again with
+// the same id, which the log accepts only once.
 func (c *applyCmd) submit(ctx context.Context, document []byte) (configsync.Applied, error) {
 	if c.change == "" {
 		c.change = ulid.Make().String()
@@ -80,7 +81,7 @@
 		if err == nil && status != http.StatusServiceUnavailable {
 			break
 		}
-		time.Sleep(submitPause)
+		time.Sleep(submitRetryDelay)
 	}
 	if err != nil {
 		return configsync.Applied{}, err
@@ -88,14 +89,16 @@
 	return c.printChange(status, body)
 }
 
-// follow shows the progress until every zone has the change in force.
-func (c *applyCmd) follow(ctx context.Context, a configsync.Applied) error {
-	began := time.Now()
-	for range followAttempts {
-		if a.State == configsync.StateAccepted || time.Since(began) > configsync.FreezeAfter+time.Second {
+// followProgress prints a change's progress until the change is in force in every
+// zone. It returns without an error one second after configsync.FreezeAfter, and
+// fails after maxProgressPolls.
+func (c *applyCmd) followProgress(ctx context.Context, a configsync.Applied) error {
+	start := time.Now()
+	for range maxProgressPolls {
+		if a.State == configsync.StateAccepted || time.Since(start) > configsync.FreezeAfter+time.Second {
 			return nil
 		}
-		time.Sleep(followPause)
+		time.Sleep(progressInterval)
 		var err error
 		if a, err = show(ctx, &c.client, "/v1/changes/"+url.PathEscape(a.Change), printApplied); err != nil {
 			return err
@@ -104,6 +107,7 @@
 	return errReported
 }
 
+// printApplied prints the state of a change in every zone.
 func printApplied(a configsync.Applied) {
 	fmt.Printf("change %s %s at revision %d\n", a.Change, a.State, a.Revision)
 	for _, z := range a.Zones {
@@ -111,6 +115,7 @@
 	}
 }
 
+// zoneText returns the progress of a change in a zone for display.
 func zoneText(z configsync.ZoneProgress) string {
 	switch {
 	case z.Confirmed:
--- a/cmd/check.go
+++ b/cmd/check.go
@@ -11,6 +11,7 @@
 	"cairndock/internal/selector/servesettings"
 )
 
+// checkCmd checks a settings file or a configuration file.
 type checkCmd struct {
 	settings string
 	config   string
@@ -21,7 +22,7 @@
 	f.StringVar(&c.config, "config", "", "configuration `file` (TOML)")
 }
 
-// run prints every fault of the file, one line each.
+// run prints every fault of the file, one per line.
 func (c *checkCmd) run(context.Context, *flag.FlagSet) error {
 	if (c.settings == "") == (c.config == "") {
 		return usageError("check: give either --settings or --config")
@@ -34,6 +35,7 @@
 	return nil
 }
 
+// check returns the faults of the file, joined in one error.
 func (c *checkCmd) check() error {
 	if c.settings != "" {
 		_, err := loadSettings(c.settings)
@@ -47,8 +49,8 @@
 	return err
 }
 
-// loadSettings reads the settings of serve and applies defaults. Its error
-// joins every fault.
+// loadSettings reads the settings of the command serve and applies the defaults.
+// The returned error joins all faults.
 func loadSettings(path string) (servesettings.Settings, error) {
 	set, err := servesettings.Load(path)
 	if err != nil {
--- a/cmd/client.go
+++ b/cmd/client.go
@@ -21,15 +21,15 @@
 	"cairndock/internal/selector/tlsfiles"
 )
 
-// envToken names the environment variable that holds the operator's token,
-// so that it need not stand on the command line.
+// envToken is the environment variable with the operator's token, so that the
+// token does not have to appear on the command line.
 const envToken = "CAIRNDOCK_TOKEN"
 
-// clientTimeout limits a request to a host: above the longest wait of a
+// clientTimeout limits a request to a host. It is above the longest wait for a
 // change, 60 s.
 const clientTimeout = 90 * time.Second
 
-// client sends requests to a host's operator listener.
+// client sends requests to a host's operator address.
 type client struct {
 	addr  string
 	token string
@@ -46,7 +46,7 @@
 	f.BoolVar(&c.json, "json", false, "print JSON")
 }
 
-// do sends a request and returns the response's status and body.
+// do sends a request and returns the status and body of the response.
 func (c *client) do(ctx context.Context, method, path string, header http.Header, body []byte) (int, []byte, error) {
 	scheme, transport := "http", &http.Transport{}
 	if c.tls.Enabled() {
@@ -73,7 +73,7 @@
 	return resp.StatusCode, out, eris.Wrap(err, "read response")
 }
 
-// get returns the body of a path.
+// get requests a path and returns the body. It fails unless the status is 200.
 func (c *client) get(ctx context.Context, path string) ([]byte, error) {
 	status, body, err := c.do(ctx, http.MethodGet, path, nil, nil)
 	if err == nil && status != http.StatusOK {
@@ -82,7 +82,7 @@
 	return body, err
 }
 
-// getJSON decodes the body of a path, and returns it too.
+// getJSON requests a path and returns the decoded body and the body itself.
 func getJSON[T any](ctx context.Context, c *client, path string) (v T, body []byte, err error) {
 	if body, err = c.get(ctx, path); err == nil {
 		err = eris.Wrap(json.Unmarshal(body, &v), "decode response")
@@ -90,7 +90,8 @@
 	return v, body, err
 }
 
-// show prints the body of a path, as text unless the flag asks for JSON.
+// show requests a path and prints the response: as JSON if --json is set,
+// otherwise with text. It returns the decoded response.
 func show[T any](ctx context.Context, c *client, path string, text func(T)) (T, error) {
 	v, body, err := getJSON[T](ctx, c, path)
 	if err == nil {
@@ -99,7 +100,8 @@
 	return v, err
 }
 
-// putConfig sends a configuration document once, as the change with an id.
+// putConfig sends a configuration document once, as the change with the given id.
+// base is the revision that the document is based on, or "" for none.
 func (c *client) putConfig(ctx context.Context, query, id, base string, document []byte) (int, []byte, error) {
 	header := http.Header{operator.HeaderChange: {id}}
 	if base != "" {
@@ -108,8 +110,8 @@
 	return c.do(ctx, http.MethodPut, "/v1/config"+query, header, document)
 }
 
-// printChange prints the response to a change and decodes it. Its error is a
-// *config.Conflict if another change came first.
+// printChange prints the response to a change and returns it decoded. The error is
+// a *config.Conflict if another change was accepted first.
 func (c *client) printChange(status int, body []byte) (configsync.Applied, error) {
 	var applied configsync.Applied
 	switch status {
@@ -129,11 +131,12 @@
 	return applied, unexpected(status, body)
 }
 
+// unexpected returns the error of a response with an unexpected status.
 func unexpected(status int, body []byte) error {
 	return eris.Errorf("host responded with status %d: %s", status, bytes.TrimSpace(body))
 }
 
-// print prints a response: as JSON if the flag asks for it, else by text.
+// print prints a response: as JSON if --json is set, otherwise by calling text.
 func (c *client) print(body []byte, text func()) {
 	if !c.json {
 		text()
--- a/cmd/cmd.go
+++ b/cmd/cmd.go
@@ -1,4 +1,4 @@
-// Package cmd holds the commands of the command line, one to a file.
+// Package cmd contains the commands of the command line, one per file.
 package cmd
 
 import (
@@ -18,17 +18,17 @@
 	"cairndock/internal/telemetry"
 )
 
-// command is one command with its help texts.
+// command is a command with its help texts.
 type command struct {
 	name, synopsis, usage string
 	runner
 }
 
-// runner is what differs from command to command.
+// runner is the implementation of a command.
 type runner interface {
 	// SetFlags defines the command's flags.
 	SetFlags(f *flag.FlagSet)
-	// run executes the command; exitCode says what its error means.
+	// run executes the command. exitCode maps its error to an exit code.
 	run(ctx context.Context, f *flag.FlagSet) error
 }
 
@@ -68,7 +68,7 @@
 	return exitCode(c.run(ctx, f))
 }
 
-// Run runs the command that the arguments name and returns its exit code.
+// Run runs the command named on the command line and returns its exit code.
 func Run() int {
 	telemetry.UseW3C()
 	c := subcommands.NewCommander(flag.CommandLine, "cairndock")
@@ -85,20 +85,21 @@
 	return int(c.Execute(context.Background()))
 }
 
-// exitConflict is the exit code of a change that lost to another one.
+// exitConflict is the exit code of a change that conflicts with another change.
 const exitConflict subcommands.ExitStatus = 3
 
-// usageError is the error of a command that was called wrongly.
+// usageError is the error of a command with invalid arguments.
 type usageError string
 
 // Error implements error.
 func (e usageError) Error() string { return string(e) }
 
-// errReported is the error of a command whose output has the reason already.
+// errReported is the error of a command that has already printed the reason.
 var errReported = eris.New("failed")
 
-// exitCode prints an error and returns its exit code: 0 for none, 2 for a
-// usageError, 3 for a config.Conflict, 1 for any other.
+// exitCode prints an error, unless it is errReported, and returns the exit code:
+// 0 for no error, 2 for a usageError, 3 for a config.Conflict and 1 for any other
+// error.
 func exitCode(err error) subcommands.ExitStatus {
 	if err == nil {
 		return subcommands.ExitSuccess
@@ -118,20 +119,22 @@
 	return subcommands.ExitFailure
 }
 
-// notifySignals returns the signals that stop a command, and more if given.
-func notifySignals(more ...os.Signal) <-chan os.Signal {
-	signals := make(chan os.Signal, 4) // several may come before one is read
-	signal.Notify(signals, append(more, syscall.SIGINT, syscall.SIGTERM)...)
+// notifySignals returns a channel that receives SIGINT, SIGTERM and the additional
+// signals.
+func notifySignals(additional ...os.Signal) <-chan os.Signal {
+	signals := make(chan os.Signal, 4) // several signals may arrive before one is read
+	signal.Notify(signals, append(additional, syscall.SIGINT, syscall.SIGTERM)...)
 	return signals
 }
 
-// gcPercent trades processor time, of which hosts use little, for memory: one of
-// the changes that together brought a host of the planned size from 176 MB to
-// 63 MB (commit "Hold the planned configuration in little memory"). Its own
-// part was not measured.
+// gcPercent is the garbage collector's target (GOGC). It is below the default of
+// 100 because hosts use little processor time, so more frequent collections are
+// cheap and save memory. Together with other changes it reduced the memory of a
+// host of the planned size from 176 MB to 63 MB.
 const gcPercent = 40
 
-// limitMemory sets the garbage collector's target, unless the environment does.
+// limitMemory sets the garbage collector's target to gcPercent, unless GOGC is
+// set in the environment.
 func limitMemory() {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(gcPercent)
--- a/cmd/cmd_test.go
+++ b/cmd/cmd_test.go
@@ -39,7 +39,8 @@
 	goodConfig = "[[zone]]\nname = \"a\"\nregion = \"r\"\n"
 )
 
-func write(t *testing.T, text string) string {
+// writeFile writes text to a temporary file and returns its name.
+func writeFile(t *testing.T, text string) string {
 	name := filepath.Join(t.TempDir(), "file.toml")
 	require.NoError(t, os.WriteFile(name, []byte(text), 0o600))
 	return name
@@ -51,11 +52,11 @@
 		cmd  checkCmd
 		want subcommands.ExitStatus
 	}{
-		{"good settings", checkCmd{settings: write(t, goodSettings)}, 0},
-		{"good config", checkCmd{config: write(t, goodConfig)}, 0},
-		{"unknown key", checkCmd{settings: write(t, goodSettings+"colour = 1\n")}, 1},
-		{"missing values", checkCmd{settings: write(t, "[host]\nname = \"h\"\n")}, 1},
-		{"bad config", checkCmd{config: write(t, "[[zone]]\nname = \"a\"\n")}, 1},
+		{"good settings", checkCmd{settings: writeFile(t, goodSettings)}, 0},
+		{"good config", checkCmd{config: writeFile(t, goodConfig)}, 0},
+		{"unknown key", checkCmd{settings: writeFile(t, goodSettings+"colour = 1\n")}, 1},
+		{"missing values", checkCmd{settings: writeFile(t, "[host]\nname = \"h\"\n")}, 1},
+		{"bad config", checkCmd{config: writeFile(t, "[[zone]]\nname = \"a\"\n")}, 1},
 		{"no such file", checkCmd{config: "none"}, 1},
 		{"neither", checkCmd{}, 2},
 		{"both", checkCmd{settings: "a", config: "b"}, 2},
@@ -65,9 +66,10 @@
 	}
 }
 
-// TestApplyExitCodes submits to hosts that answer in each way.
+// TestApplyExitCodes guards against an exit code that misreports the host's
+// response to a change.
 func TestApplyExitCodes(t *testing.T) {
-	file := write(t, goodConfig)
+	file := writeFile(t, goodConfig)
 	cases := []struct {
 		name, body string
 		status     int
@@ -101,31 +103,32 @@
 		{"none", nil, 0},
 		{"any other", eris.New("broken"), 1},
 		{"printed before", errReported, 1},
-		{"called wrongly", usageError("give a file"), 2},
-		{"lost to another change", eris.Wrap(&config.Conflict{}, "conflict"), 3},
+		{"invalid arguments", usageError("give a file"), 2},
+		{"conflict with another change", eris.Wrap(&config.Conflict{}, "conflict"), 3},
 	}
 	for _, tc := range cases {
 		require.Equal(t, tc.want, exitCode(tc.err), tc.name)
 	}
 }
 
-// TestDrainForgetsEarlierResponses: an upstream that a host did not know at first
-// holds the command up only until it does.
-func TestDrainForgetsEarlierResponses(t *testing.T) {
-	reads := 0
+// TestDrainIgnoresEarlierResponses guards against a drain that never ends because
+// an upstream that was unknown to a host in the first response stays in the list
+// of unknown upstreams. Each response must replace the previous one.
+func TestDrainIgnoresEarlierResponses(t *testing.T) {
+	drainRequests := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body := `{"state":"accepted","revision":2}`
 		if r.Method == http.MethodGet && r.URL.Path == "/v1/config" {
 			body = "[[upstream]]\nname = \"u\"\nservice = \"s\"\nzone = \"z\"\naddr = \"127.0.0.1:1\"\nslots = 1\n"
 		}
 		if r.URL.Path == "/v1/drain" {
-			reads++
-			body = map[bool]string{true: `{"outstanding":0,"taking":0,"unknown":["u"]}`, false: `{"outstanding":0,"taking":0}`}[reads == 1]
+			drainRequests++
+			body = map[bool]string{true: `{"outstanding":0,"taking":0,"unknown":["u"]}`, false: `{"outstanding":0,"taking":0}`}[drainRequests == 1]
 		}
 		_, _ = w.Write([]byte(body))
 	}))
 	defer server.Close()
 	c := &drainCmd{client: client{addr: server.Listener.Addr().String()}, selector: "name=u", timeout: 2 * time.Second}
 	require.EqualValues(t, 0, command{runner: c}.Execute(context.Background(), nil))
-	require.Equal(t, 2, reads)
+	require.Equal(t, 2, drainRequests)
 }
--- a/cmd/drain.go
+++ b/cmd/drain.go
@@ -20,10 +20,11 @@
 const (
 	// drainTimeout is the default of --timeout.
 	drainTimeout = 2 * time.Minute
-	// drainPause is the pause between two looks at the upstreams.
-	drainPause = 200 * time.Millisecond
+	// drainInterval is the interval at which the drain's progress is polled.
+	drainInterval = 200 * time.Millisecond
 )
 
+// drainCmd takes upstreams out of service.
 type drainCmd struct {
 	client
 	selector string
@@ -61,8 +62,9 @@
 	return c.await(ctx, change.Upstreams)
 }
 
-// change sets the state of the matching upstreams to leaving, each only if
-// nobody changes it in the meantime.
+// change returns a change that sets the state of the matching upstreams to
+// leaving. It includes the version of each upstream, so that the change conflicts
+// if an upstream is changed in the meantime. It fails if no upstream matches.
 func (c *drainCmd) change(ctx context.Context, selector labels.Selector) (config.Document, error) {
 	change := config.Document{Versions: map[string]uint64{}}
 	body, err := c.get(ctx, "/v1/config")
@@ -92,26 +94,27 @@
 	return change, nil
 }
 
-// await waits until nothing runs at the upstreams and no host sends to them.
+// await waits until the upstreams have no outstanding requests and no host sends
+// requests to them. It fails if this takes longer than --timeout.
 func (c *drainCmd) await(ctx context.Context, upstreams []config.Upstream) error {
-	began := time.Now()
+	start := time.Now()
 	names := make([]string, len(upstreams))
 	for i, u := range upstreams {
 		names[i] = u.Name
 	}
 	path := "/v1/drain?upstreams=" + url.QueryEscape(strings.Join(names, ","))
-	var d drain.Drained
-	for time.Since(began) < c.timeout {
+	var progress drain.Drained
+	for time.Since(start) < c.timeout {
 		var err error
-		if d, _, err = getJSON[drain.Drained](ctx, &c.client, path); err != nil {
+		if progress, _, err = getJSON[drain.Drained](ctx, &c.client, path); err != nil {
 			return err
 		}
-		if d.Outstanding == 0 && d.Taking == 0 && len(d.Unknown) == 0 {
-			fmt.Printf("drained %d upstreams in %s\n", len(names), time.Since(began).Round(time.Millisecond))
+		if progress.Outstanding == 0 && progress.Taking == 0 && len(progress.Unknown) == 0 {
+			fmt.Printf("drained %d upstreams in %s\n", len(names), time.Since(start).Round(time.Millisecond))
 			return nil
 		}
-		time.Sleep(drainPause)
+		time.Sleep(drainInterval)
 	}
-	return eris.Errorf("not drained in %s: %d outstanding, %d hosts still send requests, not known: %v",
-		c.timeout, d.Outstanding, d.Taking, d.Unknown)
+	return eris.Errorf("not drained in %s: %d outstanding, %d hosts still send requests, unknown upstreams: %v",
+		c.timeout, progress.Outstanding, progress.Taking, progress.Unknown)
 }
--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -11,6 +11,7 @@
 	"cairndock/internal/selector/entry"
 )
 
+// explainCmd prints how a request would be routed.
 type explainCmd struct {
 	client
 	service string
@@ -32,6 +33,7 @@
 	return err
 }
 
+// printExplanation prints the rules and sites that apply to a client's request.
 func printExplanation(e entry.Explanation) {
 	fmt.Printf("caller %s is in zone %q; revision %d\n", e.Caller, e.CallerZone, e.Revision)
 	t := newTable()
@@ -39,7 +41,7 @@
 	for _, r := range e.Rules {
 		fmt.Fprintf(t, "%s\t%s\t%.3f\t%.3f\t%.3f\t%s\n", r.Rule, r.Selector, r.Share, r.Target, r.Cap, r.Why)
 	}
-	_ = t.Flush() // nothing to do if the standard output is closed
+	_ = t.Flush() // fails only if standard output is closed
 	fmt.Fprintln(t, "RULE\tZONE\tSLOTS\tUSE\tRTT\tREACHABLE\tSCORE")
 	for _, s := range e.Sites {
 		fmt.Fprintf(t, "%s\t%s\t%d\t%.0f%%\t%.2f ms\t%v\t%.5f\n", s.Rule, s.Zone, s.Slots, 100*s.Use, s.RTTMillis, s.Reachable, s.Score)
@@ -47,4 +49,5 @@
 	_ = t.Flush()
 }
 
+// newTable returns a writer that aligns tab-separated columns on standard output.
 func newTable() *tabwriter.Writer { return tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0) }
--- a/cmd/gateway.go
+++ b/cmd/gateway.go
@@ -11,6 +11,7 @@
 	"cairndock/internal/telemetry"
 )
 
+// gatewayCmd runs one gateway host.
 type gatewayCmd struct{ settings string }
 
 func (c *gatewayCmd) SetFlags(f *flag.FlagSet) {
@@ -19,7 +20,8 @@
 
 // run runs the host until a signal stops it.
 func (c *gatewayCmd) run(ctx context.Context, _ *flag.FlagSet) error {
-	// Before anything else: an early SIGHUP must not end the process.
+	// Register for signals first, because an early SIGHUP must not terminate the
+	// process.
 	signals := notifySignals(syscall.SIGHUP)
 	if c.settings == "" {
 		return usageError("gateway: --settings must be given")
@@ -33,11 +35,11 @@
 	if err != nil {
 		return err
 	}
-	// The process ends; spans that the exporter can't deliver are lost.
+	// The process is ending, so spans that the exporter can't deliver are lost.
 	defer func() { _ = traces.Shutdown(context.WithoutCancel(ctx)) }()
 	err = gateway.New(set, os.Stdout, telemetry.Tracer(traces)).Run(ctx, c.settings, signals)
 	if errors.Is(err, gateway.ErrAborted) {
-		return errReported // in the log
+		return errReported // the reason is in the log
 	}
 	return err
 }
--- a/cmd/load.go
+++ b/cmd/load.go
@@ -13,6 +13,7 @@
 	"cairndock/internal/selector/load"
 )
 
+// loadCmd sends a load to a running system.
 type loadCmd struct {
 	options   load.Options
 	upstreams string
@@ -47,7 +48,8 @@
 	f.BoolVar(&c.json, "json", false, "print JSON")
 }
 
-// run fails if the load found a violation.
+// run sends the load and prints the report. It fails if the load found a
+// violation.
 func (c *loadCmd) run(ctx context.Context, _ *flag.FlagSet) error {
 	o := c.options
 	c.bookings.Service, c.changes.Service = c.lookups.Service, c.downloads.Service
@@ -63,29 +65,30 @@
 	if err := o.Check(); err != nil {
 		return usageError("load: " + err.Error())
 	}
-	changed := c.startChanges(ctx)
+	changeResult := c.startChanges(ctx)
 	report, err := load.Run(ctx, o)
 	if err != nil {
 		return err
 	}
-	report.Changes = <-changed
+	report.Changes = <-changeResult
 	if c.json {
-		_ = json.NewEncoder(os.Stdout).Encode(report) // fails only if the output is closed
+		_ = json.NewEncoder(os.Stdout).Encode(report) // fails only if standard output is closed
 	} else {
 		report.Print(os.Stdout)
 	}
-	return violations(report)
+	return violationError(report)
 }
 
-// violations is the error of a printed report with any violation.
-func violations(r load.Report) error {
+// violationError returns an error if the printed report has any violation.
+func violationError(r load.Report) error {
 	if r.HasViolations() {
 		return errReported
 	}
 	return nil
 }
 
-// startChanges sends configuration changes for as long as requests arrive.
+// startChanges sends configuration changes for the duration of the load. The
+// returned channel receives the result, or nil if there are no changes to send.
 func (c *loadCmd) startChanges(ctx context.Context) <-chan *load.ChangeResult {
 	out := make(chan *load.ChangeResult, 1)
 	if c.changes.Rate == 0 {
--- a/cmd/quickstart.go
+++ b/cmd/quickstart.go
@@ -11,6 +11,7 @@
 	"cairndock/internal/telemetry"
 )
 
+// quickstartCmd runs a small system in one process.
 type quickstartCmd struct {
 	options  quickstart.Options
 	once     bool
@@ -25,7 +26,7 @@
 	f.StringVar(&c.logLevel, "log-level", "info", "debug, info, warn or error")
 }
 
-// run runs the system until a signal, or for one round of requests.
+// run runs the system until a signal or, with --once, for one round of requests.
 func (c *quickstartCmd) run(ctx context.Context, _ *flag.FlagSet) error {
 	signals := notifySignals()
 	c.options.Log = telemetry.NewLogger(os.Stdout, c.logLevel)
@@ -43,7 +44,7 @@
 			return err
 		}
 		report.Print(os.Stdout)
-		return violations(report)
+		return violationError(report)
 	}
 	printAddrs(c.options.Log, s)
 	<-signals
@@ -51,6 +52,7 @@
 	return nil
 }
 
+// printAddrs logs the addresses of the system.
 func printAddrs(log zerolog.Logger, s *quickstart.System) {
 	for _, srv := range s.Servers {
 		self := srv.Host.Self()
--- a/cmd/serve.go
+++ b/cmd/serve.go
@@ -11,13 +11,14 @@
 	"cairndock/internal/telemetry"
 )
 
+// serveCmd runs one entry host.
 type serveCmd struct{ settings string }
 
 func (c *serveCmd) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.settings, "settings", "", "settings `file` (TOML)")
 }
 
-// run runs the host until a signal, and then stops it as planned.
+// run runs the host until a signal, and then stops it gracefully.
 func (c *serveCmd) run(ctx context.Context, _ *flag.FlagSet) error {
 	if c.settings == "" {
 		return usageError("serve: --settings must be given")
@@ -33,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	// The process ends; spans that the exporter can't deliver are lost.
+	// The process is ending, so spans that the exporter can't deliver are lost.
 	defer func() { _ = tp.Shutdown(context.WithoutCancel(ctx)) }()
 	o, err := server.HostOptions(set, log, tp)
 	if err != nil {
@@ -54,21 +55,21 @@
 	return stop(ctx, s, log, signals)
 }
 
-// stop stops the host as planned, or at once on a further signal. Requests that
-// are cut are a failure.
+// stop stops the host gracefully, or immediately after another signal. It fails if
+// requests were aborted.
 func stop(ctx context.Context, s *server.Server, log zerolog.Logger, signals <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		<-signals
-		log.Warn().Msg("serve: second signal, stopping now")
+		log.Warn().Msg("serve: second signal, stopping immediately")
 		cancel()
 	}()
 	report := s.Stop(ctx)
 	if report.Cut > 0 {
-		log.Error().Int64("cut", report.Cut).Msg("serve: requests were cut")
+		log.Error().Int64("cut", report.Cut).Msg("serve: requests were aborted")
 		return errReported
 	}
-	log.Info().Dur("waited", report.Waited).Msg("serve: stopped, nothing was cut")
+	log.Info().Dur("waited", report.Waited).Msg("serve: stopped, no request was aborted")
 	return nil
 }
--- a/cmd/simulate.go
+++ b/cmd/simulate.go
@@ -8,6 +8,7 @@
 	"cairndock/internal/gateway/loadmodel"
 )
 
+// simulateCmd simulates a load in virtual time.
 type simulateCmd struct {
 	scenario string
 	seed     uint64
@@ -18,7 +19,7 @@
 	f.Uint64Var(&c.seed, "seed", 0, "`number` added to the scenario's own seed")
 }
 
-// run plays each variant of a scenario and prints their figures side by side.
+// run simulates each variant of a scenario and prints the results side by side.
 func (c *simulateCmd) run(context.Context, *flag.FlagSet) error {
 	if c.scenario == "" {
 		return usageError("simulate: --scenario must be set")
--- a/cmd/standin.go
+++ b/cmd/standin.go
@@ -11,8 +11,8 @@
 	"cairndock/internal/telemetry"
 )
 
-// standinCmd runs the platform stand-in alone, with a generated system in
-// it, so that one real host can be measured at that size.
+// standinCmd runs only the platform stand-in, with the data of a generated system,
+// so that a single real host can be measured at the size of that system.
 type standinCmd struct{ size standin.Size }
 
 func (c *standinCmd) SetFlags(f *flag.FlagSet) {
@@ -23,7 +23,7 @@
 	f.IntVar(&c.size.Hosts, "hosts", c.size.Hosts, "hosts in a zone's roster")
 }
 
-// run runs until a signal.
+// run runs the platform stand-in until a signal.
 func (c *standinCmd) run(ctx context.Context, _ *flag.FlagSet) error {
 	signals := notifySignals()
 	log := telemetry.NewLogger(os.Stdout, "info")
--- a/cmd/status.go
+++ b/cmd/status.go
@@ -8,6 +8,7 @@
 	"cairndock/internal/selector/entry"
 )
 
+// statusCmd prints the status of a host.
 type statusCmd struct{ client }
 
 func (c *statusCmd) run(ctx context.Context, _ *flag.FlagSet) error {
@@ -15,6 +16,7 @@
 	return err
 }
 
+// printStatus prints the host's state, its zones and the shares of its services.
 func printStatus(s entry.Status) {
 	fmt.Printf("host %s in %s: revision %d, proved newest %d ms ago", s.Host, s.Zone, s.Revision, s.FreshMillis)
 	if s.Frozen {
@@ -32,7 +34,7 @@
 	for _, z := range s.Zones {
 		fmt.Fprintf(t, "%s\t%s\t%d\t%d ms\t%d/%d\t%d\t%d\t%d\n", z.Zone, z.Region, z.Revision, z.FreshMillis, z.Up, z.Hosts, z.Slots, z.Held, z.Free)
 	}
-	_ = t.Flush() // nothing to do if the standard output is closed
+	_ = t.Flush() // fails only if standard output is closed
 	fmt.Fprintln(t, "SERVICE\tRULE\tSHARE\tTARGET\tCAP\tPACE")
 	for _, svc := range s.Services {
 		for _, r := range svc.Shares {
--- a/cmd/version.go
+++ b/cmd/version.go
@@ -7,6 +7,7 @@
 	"runtime/debug"
 )
 
+// versionCmd prints the version of the program.
 type versionCmd struct{}
 
 func (*versionCmd) SetFlags(*flag.FlagSet) {}
