--- a/internal/selector/quickstart/document.go
+++ b/internal/selector/quickstart/document.go
@@ -6,21 +6,20 @@
 	"cairndock/internal/selector/config"
 )
 
-// The figures of the configuration. With them a share, its limit and a link
-// can be seen at work.
+// Values of the configuration. They are chosen so that the effects of a share, of
+// its cap and of a link's limit can be observed.
 const (
 	// planningShare is the target share of each of the planning service's rules.
 	planningShare = 0.5
-	// costaCap is the share that costa never exceeds.
+	// costaCap is the maximum share of the region costa.
 	costaCap = 0.6
-	// linkRate is the limit of each link between two regions, in bytes per
-	// second.
-	linkRate = 20_000_000
+	// linkBytesPerSecond is the limit of each link between two regions.
+	linkBytesPerSecond = 20_000_000
 )
 
-// document is the configuration that the quick start begins with.
+// document returns the initial configuration of the quick start.
 func (s *System) document() config.Document {
-	limit := costaCap
+	shareCap := costaCap
 	doc := config.Document{
 		Zones: zones,
 		Services: []config.Service{
@@ -35,7 +34,7 @@
 		},
 		Upstreams: s.configured,
 		Rules: []config.Rule{
-			{Name: "planning-costa", Service: planning, Selector: "region=costa", Share: planningShare, Cap: &limit},
+			{Name: "planning-costa", Service: planning, Selector: "region=costa", Share: planningShare, Cap: &shareCap},
 			{Name: "planning-rest", Service: planning, Selector: "region!=costa", Share: planningShare},
 			{Name: "documents-all", Service: documents, Selector: "tier=main", Share: 1},
 		},
@@ -44,7 +43,7 @@
 	for _, from := range regions {
 		for _, to := range regions {
 			if from != to {
-				doc.Links = append(doc.Links, config.Link{From: from, To: to, BytesPerSecond: linkRate})
+				doc.Links = append(doc.Links, config.Link{From: from, To: to, BytesPerSecond: linkBytesPerSecond})
 			}
 		}
 	}
--- a/internal/selector/quickstart/once.go
+++ b/internal/selector/quickstart/once.go
@@ -7,8 +7,7 @@
 	"cairndock/internal/selector/load"
 )
 
-// The round of requests that Once sends: a few hundred within about a
-// second.
+// The load that Once sends: a few hundred requests within about a second.
 const (
 	// onceDuration is how long requests arrive.
 	onceDuration = 1200 * time.Millisecond
@@ -18,9 +17,10 @@
 	onceBookings = 50
 )
 
-// Once sends a few hundred requests through the hosts' listeners, lookups and
-// bookings with tickets that are each sent twice by two hosts, and compares the
-// verdicts with the upstreams' ledgers.
+// Once sends a few hundred requests through the hosts' listeners and compares the
+// verdicts with the upstreams' ledgers. The requests are lookups, and bookings
+// with tickets, each of which is sent twice, through two hosts. Once returns the
+// errors of load.Run.
 func Once(ctx context.Context, s *System) (load.Report, error) {
 	return load.Run(ctx, load.Options{
 		Entry:     s.Servers[0].CallerAddr,
--- a/internal/selector/quickstart/quickstart.go
+++ b/internal/selector/quickstart/quickstart.go
@@ -1,7 +1,7 @@
-// Package quickstart runs a whole small system in one process, on loopback: the
-// platform stand-in, 36 upstreams of two services and nine entry hosts in three
-// regions, with a configuration. It is for trying the commands, and the
-// end-to-end test of `cairndock serve` is its session (session_test.go).
+// Package quickstart runs a complete small system in one process on loopback: the
+// platform stand-in, 36 upstreams of two services, nine entry hosts in three
+// regions and a configuration. It serves to try out the commands. Its session
+// test (session_test.go) is the end-to-end test of `cairndock serve`.
 package quickstart
 
 import (
@@ -28,7 +28,7 @@
 // regions are the regions of the quick start.
 var regions = []string{"costa", "sierra", "austro"}
 
-// zones are its zones, two in each region.
+// zones are the zones of the quick start, two in each region.
 var zones = []config.Zone{
 	{Name: "costa-a", Region: "costa"}, {Name: "costa-b", Region: "costa"},
 	{Name: "sierra-a", Region: "sierra"}, {Name: "sierra-b", Region: "sierra"},
@@ -37,71 +37,79 @@
 
 // The services of the quick start.
 const (
-	// planning has short requests.
+	// planning serves short requests.
 	planning = "planning"
-	// documents has downloads, as bulk traffic.
+	// documents serves downloads, which are bulk traffic.
 	documents = "documents"
 )
 
-// The size and speed of the quick start. Small enough for one laptop, large
-// enough that hosts share upstreams.
+// The size and speed of the quick start. The system is small enough for one
+// laptop, and large enough that hosts share upstreams.
 const (
-	// planningPerZone is the planning service's upstreams in each zone.
+	// planningPerZone is the number of upstreams of the planning service in each
+	// zone.
 	planningPerZone = 4
-	// documentsPerZone is the documents service's upstreams in each zone.
+	// documentsPerZone is the number of upstreams of the documents service in
+	// each zone.
 	documentsPerZone = 2
-	// slotsPerUpstream is how many requests an upstream runs at a time.
+	// slotsPerUpstream is the number of requests that an upstream runs
+	// concurrently.
 	slotsPerUpstream = 6
-	// PlanningLatency is the time of a request at an upstream of the planning
-	// service, unless Options.Latency is set.
+	// PlanningLatency is the default of Options.Latency.
 	PlanningLatency = 5 * time.Millisecond
-	// documentsLatency is the time of a request at an upstream of the documents
-	// service, before its bytes.
+	// documentsLatency is the time that an upstream of the documents service
+	// takes for a request before it sends the body.
 	documentsLatency = 10 * time.Millisecond
-	// readyTimeout limits the start of all hosts.
+	// readyTimeout limits the time until all hosts are ready.
 	readyTimeout = 30 * time.Second
-	// readyPoll is how often hosts are checked while they start.
-	readyPoll = 20 * time.Millisecond
-	// loopback is any free port of the own machine.
+	// readyPollInterval is the interval at which hosts are checked during the
+	// start.
+	readyPollInterval = 20 * time.Millisecond
+	// loopback is a loopback address with any free port.
 	loopback = "127.0.0.1:0"
 )
 
 // Options are the options of Start.
 type Options struct {
-	// CallerAddr and OperatorAddr are where the first host listens; any free
-	// port if empty.
+	// CallerAddr and OperatorAddr are the addresses on which the first host
+	// listens for clients and operators. An empty address means any free port
+	// on loopback.
 	CallerAddr   string
 	OperatorAddr string
-	// Latency is the time of a request at an upstream of the planning service;
-	// zero is PlanningLatency.
+	// Latency is the time that an upstream of the planning service takes for a
+	// request. Zero means PlanningLatency.
 	Latency time.Duration
-	Log     zerolog.Logger
-	// Traces receives the hosts' spans; nil drops them.
+	// Log receives the hosts' log lines.
+	Log zerolog.Logger
+	// Traces receives the hosts' spans. If it is nil, they are dropped.
 	Traces *sdktrace.TracerProvider
 }
 
 // System is a running quick start.
 type System struct {
-	// Token is the operators' token, for changes of the configuration.
-	Token   string
+	// Token is the operators' token, which is required to change the
+	// configuration.
+	Token string
+	// Servers are the running entry hosts.
 	Servers []*server.Server
-	// Upstreams are the upstreams, UpstreamAddrs their addresses in the same
-	// order.
+	// Upstreams are the running upstreams. UpstreamAddrs are their addresses in
+	// the same order.
 	Upstreams     []*standin.Upstream
 	UpstreamAddrs []string
-	// Platform are a host's settings to reach the platform stand-in.
+	// Platform contains a host's settings for the platform stand-in.
 	Platform servesettings.Platform
 
 	memory  *store.Memory // the platform's state
 	options Options
-	// configured are Upstreams as objects of the configuration.
+	// configured are the Upstreams as configuration objects.
 	configured []config.Upstream
 	ctx        context.Context
 	cancel     context.CancelFunc
 	closers    []func()
 }
 
-// Start starts everything and waits until every host is ready.
+// Start starts the system and waits until every host is ready. It fails if a part
+// can't be started or if the hosts are not ready within 30 s.
 func Start(ctx context.Context, o Options) (*System, error) {
 	if o.Traces == nil {
 		tp, err := telemetry.NewProvider(ctx, settings.Telemetry{}, nil)
@@ -167,7 +175,8 @@
 	return nil
 }
 
-// writeConfig appends the configuration to the log, before any host starts.
+// writeConfig appends the configuration to the log. It runs before any host
+// starts.
 func (s *System) writeConfig() error {
 	doc := s.document()
 	change, err := doc.Change("quickstart", 0)
@@ -181,8 +190,8 @@
 
 func (s *System) startHosts() error {
 	for i, zone := range zones {
-		hosts := 2 - i%2 // two in the first zone of each region
-		for n := range hosts {
+		hostCount := 2 - i%2 // two hosts in the first zone of each region, one in the second
+		for n := range hostCount {
 			if err := s.startHost(fmt.Sprintf("%s-%d", zone.Name, n+1), zone); err != nil {
 				return err
 			}
@@ -191,7 +200,8 @@
 	return nil
 }
 
-// startHost starts one more entry host; the first one at the options' addresses.
+// startHost starts another entry host. The first host listens on the addresses in
+// the options.
 func (s *System) startHost(name string, zone config.Zone) error {
 	set := servesettings.Settings{
 		Host:      settings.Host{Name: name, Zone: zone.Name, Region: zone.Region},
@@ -221,19 +231,20 @@
 	return nil
 }
 
-// waitReady waits until every host is ready, has settled its zone's roster and
-// has heartbeats of every other.
+// waitReady waits until every host is ready, has a settled roster of its zone and
+// receives heartbeats from every other host.
 func (s *System) waitReady() error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
 		if s.settled() {
 			return nil
 		}
-		time.Sleep(readyPoll)
+		time.Sleep(readyPollInterval)
 	}
 	return eris.New("hosts were not ready in time")
 }
 
+// settled reports whether the conditions of waitReady are met.
 func (s *System) settled() bool {
 	for _, srv := range s.Servers {
 		st := srv.Host.Status()
@@ -248,7 +259,8 @@
 	return true
 }
 
-// Stop takes every host out of service, all at a time, and ends everything else.
+// Stop stops all hosts concurrently and gracefully, and then closes the rest of
+// the system.
 func (s *System) Stop(ctx context.Context) {
 	var stops sync.WaitGroup
 	for _, srv := range s.Servers {
@@ -259,7 +271,7 @@
 	s.Close()
 }
 
-// Close ends everything at once, as a crash would.
+// Close closes the whole system immediately, as a crash would.
 func (s *System) Close() {
 	for _, srv := range s.Servers {
 		srv.Close()
--- a/internal/selector/quickstart/session_test.go
+++ b/internal/selector/quickstart/session_test.go
@@ -28,7 +28,7 @@
 	"cairndock/internal/telemetry"
 )
 
-// session records what one client and one operator receive.
+// session records the responses that a client and an operator receive.
 type session struct {
 	t      *testing.T
 	system *System
@@ -50,10 +50,11 @@
 	return &session{t: t, system: system, spans: spans}
 }
 
-func (s *session) say(format string, args ...any) { fmt.Fprintf(&s.out, format+"\n", args...) }
+// recordf appends a line to the output that is compared with the golden file.
+func (s *session) recordf(format string, args ...any) { fmt.Fprintf(&s.out, format+"\n", args...) }
 
-// waitForAll waits until a host names every host to clients: one whose heartbeat
-// was late is left out for a moment.
+// waitForAll waits until a host lists every host to clients. A host whose heartbeat
+// is late is temporarily missing from the list.
 func (s *session) waitForAll(host string) {
 	require.Eventually(s.t, func() bool {
 		for _, srv := range s.system.Servers {
@@ -68,7 +69,8 @@
 	}, 30*time.Second, 10*time.Millisecond)
 }
 
-func (s *session) server(host string) string {
+// clientAddr returns the client address of a host.
+func (s *session) clientAddr(host string) string {
 	for _, srv := range s.system.Servers {
 		if srv.Host.Self().Host == host {
 			return srv.CallerAddr
@@ -78,9 +80,10 @@
 	return ""
 }
 
-// ask sends a request and records what does not depend on chance.
-func (s *session) ask(host, method, path string, header map[string]string, body string) []byte {
-	req, err := http.NewRequest(method, "http://"+s.server(host)+path, strings.NewReader(body))
+// request sends a request, records the parts of the response that are the same in
+// every run, and returns the body.
+func (s *session) request(host, method, path string, header map[string]string, body string) []byte {
+	req, err := http.NewRequest(method, "http://"+s.clientAddr(host)+path, strings.NewReader(body))
 	require.NoError(s.t, err)
 	for k, v := range header {
 		req.Header.Set(k, v)
@@ -91,21 +94,23 @@
 	out, err := io.ReadAll(resp.Body)
 	require.NoError(s.t, err)
 	zone, _, _ := strings.Cut(resp.Header.Get("Cairndock-Upstream"), "/")
-	s.say("%s %s via %s -> %d verdict=%q zone=%q retry-after=%q type=%s", method, path, host, resp.StatusCode,
+	s.recordf("%s %s via %s -> %d verdict=%q zone=%q retry-after=%q type=%s", method, path, host, resp.StatusCode,
 		resp.Header.Get("Cairndock-Verdict"), zone, resp.Header.Get("Retry-After"), resp.Header.Get("Content-Type"))
 	return out
 }
 
-// apply submits a change and waits until it is in force everywhere.
+// apply submits a change, waits until it is in force everywhere and records the
+// result.
 func (s *session) apply(doc string) {
-	status, body := s.put(s.t, doc)
+	status, body := s.submit(s.t, doc)
 	var a configsync.Applied
 	require.NoError(s.t, json.Unmarshal([]byte(body), &a))
-	s.say("PUT /v1/config -> %d %s revision %d", status, a.State, a.Revision)
+	s.recordf("PUT /v1/config -> %d %s revision %d", status, a.State, a.Revision)
 }
 
-// put submits a change based on the revision in force.
-func (s *session) put(t require.TestingT, doc string) (int, string) {
+// submit submits a change that is based on the revision in force. It returns the
+// status and body of the response.
+func (s *session) submit(t require.TestingT, doc string) (int, string) {
 	first := s.system.Servers[0]
 	req, err := http.NewRequest(http.MethodPut, "http://"+first.OperatorAddr+"/v1/config", strings.NewReader(doc))
 	require.NoError(t, err)
@@ -119,6 +124,7 @@
 	return resp.StatusCode, string(body)
 }
 
+// runs returns how often the upstreams ran a ticket's request.
 func (s *session) runs(ticket string) int {
 	n := 0
 	for _, u := range s.system.Upstreams {
@@ -127,32 +133,35 @@
 	return n
 }
 
-// trace records the spans of a client's trace, in the order of the hops.
+// trace records the names of the spans of a client's trace, from parent to child.
 func (s *session) trace(id string) {
-	var parts []string
+	var names []string
 	require.Eventually(s.t, func() bool {
-		parts = s.chain(id)
-		return len(parts) >= 5
+		names = s.spanChain(id)
+		return len(names) >= 5
 	}, 10*time.Second, 10*time.Millisecond)
-	s.say("trace: %s", strings.Join(parts, " > "))
+	s.recordf("trace: %s", strings.Join(names, " > "))
 }
 
-func (s *session) chain(id string) []string {
+// spanChain returns the names of the finished spans of a trace, from parent to
+// child. The first parent is the client's span, whose id the request carries.
+func (s *session) spanChain(id string) []string {
 	children := map[string]sdktrace.ReadOnlySpan{}
 	for _, span := range s.spans.Ended() {
 		if span.SpanContext().TraceID().String() == id {
 			children[span.Parent().SpanID().String()] = span
 		}
 	}
-	var parts []string
+	var names []string
 	for parent := "00f067aa0ba902b7"; children[parent] != nil; {
-		parts = append(parts, children[parent].Name())
+		names = append(names, children[parent].Name())
 		parent = children[parent].SpanContext().SpanID().String()
 	}
-	return parts
+	return names
 }
 
-func (s *session) faults(zone string, f standin.Faults) {
+// setFaults sets the faults of the planning service's upstreams in a zone.
+func (s *session) setFaults(zone string, f standin.Faults) {
 	for _, u := range s.system.Upstreams {
 		if strings.HasPrefix(u.Name, "planning-"+zone) {
 			u.SetFaults(f)
@@ -161,6 +170,7 @@
 }
 
 const (
+	// onlySierraB sends all requests to the zone sierra-b.
 	onlySierraB = `
 [[rule]]
 name = "planning-costa"
@@ -174,7 +184,8 @@
 share = 0.0
 cap = 0.0
 `
-	spill = `
+	// spillToCosta lets the region costa serve requests that other rules can't place.
+	spillToCosta = `
 [[rule]]
 name = "planning-rest"
 service = "planning"
@@ -184,90 +195,94 @@
 `
 )
 
-// TestSession compares a whole session over real sockets with its golden file.
+// TestSession compares a complete session over real sockets with its golden file.
+// It guards against changes of what clients and operators receive from the system
+// as a whole: routing, tickets, limits, verdicts and failover.
 func TestSession(t *testing.T) {
 	s := newSession(t)
 
-	s.say("# which hosts to use")
+	s.recordf("# which hosts to use")
 	var entries directory.Entries
 	s.waitForAll("costa-a-1")
-	require.NoError(t, json.Unmarshal(s.ask("costa-a-1", "GET", "/v1/entries?service=planning", nil, ""), &entries))
+	require.NoError(t, json.Unmarshal(s.request("costa-a-1", "GET", "/v1/entries?service=planning", nil, ""), &entries))
 	var first []string
 	for _, e := range entries.Entries[:3] {
 		first = append(first, e.Host)
 	}
 	slices.Sort(first)
-	s.say("nearest: %v of %d", first, len(entries.Entries))
+	s.recordf("nearest: %v of %d", first, len(entries.Entries))
 
-	s.say("# a lookup over a peer hop, in the caller's trace")
+	s.recordf("# a lookup over a peer hop, in the caller's trace")
 	s.apply(onlySierraB)
-	s.ask("costa-a-1", "GET", "/s/planning/tracks/7?full=1", map[string]string{
+	s.request("costa-a-1", "GET", "/s/planning/tracks/7?full=1", map[string]string{
 		"Traceparent": "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01",
 	}, "")
 	s.trace("4bf92f3577b34da6a3ce929d0e0e4736")
 
-	s.say("# a booking with a ticket, and its resend by another host")
-	var minted struct {
+	s.recordf("# a booking with a ticket, and its resend by another host")
+	var issued struct {
 		Ticket string `json:"ticket"`
 	}
-	require.NoError(t, json.Unmarshal(s.ask("costa-a-1", "POST", "/v1/tickets?service=planning", nil, ""), &minted))
-	ticket := map[string]string{"Cairndock-Ticket": minted.Ticket}
-	one := s.ask("costa-a-1", "POST", "/s/planning/bookings", ticket, `{"block":12}`)
-	two := s.ask("austro-b-1", "POST", "/s/planning/bookings", ticket, `{"block":12}`)
-	s.say("same answer: %v, runs: %d", bytes.Equal(one, two), s.runs(minted.Ticket))
-	s.ask("austro-b-1", "POST", "/s/planning/bookings", ticket, `{"block":13}`)
+	require.NoError(t, json.Unmarshal(s.request("costa-a-1", "POST", "/v1/tickets?service=planning", nil, ""), &issued))
+	ticket := map[string]string{"Cairndock-Ticket": issued.Ticket}
+	original := s.request("costa-a-1", "POST", "/s/planning/bookings", ticket, `{"block":12}`)
+	resent := s.request("austro-b-1", "POST", "/s/planning/bookings", ticket, `{"block":12}`)
+	s.recordf("same answer: %v, runs: %d", bytes.Equal(original, resent), s.runs(issued.Ticket))
+	s.request("austro-b-1", "POST", "/s/planning/bookings", ticket, `{"block":13}`)
 
-	s.say("# a bulk download")
-	bundle := s.ask("costa-a-1", "GET", "/s/documents/bytes/3000000", nil, "")
-	s.say("%d bytes, sha256 %x", len(bundle), sha256.Sum256(bundle))
+	s.recordf("# a bulk download")
+	download := s.request("costa-a-1", "GET", "/s/documents/bytes/3000000", nil, "")
+	s.recordf("%d bytes, sha256 %x", len(download), sha256.Sum256(download))
 
-	s.say("# bad input")
-	s.ask("costa-a-1", "GET", "/s/nowhere/x", nil, "")
-	s.ask("costa-a-1", "GET", "/s/planning/x", map[string]string{"Cairndock-Timeout": "soon"}, "")
-	s.ask("costa-a-1", "POST", "/s/planning/x", map[string]string{"Cairndock-Ticket": "none"}, "")
-	s.ask("costa-a-1", "POST", "/s/planning/x", nil, strings.Repeat("x", 300<<10))
-	s.ask("costa-a-1", "GET", "/s/planning/x", map[string]string{"X-Long": strings.Repeat("x", 20<<10)}, "")
+	s.recordf("# bad input")
+	s.request("costa-a-1", "GET", "/s/nowhere/x", nil, "")
+	s.request("costa-a-1", "GET", "/s/planning/x", map[string]string{"Cairndock-Timeout": "soon"}, "")
+	s.request("costa-a-1", "POST", "/s/planning/x", map[string]string{"Cairndock-Ticket": "none"}, "")
+	s.request("costa-a-1", "POST", "/s/planning/x", nil, strings.Repeat("x", 300<<10))
+	s.request("costa-a-1", "GET", "/s/planning/x", map[string]string{"X-Long": strings.Repeat("x", 20<<10)}, "")
 
-	s.say("# the upstreams shed")
-	s.faults("sierra-b", standin.Faults{Shed: true})
-	s.ask("costa-a-1", "GET", "/s/planning/tracks/8", nil, "")
-	s.faults("sierra-b", standin.Faults{})
+	s.recordf("# the upstreams shed")
+	s.setFaults("sierra-b", standin.Faults{Shed: true})
+	s.request("costa-a-1", "GET", "/s/planning/tracks/8", nil, "")
+	s.setFaults("sierra-b", standin.Faults{})
 
-	s.say("# an answer that breaks off is a verdict")
-	s.faults("sierra-b", standin.Faults{Truncate: true})
-	s.ask("costa-a-1", "POST", "/s/planning/bookings", nil, "{}")
-	s.faults("sierra-b", standin.Faults{})
+	s.recordf("# an answer that breaks off is a verdict")
+	s.setFaults("sierra-b", standin.Faults{Truncate: true})
+	s.request("costa-a-1", "POST", "/s/planning/bookings", nil, "{}")
+	s.setFaults("sierra-b", standin.Faults{})
 
-	s.say("# the zone fails, and another rule takes over")
+	s.recordf("# the zone fails, and another rule takes over")
 	s.failZone("sierra-b")
-	s.ask("costa-a-1", "GET", "/s/planning/tracks/9", nil, "")
-	s.apply(spill)
-	body := s.ask("costa-a-1", "GET", "/s/planning/tracks/10", nil, "")
-	s.say("answered by region %s", regionOf(t, body))
+	s.request("costa-a-1", "GET", "/s/planning/tracks/9", nil, "")
+	s.apply(spillToCosta)
+	body := s.request("costa-a-1", "GET", "/s/planning/tracks/10", nil, "")
+	s.recordf("answered by region %s", regionOf(t, body))
 
-	s.say("# the upstreams' ledgers")
+	s.recordf("# the upstreams' ledgers")
 	over := 0
 	for _, u := range s.system.Upstreams {
 		over += u.Ledger().Over
 	}
-	s.say("requests beyond a slot: %d", over)
+	s.recordf("requests beyond a slot: %d", over)
 	goldie.New(t).Assert(t, "session", s.out.Bytes())
 }
 
-// failZone kills the zone's hosts and waits until the first host notices.
+// failZone closes the hosts of a zone immediately and waits until the first host
+// reports the zone as cut off.
 func (s *session) failZone(zone string) {
 	s.system.Servers = slices.DeleteFunc(s.system.Servers, func(srv *server.Server) bool {
-		dead := srv.Host.Self().Zone == zone
-		if dead {
+		inZone := srv.Host.Self().Zone == zone
+		if inZone {
 			srv.Close()
 		}
-		return dead
+		return inZone
 	})
 	require.Eventually(s.t, func() bool {
 		return slices.Contains(s.system.Servers[0].Host.Status().CutOff, zone)
 	}, 30*time.Second, 10*time.Millisecond)
 }
 
+// regionOf returns the region in the upstream's name in an echo response.
 func regionOf(t *testing.T, body []byte) string {
 	var out struct {
 		Upstream string `json:"upstream"`
