--- a/internal/selector/standin/generated.go
+++ b/internal/selector/standin/generated.go
@@ -12,29 +12,30 @@
 	"cairndock/internal/selector/store"
 )
 
-// Size is the size of a generated system.
+// Size is the size of a generated system. Each service has a site in every zone.
 type Size struct {
-	// Blocks is how many blocks of client addresses there are.
-	Blocks   int
+	// Blocks is the number of blocks of client addresses.
+	Blocks int
+	// Services, Zones and Regions are the numbers of these objects.
 	Services int
 	Zones    int
 	Regions  int
-	// Hosts is how many hosts each zone's roster has.
+	// Hosts is the number of hosts in each zone's roster.
 	Hosts int
-	// PerSite is how many upstreams a service has in a zone.
+	// PerSite is the number of upstreams of a service in a zone.
 	PerSite int
 }
 
-// PlannedSize is what the users plan for: 260,000 blocks, 1,760 sites (22
-// services in 80 zones) and 74 hosts in a zone.
+// PlannedSize returns the size that users plan for: 260,000 blocks, 1,760 sites
+// (22 services in 80 zones) and 74 hosts in a zone.
 func PlannedSize() Size {
 	return Size{Blocks: 260_000, Services: 22, Zones: 80, Regions: 23, Hosts: 74, PerSite: 24}
 }
 
-// ZoneName is the name of zone z.
+// ZoneName returns the name of zone z.
 func ZoneName(z int) string { return fmt.Sprintf("zone-%02d", z) }
 
-// Objects generates zones, and services with a rule and their upstreams.
+// Objects generates the zones, and the services with their rules and upstreams.
 func (s Size) Objects() config.Document {
 	var doc config.Document
 	for z := range s.Zones {
@@ -46,6 +47,7 @@
 	return doc
 }
 
+// addService adds a service, its rule and its upstreams in every zone to doc.
 func (s Size) addService(doc *config.Document, name string) {
 	doc.Services = append(doc.Services, config.Service{
 		Name: name, Class: config.Interactive, Repeat: config.RepeatSafe, Prefer: config.PreferLatency,
@@ -55,7 +57,7 @@
 	for z := range s.Zones {
 		for u := range s.PerSite {
 			n := fmt.Sprintf("%s-%02d-%02d", name, z, u)
-			// Each has a loopback address of its own, where nothing listens.
+			// Each upstream has its own loopback address, on which nothing listens.
 			i := len(doc.Upstreams)
 			addr := netip.AddrFrom4([4]byte{127, byte(1 + i>>16), byte(i >> 8), byte(i)})
 			doc.Upstreams = append(doc.Upstreams, config.Upstream{
@@ -66,7 +68,7 @@
 	}
 }
 
-// BlocksDocument generates the blocks of client addresses, one /24 each.
+// BlocksDocument generates the blocks of client addresses. Each is a /24.
 func (s Size) BlocksDocument() config.Document {
 	var doc config.Document
 	for b := range s.Blocks {
@@ -75,12 +77,12 @@
 	return doc
 }
 
-// BlockAddr is the address in a block that ends in last.
+// BlockAddr returns the address in a block whose last byte is last.
 func (s Size) BlockAddr(block int, last byte) netip.Addr {
 	return netip.AddrFrom4([4]byte{byte(1 + block>>16), byte(block >> 8), byte(block), last})
 }
 
-// Roster generates the roster of zone z at an epoch.
+// Roster generates the roster of zone z with the given number of hosts.
 func (s Size) Roster(z, hosts int, epoch uint64) roster.Roster {
 	r := roster.Roster{Zone: ZoneName(z), Epoch: epoch}
 	for i := range hosts {
@@ -92,18 +94,20 @@
 	return r
 }
 
-// partitionRoster is the table's partition of the rosters, as in package rosters.
+// partitionRoster is the table partition of the rosters. It must match package
+// rosters.
 const partitionRoster = "roster"
 
-// Fill writes the generated configuration, a snapshot of it and the rosters.
+// Fill writes the generated configuration, a snapshot of it and the rosters to m.
+// It fails if the configuration is invalid or a write fails.
 func (s Size) Fill(ctx context.Context, m *store.Memory) error {
 	log := config.NewLog(m, m)
 	state := config.NewState()
-	for _, part := range []struct {
+	for _, step := range []struct {
 		id  string
 		doc config.Document
 	}{{"objects", s.Objects()}, {"blocks", s.BlocksDocument()}} {
-		change, err := part.doc.Change(part.id, state.Revision())
+		change, err := step.doc.Change(step.id, state.Revision())
 		if err != nil {
 			return err
 		}
--- a/internal/selector/standin/objects.go
+++ b/internal/selector/standin/objects.go
@@ -11,7 +11,7 @@
 	"cairndock/internal/selector/store"
 )
 
-// serveObjects serves the object store by path-style requests: /bucket/name.
+// serveObjects serves the object store. Requests are path-style: /bucket/name.
 func (p Platform) serveObjects(w http.ResponseWriter, r *http.Request) {
 	_, name, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	var body []byte
@@ -39,6 +39,7 @@
 	_, _ = w.Write(body)
 }
 
+// writeObjectError writes an S3 error response.
 func writeObjectError(w http.ResponseWriter, err error) {
 	status, code := http.StatusInternalServerError, "InternalError"
 	switch {
--- a/internal/selector/standin/platform.go
+++ b/internal/selector/standin/platform.go
@@ -1,7 +1,8 @@
-// Package standin has small stand-ins for what surrounds the entry hosts, for
-// the quick start, `cairndock standin` and tests: an Upstream that records what
-// it ran and fails on request, a Platform that serves a store.Memory by the wire
-// protocols of the real services, and a generated system of the planned Size.
+// Package standin contains small stand-ins for the systems around the entry hosts.
+// The quick start, `cairndock standin` and tests use them. An Upstream records the
+// requests that it ran and can be made to fail. A Platform serves a store.Memory
+// over the wire protocols of the real services. A Size generates a system, for
+// example of the planned size.
 package standin
 
 import (
@@ -17,28 +18,29 @@
 )
 
 const (
-	// loopback is any free port of the own machine: a stand-in has no access
-	// control.
+	// loopback is a loopback address with any free port. Stand-ins listen only on
+	// loopback because they have no access control.
 	loopback = "127.0.0.1:0"
 	// platformHeaderTimeout limits reading the headers of a request to the
 	// platform stand-in.
 	platformHeaderTimeout = time.Second
 )
 
-// Platform serves a store.Memory by the protocols that the store package's
-// clients speak: the table by DynamoDB's JSON protocol, objects by the S3
-// protocol and the host list as JSON. It knows only the operations that they
-// use, and only the conditions that they set.
+// Platform serves a store.Memory over the protocols that the clients in package
+// store use: the table over DynamoDB's JSON protocol, objects over the S3 protocol
+// and the host list as JSON. It supports only the operations and conditions that
+// these clients use.
 type Platform struct{ Memory *store.Memory }
 
 // PlatformServers are the running servers of a Platform.
 type PlatformServers struct {
-	// Settings are a host's settings to reach them.
+	// Settings are a host's settings for these servers.
 	Settings servesettings.Platform
 	servers  []*http.Server
 }
 
-// Start serves the three services at free ports of loopback until Close.
+// Start serves the three services on free loopback ports until Close. It fails if
+// it can't listen.
 func (p Platform) Start() (*PlatformServers, error) {
 	var out PlatformServers
 	var urls []string
@@ -49,7 +51,7 @@
 			return nil, eris.Wrap(err, "listen")
 		}
 		s := &http.Server{Handler: h, ReadHeaderTimeout: platformHeaderTimeout}
-		// Serve ends with Close; a loopback listener does not fail before.
+		// Serve returns after Close. A loopback listener does not fail earlier.
 		go func() { _ = s.Serve(l) }()
 		out.servers = append(out.servers, s)
 		urls = append(urls, "http://"+l.Addr().String())
@@ -61,13 +63,14 @@
 	return &out, nil
 }
 
-// Close ends the servers at once.
+// Close closes the servers immediately.
 func (s *PlatformServers) Close() {
 	for _, srv := range s.servers {
-		_ = srv.Close() // closes the listener in any case
+		_ = srv.Close() // the listener is closed even after an error
 	}
 }
 
+// serveHosts serves the host list.
 func (p Platform) serveHosts(w http.ResponseWriter, r *http.Request) {
 	hosts, err := p.Memory.Hosts(r.Context())
 	if err != nil {
--- a/internal/selector/standin/respond.go
+++ b/internal/selector/standin/respond.go
@@ -12,8 +12,8 @@
 	"cairndock/internal/selector/call"
 )
 
-// timeLeft is the time until the request's deadline; with none, the longest
-// that there is.
+// timeLeft returns the time until the request's deadline, or the maximum duration
+// if the request has no deadline.
 func timeLeft(r *http.Request) time.Duration {
 	ms, err := strconv.ParseInt(r.Header.Get(call.HeaderDeadline), 10, 64)
 	if err != nil {
@@ -22,8 +22,8 @@
 	return time.Until(time.UnixMilli(ms))
 }
 
-// sleep waits for d, and reports whether the request is still wanted then: an
-// upstream stops when the request is cancelled and at its deadline.
+// sleep waits for d and reports whether the request is still active afterwards. It
+// returns early if the request is cancelled or its deadline passes.
 func sleep(r *http.Request, d time.Duration) bool {
 	if left := timeLeft(r); left < d {
 		pause.For(r.Context(), left)
@@ -32,14 +32,15 @@
 	return d <= 0 || pause.For(r.Context(), d)
 }
 
-// respond sends N bytes for /bytes/N, and an echo of any other request.
+// respond sends N bytes in response to /bytes/N, and an echo of the request in
+// response to any other path.
 func (u *Upstream) respond(w http.ResponseWriter, r *http.Request, body []byte, f Faults) {
 	if n, ok := strings.CutPrefix(r.URL.Path, "/bytes/"); ok {
-		size, _ := strconv.ParseInt(n, 10, 64) // no number is no bytes
+		size, _ := strconv.ParseInt(n, 10, 64) // an invalid number means no bytes
 		u.sendBytes(w, r, size, f)
 		return
 	}
-	// Strings can't fail to encode.
+	// Encoding strings can't fail.
 	out, _ := json.Marshal(struct {
 		Upstream string `json:"upstream"`
 		Method   string `json:"method"`
@@ -50,13 +51,14 @@
 	w.Header().Set("Content-Length", strconv.Itoa(len(out)))
 	if f.Truncate {
 		_, _ = w.Write(out[:len(out)/2])
-		_ = http.NewResponseController(w).Flush() // the panic cuts the connection anyway
+		_ = http.NewResponseController(w).Flush() // the panic closes the connection anyway
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = w.Write(out)
 }
 
-// sendBytes sends size bytes, until the request is cancelled.
+// sendBytes sends size bytes, or half of them with Faults.Truncate. It stops if
+// the request is cancelled.
 func (u *Upstream) sendBytes(w http.ResponseWriter, r *http.Request, size int64, f Faults) {
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.FormatInt(size, 10))
--- a/internal/selector/standin/table.go
+++ b/internal/selector/standin/table.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// targetPrefix starts the header that names a DynamoDB operation.
+	// targetPrefix is the prefix of a DynamoDB operation in the header
+	// X-Amz-Target.
 	targetPrefix = "DynamoDB_20120810."
-	// errorPrefix starts the names of DynamoDB's errors.
+	// errorPrefix is the prefix of the names of DynamoDB errors.
 	errorPrefix = "com.amazonaws.dynamodb.v20120810#"
-	// maxRequest limits what is read of a request to the table, in bytes.
-	maxRequest = 16 << 20
+	// maxRequestBytes limits the body that is read from a request to the table.
+	maxRequestBytes = 16 << 20
 )
 
-// The attributes of an item, as in the store package.
+// The attributes of an item, which are the same as in package store.
 const (
 	// attrPartition is the partition key.
 	attrPartition = "pk"
@@ -33,21 +34,21 @@
 	attrBody = "body"
 )
 
-// attr is a DynamoDB attribute value of one of the types in use.
+// attr is a DynamoDB attribute value: a string, a number or bytes in base64.
 type attr struct {
 	S *string `json:"S,omitempty"`
 	N *string `json:"N,omitempty"`
 	B *string `json:"B,omitempty"`
 }
 
-// item is a row by its attributes.
+// item is a row as a map from attribute names to values.
 type item map[string]attr
 
-// serveTable serves the table.
+// serveTable serves the table over DynamoDB's JSON protocol.
 func (p Platform) serveTable(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxRequest))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxRequestBytes))
 	if err != nil {
-		return // the client has left
+		return // the client has disconnected
 	}
 	var out any
 	switch strings.TrimPrefix(r.Header.Get("X-Amz-Target"), targetPrefix) {
@@ -68,17 +69,19 @@
 	_ = json.NewEncoder(w).Encode(out)
 }
 
-// tableError is the body of an error response of DynamoDB.
+// tableError is the body of a DynamoDB error response.
 type tableError struct {
 	Type    string   `json:"__type"`
 	Message string   `json:"message"`
 	Reasons []reason `json:"CancellationReasons,omitempty"`
 }
 
+// reason is the reason why one item of a transaction failed.
 type reason struct {
 	Code string `json:"Code"`
 }
 
+// writeTableError writes a DynamoDB error response.
 func writeTableError(w http.ResponseWriter, err error) {
 	e := tableError{Type: errorPrefix + "InternalServerError", Message: err.Error()}
 	status := http.StatusInternalServerError
@@ -95,6 +98,7 @@
 	_ = json.NewEncoder(w).Encode(e)
 }
 
+// getItem handles GetItem.
 func (p Platform) getItem(r *http.Request, body []byte) (any, error) {
 	var in struct{ Key item }
 	if err := json.Unmarshal(body, &in); err != nil {
@@ -110,10 +114,11 @@
 	return struct{ Item item }{itemOf(row)}, nil
 }
 
-// pageBytes ends a page of a query, in bytes of its rows' bodies. DynamoDB ends
-// one at 1 MB of items.
+// pageBytes is the size of the rows' bodies at which a page of a query ends.
+// DynamoDB ends a page at 1 MB of items.
 const pageBytes = 1 << 20
 
+// query handles Query.
 func (p Platform) query(r *http.Request, body []byte) (any, error) {
 	var in struct {
 		Limit                     int
@@ -149,6 +154,7 @@
 	return out, nil
 }
 
+// transact handles TransactWriteItems, for puts only.
 func (p Platform) transact(r *http.Request, body []byte) (any, error) {
 	var in struct {
 		TransactItems []struct {
@@ -167,14 +173,14 @@
 		if err != nil {
 			return nil, err
 		}
-		// Without a version the condition is that the row does not exist.
+		// Without a version, the condition is that the row does not exist.
 		version, _ := strconv.ParseInt(text(t.Put.ExpressionAttributeValues[":v"].N), 10, 64)
 		writes = append(writes, store.Write{Key: keyOf(t.Put.Item), IfVersion: version, Body: raw})
 	}
 	return struct{}{}, p.Memory.Transact(r.Context(), writes)
 }
 
-// text is an attribute's value, or "" without one.
+// text returns the value of an attribute, or "" if it has none.
 func text(s *string) string {
 	if s == nil {
 		return ""
@@ -182,10 +188,12 @@
 	return *s
 }
 
+// keyOf returns the key of an item.
 func keyOf(i item) store.Key {
 	return store.Key{Partition: text(i[attrPartition].S), Sort: text(i[attrSort].S)}
 }
 
+// itemOf returns a row as an item.
 func itemOf(row store.Row) item {
 	version := strconv.FormatInt(row.Version, 10)
 	body := base64.StdEncoding.EncodeToString(row.Body)
--- a/internal/selector/standin/upstream.go
+++ b/internal/selector/standin/upstream.go
@@ -18,59 +18,63 @@
 // upstreamHeaderTimeout limits reading the headers of a request to an upstream.
 const upstreamHeaderTimeout = 10 * time.Second
 
-// Faults are what an Upstream does wrong.
+// Faults are the faults that an Upstream simulates.
 type Faults struct {
 	// Shed refuses every request without running it.
 	Shed bool
-	// Truncate breaks off the response half-way.
+	// Truncate closes the connection after half of the response.
 	Truncate bool
-	// DropBefore closes the connection before the request runs, DropAfter
-	// after it ran and before any response.
+	// DropBefore closes the connection before the request runs. DropAfter closes
+	// it after the request ran and before any response.
 	DropBefore bool
 	DropAfter  bool
-	// Delay is added to every response.
+	// Delay is added to the latency of every request.
 	Delay time.Duration
-	// ReportLoad, if not nil, is the load that it reports instead of its own.
+	// ReportLoad, if not nil, is the load that the upstream reports instead of
+	// its actual load.
 	ReportLoad *float64
 }
 
-// Upstream is an upstream that counts what it runs.
+// Upstream is a stand-in upstream that records the requests that it runs.
 type Upstream struct {
+	// Name is the upstream's name in the configuration.
 	Name string
-	// Instance is its incarnation.
+	// Instance is the incarnation that the upstream reports.
 	Instance string
-	// Slots is how many requests it can run at a time. More are run too, and
-	// counted in Ledger.Over.
+	// Slots is the number of requests that the upstream can run concurrently.
+	// Further requests run too, and are counted in Ledger.Over.
 	Slots int
-	// Latency is the time of a request once the first ColdRuns requests have
-	// run; those take ColdFactor times as long.
+	// Latency is the time that a request takes. The first ColdRuns requests
+	// take ColdFactor times as long.
 	Latency    time.Duration
 	ColdRuns   int
 	ColdFactor int
 
 	mu sync.Mutex
-	// ends, if it is set, is asked for the target of each request whether the upstream
-	// ends by running it.
-	ends     func(target string) bool
-	faults   Faults
-	leaving  bool
-	ledger   Ledger
-	byTicket map[string]int
-	server   *http.Server
+	// terminatesOn, if not nil, reports whether running a request for a target
+	// terminates the upstream.
+	terminatesOn func(target string) bool
+	faults       Faults
+	leaving      bool
+	ledger       Ledger
+	byTicket     map[string]int // runs by ticket
+	server       *http.Server
 }
 
-// Start serves at a free port of loopback until Close, and returns the address.
+// Start serves on a free loopback port until Close and returns the address. It
+// fails if it can't listen.
 func (u *Upstream) Start() (addr string, err error) {
 	l, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return "", eris.Wrap(err, "listen")
 	}
-	// Serve ends with Close; a loopback listener does not fail before.
+	// Serve returns after Close. A loopback listener does not fail earlier.
 	go func() { _ = u.Serve(l) }()
 	return l.Addr().String(), nil
 }
 
-// Serve serves a listener until Close.
+// Serve serves a listener until Close. It always returns an error, which is
+// http.ErrServerClosed after Close.
 func (u *Upstream) Serve(l net.Listener) error {
 	u.mu.Lock()
 	u.server = &http.Server{Handler: u, ReadHeaderTimeout: upstreamHeaderTimeout}
@@ -79,7 +83,7 @@
 	return s.Serve(l)
 }
 
-// Close ends it at once, as a crash would.
+// Close closes the upstream immediately, as a crash would.
 func (u *Upstream) Close() error {
 	u.mu.Lock()
 	s := u.server
@@ -90,25 +94,26 @@
 	return s.Close()
 }
 
-// SetFaults replaces what goes wrong.
+// SetFaults replaces the simulated faults.
 func (u *Upstream) SetFaults(f Faults) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.faults = f
 }
 
-// EndBy has f asked, for the target of each request, whether the upstream ends by running
-// it.
+// EndBy sets a function that reports, for the target of each request, whether
+// running the request terminates the upstream.
 func (u *Upstream) EndBy(f func(target string) bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.ends = f
+	u.terminatesOn = f
 }
 
-// endsBy reports whether the upstream ends by running a request for a target.
-func (u *Upstream) endsBy(target string) bool {
+// shouldTerminate reports whether running a request for a target terminates the
+// upstream.
+func (u *Upstream) shouldTerminate(target string) bool {
 	u.mu.Lock()
-	f := u.ends
+	f := u.terminatesOn
 	u.mu.Unlock()
 	return f != nil && f(target)
 }
@@ -120,22 +125,23 @@
 	u.leaving = true
 }
 
-// Ledger is the record of an upstream, also as JSON at /ledger.
+// Ledger is the record of an upstream's requests. It is served as JSON at
+// /ledger.
 type Ledger struct {
 	Name string `json:"name"`
-	// Runs counts requests that began to run.
+	// Runs counts requests that started to run.
 	Runs int `json:"runs"`
-	// Outstanding is how many run now.
+	// Outstanding is the number of requests that are running.
 	Outstanding int `json:"outstanding"`
-	// MaxOutstanding is the most that ever ran at a time.
+	// MaxOutstanding is the highest value of Outstanding so far.
 	MaxOutstanding int `json:"max_outstanding"`
-	// Over counts requests that began while all slots were in use.
+	// Over counts requests that started while all slots were in use.
 	Over int `json:"over"`
-	// LastNew is when the last request began to run.
+	// LastNew is the time at which the last request started to run.
 	LastNew time.Time `json:"last_new"`
 }
 
-// Ledger returns the record until now.
+// Ledger returns a copy of the current record.
 func (u *Upstream) Ledger() Ledger {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -144,14 +150,14 @@
 	return out
 }
 
-// Runs returns how often a ticket's request ran.
+// Runs returns the number of times that a ticket's request ran.
 func (u *Upstream) Runs(ticket string) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.byTicket[ticket]
 }
 
-// ServeHTTP serves the ledger, health and the service itself.
+// ServeHTTP serves the ledger, the health check and the service itself.
 func (u *Upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/ledger":
@@ -163,6 +169,8 @@
 	}
 }
 
+// serveLedger serves the ledger, the runs of all tickets, or the runs of one
+// ticket.
 func (u *Upstream) serveLedger(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if r.URL.Query().Has("tickets") {
@@ -181,7 +189,7 @@
 	}{u.Runs(ticket)})
 }
 
-// setStatus sets the headers in which an upstream reports its status.
+// setStatus sets the headers that report the upstream's instance, load and state.
 func (u *Upstream) setStatus(w http.ResponseWriter) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -196,7 +204,8 @@
 	}
 }
 
-// begin counts a run, and returns the faults and the latency that apply to it.
+// begin records the start of a request, and returns the faults and the latency
+// that apply to it.
 func (u *Upstream) begin(ticket string) (Faults, time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -220,12 +229,14 @@
 	return u.faults, latency + u.faults.Delay
 }
 
+// end records the end of a request.
 func (u *Upstream) end() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.ledger.Outstanding--
 }
 
+// serve runs a request, unless it is refused or dropped.
 func (u *Upstream) serve(w http.ResponseWriter, r *http.Request) {
 	u.mu.Lock()
 	f := u.faults
@@ -234,7 +245,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	u.setStatus(w)
-	if f.Shed || timeLeft(r) <= -time.Millisecond { // deadlines count whole milliseconds
+	if f.Shed || timeLeft(r) <= -time.Millisecond { // deadlines have a precision of 1 ms
 		w.Header().Set(call.HeaderShed, verdict.NotRun.String())
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -245,8 +256,8 @@
 	}
 	f, latency := u.begin(r.Header.Get(call.HeaderTicket))
 	defer u.end()
-	if u.endsBy(r.RequestURI) {
-		_ = u.Close() // it has ended
+	if u.shouldTerminate(r.RequestURI) {
+		_ = u.Close() // an error does not matter, because the upstream terminates
 		panic(http.ErrAbortHandler)
 	}
 	if !sleep(r, latency) {
--- a/internal/selector/standin/upstream_test.go
+++ b/internal/selector/standin/upstream_test.go
@@ -12,24 +12,25 @@
 	"cairndock/internal/selector/call"
 )
 
-// TestFaultsAndLedger: what an upstream records as run is what it ran, whatever
-// the client gets to see of it.
+// TestFaultsAndLedger guards against a ledger that does not match the requests that
+// ran. The ledger must be right even if the client gets no response or only a part
+// of it.
 func TestFaultsAndLedger(t *testing.T) {
-	const reset = 0 // in place of a status: no response
+	const reset = 0 // used instead of a status: no response
 	cases := []struct {
 		name     string
 		faults   Faults
 		deadline time.Duration
 		status   int
-		whole    bool
+		complete bool
 		runs     int
 	}{
-		{name: "no fault", deadline: time.Minute, status: http.StatusOK, whole: true, runs: 1},
-		{name: "refused", faults: Faults{Shed: true}, deadline: time.Minute, status: http.StatusServiceUnavailable, whole: true},
-		{name: "deadline passed before it arrived", deadline: -time.Minute, status: http.StatusServiceUnavailable, whole: true},
+		{name: "no fault", deadline: time.Minute, status: http.StatusOK, complete: true, runs: 1},
+		{name: "refused", faults: Faults{Shed: true}, deadline: time.Minute, status: http.StatusServiceUnavailable, complete: true},
+		{name: "deadline passed before it arrived", deadline: -time.Minute, status: http.StatusServiceUnavailable, complete: true},
 		{name: "connection closed before it ran", faults: Faults{DropBefore: true}, deadline: time.Minute, status: reset},
 		{name: "connection closed after it ran", faults: Faults{DropAfter: true}, deadline: time.Minute, status: reset, runs: 1},
-		{name: "response broken off", faults: Faults{Truncate: true}, deadline: time.Minute, status: http.StatusOK, runs: 1},
+		{name: "response truncated", faults: Faults{Truncate: true}, deadline: time.Minute, status: http.StatusOK, runs: 1},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -53,7 +54,7 @@
 			defer resp.Body.Close()
 			require.Equal(t, tc.status, resp.StatusCode)
 			_, err = io.ReadAll(resp.Body)
-			require.Equal(t, tc.whole, err == nil)
+			require.Equal(t, tc.complete, err == nil)
 		})
 	}
 }
