--- a/internal/selector/entry/clustertest/poison_test.go
+++ b/internal/selector/entry/clustertest/poison_test.go
@@ -35,7 +35,7 @@
 func (p *poisonRecord) infect(c *Cluster, name string) {
 	u := c.Upstreams[name]
 	var once sync.Once
-	u.EndBy(func(target string) bool {
+	u.TerminateOn(func(target string) bool {
 		if target != poisonTarget {
 			return false
 		}
--- a/internal/selector/standin/upstream.go
+++ b/internal/selector/standin/upstream.go
@@ -101,9 +101,9 @@
 	u.faults = f
 }
 
-// EndBy sets a function that reports, for the target of each request, whether
+// TerminateOn sets a function that reports, for the target of each request, whether
 // running the request terminates the upstream.
-func (u *Upstream) EndBy(f func(target string) bool) {
+func (u *Upstream) TerminateOn(f func(target string) bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.terminatesOn = f
