--- a/cmd/losses.go
+++ b/cmd/losses.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// defaultRTT is the round-trip time between client and host. Clients are about
-	// 8 ms away.
+	// defaultRTT is the round-trip time between client and host in deployments
+	// whose clients are about 8 ms away.
 	defaultRTT = 20 * time.Millisecond
 	// defaultLateFraction is the fraction of its weight that a late response keeps.
 	// defaultWeights are the weights of requests by priority. Both are the values
-	// that the known users give.
+	// that the known users assign to such requests.
 	defaultLateFraction = 0.2
 	defaultWeights      = "3,2,1"
 )
--- a/internal/selector/caller/request.go
+++ b/internal/selector/caller/request.go
@@ -43,9 +43,9 @@
 		return nil, err
 	}
 	deadline := start.Add(timeout)
-	text := r.Header.Get(call.HeaderTicket)
-	if text != "" {
-		if _, err := ticket.Parse(text); err != nil {
+	ticketText := r.Header.Get(call.HeaderTicket)
+	if ticketText != "" {
+		if _, err := ticket.Parse(ticketText); err != nil {
 			return nil, verdict.New(verdict.NotRun, verdict.BadTicket, "%s: %v", call.HeaderTicket, err)
 		}
 	}
@@ -55,7 +55,7 @@
 	}
 	return &call.Request{
 		Service: name, Method: r.Method, Target: upstreamTarget(r, name), Header: forwardedHeader(r.Header),
-		Body: body, Deadline: deadline, Ticket: text,
+		Body: body, Deadline: deadline, Ticket: ticketText,
 	}, nil
 }
 
--- a/internal/selector/standin/table.go
+++ b/internal/selector/standin/table.go
@@ -132,7 +132,7 @@
 	if start, ok := in.ExclusiveStartKey[attrSort]; ok {
 		after = start
 	}
-	rows, err := p.Memory.List(r.Context(), text(in.ExpressionAttributeValues[":p"].S), text(after.S), in.Limit)
+	rows, err := p.Memory.List(r.Context(), valueOf(in.ExpressionAttributeValues[":p"].S), valueOf(after.S), in.Limit)
 	if err != nil {
 		return nil, err
 	}
@@ -169,19 +169,19 @@
 	}
 	var writes []store.Write
 	for _, t := range in.TransactItems {
-		raw, err := base64.StdEncoding.DecodeString(text(t.Put.Item[attrBody].B))
+		raw, err := base64.StdEncoding.DecodeString(valueOf(t.Put.Item[attrBody].B))
 		if err != nil {
 			return nil, err
 		}
 		// Without a version, the condition is that the row does not exist.
-		version, _ := strconv.ParseInt(text(t.Put.ExpressionAttributeValues[":v"].N), 10, 64)
+		version, _ := strconv.ParseInt(valueOf(t.Put.ExpressionAttributeValues[":v"].N), 10, 64)
 		writes = append(writes, store.Write{Key: keyOf(t.Put.Item), IfVersion: version, Body: raw})
 	}
 	return struct{}{}, p.Memory.Transact(r.Context(), writes)
 }
 
-// text returns the value of an attribute, or "" if it has none.
-func text(s *string) string {
+// valueOf returns the value of an attribute, or "" if it has none.
+func valueOf(s *string) string {
 	if s == nil {
 		return ""
 	}
@@ -190,7 +190,7 @@
 
 // keyOf returns the key of an item.
 func keyOf(i item) store.Key {
-	return store.Key{Partition: text(i[attrPartition].S), Sort: text(i[attrSort].S)}
+	return store.Key{Partition: valueOf(i[attrPartition].S), Sort: valueOf(i[attrSort].S)}
 }
 
 // itemOf returns a row as an item.
