--- a/internal/selector/steer/budget.go
+++ b/internal/selector/steer/budget.go
@@ -1,23 +1,23 @@
 package steer
 
-// maxRetryCredit bounds the retries that idle time saves up.
+// maxRetryCredit is the maximum number of retries that may accumulate unused.
 const maxRetryCredit = 10
 
-// Budget bounds a service's retries and hedges at one host, as a share of the
-// requests that arrive there (the service's retry_share). It is not
-// gateway/retry's: that one keeps to the platform's limit, which all hosts
-// share in a window of time; this limit is our own, so that each host counts
-// for itself, without a clock.
+// Budget limits a service's retries and hedges at one host to a share of the
+// requests that arrive at the host (the service's retry_share). Package
+// gateway/retry serves another purpose: it enforces the platform's limit, which
+// all hosts share within a time window. The limit here is set by cairndock
+// itself, so each host enforces its own budget without a clock.
 type Budget struct {
 	share float64
-	// credit is how many retries are allowed now.
+	// credit is the number of retries that are currently allowed.
 	credit float64
 }
 
-// arrive counts a request that arrived.
+// arrive records an arriving request.
 func (b *Budget) arrive() { b.credit = min(maxRetryCredit, b.credit+b.share) }
 
-// Take counts a retry, or reports that the budget has none left.
+// Take consumes one retry. It returns false when the budget is exhausted.
 func (b *Budget) Take() bool {
 	if b.credit < 1 {
 		return false
--- a/internal/selector/steer/plan.go
+++ b/internal/selector/steer/plan.go
@@ -3,28 +3,29 @@
 import "math"
 
 const (
-	// nearest is how many of the zones not tried yet one decision weighs. With
-	// 24 upstreams and 80 zones a decision took 1.83 us when it weighed all, and
-	// 0.40 us with 8 (docs/design/request.md).
-	nearest = 8
-	// maxSites bounds the zones of one rule, one bit each in a Plan. The planned
-	// size is 80 zones (docs/CAPACITY.md); further ones get no request.
+	// maxCandidates is the maximum number of untried zones that one decision
+	// compares. With 24 upstreams and 80 zones, a decision took 1.83 us when all
+	// zones were compared and 0.40 us with 8 (docs/design/request.md).
+	maxCandidates = 8
+	// maxSites is the maximum number of zones per rule. Each zone has one bit in
+	// a Plan. The planned size is 80 zones (docs/CAPACITY.md). Zones above the
+	// maximum receive no requests.
 	maxSites = 128
-	// planRules is how many rules a Plan orders without allocating.
+	// planRules is the number of rules that a Plan holds without allocating.
 	planRules = 8
 )
 
-// Plan is which rules and zones one request has tried. Begin sets it up.
+// Plan records which rules and zones one request has tried. Begin initializes it.
 type Plan struct {
-	// rules are the meter's places of the rules, in the order to try them. They
-	// are stored in buffer, if it has room.
+	// rules holds the meter's rule indexes in the order in which to try them. It
+	// uses buffer as its storage if buffer is large enough.
 	rules  []int32
 	buffer [planRules]int32
-	// rule is the index in rules of the one tried now.
+	// rule is the index in rules of the current rule.
 	rule int
-	// tried has a bit for each zone of that rule.
+	// tried has one bit for each zone of the current rule.
 	tried [maxSites / 64]uint64
-	// Capped says that a rule was passed over because it has reached its cap.
+	// Capped is true if a rule was skipped because it has reached its cap.
 	Capped bool
 }
 
@@ -32,16 +33,16 @@
 type Choice struct {
 	Rule string
 	Zone string
-	// Local says that it is the host's own zone.
+	// Local is true for the host's own zone.
 	Local bool
-	// Full says that the zone has no free slot, as far as this host knows.
+	// Full is true if the zone has no free slot according to this host's data.
 	Full bool
 }
 
-// hasTried reports whether the zone of a site was chosen under the rule tried now.
+// hasTried reports whether the zone of a site was already chosen under the current rule.
 func (p *Plan) hasTried(site uint) bool { return p.tried[site/64]&(1<<(site%64)) != 0 }
 
-// Begin counts a request that arrived, and sets its plan up.
+// Begin records an arriving request and initializes its plan.
 func (d *Decider) Begin(p *Plan) {
 	p.rules = d.meter.Arrive(p.buffer[:0])
 	clear(p.tried[:])
@@ -50,9 +51,11 @@
 	d.retries.arrive()
 }
 
-// Next gives the best zone not tried yet, of the rule furthest behind its
-// share. Asking again passes to the next zone, and then to the next rule. A rule
-// whose cap has no room is passed over, as is one that has left the meter.
+// Next returns the best untried zone of the rule that is furthest behind its
+// share. Each further call returns the next zone and, after the last zone of a
+// rule, continues with the next rule. Rules that have reached their cap or that
+// have been removed from the meter are skipped. Next returns false when no zone
+// is left.
 func (d *Decider) Next(p *Plan, now int64) (Choice, bool) {
 	for p.rule < len(p.rules) {
 		i := p.rules[p.rule]
@@ -67,22 +70,22 @@
 	return Choice{}, false
 }
 
-// bestSite gives the zone of a rule with the least expected time, of the nearest
-// that can be reached and were not tried.
+// bestSite returns the zone of a rule with the lowest expected time. It compares
+// the nearest maxCandidates zones that are reachable and untried.
 func (d *Decider) bestSite(p *Plan, rule int32, now int64) (Choice, bool) {
 	r := &d.rules[rule]
 	best := -1
 	bestScore := math.MaxFloat64
-	looked := 0
+	considered := 0
 	for i := range r.sites {
-		if looked == nearest {
+		if considered == maxCandidates {
 			break
 		}
 		s := &r.sites[i]
 		if p.hasTried(s.id) || s.slots == 0 || !s.state.reachable {
 			continue
 		}
-		looked++
+		considered++
 		if score := d.score(s, now); score < bestScore {
 			best, bestScore = i, score
 		}
@@ -92,14 +95,15 @@
 	}
 	s := &r.sites[best]
 	p.tried[s.id/64] |= 1 << (s.id % 64)
-	return Choice{Rule: r.name, Zone: s.zone, Local: s.local, Full: d.use(s, now) >= 1}, true
+	return Choice{Rule: r.name, Zone: s.zone, Local: s.local, Full: d.utilization(s, now) >= 1}, true
 }
 
-// Commit counts a request as sent to the choice's rule. It reports false
-// when the rule's cap has no room, or the rule is gone; nothing may then be sent.
+// Commit records that a request is sent to the choice's rule. It returns false
+// if the rule has reached its cap or has been removed. In that case the request
+// must not be sent.
 func (d *Decider) Commit(p *Plan, c Choice) bool {
-	// The rules may have changed since the choice was made, so look the rule up
-	// by its name.
+	// The rules may have changed since the choice was made, so the rule is looked
+	// up by name.
 	if !d.meter.Take(d.meter.Index(c.Rule)) {
 		p.Capped = true
 		return false
@@ -110,7 +114,7 @@
 	return true
 }
 
-// Ended notes that a committed request to a zone is over.
+// Ended records the end of a committed request to a zone.
 func (d *Decider) Ended(zone string) {
 	if z := d.zones[zone]; z != nil {
 		z.outstanding--
--- a/internal/selector/steer/plan_test.go
+++ b/internal/selector/steer/plan_test.go
@@ -10,7 +10,7 @@
 	"cairndock/internal/selector/shift"
 )
 
-// status gives what a decider knows of a zone.
+// status returns a decider's status of one zone.
 func status(d *Decider, zone string, now int64) SiteStatus {
 	for _, s := range d.Status(now) {
 		if s.Zone == zone {
@@ -20,8 +20,8 @@
 	return SiteStatus{}
 }
 
-// TestOwnRequestsCountUntilTheyEnd: a zone's use is its last report and this
-// host's requests since, until they end.
+// TestOwnRequestsCountUntilTheyEnd checks that a zone's utilization is computed from
+// its last report plus this host's own requests since then, until they end.
 func TestOwnRequestsCountUntilTheyEnd(t *testing.T) {
 	now := int64(time.Hour)
 	d := newDecider(config.PreferLatency, 2)
@@ -35,18 +35,18 @@
 	require.InDelta(t, 0.25, use(), 1e-9)
 	send()
 	send()
-	require.InDelta(t, 0.5, use(), 1e-9, "both are not in the report")
+	require.InDelta(t, 0.5, use(), 1e-9, "neither request is in the report")
 	d.Ended("z001")
 	require.InDelta(t, 0.375, use(), 1e-9)
 
 	d.SetZone("z001", Report{Free: 5, Warm: 8, At: now + 1}, 0, true)
-	require.InDelta(t, 0.375, use(), 1e-9, "the one that is left is in the newer report")
+	require.InDelta(t, 0.375, use(), 1e-9, "the remaining request is included in the newer report")
 	send()
 	d.Ended("z001")
 	d.Ended("z001")
 	require.InDelta(t, 0.375, use(), 1e-9)
 	send()
-	require.InDelta(t, 0.5, use(), 1e-9, "those in the report have ended, this one is not in it")
+	require.InDelta(t, 0.5, use(), 1e-9, "all requests in the report have ended, and the new request is not in it")
 	d.Ended("z001")
 	d.SetZone("z001", Report{Free: 8, Warm: 8, At: now - 1}, 0, true)
 	require.InDelta(t, 0.375, use(), 1e-9, "an older report is dropped")
@@ -57,14 +57,14 @@
 	d := newDecider(config.PreferLatency, 2)
 	d.SetZone("z001", Report{Free: 8, Warm: 8, At: now}, 0, true)
 	d.Refused("z001", now)
-	require.InDelta(t, 1, status(d, "z001", now+int64(refusedPause)-1).Use, 0)
-	require.Less(t, status(d, "z001", now+int64(refusedPause)).Use, 1.0)
+	require.InDelta(t, 1, status(d, "z001", now+int64(refusalTTL)-1).Use, 0)
+	require.Less(t, status(d, "z001", now+int64(refusalTTL)).Use, 1.0)
 	d.Refused("unknown", now)
 	d.SetZone("unknown", Report{}, 0, true)
 	d.Ended("unknown")
 }
 
-// TestRoundTrips: until a round trip is measured it is taken from the region.
+// TestRoundTrips checks that a round trip time is assumed by region until it is measured.
 func TestRoundTrips(t *testing.T) {
 	d := New(shift.NewMeter(func() float64 { return 0 }, time.Now()))
 	svc := &config.ServiceView{Service: config.Service{Name: "s"}}
@@ -78,7 +78,7 @@
 		}
 		return zones
 	}
-	require.Equal(t, []string{"home", "near", "far"}, order(), "the nearest first")
+	require.Equal(t, []string{"home", "near", "far"}, order(), "sorted by round trip time")
 	require.InDelta(t, 0, status(d, "home", 0).RTTMillis, 0)
 	require.InDelta(t, 2, status(d, "near", 0).RTTMillis, 1e-9)
 	require.InDelta(t, 50, status(d, "far", 0).RTTMillis, 1e-9)
@@ -89,9 +89,9 @@
 	require.Equal(t, []string{"home", "far", "near"}, order())
 }
 
-// TestARuleAtItsCapIsPassedOver: the next rule serves the request, and the plan
-// says why the first did not.
-func TestARuleAtItsCapIsPassedOver(t *testing.T) {
+// TestARuleAtItsCapIsSkipped checks that the next rule serves the request and that
+// Plan.Capped records why the first rule was skipped.
+func TestARuleAtItsCapIsSkipped(t *testing.T) {
 	now := time.Now()
 	d := New(shift.NewMeter(func() float64 { return 0 }, now))
 	capped, open := 0.5, 1.0
@@ -116,11 +116,11 @@
 
 	var p Plan
 	d.Begin(&p)
-	require.False(t, d.Commit(&p, Choice{Rule: "capped", Zone: "home"}), "nor is it sent to, whatever was chosen")
+	require.False(t, d.Commit(&p, Choice{Rule: "capped", Zone: "home"}), "a rule at its cap must not be committed, even if it was chosen")
 	require.True(t, p.Capped)
 }
 
-func TestZonesBeyondAPlansBitsGetNoRequest(t *testing.T) {
+func TestZonesAboveTheMaximumGetNoRequest(t *testing.T) {
 	d := newDecider(config.PreferLatency, maxSites+10)
 	require.Len(t, d.Status(0), maxSites)
 }
--- a/internal/selector/steer/score.go
+++ b/internal/selector/steer/score.go
@@ -7,62 +7,64 @@
 )
 
 const (
-	// reportAge is the age at which another zone's report of its slots counts
-	// for nothing.
-	reportAge = 3 * time.Second
-	// refusedPause is how long a zone that refused a request for want of a free
-	// slot counts as full.
-	refusedPause = 200 * time.Millisecond
-	// neutralUse stands for the use of a zone of which nothing fresh is known:
-	// half, so that a report that is late or missing neither draws requests
-	// nor drives them off.
-	neutralUse = 0.5
-	// fullPenalty is what a full zone costs, as a multiple of the service's
-	// latency: the wait in its queue.
-	fullPenalty = 4
-	// headroomDistance is what a round trip is divided by where the service
-	// prefers headroom to latency.
-	headroomDistance = 4
-	// headroomCrowding is what crowding is multiplied by there.
-	headroomCrowding = 4
-	// frozenPenalty, in seconds, is what other zones cost while the
-	// configuration may be out of date: as much as a far zone, so that the own
-	// zone goes first.
-	frozenPenalty = float64(otherRegionRTT) / float64(time.Second)
+	// reportTTL is the age at which another zone's report of its slots is no
+	// longer used.
+	reportTTL = 3 * time.Second
+	// refusalTTL is how long a zone is treated as full after it refused a request
+	// because it had no free slot.
+	refusalTTL = 200 * time.Millisecond
+	// neutralUtilization is assumed for a zone without a recent report. It is one
+	// half, so that a late or missing report neither attracts nor repels requests.
+	neutralUtilization = 0.5
+	// queueLatencyFactor estimates the time in the queue of a full zone as a
+	// multiple of the service's latency.
+	queueLatencyFactor = 4
+	// headroomRTTDivisor reduces the round trip time for services that prefer
+	// headroom to latency.
+	headroomRTTDivisor = 4
+	// headroomLoadFactor increases the cost of utilization for services that
+	// prefer headroom to latency.
+	headroomLoadFactor = 4
+	// frozenPenaltySeconds is added to the expected time of other zones while the
+	// configuration may be out of date. It equals the round trip to another
+	// region, so that the host's own zone is preferred.
+	frozenPenaltySeconds = float64(otherRegionRTT) / float64(time.Second)
 )
 
-// expectedTime ranks a zone for a request, in seconds; lower is better. rtt is
-// the round trip to the zone and latency the service's latency at an upstream,
-// both in seconds; use is the part of the zone's slots that is taken, 1 and
-// above when it is full. Crowding grows slowly at first, so that a zone is left
-// only when it is nearly full; a service that prefers headroom leaves it
-// earlier.
-func expectedTime(prefer config.Prefer, rtt, use, latency float64) float64 {
-	distance, crowding := rtt, use*use*use*latency
+// expectedTime returns the score of a zone for a request, in seconds; lower is
+// better. rtt is the round trip time to the zone and latency is the service's
+// latency at an upstream, both in seconds. utilization is the fraction of the
+// zone's slots that is in use, 1 or more if the zone is full. The load term grows
+// slowly at first, so that requests move to another zone only when the zone is
+// nearly full. With a preference for headroom they move earlier.
+func expectedTime(prefer config.Prefer, rtt, utilization, latency float64) float64 {
+	distance, load := rtt, utilization*utilization*utilization*latency
 	if prefer == config.PreferHeadroom {
-		distance /= headroomDistance
-		crowding = use * use * headroomCrowding * latency
+		distance /= headroomRTTDivisor
+		load = utilization * utilization * headroomLoadFactor * latency
 	}
-	expected := distance + crowding
-	if use >= 1 {
-		expected += fullPenalty * latency
+	expected := distance + load
+	if utilization >= 1 {
+		expected += queueLatencyFactor * latency
 	}
 	return expected
 }
 
-// reportedUse is the part of a zone's slots that is taken by its last report,
-// of an age. since is how many of this host's requests began there after it.
-// The report counts less as it ages.
-func reportedUse(r Report, since int, age time.Duration) float64 {
-	fresh := 1 - float64(age)/float64(reportAge)
+// reportedUtilization returns the fraction of a zone's slots that is in use
+// according to its last report, which has the given age. since is the number of
+// this host's requests to the zone that began after the report. The weight of
+// the report decreases with its age.
+func reportedUtilization(r Report, since int, age time.Duration) float64 {
+	fresh := 1 - float64(age)/float64(reportTTL)
 	if r.At == 0 || fresh <= 0 {
-		return neutralUse
+		return neutralUtilization
 	}
-	known := ratio(r.Warm-r.Free+since, r.Warm)
-	return neutralUse + (known-neutralUse)*fresh
+	reported := ratio(r.Warm-r.Free+since, r.Warm)
+	return neutralUtilization + (reported-neutralUtilization)*fresh
 }
 
-// ratio is the part of the held slots that is taken; without slots it is full.
+// ratio returns the fraction of the held slots that is in use. Without held slots
+// it returns 1 (full).
 func ratio(taken, held int) float64 {
 	if held <= 0 {
 		return 1
--- a/internal/selector/steer/score_test.go
+++ b/internal/selector/steer/score_test.go
@@ -17,11 +17,11 @@
 		use    float64
 		want   float64
 	}{
-		{"an idle zone costs its round trip", config.PreferLatency, 0, rtt},
-		{"crowding grows with the cube of the use", config.PreferLatency, 0.5, rtt + latency/8},
-		{"a full zone costs its queue too", config.PreferLatency, 1, rtt + latency + 4*latency},
-		{"headroom: a round trip counts for a quarter", config.PreferHeadroom, 0, rtt / 4},
-		{"headroom: crowding counts earlier", config.PreferHeadroom, 0.5, rtt/4 + latency},
+		{"an idle zone costs its round trip time", config.PreferLatency, 0, rtt},
+		{"the load term grows with the cube of the utilization", config.PreferLatency, 0.5, rtt + latency/8},
+		{"a full zone also costs the time in its queue", config.PreferLatency, 1, rtt + latency + 4*latency},
+		{"headroom: a quarter of the round trip time is used", config.PreferHeadroom, 0, rtt / 4},
+		{"headroom: the load term grows earlier", config.PreferHeadroom, 0.5, rtt/4 + latency},
 		{"headroom: a full zone", config.PreferHeadroom, 1, rtt/4 + 4*latency + 4*latency},
 	}
 	for _, tc := range cases {
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestReportedUse(t *testing.T) {
+func TestReportedUtilization(t *testing.T) {
 	cases := []struct {
 		name   string
 		report Report
@@ -39,17 +39,17 @@
 		age    time.Duration
 		want   float64
 	}{
-		{"no report is neutral", Report{}, 0, 0, 0.5},
-		{"a fresh report counts whole", Report{Free: 6, Warm: 8, At: 1}, 0, 0, 0.25},
-		{"own requests since are added", Report{Free: 6, Warm: 8, At: 1}, 4, 0, 0.75},
+		{"without a report the utilization is neutral", Report{}, 0, 0, 0.5},
+		{"a fresh report has full weight", Report{Free: 6, Warm: 8, At: 1}, 0, 0, 0.25},
+		{"own requests since the report are added", Report{Free: 6, Warm: 8, At: 1}, 4, 0, 0.75},
 		{"a zone without slots is full", Report{At: 1}, 0, 0, 1},
-		{"a report fades to neutral", Report{Free: 0, Warm: 8, At: 1}, 0, 1500 * time.Millisecond, 0.75},
+		{"an aging report approaches neutral", Report{Free: 0, Warm: 8, At: 1}, 0, 1500 * time.Millisecond, 0.75},
 		{"a report of 3 s ago is neutral", Report{Free: 0, Warm: 8, At: 1}, 0, 3 * time.Second, 0.5},
-		{"an older one too", Report{Free: 0, Warm: 8, At: 1}, 0, time.Hour, 0.5},
+		{"an older report is neutral too", Report{Free: 0, Warm: 8, At: 1}, 0, time.Hour, 0.5},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			require.InDelta(t, tc.want, reportedUse(tc.report, tc.since, tc.age), 1e-12)
+			require.InDelta(t, tc.want, reportedUtilization(tc.report, tc.since, tc.age), 1e-12)
 		})
 	}
 }
--- a/internal/selector/steer/steer.go
+++ b/internal/selector/steer/steer.go
@@ -1,13 +1,13 @@
 // Package steer decides which zone each request of a service goes to. Decider
-// holds, for one service on one host, what the host knows of each zone: its
-// round trip, what it last reported of its slots, and how many of the host's
-// own requests are outstanding there. Package shift orders the rules by their
-// shares and keeps their caps; within a rule the zone with the least expected
-// time goes first (score.go). Budget bounds retries and hedges.
+// holds the state of each zone for one service on one host: the round trip time
+// to the zone, its last report of its slots, and the number of the host's own
+// requests outstanding there. Package shift orders the rules by their shares and
+// enforces their caps. Within a rule, the zone with the lowest expected time is
+// tried first (score.go). Budget limits retries and hedges.
 //
-// Slots of the own zone are taken in package slot. Package entry/services passes
-// in what heartbeats and responses report of other zones; package entry/dispatch
-// asks for the decisions.
+// Slots of the host's own zone are taken in package slot. Package entry/services
+// passes in the reports of other zones from heartbeats and responses. Package
+// entry/dispatch requests the decisions.
 package steer
 
 import (
@@ -20,68 +20,69 @@
 )
 
 const (
-	// defaultLatency stands for a service's latency until one is known: what
-	// quickstart's upstreams take.
+	// defaultLatency is assumed for a service until its latency is known. It is
+	// the latency of quickstart's upstreams.
 	defaultLatency = 5 * time.Millisecond
-	// sameRegionRTT stands for the round trip to a zone of the same region until
-	// one is measured.
+	// sameRegionRTT is the round trip time assumed for zones of the same region
+	// until it is measured.
 	sameRegionRTT = 2 * time.Millisecond
-	// otherRegionRTT stands for the round trip to other regions until one is
-	// measured.
+	// otherRegionRTT is the round trip time assumed for zones of other regions
+	// until it is measured.
 	otherRegionRTT = 50 * time.Millisecond
 )
 
-// Report is what a zone last said of its slots for one service.
+// Report is a zone's last report of its slots for one service.
 type Report struct {
-	// Free is how many slots could be taken then, of Warm: those that the
-	// upstreams' concurrency limits allowed (slot.Load.Warm).
+	// Warm is the number of slots that the upstreams' concurrency limits allowed
+	// (slot.Load.Warm). Free is the number of them that were not in use.
 	Free int
 	Warm int
-	// At is when the report was asked for, in monotonic nanoseconds.
+	// At is when the report was requested, in monotonic nanoseconds.
 	At int64
 }
 
-// zoneState is what this host knows of a zone.
+// zoneState is this host's state of a zone.
 type zoneState struct {
 	rtt float64 // seconds
-	// outstanding counts this host's own requests there, and inReport how many
-	// of them the report may have counted.
+	// outstanding is the number of this host's own requests outstanding at the
+	// zone. inReport is the number of them that the report may include.
 	outstanding int
 	inReport    int
 	report      Report
 	// refusedAt is when the zone last had no free slot for a request, in
-	// monotonic nanoseconds; zero is never.
+	// monotonic nanoseconds; zero means never.
 	refusedAt int64
 	reachable bool
 }
 
 // siteState is one zone's upstreams under one rule.
 type siteState struct {
-	// id is the site's bit in a Plan, whatever its place in the order.
+	// id is the site's bit in a Plan. It is independent of the sort order.
 	id    uint
 	zone  string
 	state *zoneState
-	// local says that it is the host's own zone.
+	// local is true for the host's own zone.
 	local bool
-	// slots is how many its upstreams have by the configuration.
+	// slots is the number of slots of the zone's upstreams in the configuration.
 	slots int
 }
 
-// ruleState holds a rule's sites, the nearest first.
+// ruleState holds a rule's sites, sorted by round trip time.
 type ruleState struct {
 	name  string
 	sites []siteState
 }
 
-// Decider decides for one service on one host. It has no lock; now is in
-// nanoseconds of a monotonic clock.
+// Decider selects zones for the requests of one service on one host. It is not
+// safe for concurrent use. All now parameters are nanoseconds of one monotonic
+// clock.
 type Decider struct {
 	meter  *shift.Meter
 	prefer config.Prefer
 	rules  []ruleState
 	zones  map[string]*zoneState
-	// localHeld and localOutstanding are the slots that the host itself holds,
-	// and its requests outstanding on them.
+	// localHeld is the number of slots that the host itself holds, and
+	// localOutstanding is the number of its requests outstanding on them.
 	localHeld        int
 	localOutstanding int
 	latency          float64 // of the service, in seconds
@@ -89,19 +90,19 @@
 	retries          Budget
 }
 
-// New makes a decider on a meter.
+// New returns a decider that uses the given meter.
 func New(meter *shift.Meter) *Decider {
 	return &Decider{meter: meter, zones: map[string]*zoneState{}, latency: defaultLatency.Seconds()}
 }
 
-// Meter is the meter of shares and caps.
+// Meter returns the meter of shares and caps.
 func (d *Decider) Meter() *shift.Meter { return d.meter }
 
-// Retries is the budget of retries and hedges.
+// Retries returns the budget of retries and hedges.
 func (d *Decider) Retries() *Budget { return &d.retries }
 
-// Configure sets the service's rules, for a host of a zone and region. What is
-// known of the zones stays.
+// Configure sets the service's rules for a host in the given zone and region. The
+// state of the zones is kept.
 func (d *Decider) Configure(svc *config.ServiceView, zone, region string, now time.Time) {
 	d.prefer = svc.Prefer
 	d.retries.share = svc.RetryBudget()
@@ -128,7 +129,8 @@
 	return rs
 }
 
-// zone gives the state of a site's zone, with assumed round trips for a new one.
+// zone returns the state of a site's zone. A new zone starts with an assumed
+// round trip time.
 func (d *Decider) zone(s config.Site, zone, region string) *zoneState {
 	if z := d.zones[s.Zone]; z != nil {
 		return z
@@ -145,8 +147,9 @@
 	return z
 }
 
-// SetLocal sets the slots that the host itself holds, its requests outstanding
-// on them and the service's latency there; a latency of zero is not known.
+// SetLocal sets the number of slots that the host itself holds, the number of its
+// requests outstanding on them and the service's latency on them. A latency of zero
+// means unknown.
 func (d *Decider) SetLocal(held, outstanding int, latency time.Duration) {
 	d.localHeld, d.localOutstanding = held, outstanding
 	if latency > 0 {
@@ -154,12 +157,13 @@
 	}
 }
 
-// SetFrozen says whether the configuration may be out of date: the own zone then
-// goes first.
+// SetFrozen sets whether the configuration may be out of date. If so, the host's
+// own zone is preferred.
 func (d *Decider) SetFrozen(frozen bool) { d.frozen = frozen }
 
-// SetZone sets a zone's report, unless a newer one is known, its round trip,
-// unless it is zero, and whether any of its hosts can be reached.
+// SetZone updates the state of a zone: its report, unless a newer report is known;
+// its round trip time, unless rtt is zero; and whether any of its hosts is
+// reachable.
 func (d *Decider) SetZone(zone string, r Report, rtt time.Duration, reachable bool) {
 	z := d.zones[zone]
 	if z == nil {
@@ -175,15 +179,15 @@
 	}
 }
 
-// Rank puts each rule's sites in the order of their distance, so that a
-// decision looks at the nearest few only.
+// Rank sorts each rule's sites by round trip time, so that a decision compares
+// only the nearest sites.
 func (d *Decider) Rank() {
 	for _, r := range d.rules {
 		slices.SortStableFunc(r.sites, func(a, b siteState) int { return cmp.Compare(a.state.rtt, b.state.rtt) })
 	}
 }
 
-// Refused notes that a zone had no free slot for a request.
+// Refused records that a zone had no free slot for a request.
 func (d *Decider) Refused(zone string, now int64) {
 	if z := d.zones[zone]; z != nil {
 		z.refusedAt = now
@@ -191,23 +195,24 @@
 	}
 }
 
-// score is the expected time at a zone, in seconds.
+// score returns the expected time of a request at a zone, in seconds.
 func (d *Decider) score(s *siteState, now int64) float64 {
-	expected := expectedTime(d.prefer, s.state.rtt, d.use(s, now), d.latency)
+	expected := expectedTime(d.prefer, s.state.rtt, d.utilization(s, now), d.latency)
 	if !s.local && d.frozen {
-		expected += frozenPenalty
+		expected += frozenPenaltySeconds
 	}
 	return expected
 }
 
-// use is the part of a zone's slots that is taken, as far as this host knows.
-func (d *Decider) use(s *siteState, now int64) float64 {
+// utilization returns the fraction of a zone's slots that is in use according to
+// this host's data.
+func (d *Decider) utilization(s *siteState, now int64) float64 {
 	if s.local {
 		return ratio(d.localOutstanding, d.localHeld)
 	}
 	z := s.state
-	if now-z.refusedAt < int64(refusedPause) && z.refusedAt != 0 {
+	if now-z.refusedAt < int64(refusalTTL) && z.refusedAt != 0 {
 		return 1
 	}
-	return reportedUse(z.report, max(0, z.outstanding-z.inReport), time.Duration(now-z.report.At))
+	return reportedUtilization(z.report, max(0, z.outstanding-z.inReport), time.Duration(now-z.report.At))
 }
--- a/internal/selector/steer/steer_test.go
+++ b/internal/selector/steer/steer_test.go
@@ -12,7 +12,8 @@
 	"cairndock/internal/selector/slot"
 )
 
-// newDecider makes a decider with one rule over some zones, the first local.
+// newDecider returns a decider with one rule over a number of zones. The first
+// zone is local.
 func newDecider(prefer config.Prefer, zones int) *Decider {
 	now := time.Now()
 	d := New(shift.NewMeter(func() float64 { return 0 }, now))
@@ -53,25 +54,25 @@
 		prepare func(d *Decider)
 		want    string
 	}{
-		{"idle: the own zone", func(d *Decider) { d.SetLocal(24, 0, 0) }, "z000"},
-		{"own zone full: the near one", func(d *Decider) { d.SetLocal(24, 24, 0) }, "z001"},
-		{"near one reported full too: still the near queue before a far trip", func(d *Decider) {
+		{"idle: own zone", func(d *Decider) { d.SetLocal(24, 0, 0) }, "z000"},
+		{"own zone full: near zone", func(d *Decider) { d.SetLocal(24, 24, 0) }, "z001"},
+		{"own and near zone full: the own zone's queue rather than a far zone", func(d *Decider) {
 			d.SetLocal(24, 24, 0)
 			d.SetZone("z001", Report{Free: 0, Warm: 24, At: now}, 0, true)
 		}, "z000"},
-		{"own zone full, near one cut off, slow upstreams: a far one", func(d *Decider) {
+		{"own zone full, near zone unreachable, slow upstreams: far zone", func(d *Decider) {
 			d.SetLocal(24, 24, 50*time.Millisecond)
 			d.SetZone("z001", Report{}, 0, false)
 		}, "z002"},
-		{"frozen: the own zone even when full", func(d *Decider) {
+		{"frozen: own zone even if full", func(d *Decider) {
 			d.SetLocal(24, 24, 0)
 			d.SetFrozen(true)
 		}, "z000"},
-		{"an old report of a full zone fades", func(d *Decider) {
+		{"an old report of a full zone has no weight", func(d *Decider) {
 			d.SetLocal(24, 24, 0)
 			d.SetZone("z001", Report{Free: 0, Warm: 24, At: now - int64(time.Minute)}, 0, true)
 		}, "z001"},
-		{"a refusal counts for a while", func(d *Decider) {
+		{"a zone that just refused is treated as full", func(d *Decider) {
 			d.SetLocal(24, 20, 0)
 			d.Refused("z001", now)
 		}, "z000"},
@@ -85,10 +86,10 @@
 	}
 }
 
-// TestHeadroomLeavesEarlier: a service that prefers headroom leaves a
-// crowded zone before one that prefers latency does.
-func TestHeadroomLeavesEarlier(t *testing.T) {
-	leaves := func(prefer config.Prefer) int {
+// TestHeadroomMovesToAnotherZoneEarlier checks that a service that prefers headroom
+// moves requests away from a loaded zone earlier than a service that prefers latency.
+func TestHeadroomMovesToAnotherZoneEarlier(t *testing.T) {
+	movesAt := func(prefer config.Prefer) int {
 		for out := range 25 {
 			d := newDecider(prefer, 2)
 			d.SetLocal(24, out, 5*time.Millisecond)
@@ -99,10 +100,10 @@
 		}
 		return 25
 	}
-	require.Less(t, leaves(config.PreferHeadroom), leaves(config.PreferLatency))
+	require.Less(t, movesAt(config.PreferHeadroom), movesAt(config.PreferLatency))
 }
 
-func TestEveryZoneIsOfferedOnce(t *testing.T) {
+func TestEveryZoneIsChosenOnce(t *testing.T) {
 	d := newDecider(config.PreferLatency, 80)
 	var p Plan
 	d.Begin(&p)
@@ -118,16 +119,16 @@
 	require.Len(t, seen, 80)
 }
 
-// TestRulesChangeUnderARequest: a choice made before a change of the rules is
-// counted to its own rule, or to none.
-func TestRulesChangeUnderARequest(t *testing.T) {
+// TestRulesChangeDuringARequest guards against counting a request to the wrong rule
+// when the rules change between the choice and the commit.
+func TestRulesChangeDuringARequest(t *testing.T) {
 	d := newDecider(config.PreferLatency, 2)
 	var p Plan
 	d.Begin(&p)
 	c, ok := d.Next(&p, int64(time.Hour))
 	require.True(t, ok)
 	d.Configure(&config.ServiceView{Service: config.Service{Name: "s"}}, zoneName(0), "near", time.Now())
-	require.False(t, d.Commit(&p, c), "the rule is gone")
+	require.False(t, d.Commit(&p, c), "the rule has been removed")
 	_, ok = d.Next(&p, int64(time.Hour))
 	require.False(t, ok)
 }
@@ -147,8 +148,9 @@
 	require.GreaterOrEqual(t, retries, 99)
 }
 
-// BenchmarkDecision is a whole decision: count the request, choose zone and
-// upstream, take the slot, count it against the cap and give it back.
+// BenchmarkDecision measures a complete decision: record the request, choose zone
+// and upstream, take the slot, count the request against the cap and release the
+// slot.
 func BenchmarkDecision(b *testing.B) {
 	for _, upstreams := range []int{6, 24, 96} {
 		for _, zones := range []int{6, 80} {
