--- a/internal/selector/slot/choose.go
+++ b/internal/selector/slot/choose.go
@@ -6,23 +6,21 @@
 )
 
 const (
-	// reportAge is the age at which an upstream's report of its load no longer
-	// counts.
-	reportAge = 5 * time.Second
-	// reportWeight is how much a fresh report of full load worsens an
-	// upstream's score: it doubles it at most, so that a wrong report can't
-	// outweigh what the host sees itself.
+	// reportTTL is the age at which an upstream's load report is no longer used.
+	reportTTL = 5 * time.Second
+	// reportWeight is the fraction by which a fresh report of full load increases
+	// an upstream's score. The report at most doubles the score, so that a wrong
+	// report cannot outweigh the host's own observations.
 	reportWeight = 1.0
-	// unknownLatency stands for an upstream's latency, in seconds, before its
-	// first success. It is below what upstreams take, so that a new one is
-	// tried.
-	unknownLatency = 1e-3
+	// unknownLatencySeconds is assumed for an upstream before its first success.
+	// It is below the usual latency of upstreams, so that a new upstream is tried.
+	unknownLatencySeconds = 1e-3
 )
 
-// choose gives the upstream of a rule that a request goes to, nil when none has
-// a slot that may be used: the one with the lowest score. All upstreams may be
-// ejected at once: the requests of a failing rule would else use up the retries of the
-// service's other rules.
+// choose returns the available upstream with the lowest score, or nil if no
+// upstream has a slot that may be used. All upstreams may be ejected at the same
+// time, because otherwise the requests of a failing rule would use up the retries
+// of the service's other rules.
 func choose(upstreams []*upstream, now int64) *upstream {
 	var best *upstream
 	bestScore := math.MaxFloat64
@@ -42,18 +40,19 @@
 	return !u.leaving && u.outstanding < u.usable() && !u.ejected(now)
 }
 
-// score ranks an upstream for one request more, in seconds; lower is better: its
-// latency for each request outstanding, by its concurrency limit. The load that
-// it reported worsens the score, less as the report ages.
+// score returns the score of an upstream for one more request, in seconds; lower
+// is better. The score is the upstream's latency times the number of outstanding
+// requests, including the new one, divided by its concurrency limit. A reported
+// load increases the score; the effect decreases with the age of the report.
 func (u *upstream) score(now int64) float64 {
 	latency := u.latency
 	if latency == 0 {
-		latency = unknownLatency
+		latency = unknownLatencySeconds
 	}
 	score := latency * float64(u.outstanding+1) / u.limit
 	age := time.Duration(now - u.reportedAt)
-	if u.reported > 0 && age < reportAge {
-		fresh := 1 - float64(age)/float64(reportAge)
+	if u.reported > 0 && age < reportTTL {
+		fresh := 1 - float64(age)/float64(reportTTL)
 		score *= 1 + reportWeight*u.reported*fresh
 	}
 	return score
--- a/internal/selector/slot/doc.go
+++ b/internal/selector/slot/doc.go
@@ -1,19 +1,20 @@
-// Package slot decides which request of a service may go to which upstream of
-// the host's own zone. An upstream has a number of slots; holding one is the
-// right to have one request outstanding there. A host uses only the slots that
-// package roster says it holds, so that no upstream ever has more requests
-// outstanding than slots, whatever the other hosts do.
+// Package slot assigns the requests of a service to upstreams of the host's own
+// zone. An upstream has a number of slots. Holding a slot is the right to have one
+// request outstanding at the upstream. A host uses only the slots that it holds
+// according to package roster, so that an upstream never has more requests
+// outstanding than slots, regardless of the other hosts.
 //
-// Pool is the state of one service, without locks or clock: the slots held, the
-// requests outstanding, each upstream's concurrency limit and ejection, and the
-// limits of the service's rules. Gate shares a pool between goroutines and lets
-// requests wait for a slot. The decisions stand in rule.go (a rule's own limits),
-// limit.go (how many slots of an upstream may be used), eject.go (how long an
-// upstream gets nothing) and choose.go (whether an upstream may get a request,
-// and which one of a rule does).
+// Pool is the state of one service, without locks or a clock: the slots held, the
+// outstanding requests, the concurrency limit and ejection of each upstream, and
+// the limits of the service's rules. Gate makes a pool safe for concurrent use and
+// queues requests that wait for a slot. The decisions are in rule.go (the limits of
+// a rule), limit.go (the number of usable slots of an upstream), eject.go (the
+// duration of an ejection) and choose.go (whether an upstream is available, and
+// which upstream of a rule is used).
 //
-// The package relies on its caller for the specs (package entry/rosters works
-// them out from the configuration, the roster and which upstreams are leaving)
-// and for releasing each lease exactly once. Whether the host may use its slots
-// at all, package entry/admission asks package entry/fence after each Acquire.
+// The package relies on the code that uses it for the specs and for releasing each
+// lease exactly once. Package entry/rosters derives the specs from the
+// configuration, the roster and the set of leaving upstreams. After each Acquire,
+// package entry/admission asks package entry/fence whether the host may use its
+// slots at all.
 package slot
--- a/internal/selector/slot/eject.go
+++ b/internal/selector/slot/eject.go
@@ -2,30 +2,32 @@
 
 import "time"
 
-// Ejection here is by a host's own requests alone, unlike that of
-// gateway/outlier, which sums what a region's hosts saw: there each host sends
-// little to an upstream, and a wrong ejection moves its objects; here a host
-// has slots of its own at an upstream, and tries one request after each rest.
+// Ejection in this package is based on the host's own requests only. Package
+// gateway/outlier instead sums the observations of all hosts of a region, because
+// there each host sends few requests to an upstream, and a wrong ejection moves the
+// upstream's objects. In this package a host has its own slots at an upstream and
+// tries a single request after each ejection.
 const (
-	// failEjection is how long an upstream is ejected after its first failure
-	// in a row; each further one doubles it, up to maxFailEjection.
-	failEjection = 200 * time.Millisecond
-	// maxFailEjection bounds the doubling after failures: one request in that
-	// time finds out that the upstream is back.
-	maxFailEjection = 5 * time.Second
-	// shedEjection is how long an upstream is ejected that sheds although it
-	// has the least concurrency limit; each further such shed doubles it, up to
-	// maxShedEjection.
-	shedEjection = 100 * time.Millisecond
-	// maxShedEjection bounds the doubling after sheds.
-	maxShedEjection = 2 * time.Second
-	// maxDoublings keeps the shift in ejection from overflowing. Both bounds are
-	// reached before it.
+	// minFailurePeriod is the ejection period after the first of several
+	// consecutive failures. Each further failure doubles the period, up to
+	// maxFailurePeriod.
+	minFailurePeriod = 200 * time.Millisecond
+	// maxFailurePeriod is the maximum ejection period after failures. One request
+	// per period detects that the upstream is available again.
+	maxFailurePeriod = 5 * time.Second
+	// minShedPeriod is the ejection period after an upstream at the minimum
+	// concurrency limit sheds a request. Each further such shed doubles the
+	// period, up to maxShedPeriod.
+	minShedPeriod = 100 * time.Millisecond
+	// maxShedPeriod is the maximum ejection period after sheds.
+	maxShedPeriod = 2 * time.Second
+	// maxDoublings prevents an overflow of the shift in ejectionPeriod. Both
+	// maximum periods are reached with fewer doublings.
 	maxDoublings = 8
 )
 
-// ejection is how long an upstream is ejected: first, doubled for each failure
-// or shed in a row before this one, up to longest.
-func ejection(first, longest time.Duration, before int) time.Duration {
-	return min(first<<min(before, maxDoublings), longest)
+// ejectionPeriod returns how long an upstream is ejected: minPeriod, doubled for
+// each of the preceding consecutive failures or sheds, up to maxPeriod.
+func ejectionPeriod(minPeriod, maxPeriod time.Duration, preceding int) time.Duration {
+	return min(minPeriod<<min(preceding, maxDoublings), maxPeriod)
 }
--- a/internal/selector/slot/gate.go
+++ b/internal/selector/slot/gate.go
@@ -7,27 +7,28 @@
 	"time"
 )
 
-// queueFactor bounds the waiting requests as a multiple of the slots held.
-const queueFactor = 1
+// maxWaitingPerSlot is the maximum number of waiting requests for each held slot.
+const maxWaitingPerSlot = 1
 
-// clockStart is what a gate's clock reads when the gate is made, in
-// nanoseconds. It is above zero, so that zero is always long ago.
+// clockStart is the reading of a gate's clock when the gate is created, in
+// nanoseconds. It is far above zero, so that a zero time always lies well in the
+// past.
 const clockStart = int64(time.Hour)
 
-// Gate is a pool that many goroutines share, with a short bounded queue. The
-// queue is looked at when a slot is released and when the pool is configured;
-// the end of an ejection alone wakes no waiting request.
+// Gate is a pool for concurrent use, with a short bounded queue of waiting
+// requests. The queue is served when a slot is released and when the pool is
+// configured. The end of an ejection alone does not serve the queue.
 type Gate struct {
 	mu      sync.Mutex
 	pool    *Pool
 	waiting list.List // of *waiter, the longest waiting first
-	made    time.Time
-	// leaving is set when the host gives its slots up for good.
+	created time.Time
+	// leaving is set when the host gives up its slots permanently.
 	leaving bool
 }
 
-// waiter is a request that waits for a slot. Lease and refusal are set before ready
-// closes.
+// waiter is a request that waits for a slot. The fields lease and refusal are set
+// before ready is closed.
 type waiter struct {
 	rule    string
 	lease   Lease
@@ -35,13 +36,13 @@
 	ready   chan struct{}
 }
 
-// NewGate makes a gate on an empty pool.
-func NewGate() *Gate { return &Gate{pool: NewPool(), made: time.Now()} }
+// NewGate returns a gate with an empty pool.
+func NewGate() *Gate { return &Gate{pool: NewPool(), created: time.Now()} }
 
-// now reads the gate's monotonic clock, in nanoseconds.
-func (g *Gate) now() int64 { return clockStart + int64(time.Since(g.made)) }
+// now returns the reading of the gate's monotonic clock, in nanoseconds.
+func (g *Gate) now() int64 { return clockStart + int64(time.Since(g.created)) }
 
-// Configure sets what the gate's pool holds.
+// Configure sets the upstreams and rules of the gate's pool and serves the queue.
 func (g *Gate) Configure(specs []Spec, rules []RuleSpec) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -50,8 +51,9 @@
 	g.refuseWaiting()
 }
 
-// Leave has the gate refuse with Leaving, once the host holds no slots any more, who
-// waits and who comes: it will hold none again.
+// Leave marks the host as leaving its zone. As soon as the host holds no slots, the
+// gate refuses all waiting and new requests with Leaving, because the host will
+// not hold slots again.
 func (g *Gate) Leave() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -59,12 +61,13 @@
 	g.refuseWaiting()
 }
 
-// left reports whether the host has left and holds no slots. g.mu is held.
-func (g *Gate) left() bool { return g.leaving && g.pool.held == 0 }
+// hasLeft reports whether the host is leaving and holds no slots. g.mu must be held.
+func (g *Gate) hasLeft() bool { return g.leaving && g.pool.held == 0 }
 
-// refuseWaiting ends all waits once the host has left. g.mu is held.
+// refuseWaiting refuses all waiting requests if the host has left. g.mu must be
+// held.
 func (g *Gate) refuseWaiting() {
-	if !g.left() {
+	if !g.hasLeft() {
 		return
 	}
 	for e := g.waiting.Front(); e != nil; e = g.waiting.Front() {
@@ -74,43 +77,44 @@
 	}
 }
 
-// Acquire takes a slot for a rule, waiting until a time at most, or until ctx
-// ends. It waits only when no slot is free, the queue has room and is expected to
-// come to it in time: what is not served is refused at once, also by a rule that
-// has reached its limits.
+// Acquire takes a slot for a rule. If no slot is free, Acquire waits until the given
+// time or until ctx is done. It waits only if the queue has free capacity and is
+// expected to reach the request in time. Otherwise the request is refused at once,
+// as is a request of a rule that has reached its limits.
 func (g *Gate) Acquire(ctx context.Context, rule string, until time.Time) (Lease, Refusal) {
 	g.mu.Lock()
 	wait := time.Until(until)
 	lease, refusal := g.pool.Take(rule, g.now())
-	if refusal != Granted && g.left() {
-		// Without slots the host has no part of a rule's limits either.
+	if refusal != Granted && g.hasLeft() {
+		// A host without slots has no share of a rule's limits either.
 		refusal = Leaving
 	}
-	if refusal != Full || wait <= 0 || !g.hasRoom() || g.expectedWait() > wait {
+	if refusal != Full || wait <= 0 || !g.mayQueue() || g.expectedWait() > wait {
 		g.mu.Unlock()
 		return lease, refusal
 	}
 	w := &waiter{rule: rule, ready: make(chan struct{})}
-	place := g.waiting.PushBack(w)
+	element := g.waiting.PushBack(w)
 	g.mu.Unlock()
-	return g.wait(ctx, w, place, wait)
+	return g.wait(ctx, w, element, wait)
 }
 
-// hasRoom reports whether one more request may wait. g.mu is held.
-func (g *Gate) hasRoom() bool { return g.waiting.Len() < queueFactor*g.pool.held }
+// mayQueue reports whether one more request may wait. g.mu must be held.
+func (g *Gate) mayQueue() bool { return g.waiting.Len() < maxWaitingPerSlot*g.pool.held }
 
-// expectedWait is how long a request waits that joins the queue now: on average one
-// of the slots in use is released each latency/slots. It is zero while the latency is
-// not known. g.mu is held.
+// expectedWait returns the expected wait of a request that joins the queue now. On
+// average, one of the slots in use is released every latency/slots. The result is
+// zero while the latency is unknown. g.mu must be held.
 func (g *Gate) expectedWait() time.Duration {
 	load := g.pool.Load(g.now())
 	return g.pool.Latency() * time.Duration(g.waiting.Len()+1) / time.Duration(max(1, load.Warm))
 }
 
-// wait gives the slot that w got, or why it gets none, within a time, and else takes it
-// out of its place in the queue.
-func (g *Gate) wait(ctx context.Context, w *waiter, place *list.Element, d time.Duration) (Lease, Refusal) {
-	timer := time.NewTimer(d)
+// wait waits for the result of w: its lease, or the reason why it gets none. If w has
+// no result within the timeout or before ctx is done, wait removes it from the
+// queue and returns Full.
+func (g *Gate) wait(ctx context.Context, w *waiter, element *list.Element, timeout time.Duration) (Lease, Refusal) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-w.ready:
@@ -122,15 +126,16 @@
 	defer g.mu.Unlock()
 	select {
 	case <-w.ready:
-		// The end came while the lock was waited for.
+		// The result was set while this goroutine waited for the lock.
 		return w.lease, w.refusal
 	default:
-		g.waiting.Remove(place)
+		g.waiting.Remove(element)
 		return Lease{}, Full
 	}
 }
 
-// Release gives a slot back and serves the queue.
+// Release releases a slot, records the outcome of its request and serves the queue.
+// The latency is used for a Success only.
 func (g *Gate) Release(l Lease, outcome Outcome, latency time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -138,9 +143,10 @@
 	g.serveWaiting()
 }
 
-// serveWaiting grants slots to the waiting requests in the order in which they
-// came, up to the first that finds none; it passes over those whose rule has
-// reached its limits or is gone. g.mu is held.
+// serveWaiting grants slots to the waiting requests in the order of their arrival
+// and stops at the first request for which no slot is free. Requests whose rule has
+// reached its limits or has been removed are skipped and stay in the queue. g.mu
+// must be held.
 func (g *Gate) serveWaiting() {
 	now := g.now()
 	for e := g.waiting.Front(); e != nil; {
@@ -166,21 +172,21 @@
 	f(g.pool)
 }
 
-// Report notes the load that an upstream reported just now, 0 to 1.
+// Report records the load that an upstream has just reported, from 0 to 1.
 func (g *Gate) Report(upstream string, load float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.pool.Report(upstream, load, g.now())
 }
 
-// Load sums the gate's pool up.
+// Load returns the current load of the gate's pool.
 func (g *Gate) Load() Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.pool.Load(g.now())
 }
 
-// Waiting is how many requests wait for a slot.
+// Waiting returns the number of requests that wait for a slot.
 func (g *Gate) Waiting() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/selector/slot/gate_test.go
+++ b/internal/selector/slot/gate_test.go
@@ -11,7 +11,7 @@
 	"cairndock/internal/selector/slot"
 )
 
-// result is how a request that asked a gate for a slot came out.
+// result is the result of a request that called Acquire.
 type result struct {
 	name    string
 	lease   slot.Lease
@@ -19,14 +19,14 @@
 	after   time.Duration
 }
 
-// queue is a gate in fake time, and the requests that ask it for slots.
+// queue is a gate in fake time together with the results of its requests.
 type queue struct {
 	gate    *slot.Gate
 	results chan result
 }
 
-// newQueue makes a gate whose one upstream is warm, with all slots taken.
-// It gives the leases of those slots.
+// newQueue returns a gate with one warm upstream, all slots of which are in use, and
+// the leases of these slots.
 func newQueue(t *testing.T, held int, rules ...slot.RuleSpec) (queue, []slot.Lease) {
 	t.Helper()
 	q := queue{gate: slot.NewGate(), results: make(chan result, 100)}
@@ -39,7 +39,7 @@
 	return q, leases
 }
 
-// takeNow takes a slot that must be there, without waiting.
+// takeNow takes a slot without waiting. A slot must be free.
 func (q queue) takeNow(t *testing.T, rule string) slot.Lease {
 	t.Helper()
 	lease, refusal := q.gate.Acquire(context.Background(), rule, time.Time{})
@@ -47,9 +47,9 @@
 	return lease
 }
 
-// ask lets a request wait for a slot, beside the test, until it is in the
-// queue or has a result.
-func (q queue) ask(ctx context.Context, name, rule string, wait time.Duration) {
+// acquire starts a request for a slot in its own goroutine. It returns when the
+// request is in the queue or has a result.
+func (q queue) acquire(ctx context.Context, name, rule string, wait time.Duration) {
 	began := time.Now()
 	go func() {
 		lease, refusal := q.gate.Acquire(ctx, rule, began.Add(wait))
@@ -58,7 +58,7 @@
 	synctest.Wait()
 }
 
-// next gives the next request that has a result.
+// next returns the next available result.
 func (q queue) next(t *testing.T) result {
 	t.Helper()
 	synctest.Wait()
@@ -77,7 +77,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		q, leases := newQueue(t, 3)
 		for _, name := range []string{"first", "second", "third"} {
-			q.ask(t.Context(), name, "r", time.Minute)
+			q.acquire(t.Context(), name, "r", time.Minute)
 			time.Sleep(time.Second)
 		}
 		require.Equal(t, 3, q.gate.Waiting())
@@ -89,16 +89,16 @@
 			require.Equal(t, "a", got.lease.Upstream())
 			require.Equal(t, 2-i, q.gate.Waiting())
 		}
-		require.Equal(t, 3, q.gate.Load().Outstanding, "each slot went from one request to the next")
+		require.Equal(t, 3, q.gate.Load().Outstanding, "each released slot was granted to the next request")
 	})
 }
 
-// TestARequestThatArrivesDoesNotOvertake: a slot that is free at once goes to
-// the queue first.
-func TestARequestThatArrivesDoesNotOvertake(t *testing.T) {
+// TestANewRequestDoesNotOvertakeTheQueue checks that a released slot is granted to a
+// waiting request before a new request can take it.
+func TestANewRequestDoesNotOvertakeTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q, leases := newQueue(t, 1)
-		q.ask(t.Context(), "waiting", "r", time.Minute)
+		q.acquire(t.Context(), "waiting", "r", time.Minute)
 		q.release(leases[0])
 		_, refusal := q.gate.Acquire(t.Context(), "r", time.Time{})
 		require.Equal(t, slot.Full, refusal)
@@ -106,9 +106,10 @@
 	})
 }
 
-// Requests that waited and were then refused were held for the whole time that they
-// may wait: 0.5 s at the 99th percentile under a load above capacity.
-func TestARequestThatTheQueueWillNotReachInTimeIsRefusedAtOnce(t *testing.T) {
+// TestARequestIsRefusedAtOnceIfItsExpectedWaitIsTooLong guards against requests that
+// are refused only after their entire wait time. Under a load above capacity this
+// delay was 0.5 s at the 99th percentile.
+func TestARequestIsRefusedAtOnceIfItsExpectedWaitIsTooLong(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const held, latency, wait = 4, 200 * time.Millisecond, 100 * time.Millisecond
 		q, leases := newQueue(t, held)
@@ -119,40 +120,40 @@
 		for range held {
 			q.takeNow(t, "r")
 		}
-		// Each 50 ms one of the four slots is released, on average.
-		q.ask(t.Context(), "first", "r", wait)
-		q.ask(t.Context(), "second", "r", wait)
+		// On average, one of the four slots is released every 50 ms.
+		q.acquire(t.Context(), "first", "r", wait)
+		q.acquire(t.Context(), "second", "r", wait)
 		require.Equal(t, 2, q.gate.Waiting())
-		q.ask(t.Context(), "third", "r", wait)
+		q.acquire(t.Context(), "third", "r", wait)
 		got := q.next(t)
 		require.Equal(t, "third", got.name)
 		require.Equal(t, slot.Full, got.refusal)
 		require.Zero(t, got.after)
-		q.ask(t.Context(), "patient", "r", 2*wait)
-		require.Equal(t, 3, q.gate.Waiting(), "one that may wait longer is let in")
+		q.acquire(t.Context(), "longer wait", "r", 2*wait)
+		require.Equal(t, 3, q.gate.Waiting(), "a request that may wait longer is queued")
 	})
 }
 
-func TestWhoWaitsAndHowLong(t *testing.T) {
+func TestWhichRequestsWaitAndHowLong(t *testing.T) {
 	cases := []struct {
 		name    string
 		held    int
-		waiting int // requests in the queue before
+		waiting int // requests already in the queue
 		rule    string
 		wait    time.Duration
-		cancel  time.Duration // when the request's context ends; zero is never
+		cancel  time.Duration // when the request's context is cancelled; zero means never
 		refusal slot.Refusal
 		after   time.Duration
 	}{
-		{"until its time is over", 1, 0, "r", 5 * time.Second, 0, slot.Full, 5 * time.Second},
-		{"until its context ends", 1, 0, "r", 5 * time.Second, 2 * time.Second, slot.Full, 2 * time.Second},
-		{"not at all without time", 1, 0, "r", 0, 0, slot.Full, 0},
-		{"not at all with a time in the past", 1, 0, "r", -time.Second, 0, slot.Full, 0},
-		{"as long as the queue is shorter than the slots held", 3, 2, "r", time.Second, 0, slot.Full, time.Second},
-		{"not at all when the queue is as long as the slots held", 3, 3, "r", time.Second, 0, slot.Full, 0},
-		{"not at all without a slot held", 0, 0, "r", time.Second, 0, slot.Full, 0},
-		{"not at all for a cap", 1, 0, "capped", time.Second, 0, slot.Capped, 0},
-		{"not at all for a rule that is not there", 1, 0, "gone", time.Second, 0, slot.NoRule, 0},
+		{"until its wait time has passed", 1, 0, "r", 5 * time.Second, 0, slot.Full, 5 * time.Second},
+		{"until its context is cancelled", 1, 0, "r", 5 * time.Second, 2 * time.Second, slot.Full, 2 * time.Second},
+		{"not at all without a wait time", 1, 0, "r", 0, 0, slot.Full, 0},
+		{"not at all with a negative wait time", 1, 0, "r", -time.Second, 0, slot.Full, 0},
+		{"if the queue is shorter than the number of held slots", 3, 2, "r", time.Second, 0, slot.Full, time.Second},
+		{"not at all if the queue is as long as the number of held slots", 3, 3, "r", time.Second, 0, slot.Full, 0},
+		{"not at all if no slot is held", 0, 0, "r", time.Second, 0, slot.Full, 0},
+		{"not at all if the rule is at its cap", 1, 0, "capped", time.Second, 0, slot.Capped, 0},
+		{"not at all for an unknown rule", 1, 0, "gone", time.Second, 0, slot.NoRule, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -167,7 +168,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				for range tc.waiting {
-					q.ask(ctx, "before", "r", time.Hour)
+					q.acquire(ctx, "before", "r", time.Hour)
 				}
 				require.Equal(t, tc.waiting, q.gate.Waiting())
 				own, cancelOwn := context.WithCancel(ctx)
@@ -175,12 +176,12 @@
 				if tc.cancel > 0 {
 					time.AfterFunc(tc.cancel, cancelOwn)
 				}
-				q.ask(own, "asked", tc.rule, tc.wait)
+				q.acquire(own, "asked", tc.rule, tc.wait)
 				got := <-q.results
 				require.Equal(t, "asked", got.name)
 				require.Equal(t, tc.refusal, got.refusal)
 				require.Equal(t, tc.after, got.after)
-				require.Equal(t, tc.waiting, q.gate.Waiting(), "it left the queue")
+				require.Equal(t, tc.waiting, q.gate.Waiting(), "the request must have left the queue")
 				cancel()
 				synctest.Wait()
 			})
@@ -188,13 +189,13 @@
 	}
 }
 
-// TestADeadHostsSlotsGoToTheQueue: slots that this host gets from a dead one
-// serve the waiting requests at once.
-func TestADeadHostsSlotsGoToTheQueue(t *testing.T) {
+// TestSlotsOfADeadHostServeTheQueue checks that slots that this host takes over from a
+// dead host serve the waiting requests at once.
+func TestSlotsOfADeadHostServeTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q, leases := newQueue(t, 2)
-		q.ask(t.Context(), "first", "r", time.Minute)
-		q.ask(t.Context(), "second", "r", time.Minute)
+		q.acquire(t.Context(), "first", "r", time.Minute)
+		q.acquire(t.Context(), "second", "r", time.Minute)
 		q.gate.Configure([]slot.Spec{{Name: "a", Held: 2}, {Name: "b", Held: 1}}, []slot.RuleSpec{unlimited("r", 0, 1)})
 		got := q.next(t)
 		require.Equal(t, "first", got.name)
@@ -205,19 +206,19 @@
 	})
 }
 
-// TestTheQueueIsServedInOrder: a request whose rule is at its cap, or gone,
-// keeps its place and is passed over; one that finds no slot holds back those
-// behind it.
+// TestTheQueueIsServedInOrder checks that a request whose rule is at its cap or has
+// been removed is skipped and keeps its position, and that a request without a
+// free slot blocks all requests behind it.
 func TestTheQueueIsServedInOrder(t *testing.T) {
 	specs := []slot.Spec{{Name: "a", Held: 3}, {Name: "b", Held: 3}}
 	limited := func(inFlight int) slot.RuleSpec {
 		return slot.RuleSpec{Name: "limited", Upstreams: []int32{0}, InFlight: inFlight, Rate: -1}
 	}
-	t.Run("a cap is passed over", func(t *testing.T) {
+	t.Run("a rule at its cap is skipped", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			q, leases := newQueue(t, 3, limited(1))
-			q.ask(t.Context(), "limited", "limited", time.Minute)
-			q.ask(t.Context(), "behind", "r", time.Minute)
+			q.acquire(t.Context(), "limited", "limited", time.Minute)
+			q.acquire(t.Context(), "behind", "r", time.Minute)
 			q.gate.Configure(specs[:1], []slot.RuleSpec{limited(0), unlimited("r", 0)})
 			q.release(leases[0])
 			require.Equal(t, "behind", q.next(t).name)
@@ -226,26 +227,26 @@
 			require.Equal(t, "limited", q.next(t).name)
 		})
 	})
-	t.Run("a rule that is gone is passed over", func(t *testing.T) {
+	t.Run("a removed rule is skipped", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			q, leases := newQueue(t, 3, limited(1))
-			q.ask(t.Context(), "limited", "limited", time.Second)
-			q.ask(t.Context(), "behind", "r", time.Minute)
+			q.acquire(t.Context(), "limited", "limited", time.Second)
+			q.acquire(t.Context(), "behind", "r", time.Minute)
 			q.gate.Configure(specs[:1], []slot.RuleSpec{unlimited("r", 0)})
 			q.release(leases[0])
 			require.Equal(t, "behind", q.next(t).name)
 			require.Equal(t, slot.Full, (<-q.results).refusal)
 		})
 	})
-	t.Run("one that finds no slot holds back those behind it", func(t *testing.T) {
+	t.Run("a request without a free slot blocks those behind it", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			q, leases := newQueue(t, 3)
 			q.gate.Configure(specs, []slot.RuleSpec{unlimited("r", 0), unlimited("b", 1)})
 			atB := q.takeNow(t, "b")
-			q.ask(t.Context(), "waits for a", "r", time.Minute)
-			q.ask(t.Context(), "waits for b", "b", time.Minute)
+			q.acquire(t.Context(), "waits for a", "r", time.Minute)
+			q.acquire(t.Context(), "waits for b", "b", time.Minute)
 			q.release(atB)
-			require.Equal(t, 2, q.gate.Waiting(), "b is free, but a's request came first")
+			require.Equal(t, 2, q.gate.Waiting(), "b has a free slot, but the request for a arrived first")
 			q.release(leases[0])
 			served := []string{q.next(t).lease.Upstream(), q.next(t).lease.Upstream()}
 			require.ElementsMatch(t, []string{"a", "b"}, served)
@@ -253,19 +254,20 @@
 	})
 }
 
-// TestGateReportsAndLoad: the gate adds its own clock to what the pool does.
-func TestGateReportsAndLoad(t *testing.T) {
+// TestGateUsesItsClock checks that the gate passes its own clock to the pool: load
+// reports age and ejections end.
+func TestGateUsesItsClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gate := slot.NewGate()
 		gate.Configure([]slot.Spec{{Name: "a", Held: 6}, {Name: "b", Held: 6}}, []slot.RuleSpec{unlimited("r", 0, 1), unlimited("a", 0)})
 		gate.Report("a", 1)
 		lease, refusal := gate.Acquire(t.Context(), "r", time.Time{})
 		require.Equal(t, slot.Granted, refusal)
-		require.Equal(t, "b", lease.Upstream(), "a reported a full load just now")
+		require.Equal(t, "b", lease.Upstream(), "a has just reported full load")
 		gate.Release(lease, slot.Unused, 0)
 		time.Sleep(5 * time.Second)
 		lease, _ = gate.Acquire(t.Context(), "r", time.Time{})
-		require.Equal(t, "a", lease.Upstream(), "the report has aged")
+		require.Equal(t, "a", lease.Upstream(), "the report has expired")
 
 		gate.Release(lease, slot.Failure, 0)
 		require.Equal(t, 1, gate.Load().Free, "a is ejected")
--- a/internal/selector/slot/history_test.go
+++ b/internal/selector/slot/history_test.go
@@ -11,7 +11,7 @@
 	"cairndock/internal/selector/slot"
 )
 
-// model is what the limits of a random history have to hold against.
+// model is the expected state against which a random history is checked.
 type model struct {
 	specs       []slot.Spec
 	inFlight    int
@@ -48,10 +48,10 @@
 		return
 	}
 	s := m.spec(lease.Upstream())
-	require.False(t, s.Leaving, "a new request at an upstream that leaves")
+	require.False(t, s.Leaving, "a new request went to a leaving upstream")
 	m.leases = append(m.leases, lease)
 	m.outstanding[s.Name]++
-	require.LessOrEqual(t, m.outstanding[s.Name], s.Held, "more requests than slots held")
+	require.LessOrEqual(t, m.outstanding[s.Name], s.Held, "more requests are outstanding than slots are held")
 	if m.inFlight >= 0 {
 		require.LessOrEqual(t, len(m.leases), m.inFlight)
 	}
@@ -93,7 +93,7 @@
 }
 
 // TestLimitsHoldAtEachStep runs random histories of requests, outcomes and
-// configurations, and looks at every limit and every sum after each step.
+// configuration changes and checks all limits and sums after each step.
 func TestLimitsHoldAtEachStep(t *testing.T) {
 	for seed := range uint64(50) {
 		r := rand.New(rand.NewPCG(20261202, seed))
--- a/internal/selector/slot/limit.go
+++ b/internal/selector/slot/limit.go
@@ -4,18 +4,20 @@
 
 const (
 	// coldLimit is the concurrency limit, in slots, of an upstream that is new,
-	// was restarted or failed: its caches may be cold.
+	// was restarted or has failed, because its caches may be cold. It is also the
+	// minimum concurrency limit.
 	coldLimit = 1.0
-	// decreaseFactor is what a shed multiplies the concurrency limit by:
-	// the usual one of additive increase and multiplicative decrease.
+	// decreaseFactor is the factor by which a shed reduces the concurrency limit.
+	// It is the usual factor of additive increase, multiplicative decrease (AIMD).
 	decreaseFactor = 0.5
-	// decreaseInterval is the least time between two decreases: the sheds of
-	// one burst count once.
-	decreaseInterval = 100 * time.Millisecond
+	// minDecreaseInterval is the minimum time between two decreases, so that all
+	// sheds of one burst cause a single decrease.
+	minDecreaseInterval = 100 * time.Millisecond
 )
 
-// increase gives the concurrency limit after a success, in slots: one slot more
-// for each round of successes, until the host may use all the slots it holds.
+// increase returns the concurrency limit after a success, in slots. The limit grows
+// by one slot for each round of successes, as in AIMD, until the host may use all
+// slots that it holds.
 func increase(limit float64, held int) float64 {
 	if limit >= float64(held) {
 		return limit
@@ -23,9 +25,9 @@
 	return limit + 1/limit
 }
 
-// decrease gives the concurrency limit after a shed, in slots.
+// decrease returns the concurrency limit after a shed, in slots.
 func decrease(limit float64) float64 { return max(coldLimit, limit*decreaseFactor) }
 
-// usable is how many slots of an upstream may be used at once: those held, and no
-// more than the whole ones of the concurrency limit.
+// usable returns the number of slots of an upstream that may be used at the same
+// time: the number of held slots, but at most the concurrency limit, rounded down.
 func (u *upstream) usable() int { return min(int(u.limit), u.held) }
--- a/internal/selector/slot/pool.go
+++ b/internal/selector/slot/pool.go
@@ -2,53 +2,56 @@
 
 import "time"
 
-// Refusal says why a pool gave no slot.
+// Refusal is the reason why a pool granted no slot.
 type Refusal uint8
 
 const (
-	// Granted is no refusal.
+	// Granted means that a slot was granted.
 	Granted Refusal = iota
-	// NoRule says that the pool knows no such rule.
+	// NoRule means that the pool has no rule of this name.
 	NoRule
-	// Capped says that the rule's rate or in-flight limit is reached.
+	// Capped means that the rule has reached its rate limit or in-flight limit.
 	Capped
-	// Full says that each slot of the rule's upstreams is in use, above its
-	// upstream's concurrency limit, or at one that is ejected or leaving.
+	// Full means that no slot of the rule's upstreams is available: each slot is
+	// in use, exceeds its upstream's concurrency limit, or belongs to an upstream
+	// that is ejected or leaving.
 	Full
-	// Leaving says that the host is leaving its zone and holds no slots any more.
+	// Leaving means that the host is leaving its zone and no longer holds slots.
 	Leaving
 )
 
-// Lease is a slot in use. It must be released exactly once.
+// Lease is a slot that is in use. It must be released exactly once.
 type Lease struct {
 	upstream *upstream
 	rule     *rule
 }
 
-// Upstream names the upstream of the slot.
+// Upstream returns the name of the slot's upstream.
 func (l Lease) Upstream() string { return l.upstream.name }
 
-// Pool is the slots of one service that one host holds. It has no lock; now is
-// in nanoseconds of one monotonic clock, above zero.
+// Pool holds the slots of one service that one host holds. It is not safe for
+// concurrent use. All now parameters are nanoseconds of one monotonic clock, above
+// zero.
 type Pool struct {
-	// upstreams holds those of the specs, and removed ones that still have
-	// requests outstanding; configured the specs' in their order.
+	// upstreams contains the upstreams of the specs and removed upstreams that
+	// still have outstanding requests. configured contains the upstreams of the
+	// specs, in the order of the specs.
 	upstreams  map[string]*upstream
 	configured []*upstream
 	rules      map[string]*rule
-	// held sums the slots of the upstreams that are not leaving, outstanding
-	// the requests at all upstreams.
+	// held is the number of slots held at upstreams that are not leaving.
+	// outstanding is the number of requests at all upstreams.
 	held        int
 	outstanding int
 }
 
-// NewPool makes an empty pool.
+// NewPool returns an empty pool.
 func NewPool() *Pool {
 	return &Pool{upstreams: map[string]*upstream{}, rules: map[string]*rule{}}
 }
 
-// Configure sets what the pool holds. Outstanding requests stay counted, also
-// at upstreams that are no longer there.
+// Configure sets the upstreams and rules of the pool. Outstanding requests remain
+// counted, including those at removed upstreams.
 func (p *Pool) Configure(specs []Spec, rules []RuleSpec) {
 	old := p.upstreams
 	p.upstreams = make(map[string]*upstream, len(specs))
@@ -70,8 +73,8 @@
 	p.configureRules(rules)
 }
 
-// keepRemoved keeps the upstreams that are no longer configured for as long as
-// they have requests outstanding.
+// keepRemoved keeps upstreams that are no longer configured while they have
+// outstanding requests.
 func (p *Pool) keepRemoved(old map[string]*upstream) {
 	for name, u := range old {
 		if p.upstreams[name] == nil && u.outstanding > 0 {
@@ -95,8 +98,8 @@
 }
 
 // Take takes a slot at the best upstream of a rule. The rule's own limits are
-// looked at first, so that a request is Capped, and does not wait, also when
-// no slot is free.
+// checked first, so that a request above them is refused with Capped and does not
+// wait, even if no slot is free.
 func (p *Pool) Take(ruleName string, now int64) (Lease, Refusal) {
 	r := p.rules[ruleName]
 	if r == nil {
@@ -110,13 +113,13 @@
 		return Lease{}, Full
 	}
 	u.outstanding++
-	r.took()
+	r.requestSent()
 	p.outstanding++
 	return Lease{upstream: u, rule: r}, Granted
 }
 
-// Release gives a slot back and learns from how its request ended. latency is
-// read for a Success only.
+// Release releases a slot and records the outcome of its request. The latency is
+// used for a Success only.
 func (p *Pool) Release(l Lease, outcome Outcome, latency time.Duration, now int64) {
 	l.upstream.outstanding--
 	l.rule.outstanding--
@@ -124,35 +127,35 @@
 	l.upstream.record(outcome, latency, now)
 }
 
-// Report notes the load that an upstream reported, 0 to 1, at a time.
+// Report records the load, from 0 to 1, that an upstream reported at the given time.
 func (p *Pool) Report(upstream string, load float64, at int64) {
 	if u := p.upstreams[upstream]; u != nil {
 		u.report(load, at)
 	}
 }
 
-// Restarted makes an upstream start cold again.
+// Restarted records the restart of an upstream, which makes the upstream cold.
 func (p *Pool) Restarted(upstream string) {
 	if u := p.upstreams[upstream]; u != nil {
 		u.restarted()
 	}
 }
 
-// Load is how much of a pool is in use.
+// Load describes the use of a pool.
 type Load struct {
-	// Free is how many slots could be taken now.
+	// Free is the number of slots that are currently available.
 	Free int
-	// Held is how many slots this host holds at upstreams that are not leaving,
-	// ejected ones too.
+	// Held is the number of slots that this host holds at upstreams that are not
+	// leaving, including ejected upstreams.
 	Held int
-	// Warm is how many of them the concurrency limits allow now, of upstreams
-	// that are not ejected.
+	// Warm is the number of held slots that the concurrency limits currently
+	// allow, at upstreams that are not ejected.
 	Warm int
-	// Outstanding is how many requests have a slot.
+	// Outstanding is the number of requests that have a slot.
 	Outstanding int
 }
 
-// Load sums the pool up.
+// Load returns the current load of the pool.
 func (p *Pool) Load(now int64) Load {
 	l := Load{Held: p.held, Outstanding: p.outstanding}
 	for _, u := range p.configured {
@@ -165,11 +168,11 @@
 	return l
 }
 
-// Usage gives the held slots and the outstanding requests, without looking at
-// each upstream.
+// Usage returns the number of held slots and of outstanding requests. Unlike Load,
+// it does not iterate over the upstreams.
 func (p *Pool) Usage() (held, outstanding int) { return p.held, p.outstanding }
 
-// Latency is the mean latency over the pool's upstreams, 0 when not known.
+// Latency returns the mean latency of the pool's upstreams, or 0 if it is unknown.
 func (p *Pool) Latency() time.Duration {
 	var sum float64
 	var n int
@@ -185,8 +188,9 @@
 	return time.Duration(sum / float64(n) * float64(time.Second))
 }
 
-// WithinHeld reports whether no upstream has more requests outstanding than the
-// host holds slots of it: the condition for acknowledging a roster epoch.
+// WithinHeld reports whether each upstream has at most as many outstanding requests
+// as the host holds slots at the upstream. A roster epoch may be acknowledged only
+// under this condition.
 func (p *Pool) WithinHeld() bool {
 	for _, u := range p.upstreams {
 		if u.outstanding > u.held {
@@ -196,7 +200,7 @@
 	return true
 }
 
-// Outstanding gives an upstream's outstanding requests.
+// Outstanding returns the number of an upstream's outstanding requests.
 func (p *Pool) Outstanding(upstream string) int {
 	if u := p.upstreams[upstream]; u != nil {
 		return u.outstanding
--- a/internal/selector/slot/pool_test.go
+++ b/internal/selector/slot/pool_test.go
@@ -9,16 +9,16 @@
 	"cairndock/internal/selector/slot"
 )
 
-// start is when the tests' clock begins, in nanoseconds.
+// start is the initial reading of the tests' clock, in nanoseconds.
 const start = int64(time.Hour)
 
-// unlimited is a rule without limits of its own over some upstreams.
+// unlimited returns a rule without limits of its own over the given upstreams.
 func unlimited(name string, upstreams ...int32) slot.RuleSpec {
 	return slot.RuleSpec{Name: name, Upstreams: upstreams, InFlight: -1, Rate: -1}
 }
 
-// newPool makes a pool with one unlimited rule "r" over all upstreams, and one
-// for each upstream alone, by the upstream's name.
+// newPool returns a pool with an unlimited rule "r" over all upstreams and one
+// unlimited rule for each upstream, named after the upstream.
 func newPool(specs ...slot.Spec) *slot.Pool {
 	p := slot.NewPool()
 	configure(p, specs...)
@@ -35,7 +35,7 @@
 	p.Configure(specs, append(rules, all))
 }
 
-// take takes a slot that must be there.
+// take takes a slot. A slot must be available.
 func take(t *testing.T, p *slot.Pool, rule string, now int64) slot.Lease {
 	t.Helper()
 	lease, refusal := p.Take(rule, now)
@@ -43,17 +43,17 @@
 	return lease
 }
 
-// end sends one request of a rule that ends at once.
-func end(t *testing.T, p *slot.Pool, rule string, outcome slot.Outcome, latency time.Duration, now int64) {
+// sendAndEnd sends one request of a rule, which ends at once with the given outcome.
+func sendAndEnd(t *testing.T, p *slot.Pool, rule string, outcome slot.Outcome, latency time.Duration, now int64) {
 	t.Helper()
 	p.Release(take(t, p, rule, now), outcome, latency, now)
 }
 
-// warm sends requests to a rule's upstreams that all succeed.
+// warm sends successful requests to a rule's upstreams until they are warm.
 func warm(t *testing.T, p *slot.Pool, rule string, latency time.Duration) {
 	t.Helper()
 	for range 100 {
-		end(t, p, rule, slot.Success, latency, start)
+		sendAndEnd(t, p, rule, slot.Success, latency, start)
 	}
 }
 
@@ -65,8 +65,8 @@
 	return outcomes
 }
 
-// TestDraining holds what becomes of an upstream that gets no new request any
-// more, and of the requests that it has.
+// TestDraining checks the counts of an upstream that receives no new requests while it
+// still has outstanding requests.
 func TestDraining(t *testing.T) {
 	const a, b = "a", "b"
 	held := slot.Spec{Name: a, Held: 6}
@@ -75,13 +75,13 @@
 	cases := []struct {
 		name  string
 		specs []slot.Spec
-		// within is whether the host uses no more than it holds.
-		within bool
-		// held and outstanding are the pool's sums.
+		// withinHeld is the expected result of WithinHeld.
+		withinHeld bool
+		// held and outstanding are the pool's expected sums.
 		held, outstanding int
 	}{
-		{"leaving, with its slots kept", []slot.Spec{leaving, other}, true, 6, 2},
-		{"leaving, with its slots taken away", []slot.Spec{{Name: a, Leaving: true}, other}, false, 6, 2},
+		{"leaving, slots still held", []slot.Spec{leaving, other}, true, 6, 2},
+		{"leaving, slots no longer held", []slot.Spec{{Name: a, Leaving: true}, other}, false, 6, 2},
 		{"removed", []slot.Spec{other}, false, 6, 2},
 		{"fewer slots than requests", []slot.Spec{{Name: a, Held: 1}, other}, false, 7, 2},
 		{"as many slots as requests", []slot.Spec{{Name: a, Held: 2}, other}, true, 8, 2},
@@ -93,7 +93,7 @@
 			first, second := take(t, p, a, start), take(t, p, a, start)
 			configure(p, tc.specs...)
 
-			require.Equal(t, tc.within, p.WithinHeld())
+			require.Equal(t, tc.withinHeld, p.WithinHeld())
 			require.Equal(t, 2, p.Outstanding(a))
 			gotHeld, gotOut := p.Usage()
 			require.Equal(t, tc.held, gotHeld)
@@ -113,8 +113,9 @@
 	}
 }
 
-// TestWhatIsKeptOfAnUpstream holds when an upstream that comes back is cold.
-func TestWhatIsKeptOfAnUpstream(t *testing.T) {
+// TestStateOfAnUpstreamThatIsAddedAgain checks when an upstream that was removed and
+// added again is cold.
+func TestStateOfAnUpstreamThatIsAddedAgain(t *testing.T) {
 	a, b := slot.Spec{Name: "a", Held: 6}, slot.Spec{Name: "b", Held: 6}
 	cases := []struct {
 		name        string
@@ -122,9 +123,9 @@
 		meanwhile   slot.Spec
 		want        int
 	}{
-		{"removed without requests: forgotten", 0, b, 1},
-		{"removed with a request: kept", 1, b, 6},
-		{"leaving without slots: kept", 0, slot.Spec{Name: "a", Leaving: true}, 6},
+		{"removed without requests: state is dropped", 0, b, 1},
+		{"removed with a request: state is kept", 1, b, 6},
+		{"leaving without slots: state is kept", 0, slot.Spec{Name: "a", Leaving: true}, 6},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -140,9 +141,9 @@
 	}
 }
 
-// TestADeadHostsSlotsAreUsed: slots that a dead host held, and that the roster
-// gives to this one, can be used as far as the concurrency limit allows.
-func TestADeadHostsSlotsAreUsed(t *testing.T) {
+// TestSlotsOfADeadHostAreUsed checks that slots of a dead host that the roster assigns
+// to this host can be used up to the concurrency limit.
+func TestSlotsOfADeadHostAreUsed(t *testing.T) {
 	p := newPool(slot.Spec{Name: "a", Held: 2})
 	warm(t, p, "r", time.Millisecond)
 	take(t, p, "r", start)
@@ -153,9 +154,9 @@
 	configure(p, slot.Spec{Name: "a", Held: 4})
 	p.Release(second, slot.Success, time.Millisecond, start)
 	for range 2 {
-		end(t, p, "r", slot.Success, time.Millisecond, start)
+		sendAndEnd(t, p, "r", slot.Success, time.Millisecond, start)
 	}
-	require.Equal(t, slot.Load{Free: 2, Held: 4, Warm: 3, Outstanding: 1}, p.Load(start), "the limit grows by success, from where it was")
+	require.Equal(t, slot.Load{Free: 2, Held: 4, Warm: 3, Outstanding: 1}, p.Load(start), "the limit grows with each success from its previous value")
 	warm(t, p, "r", time.Millisecond)
 	require.Equal(t, slot.Load{Free: 3, Held: 4, Warm: 4, Outstanding: 1}, p.Load(start))
 }
--- a/internal/selector/slot/rule.go
+++ b/internal/selector/slot/rule.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// maxRateCredit is how many requests a rule's rate may save up, so that idle
-// time buys no burst: at most one more than the rate in any time.
+// maxRateCredit is the maximum number of requests that may accumulate under a rule's
+// rate limit. It prevents bursts after idle time: in any period, at most one
+// request more than the rate allows is sent.
 const maxRateCredit = 1.0
 
 // RuleSpec describes a rule to a pool.
@@ -12,9 +13,11 @@
 	Name string
 	// Upstreams are the rule's upstreams, as indexes into the pool's specs.
 	Upstreams []int32
-	// InFlight bounds the rule's outstanding requests here; negative is none.
+	// InFlight limits the rule's outstanding requests at this host; a negative
+	// value means no limit.
 	InFlight int
-	// Rate bounds the rule's requests per second here; negative is none.
+	// Rate limits the rule's requests per second at this host; a negative value
+	// means no limit.
 	Rate float64
 }
 
@@ -24,13 +27,13 @@
 	inFlight    int
 	outstanding int
 	rate        float64
-	// credit is how many requests the rate left room for at filledAt.
+	// credit is the number of requests that the rate limit allowed at filledAt.
 	credit   float64
 	filledAt int64
 }
 
-// configure sets the rule's limits. Its outstanding requests and its credit
-// stay.
+// configure sets the rule's limits and upstreams. The count of outstanding requests
+// and the credit are kept.
 func (r *rule) configure(s RuleSpec, upstreams []*upstream) {
 	r.inFlight, r.rate = s.InFlight, s.Rate
 	r.upstreams = make([]*upstream, 0, len(s.Upstreams))
@@ -39,8 +42,8 @@
 	}
 }
 
-// admits brings the rule's credit up to now and reports whether its limits
-// leave room for a request.
+// admits updates the rule's credit and reports whether its limits allow one more
+// request.
 func (r *rule) admits(now int64) bool {
 	if r.inFlight >= 0 && r.outstanding >= r.inFlight {
 		return false
@@ -54,8 +57,8 @@
 	return r.credit >= 1
 }
 
-// took counts a request that got a slot.
-func (r *rule) took() {
+// requestSent records a request that was granted a slot.
+func (r *rule) requestSent() {
 	r.outstanding++
 	if r.rate >= 0 {
 		r.credit--
--- a/internal/selector/slot/rule_test.go
+++ b/internal/selector/slot/rule_test.go
@@ -9,7 +9,7 @@
 	"cairndock/internal/selector/slot"
 )
 
-// TestRuleLimits holds a rule's limits, step by step.
+// TestRuleLimits checks a rule's limits step by step.
 func TestRuleLimits(t *testing.T) {
 	type step struct {
 		after   time.Duration
@@ -24,25 +24,25 @@
 		held     int
 		steps    []step
 	}{
-		{"no limits: the slots bound it", -1, -1, 2, []step{{want: slot.Granted}, {want: slot.Granted}, {want: slot.Full}}},
-		{"in flight", 2, -1, 6, []step{
+		{"no limits: only the slots limit the requests", -1, -1, 2, []step{{want: slot.Granted}, {want: slot.Granted}, {want: slot.Full}}},
+		{"in-flight limit", 2, -1, 6, []step{
 			{want: slot.Granted}, {want: slot.Granted}, {want: slot.Capped}, {release: true, want: slot.Granted}, {want: slot.Capped},
 		}},
-		{"in flight of none", 0, -1, 6, []step{{want: slot.Capped}}},
-		{"in flight is looked at before the slots, so that nothing waits for a cap", 2, -1, 2, []step{
+		{"in-flight limit of zero", 0, -1, 6, []step{{want: slot.Capped}}},
+		{"the in-flight limit is checked before the slots, so that no request waits for a cap", 2, -1, 2, []step{
 			{want: slot.Granted}, {want: slot.Granted}, {want: slot.Capped},
 		}},
-		{"rate", -1, 10, 6, []step{
+		{"rate limit", -1, 10, 6, []step{
 			{want: slot.Granted}, {want: slot.Capped}, {after: tenth - 1, want: slot.Capped}, {after: 2, want: slot.Granted}, {want: slot.Capped},
 		}},
-		{"rate: a released request does not give its credit back", -1, 10, 6, []step{
+		{"rate limit: a release does not restore credit", -1, 10, 6, []step{
 			{want: slot.Granted}, {release: true, want: slot.Capped},
 		}},
-		{"rate: idle time buys no burst", -1, 10, 6, []step{
+		{"rate limit: no burst after idle time", -1, 10, 6, []step{
 			{want: slot.Granted}, {after: time.Hour, want: slot.Granted}, {want: slot.Capped},
 		}},
-		{"rate of none", -1, 0, 6, []step{{want: slot.Capped}, {after: time.Hour, want: slot.Capped}}},
-		{"rate: a request that finds no slot costs no credit", -1, 10, 1, []step{
+		{"rate limit of zero", -1, 0, 6, []step{{want: slot.Capped}, {after: time.Hour, want: slot.Capped}}},
+		{"rate limit: a request without a free slot uses no credit", -1, 10, 1, []step{
 			{want: slot.Granted}, {after: 2 * tenth, want: slot.Full}, {release: true, want: slot.Granted},
 		}},
 	}
@@ -75,9 +75,9 @@
 	require.Equal(t, slot.NoRule, refusal)
 }
 
-// TestARulesCountsOutliveAChange: a rule's outstanding requests and its credit
-// stay when its limits change.
-func TestARulesCountsOutliveAChange(t *testing.T) {
+// TestARuleKeepsItsCountsWhenItsLimitsChange checks that a rule's outstanding requests
+// and its credit are kept when its limits change.
+func TestARuleKeepsItsCountsWhenItsLimitsChange(t *testing.T) {
 	specs := []slot.Spec{{Name: "a", Held: 6}}
 	limited := func(inFlight int, rate float64) []slot.RuleSpec {
 		return []slot.RuleSpec{{Name: "limited", Upstreams: []int32{0}, InFlight: inFlight, Rate: rate}}
@@ -90,11 +90,11 @@
 	p.Configure(specs, limited(1, -1))
 	p.Release(lease, slot.Success, time.Millisecond, start)
 	_, refusal := p.Take("limited", start)
-	require.Equal(t, slot.Capped, refusal, "one that began under the old limit still counts")
+	require.Equal(t, slot.Capped, refusal, "a request that began under the old limit must still be counted")
 
 	p.Configure(specs, limited(-1, 1))
 	take(t, p, "limited", start)
 	p.Configure(specs, limited(-1, 1))
 	_, refusal = p.Take("limited", start)
-	require.Equal(t, slot.Capped, refusal, "the credit that was used stays used")
+	require.Equal(t, slot.Capped, refusal, "used credit must not be restored")
 }
--- a/internal/selector/slot/upstream.go
+++ b/internal/selector/slot/upstream.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Outcome is how a request at an upstream ended.
+// Outcome is the outcome of a request at an upstream.
 type Outcome uint8
 
 const (
-	// Success is a whole response.
+	// Success means that the response was complete.
 	Success Outcome = iota
-	// Shed is the upstream's own refusal.
+	// Shed means that the upstream itself refused the request.
 	Shed
-	// Failure is a broken or missing response.
+	// Failure means that the response was incomplete or missing.
 	Failure
-	// Unused is a slot given back before anything was sent.
+	// Unused means that the slot was released before anything was sent.
 	Unused
 )
 
-// latencyWeight is the weight of a new latency in the moving average.
+// latencyWeight is the weight of a new sample in the moving average of the latency.
 const latencyWeight = 0.2
 
 // Spec describes an upstream to a pool.
 type Spec struct {
 	// Name is the upstream's name.
 	Name string
-	// Held is how many of its slots this host may use.
+	// Held is the number of the upstream's slots that this host may use.
 	Held int
-	// Leaving says that no new request may go there.
+	// Leaving is true if the upstream must not receive new requests.
 	Leaving bool
 }
 
@@ -36,21 +36,22 @@
 	held        int
 	leaving     bool
 	outstanding int
-	// limit is the concurrency limit in slots, of which whole ones are used.
+	// limit is the concurrency limit in slots. It is rounded down when it is used.
 	limit       float64
 	decreasedAt int64
-	latency     float64 // moving average, in seconds; 0 before the first
-	// failures and sheds are in a row; sheds only those at the least limit.
+	latency     float64 // moving average, in seconds; 0 before the first success
+	// failures and sheds are the numbers of consecutive failures and sheds. Only
+	// sheds at the minimum concurrency limit are counted.
 	failures     int
 	sheds        int
 	ejectedUntil int64
-	reported     float64 // load, 0 to 1
+	reported     float64 // last reported load, from 0 to 1
 	reportedAt   int64
 }
 
 func (u *upstream) ejected(now int64) bool { return u.ejectedUntil > now }
 
-// record learns from how a request ended.
+// record updates the upstream's state after a request with the given outcome.
 func (u *upstream) record(o Outcome, latency time.Duration, now int64) {
 	switch o {
 	case Success:
@@ -74,31 +75,31 @@
 }
 
 func (u *upstream) failed(now int64) {
-	u.ejectedUntil = now + int64(ejection(failEjection, maxFailEjection, u.failures))
+	u.ejectedUntil = now + int64(ejectionPeriod(minFailurePeriod, maxFailurePeriod, u.failures))
 	u.failures++
 	u.limit = coldLimit
 }
 
 func (u *upstream) shed(now int64) {
-	if now-u.decreasedAt < int64(decreaseInterval) {
+	if now-u.decreasedAt < int64(minDecreaseInterval) {
 		return
 	}
 	u.decreasedAt = now
 	if u.limit <= coldLimit {
-		u.ejectedUntil = now + int64(ejection(shedEjection, maxShedEjection, u.sheds))
+		u.ejectedUntil = now + int64(ejectionPeriod(minShedPeriod, maxShedPeriod, u.sheds))
 		u.sheds++
 	}
 	u.limit = decrease(u.limit)
 }
 
-// readmit ends an ejection, and the row of failures that led to it.
+// readmit ends an ejection and resets the counts of consecutive failures and sheds.
 func (u *upstream) readmit() {
 	u.failures = 0
 	u.sheds = 0
 	u.ejectedUntil = 0
 }
 
-// restarted makes the upstream cold again.
+// restarted makes the upstream cold and ends its ejection.
 func (u *upstream) restarted() {
 	u.readmit()
 	u.limit = coldLimit
