--- a/internal/selector/shift/meter.go
+++ b/internal/selector/shift/meter.go
@@ -1,9 +1,10 @@
-// Package shift moves a service's traffic between its rules and keeps each
-// rule's share of it under its cap. Meter counts one service's requests on one
-// host: each host counts for itself, so that no message is needed and caps hold
-// also while hosts are cut off from each other (docs/design/shares.md). Package
-// steer asks it which rule a request goes to, package entry/services advances
-// its ramps, and package entry/dispatch slows them after refusals.
+// Package shift distributes a service's traffic over its rules and keeps each
+// rule's share below its cap. Meter counts one service's requests on one host.
+// Each host counts independently, so that no messages are needed and caps are
+// enforced even while hosts cannot reach each other (docs/design/shares.md).
+// Package steer uses the meter to select a rule for each request, package
+// entry/services advances the ramps, and package entry/dispatch slows them down
+// after refusals.
 package shift
 
 import (
@@ -13,65 +14,68 @@
 )
 
 const (
-	// maxCredit is how many requests a cap carries from one arrival to the next,
-	// so that idle time buys no burst. The bound that Meter states needs 1.
+	// maxCredit is the maximum credit, in requests, that a cap carries over from one
+	// arrival to the next. It prevents bursts. The bound documented at Meter
+	// requires 1.
 	maxCredit = 1.0
-	// maxDeficit bounds, in requests, how long a rule that could not be served,
-	// or was served instead of others, is made up for.
+	// maxDeficit is the maximum deviation from a rule's share, in requests, that is
+	// compensated later. A rule deviates from its share when it cannot be served
+	// or is served instead of other rules.
 	maxDeficit = 16
 )
 
-// Rule is what a meter needs of a rule.
+// Rule contains the settings of a rule that a meter needs.
 type Rule struct {
 	// Name is the rule's name.
 	Name string
-	// Share is the target share, 0 to 1.
+	// Share is the target share, from 0 to 1.
 	Share float64
-	// Cap is the share never exceeded, 0 to 1.
+	// Cap is the maximum share, from 0 to 1.
 	Cap float64
-	// Ramp is the pace of the share in share per second; 0 moves at once.
+	// Ramp is the rate at which the share moves to its target, in share per second.
+	// 0 sets the share to its target at once.
 	Ramp float64
 }
 
-// ruleState is a rule and where it stands.
+// ruleState is a rule and its current state.
 type ruleState struct {
 	Rule
-	// current is the share now, on its way to Share.
+	// current is the current share, which moves toward Share.
 	current float64
-	// credit is how many requests the cap leaves room for now.
+	// credit is the number of requests that the cap currently allows.
 	credit float64
-	// deficit is how far the rule is behind its share, in requests.
+	// deficit is the number of requests by which the rule is behind its share.
 	deficit float64
-	// pace is the part of Ramp that refusals leave, from slowest to 1.
+	// pace is the factor by which refusals reduce Ramp, from minPace to 1.
 	pace float64
 }
 
-// Meter counts one service's requests on one host. It has no lock; the caller
-// passes in the time.
+// Meter counts one service's requests on one host. It is not safe for concurrent
+// use. The current time is passed to its methods.
 //
-// In every window of n requests that arrive here, at most floor(cap*n)+1
-// are sent to a rule: credit is at most 1 when the window opens, each
-// arrival adds cap, and each request sent, retries and hedges too, takes one.
-// So h hosts together send at most cap*N+h of any N requests.
+// In every window of n requests that arrive at the host, at most floor(cap*n)+1
+// requests are sent to a rule: the credit is at most 1 when the window opens, each
+// arrival adds cap, and each request sent uses 1, including retries and hedges.
+// Therefore h hosts together send at most cap*N+h of any N requests.
 type Meter struct {
-	rules   []ruleState
-	movedAt time.Time
-	// first gives the credit of a new rule, below one: hosts draw it at random,
-	// so that the sum over many hosts with small caps is unbiased.
-	first func() float64
+	rules      []ruleState
+	advancedAt time.Time
+	// initialCredit returns the credit of a new rule, from 0 to below 1. Hosts draw
+	// it at random, so that the sum over many hosts with small caps is unbiased.
+	initialCredit func() float64
 }
 
-// NewMeter makes a meter. first gives the credit that a new rule starts with,
-// from 0 to below 1.
-func NewMeter(first func() float64, now time.Time) *Meter {
-	return &Meter{first: first, movedAt: now}
+// NewMeter returns a meter without rules. initialCredit returns the credit of a new
+// rule, from 0 to below 1.
+func NewMeter(initialCredit func() float64, now time.Time) *Meter {
+	return &Meter{initialCredit: initialCredit, advancedAt: now}
 }
 
-// Configure sets the rules. A rule that stays keeps its current share, credit,
-// deficit and pace. A new one with a ramp starts at no share when there were
-// rules before, which carry the traffic; else it starts at its target.
+// Configure sets the rules. Existing rules keep their current share, credit, deficit
+// and pace. A new rule with a ramp starts with a share of 0 if there are existing
+// rules, which carry the traffic; otherwise it starts at its target.
 func (m *Meter) Configure(rules []Rule, now time.Time) {
-	m.move(now)
+	m.moveShares(now)
 	old := m.rules
 	m.rules = make([]ruleState, 0, len(rules))
 	for _, r := range rules {
@@ -93,19 +97,19 @@
 	return s
 }
 
-// newRule gives the state of a new rule; others says whether the traffic has
-// rules to go to already.
-func (m *Meter) newRule(r Rule, others bool) ruleState {
-	s := ruleState{Rule: r, credit: m.first(), current: r.Share, pace: 1}
-	if r.Ramp > 0 && others {
+// newRule returns the state of a new rule. hasExisting reports whether there are
+// existing rules that carry the traffic.
+func (m *Meter) newRule(r Rule, hasExisting bool) ruleState {
+	s := ruleState{Rule: r, credit: m.initialCredit(), current: r.Share, pace: 1}
+	if r.Ramp > 0 && hasExisting {
 		s.current = 0
 	}
 	return s
 }
 
-// Arrive counts a request that arrived and gives the places of the rules in the
-// order in which to try them. It appends to order, so that a caller's buffer is
-// reused.
+// Arrive records an arriving request and returns the indexes of the rules in the
+// order in which to try them. The indexes are appended to order, so that a buffer
+// can be reused.
 func (m *Meter) Arrive(order []int32) []int32 {
 	sum := 0.0
 	for i := range m.rules {
@@ -123,8 +127,8 @@
 	return order
 }
 
-// compare orders rules as they are tried: those with a share before those
-// without, and then the one furthest behind its share first.
+// compare defines the order in which rules are tried: rules with a share precede rules
+// without a share, and rules with a larger deficit precede rules with a smaller one.
 func (m *Meter) compare(a, b int32) int {
 	ra, rb := &m.rules[a], &m.rules[b]
 	if (ra.current > 0) != (rb.current > 0) {
@@ -133,8 +137,8 @@
 	return cmp.Compare(rb.deficit, ra.deficit)
 }
 
-// Index gives the place of a rule, negative when there is none. Places
-// change with the configuration; names do not.
+// Index returns the index of the rule with the given name, or -1 if there is none.
+// Indexes change with the configuration; names do not.
 func (m *Meter) Index(rule string) int32 {
 	for i := range m.rules {
 		if m.rules[i].Name == rule {
@@ -144,8 +148,8 @@
 	return -1
 }
 
-// Has reports whether there is a rule at a place whose cap leaves room for a
-// request. A cap of 1 always does.
+// Has reports whether there is a rule at an index and its cap allows one more
+// request. A cap of 1 always allows it.
 func (m *Meter) Has(i int32) bool {
 	if i < 0 || int(i) >= len(m.rules) {
 		return false
@@ -154,9 +158,10 @@
 	return r.Cap >= 1 || r.credit >= 1
 }
 
-// Take counts a request to a rule, or reports that its cap leaves no room.
-// Nothing is given back for a request that is refused after all: credit from
-// before a window could let the window hold more than its bound.
+// Take records a request to a rule. It returns false if the rule does not exist or
+// its cap does not allow the request. The credit is not restored if the request is
+// refused later, because restored credit from before a window could make the window
+// exceed its bound.
 func (m *Meter) Take(i int32) bool {
 	if !m.Has(i) {
 		return false
@@ -166,25 +171,25 @@
 		r.credit--
 	}
 	r.deficit = max(-maxDeficit, r.deficit-1)
-	// Rules that can't be served gather no more than maxDeficit.
+	// The deficit of rules that cannot be served is limited to maxDeficit.
 	for i := range m.rules {
 		m.rules[i].deficit = min(maxDeficit, m.rules[i].deficit)
 	}
 	return true
 }
 
-// Status is where one rule stands, for the status page.
+// Status describes the state of one rule, for the status page.
 type Status struct {
 	Rule string `json:"rule"`
-	// Share is the current share, Target where it moves to, Cap its bound.
+	// Share is the current share, Target is its target and Cap is its maximum.
 	Share  float64 `json:"share"`
 	Target float64 `json:"target"`
 	Cap    float64 `json:"cap"`
-	// Pace is the part of the ramp's speed that refusals leave, 0 to 1.
+	// Pace is the factor by which refusals reduce the speed of the ramp, from 0 to 1.
 	Pace float64 `json:"pace"`
 }
 
-// Status gives where each rule stands.
+// Status returns the status of all rules.
 func (m *Meter) Status() []Status {
 	out := make([]Status, 0, len(m.rules))
 	for _, r := range m.rules {
--- a/internal/selector/shift/meter_test.go
+++ b/internal/selector/shift/meter_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestCapHoldsInEveryWindow sends random traffic with retries, refusals of
-// other rules and changes of the shares, and looks at every window.
+// TestCapHoldsInEveryWindow sends random traffic with retries, refusals by other rules
+// and changes of the shares, and checks the cap in every window of arrivals.
 func TestCapHoldsInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Float64Range(0, 0.99).Draw(t, "cap")
@@ -20,7 +20,7 @@
 		m := NewMeter(func() float64 { return first }, now)
 		rules := []Rule{{Name: "capped", Share: share, Cap: limit}, {Name: "rest", Share: 1 - share, Cap: 1}}
 		m.Configure(rules, now)
-		var sent []int // per arrival, how often the capped rule was sent to
+		var sent []int // number of requests to the capped rule, per arrival
 		for range rapid.IntRange(1, 300).Draw(t, "arrivals") {
 			m.Arrive(nil)
 			n := 0
@@ -45,8 +45,8 @@
 		for to := from; to < len(sent); to++ {
 			sum += sent[to]
 			n := to - from + 1
-			if most := int(math.Floor(limit*float64(n)+1e-9)) + 1; sum > most {
-				t.Fatalf("%d of the %d requests from %d on, at most %d by cap %v", sum, n, from, most, limit)
+			if maxSum := int(math.Floor(limit*float64(n)+1e-9)) + 1; sum > maxSum {
+				t.Fatalf("%d of the %d requests from arrival %d on were sent; at most %d are allowed by cap %v", sum, n, from, maxSum, limit)
 			}
 		}
 	}
@@ -69,7 +69,7 @@
 	require.InDelta(t, 800, counts["b"], 2)
 }
 
-func TestCapNearOneDoesNotWaste(t *testing.T) {
+func TestCapNearOneIsFullyUsed(t *testing.T) {
 	now := time.Now()
 	m := NewMeter(func() float64 { return 0 }, now)
 	m.Configure([]Rule{{Name: "a", Share: 0.9, Cap: 0.9}}, now)
@@ -97,11 +97,11 @@
 		slow   bool
 		want   float64
 	}{
-		{name: "moves at its pace", after: time.Second, want: 0.1},
-		{name: "stands while frozen", after: time.Second, frozen: true, want: 0.1},
-		{name: "goes on without a jump", after: time.Second, want: 0.2},
-		{name: "is slowed by a refusal", after: time.Second, slow: true, want: 0.25},
-		{name: "reaches its target and stays", after: time.Minute, want: 0.5},
+		{name: "moves at the ramp's rate", after: time.Second, want: 0.1},
+		{name: "does not move while frozen", after: time.Second, frozen: true, want: 0.1},
+		{name: "continues without a jump after frozen", after: time.Second, want: 0.2},
+		{name: "is slowed down by a refusal", after: time.Second, slow: true, want: 0.25},
+		{name: "reaches its target and stays there", after: time.Minute, want: 0.5},
 	}
 	for _, s := range steps {
 		now = now.Add(s.after)
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestStartingHostJoinsTheRamp(t *testing.T) {
+func TestStartingHostAdoptsTheRamp(t *testing.T) {
 	now := time.Now()
 	m := NewMeter(func() float64 { return 0 }, now)
 	m.Configure([]Rule{{Name: "a", Share: 0.5, Cap: 0.6, Ramp: 0.01}}, now)
@@ -121,7 +121,7 @@
 	require.InDelta(t, 0.2, m.Shares()["a"], 1e-9)
 }
 
-// TestShareOfANewRule holds where a rule's share starts.
+// TestShareOfANewRule checks the current share of new and changed rules.
 func TestShareOfANewRule(t *testing.T) {
 	now := time.Now()
 	first := Rule{Name: "first", Share: 0.5, Cap: 1}
@@ -131,12 +131,12 @@
 		rule   Rule
 		want   float64
 	}{
-		{"without a ramp at its target", []Rule{first}, Rule{Name: "new", Share: 0.5, Cap: 1}, 0.5},
-		{"with a ramp at nothing", []Rule{first}, Rule{Name: "new", Share: 0.5, Cap: 1, Ramp: 0.1}, 0},
-		{"with a ramp, and no rule before, at its target", nil, Rule{Name: "new", Share: 0.5, Cap: 1, Ramp: 0.1}, 0.5},
-		{"a rule that stays moves at once without a ramp", []Rule{{Name: "new", Share: 0.1, Cap: 1, Ramp: 0.1}}, Rule{Name: "new", Share: 0.5, Cap: 1}, 0.5},
-		{"and stays where it is with one", []Rule{{Name: "new", Share: 0.1, Cap: 1, Ramp: 0.1}}, Rule{Name: "new", Share: 0.5, Cap: 1, Ramp: 0.1}, 0.1},
-		{"but for a lower cap", []Rule{{Name: "new", Share: 0.5, Cap: 1, Ramp: 0.1}}, Rule{Name: "new", Share: 0.1, Cap: 0.2, Ramp: 0.1}, 0.2},
+		{"a new rule without a ramp starts at its target", []Rule{first}, Rule{Name: "new", Share: 0.5, Cap: 1}, 0.5},
+		{"a new rule with a ramp starts at zero", []Rule{first}, Rule{Name: "new", Share: 0.5, Cap: 1, Ramp: 0.1}, 0},
+		{"a new rule with a ramp and without existing rules starts at its target", nil, Rule{Name: "new", Share: 0.5, Cap: 1, Ramp: 0.1}, 0.5},
+		{"an existing rule without a ramp moves at once", []Rule{{Name: "new", Share: 0.1, Cap: 1, Ramp: 0.1}}, Rule{Name: "new", Share: 0.5, Cap: 1}, 0.5},
+		{"an existing rule with a ramp keeps its share", []Rule{{Name: "new", Share: 0.1, Cap: 1, Ramp: 0.1}}, Rule{Name: "new", Share: 0.5, Cap: 1, Ramp: 0.1}, 0.1},
+		{"an existing rule with a ramp is limited by a lower cap", []Rule{{Name: "new", Share: 0.5, Cap: 1, Ramp: 0.1}}, Rule{Name: "new", Share: 0.1, Cap: 0.2, Ramp: 0.1}, 0.2},
 	}
 	for _, tc := range cases {
 		m := NewMeter(func() float64 { return 0 }, now)
@@ -146,8 +146,8 @@
 	}
 }
 
-// TestPace: refusals slow a ramp down to a sixty-fourth, and it recovers by a
-// tenth of its own pace a second.
+// TestPace checks that refusals slow a ramp down to one sixty-fourth of its speed and
+// that the pace recovers by one tenth per second.
 func TestPace(t *testing.T) {
 	now := time.Now()
 	m := NewMeter(func() float64 { return 0 }, now)
@@ -163,25 +163,25 @@
 	require.InDelta(t, 1.0/64+0.1, pace(), 1e-9)
 	m.Advance(now.Add(time.Minute), false)
 	require.InDelta(t, 1, pace(), 1e-9)
-	require.InDelta(t, 1, m.Status()[1].Pace, 0, "the other rule's ramp is not slowed")
+	require.InDelta(t, 1, m.Status()[1].Pace, 0, "the ramp of the other rule must not be slowed down")
 }
 
-// TestPlacesOfRules: a place is looked up by name, and none is taken at a rule
-// that is gone.
-func TestPlacesOfRules(t *testing.T) {
+// TestRuleIndexes checks that a rule's index is looked up by name and that no request
+// is allowed for an index without a rule.
+func TestRuleIndexes(t *testing.T) {
 	now := time.Now()
 	m := NewMeter(func() float64 { return 0 }, now)
 	m.Configure([]Rule{{Name: "a", Share: 1, Cap: 1}, {Name: "none", Share: 0, Cap: 0}}, now)
 	require.Equal(t, int32(0), m.Index("a"))
 	require.Equal(t, int32(-1), m.Index("gone"))
-	for _, place := range []int32{-1, 2} {
-		require.False(t, m.Has(place))
-		require.False(t, m.Take(place))
+	for _, index := range []int32{-1, 2} {
+		require.False(t, m.Has(index))
+		require.False(t, m.Take(index))
 	}
 	m.Arrive(nil)
 	for range 5 {
 		require.True(t, m.Take(0))
 	}
-	require.False(t, m.Take(1), "a cap of nothing")
-	require.Equal(t, []int32{0, 1}, m.Arrive(nil), "a rule without a share comes last, whatever it is owed")
+	require.False(t, m.Take(1), "a cap of zero must not allow a request")
+	require.Equal(t, []int32{0, 1}, m.Arrive(nil), "a rule without a share comes last, regardless of its deficit")
 }
--- a/internal/selector/shift/ramp.go
+++ b/internal/selector/shift/ramp.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	// slowFactor is what each refusal at a rule's upstreams multiplies its pace
-	// by.
-	slowFactor = 0.5
-	// slowest is the least pace, so that a ramp that is refused again and again
-	// still moves.
-	slowest = 1.0 / 64
-	// recovery is what the pace gains in a second: from slowest to 1 takes about
-	// 10 s.
-	recovery = 0.1
+	// paceDecreaseFactor is the factor by which each refusal at a rule's upstreams
+	// reduces the rule's pace.
+	paceDecreaseFactor = 0.5
+	// minPace is the minimum pace, so that a ramp makes progress despite repeated
+	// refusals.
+	minPace = 1.0 / 64
+	// paceIncreasePerSecond is the increase of the pace per second. From minPace to
+	// 1 the pace takes about 10 s.
+	paceIncreasePerSecond = 0.1
 )
 
-// Adopt sets the shares of the rules with ramps to those that another host of
-// the zone has reached, so that a starting host joins a ramp where it stands.
+// Adopt sets the current shares of rules with a ramp to the shares that another host
+// of the zone has reached, so that a starting host continues the ramp from there.
 func (m *Meter) Adopt(shares map[string]float64) {
 	for i := range m.rules {
 		r := &m.rules[i]
@@ -25,7 +25,7 @@
 	}
 }
 
-// Shares gives each rule's current share.
+// Shares returns the current share of each rule, by name.
 func (m *Meter) Shares() map[string]float64 {
 	out := make(map[string]float64, len(m.rules))
 	for _, r := range m.rules {
@@ -34,35 +34,35 @@
 	return out
 }
 
-// Advance moves the ramps on, or lets them stand still while the host's
-// configuration may be out of date.
+// Advance moves the shares along their ramps. If frozen is true, the shares do not
+// move, because the host's configuration may be out of date.
 func (m *Meter) Advance(now time.Time, frozen bool) {
 	if frozen {
-		m.movedAt = now
+		m.advancedAt = now
 		return
 	}
-	m.move(now)
+	m.moveShares(now)
 }
 
-// move brings each share with a ramp closer to its target, by Ramp times pace
-// times the time since the last move at most.
-func (m *Meter) move(now time.Time) {
-	elapsed := now.Sub(m.movedAt).Seconds()
-	m.movedAt = now
+// moveShares moves each share with a ramp toward its target, by at most Ramp times
+// pace times the time since the last call.
+func (m *Meter) moveShares(now time.Time) {
+	elapsed := now.Sub(m.advancedAt).Seconds()
+	m.advancedAt = now
 	for i := range m.rules {
 		r := &m.rules[i]
 		step := r.Ramp * r.pace * elapsed
-		r.pace = min(1, r.pace+recovery*elapsed)
+		r.pace = min(1, r.pace+paceIncreasePerSecond*elapsed)
 		if r.Ramp > 0 {
 			r.current += max(-step, min(step, r.Share-r.current))
 		}
 	}
 }
 
-// Slow shrinks the pace of a rule's ramp after its upstreams refused a request,
+// Slow reduces the pace of a rule's ramp after the rule's upstreams refused a request
 // or had no free slot for it.
 func (m *Meter) Slow(rule string) {
 	if i := m.Index(rule); i >= 0 {
-		m.rules[i].pace = max(slowest, m.rules[i].pace*slowFactor)
+		m.rules[i].pace = max(minPace, m.rules[i].pace*paceDecreaseFactor)
 	}
 }
