--- a/internal/selector/ticket/handover.go
+++ b/internal/selector/ticket/handover.go
@@ -2,25 +2,26 @@
 
 import "slices"
 
-// Handover is a store as it is sent to another host.
+// Handover is the form in which a store is sent to another host.
 type Handover struct {
 	Host        string            `msgpack:"h"`
 	Zone        string            `msgpack:"z"`
 	Incarnation string            `msgpack:"i"`
 	Key         []byte            `msgpack:"k"`
 	Records     map[uint64]Record `msgpack:"r"`
-	// Sealed says that another host may already have the same tickets, so that
-	// this copy must dispatch nothing.
+	// Sealed is true if another host may already have received the same tickets.
+	// This copy must then dispatch nothing.
 	Sealed bool `msgpack:"s"`
 }
 
-// Seal ends issuing and dispatching here for good.
+// Seal permanently stops the store from issuing and dispatching tickets.
 func (s *Store) Seal() { s.sealed = true }
 
-// Handover seals the store and gives its tickets for another host. Only the first
-// host that is asked to take them may get a copy that dispatches, as it may have
-// taken it though its response was lost. The outcome of requests that still run
-// here is in doubt there.
+// Handover seals the store and returns its tickets for transfer to another host.
+// first must be true only for the first host to which the tickets are sent. Only
+// that host receives a copy that may dispatch, because it may have accepted the
+// tickets even if its response was lost. Requests that still run are InDoubt in the
+// copy.
 func (s *Store) Handover(first bool) Handover {
 	s.sealed = true
 	records := make(map[uint64]Record, len(s.records))
@@ -40,8 +41,8 @@
 	}
 }
 
-// FromHandover makes the store that goes on for the host that handed over. Its
-// caller issues no tickets from it.
+// FromHandover returns a store that serves the tickets of the host that sent the
+// handover. No tickets may be issued from this store.
 func FromHandover(h Handover) *Store {
 	s := NewStore(h.Host, h.Zone, h.Incarnation, h.Key)
 	s.sealed = h.Sealed
--- a/internal/selector/ticket/store.go
+++ b/internal/selector/ticket/store.go
@@ -7,48 +7,49 @@
 )
 
 const (
-	// maxKept bounds the body of a kept response, in bytes; of a larger one only
-	// the verdict is kept: what it costs is in docs/CAPACITY.md.
-	maxKept = 64 << 10
-	// sweepInterval is the least time between two looks for records to forget.
-	sweepInterval = time.Minute
-	// resendGrace is how long after a ticket's expiry its record is kept, in
-	// seconds, for a resend on its way.
-	resendGrace = 60
+	// maxBodyBytes is the maximum size of the body of a kept response, in bytes. If
+	// the body is larger, only the verdict is kept. docs/CAPACITY.md states the
+	// memory use.
+	maxBodyBytes = 64 << 10
+	// minSweepInterval is the minimum time between two sweeps for expired records.
+	minSweepInterval = time.Minute
+	// resendGraceSeconds is how long a record is kept after its ticket's expiry, in
+	// seconds, for a resend that is already in transit.
+	resendGraceSeconds = 60
 )
 
-// Phase is how far a ticket's request has come. Its numbers are sent to other
+// Phase is the state of a ticket's request. Its numeric values are sent to other
 // hosts.
 type Phase uint8
 
 const (
-	// Running requests were dispatched and have no outcome yet.
+	// Running requests have been dispatched and have no outcome yet.
 	Running Phase = iota + 1
 	// Completed requests have a response.
 	Completed
-	// InDoubt requests may have run; their outcome will never be known.
+	// InDoubt requests may have run. Their outcome can no longer be determined.
 	InDoubt
 )
 
-// Outcome is a kept response.
+// Outcome is the kept response to a request.
 type Outcome struct {
 	Status   int         `msgpack:"s"`
 	Header   http.Header `msgpack:"h"`
 	Body     []byte      `msgpack:"b"`
 	Upstream string      `msgpack:"u"`
-	// Partial says that the body was too large to keep.
+	// Partial is true if the body was too large to be kept.
 	Partial bool `msgpack:"p"`
 }
 
-// Record is what is known of a used ticket.
+// Record is the state of a used ticket.
 type Record struct {
 	Digest  Digest  `msgpack:"d"`
 	Phase   Phase   `msgpack:"p"`
 	Outcome Outcome `msgpack:"o"`
-	Expiry  int64   `msgpack:"e"`
+	Expiry  int64   `msgpack:"e"` // Unix seconds
 }
 
-// Store is the tickets of one incarnation.
+// Store holds the tickets of one incarnation. It is not safe for concurrent use.
 type Store struct {
 	host        string
 	zone        string
@@ -58,17 +59,19 @@
 	sequence uint64
 	// records are the used tickets, by number.
 	records map[uint64]Record
-	// sealed stores give what their records say and dispatch nothing.
+	// sealed is true if the store issues and dispatches no more tickets. Its records
+	// remain available.
 	sealed  bool
 	sweptAt time.Time
 }
 
-// NewStore makes an empty store.
+// NewStore returns an empty store.
 func NewStore(host, zone, incarnation string, key Key) *Store {
 	return &Store{host: host, zone: zone, incarnation: incarnation, key: key, records: map[uint64]Record{}}
 }
 
-// Issue issues a ticket. Nothing is kept until it is used.
+// Issue issues a ticket. Nothing is stored until the ticket is used. It returns
+// ErrSealed if the store is sealed.
 func (s *Store) Issue(now time.Time) (Ticket, error) {
 	if s.sealed {
 		return Ticket{}, ErrSealed
@@ -85,10 +88,12 @@
 	return t, nil
 }
 
-// Begin decides whether to dispatch a ticket's request. With dispatch true the
-// caller has to dispatch it and must then call Finish or Abandon; else rec says
-// what became of it. A used ticket gives its record also past its expiry and at a
-// sealed store, since its request must not run again.
+// Begin decides whether to dispatch a ticket's request. If dispatch is true, the
+// request must be dispatched, followed by a call of Finish or Abandon. Otherwise rec
+// is the record of the request. The record of a used ticket is returned even after
+// the ticket's expiry and by a sealed store, because the request must not run again.
+//
+// The error is ErrForged, ErrOtherRequest, ErrExpired or ErrSealed.
 func (s *Store) Begin(t Ticket, d Digest, now time.Time) (rec Record, dispatch bool, err error) {
 	if t.Incarnation != s.incarnation || !hmac.Equal(t.MAC, t.mac(s.key)) {
 		return Record{}, false, ErrForged
@@ -110,18 +115,19 @@
 	return rec, true, nil
 }
 
-// Finish keeps the response to a dispatched request.
+// Finish records the response to a dispatched request.
 func (s *Store) Finish(t Ticket, o Outcome) {
 	rec := s.records[t.Sequence]
-	if len(o.Body) > maxKept {
+	if len(o.Body) > maxBodyBytes {
 		o.Body, o.Partial = nil, true
 	}
 	rec.Phase, rec.Outcome = Completed, o
 	s.records[t.Sequence] = rec
 }
 
-// Abandon ends a dispatched request that got no response. One that certainly did
-// not run leaves the ticket unused; else its outcome is in doubt for good.
+// Abandon records the end of a dispatched request without a response. If the request
+// certainly did not run, the ticket becomes unused again. Otherwise the request
+// remains InDoubt.
 func (s *Store) Abandon(t Ticket, notRun bool) {
 	if notRun {
 		delete(s.records, t.Sequence)
@@ -132,24 +138,24 @@
 	s.records[t.Sequence] = rec
 }
 
-// sweep forgets records some time past their expiry. A ticket past its expiry is
-// never dispatched, so that forgetting it is safe.
+// sweep deletes records whose tickets expired more than resendGraceSeconds ago. This
+// is safe because an expired ticket is never dispatched.
 func (s *Store) sweep(now time.Time) {
-	if now.Sub(s.sweptAt) < sweepInterval {
+	if now.Sub(s.sweptAt) < minSweepInterval {
 		return
 	}
 	s.sweptAt = now
 	for seq, rec := range s.records {
-		if rec.Phase != Running && now.Unix() > rec.Expiry+resendGrace {
+		if rec.Phase != Running && now.Unix() > rec.Expiry+resendGraceSeconds {
 			delete(s.records, seq)
 		}
 	}
 }
 
-// Len is how many used tickets are kept.
+// Len returns the number of used tickets in the store.
 func (s *Store) Len() int { return len(s.records) }
 
-// Running is how many dispatched requests have no outcome yet.
+// Running returns the number of dispatched requests that have no outcome yet.
 func (s *Store) Running() int {
 	n := 0
 	for _, r := range s.records {
--- a/internal/selector/ticket/ticket.go
+++ b/internal/selector/ticket/ticket.go
@@ -1,17 +1,17 @@
-// Package ticket lets requests that may not be repeated run at most once. A
-// client asks for a ticket and sends it with its request, also when it sends the
-// request again. Only the incarnation of the host that issued the ticket
-// dispatches the request, once; a resend gets the kept response, or an error that
-// says that the request still runs or that its outcome is in doubt.
-// docs/design/tickets.md says what was weighed.
+// Package ticket ensures that requests that must not be repeated run at most once. A
+// client requests a ticket and sends it with its request, including each resend of
+// the request. Only the incarnation of the host that issued the ticket dispatches
+// the request, and only once. A resend is answered with the kept response, or with
+// an error if the request still runs or its outcome is in doubt.
+// docs/design/tickets.md describes the alternatives.
 //
-// A Ticket carries a MAC of its issuer, so that an unused one costs no memory.
-// Store holds the records of the used ones; it has no lock, and its caller passes
-// in the time; package entry/tickets has the lock, and runs the requests. A
-// request is dispatched only where Store.Begin says so: the ticket is genuine, not
-// expired, bound to no other request, not used, and the store is not sealed. A
-// stopping host hands its store over to another one (Handover), and only one of
-// them may go on dispatching.
+// A Ticket carries a MAC of its issuer, so that unused tickets need no memory. Store
+// holds the records of used tickets. It has no lock, and the current time is passed
+// to its methods; package entry/tickets adds the lock and runs the requests. A
+// request is dispatched only if Store.Begin permits it: the ticket is genuine,
+// unexpired, unused and not bound to another request, and the store is not sealed. A
+// stopping host hands its store over to another host (Handover), and only one of the
+// hosts that receive the store may dispatch requests.
 package ticket
 
 import (
@@ -27,65 +27,66 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Why a ticket is not accepted.
+// Reasons for which a ticket is not accepted.
 var (
-	// ErrMalformed says that the text is no ticket.
+	// ErrMalformed means that the text is not a ticket.
 	ErrMalformed = eris.New("malformed ticket")
-	// ErrForged says that this incarnation never issued the ticket.
+	// ErrForged means that the ticket was not issued by this incarnation.
 	ErrForged = eris.New("ticket was not issued by this host")
-	// ErrExpired says that the ticket is past its expiry and no record of it is
-	// left: it may have been used.
+	// ErrExpired means that the ticket has expired and the store has no record of
+	// it. The ticket may have been used.
 	ErrExpired = eris.New("ticket has expired")
-	// ErrOtherRequest says that the ticket is bound to another request.
+	// ErrOtherRequest means that the ticket is bound to another request.
 	ErrOtherRequest = eris.New("ticket is bound to another request")
-	// ErrSealed says that the store neither issues nor dispatches any more.
+	// ErrSealed means that the store no longer issues or dispatches tickets.
 	ErrSealed = eris.New("host is stopping and has closed its tickets")
 )
 
 const (
-	// Lifetime is how long a ticket may be used and its outcome is kept: what it
-	// costs is in docs/CAPACITY.md.
+	// Lifetime is how long a ticket may be used and its outcome is kept.
+	// docs/CAPACITY.md states the memory use.
 	Lifetime = 10 * time.Minute
-	// maxLength bounds the text of a ticket, in bytes, before it is decoded.
-	maxLength = 256
-	// keySize is the length of a key in bytes: that of the hash, as RFC 2104
-	// advises.
+	// maxTextBytes is the maximum length of a ticket's text, in bytes. It is checked
+	// before the text is decoded.
+	maxTextBytes = 256
+	// keySize is the length of a key in bytes. It equals the length of the hash, as
+	// recommended by RFC 2104.
 	keySize = 32
-	// macSize is the length of a MAC in bytes: half the hash, the least that RFC
-	// 2104 advises.
+	// macSize is the length of a MAC in bytes. It is half the length of the hash,
+	// the minimum recommended by RFC 2104.
 	macSize = 16
 )
 
 // Key signs the tickets of one incarnation.
 type Key []byte
 
-// NewKey draws a key.
+// NewKey returns a random key.
 func NewKey() Key {
 	k := make(Key, keySize)
 	_, _ = rand.Read(k) // never fails (crypto/rand)
 	return k
 }
 
-// Ticket is the right to have one request run at most once. It is sent as an
-// array, so that the order of the fields is its form on the wire.
+// Ticket is the right to have one request run at most once. It is encoded as an array,
+// so the order of the fields is part of the wire format.
 type Ticket struct {
-	// Host issued the ticket.
+	// Host is the name of the host that issued the ticket.
 	Host string
-	// Zone is where that host is, for hosts that do not know it.
+	// Zone is the zone of that host, for hosts that do not know the host.
 	Zone        string
 	Incarnation string
 	// Sequence is the ticket's number within the incarnation.
 	Sequence uint64
 	Expiry   int64 // Unix seconds
-	// MAC is over all other fields.
+	// MAC covers all other fields.
 	MAC []byte
 }
 
-// Parse reads a ticket's text. Its error is ErrMalformed without the cause: a
-// client copies a ticket and can do nothing with more.
+// Parse parses a ticket's text. The error is ErrMalformed without a cause, because
+// clients treat tickets as opaque and could not use the cause.
 func Parse(text string) (Ticket, error) {
 	var t Ticket
-	if len(text) > maxLength {
+	if len(text) > maxTextBytes {
 		return t, ErrMalformed
 	}
 	raw, err := base64.RawURLEncoding.DecodeString(text)
@@ -95,18 +96,19 @@
 	return t, nil
 }
 
-// String gives the ticket's text.
+// String returns the ticket's text.
 func (t Ticket) String() string {
 	var raw bytes.Buffer
 	enc := msgpack.NewEncoder(&raw)
 	enc.UseArrayEncodedStructs(true)
 	if err := enc.Encode(t); err != nil {
-		return "" // strings, numbers and bytes into memory: it can't fail
+		return "" // cannot fail: only strings, numbers and bytes are encoded, into memory
 	}
 	return base64.RawURLEncoding.EncodeToString(raw.Bytes())
 }
 
-// mac gives the MAC of a ticket, which shows that an owner of the key issued it.
+// mac returns the MAC of a ticket. It proves that a holder of the key issued the
+// ticket.
 func (t Ticket) mac(key Key) []byte {
 	h := hmac.New(sha256.New, key)
 	h.Write([]byte(t.Host + "\x00" + t.Zone + "\x00" + t.Incarnation + "\x00"))
@@ -117,14 +119,14 @@
 	return h.Sum(nil)[:macSize]
 }
 
-// Digest identifies a request, so that a ticket serves one request only.
+// Digest identifies a request, so that a ticket can be used for one request only.
 type Digest [sha256.Size]byte
 
-// DigestOf gives the digest of a request's service, method, target and body.
+// DigestOf returns the digest of a request's service, method, target and body.
 func DigestOf(service, method, target string, body []byte) Digest {
 	h := sha256.New()
-	for _, part := range []string{service, method, target} {
-		h.Write([]byte(part + "\x00"))
+	for _, field := range []string{service, method, target} {
+		h.Write([]byte(field + "\x00"))
 	}
 	h.Write(body)
 	return Digest(h.Sum(nil))
--- a/internal/selector/ticket/ticket_test.go
+++ b/internal/selector/ticket/ticket_test.go
@@ -37,11 +37,11 @@
 		{name: "resend while it runs", prepare: use, digest: digestA, phase: Running},
 		{name: "resend after the response", prepare: func(s *Store, t *Ticket) { use(s, t); s.Finish(*t, Outcome{Status: 200}) }, digest: digestA, phase: Completed},
 		{name: "resend when the outcome is in doubt", prepare: func(s *Store, t *Ticket) { use(s, t); s.Abandon(*t, false) }, digest: digestA, phase: InDoubt},
-		{name: "resend after it was not run", prepare: func(s *Store, t *Ticket) { use(s, t); s.Abandon(*t, true) }, digest: digestA, dispatch: true, phase: Running},
+		{name: "resend after the request did not run", prepare: func(s *Store, t *Ticket) { use(s, t); s.Abandon(*t, true) }, digest: digestA, dispatch: true, phase: Running},
 		{name: "another request", prepare: use, digest: digestB, err: ErrOtherRequest},
 		{name: "another request after the response", prepare: func(s *Store, t *Ticket) { use(s, t); s.Finish(*t, Outcome{Status: 200}) }, digest: digestB, err: ErrOtherRequest},
 		{name: "expired unused", digest: digestA, after: Lifetime, err: ErrExpired},
-		{name: "expired and forgotten", prepare: func(s *Store, t *Ticket) { use(s, t); s.Finish(*t, Outcome{Status: 200}) }, digest: digestA, after: 2 * Lifetime, err: ErrExpired},
+		{name: "expired and swept", prepare: func(s *Store, t *Ticket) { use(s, t); s.Finish(*t, Outcome{Status: 200}) }, digest: digestA, after: 2 * Lifetime, err: ErrExpired},
 		{name: "forged sequence", prepare: func(_ *Store, t *Ticket) { t.Sequence++ }, digest: digestA, err: ErrForged},
 		{name: "forged expiry", prepare: func(_ *Store, t *Ticket) { t.Expiry++ }, digest: digestA, err: ErrForged},
 		{name: "another incarnation", prepare: func(_ *Store, t *Ticket) { t.Incarnation = "2" }, digest: digestA, err: ErrForged},
@@ -85,7 +85,7 @@
 	}
 	_, dispatch, err := first.Begin(unused, digestA, start)
 	require.NoError(t, err)
-	require.True(t, dispatch, "the first successor goes on")
+	require.True(t, dispatch, "the first successor must dispatch")
 	_, dispatch, err = second.Begin(unused, digestA, start)
 	require.ErrorIs(t, err, ErrSealed)
 	require.False(t, dispatch, "two successors must not both dispatch")
@@ -96,18 +96,18 @@
 	require.ErrorIs(t, err, ErrSealed)
 }
 
-func TestLargeResponsesAreNotKept(t *testing.T) {
+func TestLargeBodiesAreNotKept(t *testing.T) {
 	s := NewStore("h", "z", "1", NewKey())
 	issued := newTicket(t, s)
 	use(s, &issued)
-	s.Finish(issued, Outcome{Status: 200, Body: make([]byte, maxKept+1)})
+	s.Finish(issued, Outcome{Status: 200, Body: make([]byte, maxBodyBytes+1)})
 	rec, _, err := s.Begin(issued, digestA, start)
 	require.NoError(t, err)
 	require.True(t, rec.Outcome.Partial)
 	require.Empty(t, rec.Outcome.Body)
 }
 
-func TestRecordsAreForgotten(t *testing.T) {
+func TestExpiredRecordsAreSwept(t *testing.T) {
 	s := NewStore("h", "z", "1", NewKey())
 	issued := newTicket(t, s)
 	use(s, &issued)
@@ -119,13 +119,13 @@
 
 func FuzzParse(f *testing.F) {
 	good, _ := NewStore("h", "z", "1", NewKey()).Issue(start)
-	for _, seed := range []string{"", "none", good.String(), strings.Repeat("A", maxLength+1)} {
+	for _, seed := range []string{"", "none", good.String(), strings.Repeat("A", maxTextBytes+1)} {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		parsed, err := Parse(text)
 		if err == nil && len(parsed.MAC) != macSize {
-			t.Fatal("a ticket without a whole MAC")
+			t.Fatal("a ticket was parsed whose MAC has the wrong length")
 		}
 	})
 }
--- a/internal/selector/ticket/wire_test.go
+++ b/internal/selector/ticket/wire_test.go
@@ -8,17 +8,17 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// TestTicketsText: clients keep a ticket's text, and hosts of other versions read
-// it, so that its fields' order and its MAC stay.
-func TestTicketsText(t *testing.T) {
+// TestTicketTextFormat guards against changes of the order of a ticket's fields or of
+// its MAC, because clients keep the text and hosts of other versions parse it.
+func TestTicketTextFormat(t *testing.T) {
 	issued := Ticket{Host: "host", Zone: "zone", Incarnation: "incarnation", Sequence: 7, Expiry: 1_800_000_000}
 	issued.MAC = issued.mac(make(Key, keySize))
 	require.Equal(t, "lqRob3N0pHpvbmWraW5jYXJuYXRpb27PAAAAAAAAAAfTAAAAAGtJ0gDEEEofoYBdb_ybf63e1g2N8pw", issued.String())
 }
 
-// TestHandoversFormOnTheWire: hosts of different versions hand tickets over, so
-// that the keys and types of each field stay.
-func TestHandoversFormOnTheWire(t *testing.T) {
+// TestHandoverWireFormat guards against changes of the keys and types of the fields,
+// because hosts of different versions hand over tickets to each other.
+func TestHandoverWireFormat(t *testing.T) {
 	raw, err := msgpack.Marshal(Handover{
 		Host: "host", Zone: "zone", Incarnation: "incarnation", Key: []byte("key"), Sealed: true,
 		Records: map[uint64]Record{7: {
