--- a/internal/selector/member/pace.go
+++ b/internal/selector/member/pace.go
@@ -7,86 +7,92 @@
 )
 
 const (
-	// nearInterval is the least time between two heartbeats to a host of the own
+	// minNearInterval is the minimum time between two heartbeats to a host of the own
 	// zone.
-	nearInterval = 500 * time.Millisecond
-	// farInterval is the same for a host of another zone.
-	farInterval = time.Second
-	// bytesPerSecond is what one host may spend on heartbeats, asking and
-	// responding, both ways: the users' 4 KB a second for control
-	// (docs/CAPACITY.md). With more hosts each is asked less often.
-	bytesPerSecond = 4000
-	// nearPart is the part of that for the own zone.
-	nearPart = 0.3
-	// firstExchange stands for the size of an exchange, in bytes, until one is
-	// known: it was 208 at 2 services and 332 at 22 (docs/design/heartbeats.md).
-	firstExchange = 300
-	// exchangeSamples is how many exchanges the average of their size goes back.
+	minNearInterval = 500 * time.Millisecond
+	// minFarInterval is the minimum time between two heartbeats to a host of another
+	// zone.
+	minFarInterval = time.Second
+	// maxBytesPerSecond is the heartbeat budget of one host, for sent and received
+	// requests and responses. The requirements allow 4 KB per second for control
+	// traffic (docs/CAPACITY.md). With more hosts, each host receives heartbeats
+	// less often.
+	maxBytesPerSecond = 4000
+	// nearFraction is the fraction of the budget for the own zone.
+	nearFraction = 0.3
+	// initialExchangeBytes is the size assumed for an exchange until a size is known.
+	// An exchange had 208 bytes with 2 services and 332 bytes with 22 services
+	// (docs/design/heartbeats.md).
+	initialExchangeBytes = 300
+	// exchangeSamples is the number of exchanges over which their size is averaged.
 	exchangeSamples = 16
-	// zoneFanout bounds the hosts of the own zone that a host asks, so that its
-	// cost does not grow with the zone: a full mesh of 74 hosts cost over 70 KB a
-	// second (docs/design/heartbeats.md).
-	zoneFanout = 4
-	// farFanout is the same for each other zone.
+	// nearFanout is the maximum number of hosts of the own zone to which a host sends
+	// heartbeats, so that the cost does not grow with the zone. A full mesh of 74
+	// hosts used more than 70 KB per second (docs/design/heartbeats.md).
+	nearFanout = 4
+	// farFanout is the maximum number of hosts of each other zone to which a host
+	// sends heartbeats.
 	farFanout = 2
 )
 
-// RecordExchange notes the size of an exchange in bytes.
+// RecordExchange records the size of an exchange in bytes.
 func (p *Peers) RecordExchange(bytes int) {
-	p.exchange += (float64(bytes) - p.exchange) / exchangeSamples
+	p.exchangeBytes += (float64(bytes) - p.exchangeBytes) / exchangeSamples
 }
 
-// intervals gives how often to ask near and far hosts, as many as given, so that
-// asking them and being asked stay within the budget. exchange is the size of
-// an exchange in bytes; half of the budget is for asking.
-func intervals(near, far int, exchange float64) (nearEvery, farEvery time.Duration) {
-	perSecond := bytesPerSecond / (2 * exchange)
-	nearEvery = time.Duration(float64(near) / (perSecond * nearPart) * float64(time.Second))
-	farEvery = time.Duration(float64(far) / (perSecond * (1 - nearPart)) * float64(time.Second))
-	return max(nearInterval, nearEvery), max(farInterval, farEvery)
+// intervals returns the heartbeat intervals for the given numbers of hosts in the own
+// zone (near) and in other zones (far), so that all heartbeats stay within the budget.
+// exchangeBytes is the size of an exchange. Half of the budget is for exchanges that
+// this host starts, the other half for exchanges that other hosts start.
+func intervals(near, far int, exchangeBytes float64) (nearInterval, farInterval time.Duration) {
+	perSecond := maxBytesPerSecond / (2 * exchangeBytes)
+	nearInterval = time.Duration(float64(near) / (perSecond * nearFraction) * float64(time.Second))
+	farInterval = time.Duration(float64(far) / (perSecond * (1 - nearFraction)) * float64(time.Second))
+	return max(minNearInterval, nearInterval), max(minFarInterval, farInterval)
 }
 
-// RecordSent notes that a heartbeat goes out to a host.
+// RecordSent records that a heartbeat is sent to a host.
 func (p *Peers) RecordSent(host string, now time.Time) {
 	if peer, ok := p.peers[host]; ok {
 		peer.AskedAt = now
-		peer.Every = p.farEvery
+		peer.Every = p.farInterval
 		if peer.Contact.Zone == p.self.Zone {
-			peer.Every = p.nearEvery
+			peer.Every = p.nearInterval
 		}
 		p.peers[host] = peer
 	}
 }
 
-// Due gives the hosts to send a heartbeat to now: a bounded number of the
+// Due returns the hosts to which a heartbeat is due: a bounded number of hosts of the
 // own zone and of each other zone, within the budget.
 func (p *Peers) Due(now time.Time) []Contact {
-	near := p.watched(p.self.Zone, zoneFanout)
+	near := p.targets(p.self.Zone, nearFanout)
 	var far []Peer
 	for _, zone := range p.zones {
 		if zone != p.self.Zone {
-			far = append(far, p.watched(zone, farFanout)...)
+			far = append(far, p.targets(zone, farFanout)...)
 		}
 	}
-	p.nearEvery, p.farEvery = intervals(len(near), len(far), p.exchange)
-	out := due(near, now, p.nearEvery)
-	return append(out, due(far, now, p.farEvery)...)
+	p.nearInterval, p.farInterval = intervals(len(near), len(far), p.exchangeBytes)
+	out := due(near, now, p.nearInterval)
+	return append(out, due(far, now, p.farInterval)...)
 }
 
-// due gives the peers that were not asked for an interval.
-func due(peers []Peer, now time.Time, every time.Duration) []Contact {
+// due returns the peers whose last heartbeat was sent at least one interval ago.
+func due(peers []Peer, now time.Time, interval time.Duration) []Contact {
 	var out []Contact
 	for _, peer := range peers {
-		if now.Sub(peer.AskedAt) >= every {
+		if now.Sub(peer.AskedAt) >= interval {
 			out = append(out, peer.Contact)
 		}
 	}
 	return out
 }
 
-// watched gives the hosts of a zone that this host asks, at most n: the first in
-// its own rendezvous order, so that each host is asked by several.
-func (p *Peers) watched(zone string, n int) []Peer {
+// targets returns at most n hosts of a zone, to which this host sends heartbeats. They
+// are the first hosts in this host's own rendezvous order, so that each host receives
+// heartbeats from several hosts.
+func (p *Peers) targets(zone string, n int) []Peer {
 	all := p.Zone(zone)
 	if len(all) <= n {
 		return all
--- a/internal/selector/member/peers.go
+++ b/internal/selector/member/peers.go
@@ -1,13 +1,13 @@
-// Package member keeps what a host knows of the other hosts: how to reach them,
-// what their last heartbeat said, and whether they respond. It decides which of
-// them requests may be sent to (Peer.Up), and which are asked for a heartbeat now
-// so that all heartbeats stay within a budget of bytes (Peers.Due).
+// Package member holds a host's state of the other hosts: how to reach them, their
+// last heartbeats, and whether they respond. It decides to which hosts requests may
+// be sent (Peer.Up), and to which hosts a heartbeat is due so that all heartbeats
+// stay within a budget of bytes (Peers.Due).
 //
-// A heartbeat is a request and its response, alike in form. Package
-// entry/heartbeats sends and serves them, and package entry/peers keeps the Peers
-// under its lock. Who shares a zone's slots is not decided here but in package
-// roster: silence alone takes no slot from a host. docs/design/heartbeats.md has
-// the measurements and what was weighed.
+// A heartbeat consists of a request and a response of the same form. Package
+// entry/heartbeats sends and serves heartbeats, and package entry/peers guards the
+// Peers by a lock. Package roster decides which hosts share a zone's slots: a host
+// does not lose slots only because its heartbeats are missing.
+// docs/design/heartbeats.md describes the measurements and alternatives.
 package member
 
 import (
@@ -16,44 +16,47 @@
 )
 
 const (
-	// maxContacts bounds the hosts that a zone names to others.
+	// maxContacts is the maximum number of hosts of a zone that are sent to other
+	// hosts.
 	maxContacts = 4
-	// maxFarHosts bounds the hosts of another zone that are kept, so that the
-	// host's own loop does not grow with the hosts of all zones: it took 6.5 ms
-	// before they were bounded and indexed by zone, 1.7 ms after (commit "Make
-	// control cheap at the planned size").
+	// maxFarHosts is the maximum number of hosts that are kept for each other zone, so
+	// that the duration of the host's control loop does not grow with the hosts of
+	// all zones. With this limit and an index by zone, the duration fell from 6.5 ms
+	// to 1.7 ms.
 	maxFarHosts = 8
 )
 
-// Peers is what one host knows of the others. It has no lock; the caller passes
-// in the time.
+// Peers is one host's state of the other hosts. It is not safe for concurrent use. The
+// current time is passed to its methods.
 type Peers struct {
 	self  Contact
 	peers map[string]Peer
-	// byZone holds each zone's hosts, by name; zones the zones, by name.
+	// byZone contains the names of each zone's hosts, sorted. zones contains the
+	// names of the zones, sorted.
 	byZone     map[string][]string
 	zones      []string
 	successors map[string]successor // by incarnation
-	// exchange is the moving average of an exchange's size in bytes.
-	exchange float64
-	// nearEvery and farEvery are how often hosts of the own zone and of others
-	// are asked now; zero before Due.
-	nearEvery, farEvery time.Duration
+	// exchangeBytes is the moving average of the size of an exchange.
+	exchangeBytes float64
+	// nearInterval and farInterval are the current heartbeat intervals for hosts of
+	// the own zone and of other zones; zero before the first call of Due.
+	nearInterval, farInterval time.Duration
 }
 
-// NewPeers makes the peers of a host that knows no other.
+// NewPeers returns the state of a host that knows no other hosts.
 func NewPeers(self Contact) *Peers {
 	return &Peers{
-		self:       self,
-		peers:      map[string]Peer{},
-		byZone:     map[string][]string{},
-		successors: map[string]successor{},
-		exchange:   firstExchange,
+		self:          self,
+		peers:         map[string]Peer{},
+		byZone:        map[string][]string{},
+		successors:    map[string]successor{},
+		exchangeBytes: initialExchangeBytes,
 	}
 }
 
-// AddKnown notes that a host exists. Of another zone only maxFarHosts are kept: a
-// new one takes the place of one that does not respond, or is not kept.
+// AddKnown adds a host. At most maxFarHosts hosts of another zone are kept: when they
+// are reached, a new host replaces a host that does not respond; if all hosts respond,
+// the new host is ignored.
 func (p *Peers) AddKnown(c Contact) {
 	if c.Host == "" || c.Host == p.self.Host || c.PeerAddr == "" {
 		return
@@ -67,7 +70,7 @@
 		known = false
 	}
 	if !known {
-		if !p.makeRoom(c.Zone) {
+		if !p.ensureCapacity(c.Zone) {
 			return
 		}
 		p.index(c)
@@ -77,9 +80,9 @@
 	p.peers[c.Host] = old
 }
 
-// makeRoom reports whether one more host of a zone may be kept, and forgets one
-// that does not respond if that is needed.
-func (p *Peers) makeRoom(zone string) bool {
+// ensureCapacity reports whether one more host of a zone may be kept. If necessary, it
+// removes a host that does not respond.
+func (p *Peers) ensureCapacity(zone string) bool {
 	if zone == p.self.Zone || len(p.byZone[zone]) < maxFarHosts {
 		return true
 	}
@@ -92,7 +95,7 @@
 	return false
 }
 
-// index adds a host to its zone.
+// index adds a host to the index of its zone.
 func (p *Peers) index(c Contact) {
 	hosts := p.byZone[c.Zone]
 	if hosts == nil {
@@ -103,29 +106,29 @@
 	p.byZone[c.Zone] = slices.Insert(hosts, i, c.Host)
 }
 
-// RecordHeartbeat notes a heartbeat: a response, by when it was asked for and its
-// round trip, or a request, by when it came and a round trip of zero. One that is
-// older than the last one known is dropped.
-func (p *Peers) RecordHeartbeat(b Heartbeat, askedAt time.Time, rtt time.Duration) {
+// RecordHeartbeat records a heartbeat. For a response, at is the time of its request and
+// rtt the round trip time. For a request, at is the time of its arrival and rtt is zero.
+// A heartbeat that is older than the last recorded heartbeat is ignored.
+func (p *Peers) RecordHeartbeat(b Heartbeat, at time.Time, rtt time.Duration) {
 	p.AddKnown(b.Contact)
 	peer, ok := p.peers[b.Contact.Host]
-	if !ok || askedAt.Before(peer.HeardAt) {
+	if !ok || at.Before(peer.HeardAt) {
 		return
 	}
 	if b.Slots == nil {
-		// A request has no slots: those of the last response still count.
+		// A request contains no slots. The slots of the last response are kept.
 		b.ServiceSlots, b.ZoneServiceSlots, b.ZoneHosts = peer.Heartbeat.ServiceSlots, peer.Heartbeat.ZoneServiceSlots, peer.Heartbeat.ZoneHosts
 	} else {
-		peer.ContactsHash, peer.SlotsAt = b.ContactsHash, askedAt
+		peer.ContactsHash, peer.SlotsAt = b.ContactsHash, at
 	}
-	peer.Heartbeat, peer.HeardAt, peer.FailedSince = b, askedAt, time.Time{}
+	peer.Heartbeat, peer.HeardAt, peer.FailedSince = b, at, time.Time{}
 	if rtt > 0 {
 		peer.RTT = smooth(peer.RTT, rtt)
 	}
 	p.peers[b.Contact.Host] = peer
 }
 
-// RecordFailure notes that a host did not respond, to a heartbeat or a request.
+// RecordFailure records that a host did not respond to a heartbeat or a request.
 func (p *Peers) RecordFailure(host string, now time.Time) {
 	peer, ok := p.peers[host]
 	if ok && peer.FailedSince.IsZero() {
@@ -134,7 +137,7 @@
 	}
 }
 
-// Forget drops a host.
+// Forget removes a host.
 func (p *Peers) Forget(host string) {
 	zone := p.peers[host].Contact.Zone
 	delete(p.peers, host)
@@ -146,13 +149,13 @@
 	}
 }
 
-// Get gives a host.
+// Get returns the state of a host, and whether the host is known.
 func (p *Peers) Get(host string) (Peer, bool) {
 	peer, ok := p.peers[host]
 	return peer, ok
 }
 
-// Zone gives the known hosts of a zone, by name.
+// Zone returns the known hosts of a zone, sorted by name.
 func (p *Peers) Zone(zone string) []Peer {
 	hosts := p.byZone[zone]
 	out := make([]Peer, 0, len(hosts))
@@ -162,12 +165,12 @@
 	return out
 }
 
-// Zones gives the zones of the known hosts, by name. The slice must not be
-// changed.
+// Zones returns the names of the zones of the known hosts, sorted. The slice must not
+// be modified.
 func (p *Peers) Zones() []string { return p.zones }
 
-// Contacts gives a few hosts of a zone that are up, to be named to others. Of the
-// own zone it names this host first, unless that is leaving.
+// Contacts returns at most maxContacts hosts of a zone that are up, to be sent to other
+// hosts. For the own zone the first contact is this host, unless it is leaving.
 func (p *Peers) Contacts(zone string, now time.Time, selfLeaving bool) []Contact {
 	var out []Contact
 	if zone == p.self.Zone && !selfLeaving {
@@ -181,23 +184,23 @@
 	return out
 }
 
-// RecordSlots notes a service's slots that a host sent with a response.
+// RecordSlots records the slots of a service that a host sent with a response.
 func (p *Peers) RecordSlots(host string, slots ServiceSlots) {
 	peer, ok := p.peers[host]
 	if !ok {
 		return
 	}
-	free := slices.Clone(peer.Heartbeat.ServiceSlots)
-	for i := range free {
-		if free[i].Service == slots.Service {
-			free[i] = slots
+	updated := slices.Clone(peer.Heartbeat.ServiceSlots)
+	for i := range updated {
+		if updated[i].Service == slots.Service {
+			updated[i] = slots
 		}
 	}
-	peer.Heartbeat.ServiceSlots = free
+	peer.Heartbeat.ServiceSlots = updated
 	p.peers[host] = peer
 }
 
-// RecordRevision notes a configuration's revision that a host sent with a response.
+// RecordRevision records the configuration revision that a host sent with a response.
 func (p *Peers) RecordRevision(host string, revision uint64) {
 	peer, ok := p.peers[host]
 	if ok && peer.Heartbeat.Revision < revision {
--- a/internal/selector/member/successor.go
+++ b/internal/selector/member/successor.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// successorAge is how long a successor is remembered after a heartbeat last named
-// it. It is named for as long as the tickets matter.
-const successorAge = 5 * time.Minute
+// successorTTL is how long a successor is kept after a heartbeat last named it.
+// Heartbeats name a successor for as long as its tickets are needed.
+const successorTTL = 5 * time.Minute
 
-// successor is the host that serves a stopped incarnation's tickets, and when a
-// heartbeat last named it.
+// successor is the host that serves the tickets of a stopped incarnation, and the time
+// at which a heartbeat last named it.
 type successor struct {
 	host    string
 	namedAt time.Time
 }
 
-// Successor gives the host that serves a stopped incarnation's tickets, if it is
-// known.
+// Successor returns the host that serves the tickets of a stopped incarnation, and
+// whether such a host is known.
 func (p *Peers) Successor(incarnation string) (Contact, bool) {
-	// Of an unknown incarnation the host is "", which AddKnown never keeps.
+	// For an unknown incarnation the host is "", which AddKnown never adds.
 	peer, ok := p.peers[p.successors[incarnation].host]
 	return peer.Contact, ok
 }
 
-// RecordSuccessors adds the successors that a heartbeat names, and forgets those
-// that no heartbeat has named for long.
-func (p *Peers) RecordSuccessors(hs []Successor, now time.Time) {
-	for _, h := range hs {
-		p.successors[h.Incarnation] = successor{h.Host, now}
+// RecordSuccessors adds the successors that a heartbeat names. It removes successors
+// that no heartbeat has named within successorTTL.
+func (p *Peers) RecordSuccessors(named []Successor, now time.Time) {
+	for _, s := range named {
+		p.successors[s.Incarnation] = successor{s.Host, now}
 	}
-	if len(hs) > 0 {
-		maps.DeleteFunc(p.successors, func(_ string, s successor) bool { return now.Sub(s.namedAt) > successorAge })
+	if len(named) > 0 {
+		maps.DeleteFunc(p.successors, func(_ string, s successor) bool { return now.Sub(s.namedAt) > successorTTL })
 	}
 }
--- a/internal/selector/member/wire_test.go
+++ b/internal/selector/member/wire_test.go
@@ -7,9 +7,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// TestHeartbeatsFormOnTheWire: hosts of different versions exchange heartbeats,
-// so that the keys and types of each field stay.
-func TestHeartbeatsFormOnTheWire(t *testing.T) {
+// TestHeartbeatWireFormat guards against changes of the keys and types of the fields,
+// because hosts of different versions exchange heartbeats.
+func TestHeartbeatWireFormat(t *testing.T) {
 	raw, err := msgpack.Marshal(Heartbeat{
 		Contact:     Contact{Host: "host", Zone: "zone", PeerAddr: "peer:1", ClientAddr: "caller:2"},
 		Incarnation: "incarnation", Epoch: 1, Acked: 2, Revision: 3, Digest: 4, FreshAge: -1, Leaving: true,
@@ -34,7 +34,7 @@
 	require.NoError(t, err)
 	sent = nil
 	require.NoError(t, msgpack.Unmarshal(raw, &sent))
-	require.Len(t, sent, 9, "what has nothing to say is left out")
+	require.Len(t, sent, 9, "empty optional fields must be omitted")
 
 	raw, err = msgpack.Marshal(ServiceSlots{Service: "service", Free: 1, Held: 2, Warm: 3})
 	require.NoError(t, err)
@@ -43,7 +43,8 @@
 	require.Equal(t, map[string]any{"s": "service", "f": int8(1), "h": int8(2), "w": int8(3)}, sent)
 }
 
-// TestHashOfContacts: the hash is compared between hosts.
+// TestHashOfContacts guards against changes of the hash, because hosts of different
+// versions compare it.
 func TestHashOfContacts(t *testing.T) {
 	contacts := []Contact{{Host: "a", Zone: "z", PeerAddr: "a:1", ClientAddr: "a:2"}, {Host: "b"}}
 	require.Equal(t, uint64(0x14b1722e6f230226), HashContacts(contacts))
