--- a/internal/selector/roster/hash.go
+++ b/internal/selector/roster/hash.go
@@ -8,9 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank orders hosts by rendezvous hashing (highest random weight) on a key: each
-// process computes the same order, and a host that comes or goes leaves the
-// order of the others as it was.
+// Rank returns the hosts in the order of rendezvous hashing (highest random weight) on
+// a key. Every process computes the same order, and adding or removing a host does not
+// change the order of the other hosts.
 func Rank(key string, hosts []string) []string {
 	ranked := slices.Clone(hosts)
 	slices.SortFunc(ranked, func(a, b string) int {
@@ -19,10 +19,12 @@
 	return ranked
 }
 
-// weight is a host's weight for a key. Hosts of all versions must agree on it.
+// weight returns a host's weight for a key. Hosts of all versions must compute the same
+// weight.
 func weight(key, host string) uint64 { return xxhash.Sum64String(key + "\x00" + host) }
 
-// owner gives the host that Rank puts first, without allocating for the others.
+// owner returns the first host in the order of Rank, or "" without hosts. It does not
+// allocate.
 func owner(key string, hosts []string) string {
 	best, bestWeight := "", uint64(0)
 	for _, h := range hosts {
--- a/internal/selector/roster/holder.go
+++ b/internal/selector/roster/holder.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// settleTick is how finely SettleStep divides the time since a death: the pace
-// of the host's own loop (package entry's tick), which asks for it.
-const settleTick = 250 * time.Millisecond
+// settleStepInterval is the resolution of SettleStep in time. It equals the interval of
+// the host's control loop (package entry's tick), which calls SettleStep.
+const settleStepInterval = 250 * time.Millisecond
 
-// Holder is which slots one host may use now. It has no lock; the caller passes
-// in the time.
+// Holder determines which slots one host may currently use. It is not safe for
+// concurrent use. The current time is passed to its methods.
 //
-// A host uses a slot only when it falls to the host in each roster of its chain,
-// from the last settled one to the newest: the host had it before, and no other
-// host was given it since. A roster is settled here, and the older ones are
-// dropped, when each other member has acknowledged its epoch and no request of a
-// dead member can be outstanding any more (docs/design/slots.md).
+// A host uses a slot only if every roster of its chain, from the last settled roster
+// to the newest one, assigns the slot to the host. The host then held the slot before,
+// and no other host has been assigned the slot since. A roster is settled, and the
+// older rosters are dropped, when every other member has acknowledged its epoch and
+// no request of a dead member can still be outstanding (docs/design/slots.md).
 type Holder struct {
 	host        string
 	incarnation string
-	// chain runs from the last settled roster to the current one.
+	// chain contains the rosters from the last settled one to the current one.
 	chain []Roster
-	// deathAt is when this host last saw a member gone or replaced; zero is
-	// never. That member's requests may be outstanding for a deadline since.
-	deathAt time.Time
-	// acks are the epochs that members last acknowledged, by host.
+	// lastDeathAt is when this host last observed that a member died or was replaced;
+	// zero means never. From this time on, requests of that member can be outstanding
+	// for the duration of their deadline.
+	lastDeathAt time.Time
+	// acks contains the epoch that each member last acknowledged, by host.
 	acks map[string]uint64
 }
 
-// NewHolder makes the state of a host that holds no slot yet.
+// NewHolder returns the state of a host that does not hold any slots yet.
 func NewHolder(host, incarnation, zone string) *Holder {
 	return &Holder{
 		host:        host,
@@ -39,30 +40,31 @@
 	}
 }
 
-// Current is the newest roster seen.
+// Current returns the newest observed roster.
 func (h *Holder) Current() Roster { return h.chain[len(h.chain)-1] }
 
-// Observe adds a roster to the chain, unless one as new is known, and reports
-// whether it did.
+// Observe adds a roster to the chain if its epoch is higher than the current one. It
+// reports whether the roster was added.
 func (h *Holder) Observe(r Roster, now time.Time) bool {
 	before := h.Current()
 	if r.Epoch <= before.Epoch {
 		return false
 	}
-	if hasDead(before, r, h.host) {
-		h.deathAt = now
+	if hasNewDeath(before, r, h.host) {
+		h.lastDeathAt = now
 	}
 	h.chain = append(h.chain, r)
 	return true
 }
 
-// Replaced notes that this host's earlier incarnation was still a member when
-// this one joined: that one's requests may be outstanding.
-func (h *Holder) Replaced(now time.Time) { h.deathAt = now }
+// Replaced records that the previous incarnation of this host was still a member when
+// this incarnation joined. Requests of the previous incarnation may be outstanding.
+func (h *Holder) Replaced(now time.Time) { h.lastDeathAt = now }
 
-// hasDead reports whether a member died between two rosters: it is gone, or
-// another host has a new incarnation. One that was gone before died earlier.
-func hasDead(before, after Roster, self string) bool {
+// hasNewDeath reports whether a member died between two rosters: it became Gone, or it is
+// another host than self and has a new incarnation. A member that was already Gone in
+// the first roster died earlier.
+func hasNewDeath(before, after Roster, self string) bool {
 	for _, m := range after.Members {
 		old, known := before.Member(m.Host)
 		if known && old.State == Gone {
@@ -76,7 +78,8 @@
 	return false
 }
 
-// Ack notes that a member uses no slot beyond those it keeps by an epoch.
+// Ack records that a member has acknowledged an epoch: it uses only slots that it keeps
+// under the roster of that epoch.
 func (h *Holder) Ack(host, incarnation string, epoch uint64) {
 	m, ok := h.Current().Member(host)
 	if ok && m.Incarnation == incarnation {
@@ -84,35 +87,34 @@
 	}
 }
 
-// Settle drops all rosters but the current one once that is settled at every
-// service, and reports whether it did. longest is the longest deadline of any
-// service.
-func (h *Holder) Settle(now time.Time, longest time.Duration) bool {
-	if !h.settledFor(now, longest) {
+// Settle drops all rosters but the current one if the current roster is settled for all
+// services. It reports whether rosters were dropped. maxDeadline is the longest
+// deadline of any service.
+func (h *Holder) Settle(now time.Time, maxDeadline time.Duration) bool {
+	if !h.settledFor(now, maxDeadline) {
 		return false
 	}
 	h.chain = []Roster{h.Current()}
 	return true
 }
 
-// settledFor reports whether the older rosters of the chain no longer count for a
-// service whose requests last a deadline at most: every other member keeps to
-// the current one, and all requests of dead ones are past their deadlines.
+// settledFor reports whether the older rosters of the chain can be ignored for a service
+// with the given maximum deadline: every other member uses the current roster, and all
+// requests of dead members are past their deadlines.
 func (h *Holder) settledFor(now time.Time, deadline time.Duration) bool {
-	deadRequestsOver := h.deathAt.IsZero() || now.Sub(h.deathAt) >= deadline
-	return !h.Settled() && h.acked() && deadRequestsOver
+	deadRequestsExpired := h.lastDeathAt.IsZero() || now.Sub(h.lastDeathAt) >= deadline
+	return !h.Settled() && h.acked() && deadRequestsExpired
 }
 
-// acked reports whether each other member that lives has acknowledged the
-// current epoch.
+// acked reports whether every other live member has acknowledged the current epoch.
 func (h *Holder) acked() bool {
 	cur := h.Current()
 	for _, m := range cur.Members {
 		if m.Host == h.host || m.State == Gone {
 			continue
 		}
-		// A member at a higher epoch does not count: it may have kept, by
-		// that epoch, a slot that this one gives away.
+		// An acknowledgement of a higher epoch is not sufficient: under that epoch
+		// the member may have kept a slot that the current roster reassigns.
 		if h.acks[m.Host] != cur.Epoch {
 			return false
 		}
@@ -120,17 +122,18 @@
 	return true
 }
 
-// SettleStep gives a number that changes whenever a slot may have become usable:
-// not until all members have acknowledged, and then at each settleTick since the
-// last death, as services settle one by one by their deadlines.
+// SettleStep returns a number that changes whenever a slot may have become usable. The
+// number is 0 until all members have acknowledged the current epoch. After that it
+// increases with every settleStepInterval since the last death, because services settle
+// one after another according to their deadlines.
 func (h *Holder) SettleStep(now time.Time) int {
 	if h.Settled() || !h.acked() {
 		return 0
 	}
-	if h.deathAt.IsZero() {
+	if h.lastDeathAt.IsZero() {
 		return 1
 	}
-	return 1 + int(now.Sub(h.deathAt)/settleTick)
+	return 1 + int(now.Sub(h.lastDeathAt)/settleStepInterval)
 }
 
 // activeIn reports whether this incarnation is an active member of a roster.
@@ -139,20 +142,20 @@
 	return ok && m.State == Active && m.Incarnation == h.incarnation
 }
 
-// binding gives the rosters that must all give a slot to this host, for a service
-// whose requests last a deadline at most.
-func (h *Holder) binding(now time.Time, deadline time.Duration) []Roster {
+// bindingRosters returns the rosters that must all assign a slot to this host before
+// the host may use it, for a service with the given maximum deadline.
+func (h *Holder) bindingRosters(now time.Time, deadline time.Duration) []Roster {
 	if h.settledFor(now, deadline) {
 		return h.chain[len(h.chain)-1:]
 	}
 	return h.chain
 }
 
-// Held gives the slots of an upstream that this host may use now, of as many as
-// the upstream has. deadline is the longest of its service.
+// Held returns the slots of an upstream that this host may currently use. slots is the
+// number of the upstream's slots and deadline is the longest deadline of its service.
 func (h *Holder) Held(upstream string, slots int, deadline time.Duration, now time.Time) SlotSet {
 	set := ^SlotSet(0)
-	for _, r := range h.binding(now, deadline) {
+	for _, r := range h.bindingRosters(now, deadline) {
 		if !h.activeIn(r) {
 			return 0
 		}
@@ -161,10 +164,10 @@
 	return set
 }
 
-// Part gives this host's part of n units that a zone shares, such as a rule's
-// in-flight limit. deadline is the longest of the rule's service.
+// Part returns this host's share of n units that the hosts of a zone share, such as a
+// rule's in-flight limit. deadline is the longest deadline of the rule's service.
 func (h *Holder) Part(key string, n int, deadline time.Duration, now time.Time) int {
-	rosters := h.binding(now, deadline)
+	rosters := h.bindingRosters(now, deadline)
 	count := 0
 	for i := range n {
 		if h.ownsUnit(key+"#"+strconv.Itoa(i), rosters) {
@@ -174,7 +177,7 @@
 	return count
 }
 
-// ownsUnit reports whether all rosters give a unit to this host.
+// ownsUnit reports whether all rosters assign a unit to this host.
 func (h *Holder) ownsUnit(key string, rosters []Roster) bool {
 	for _, r := range rosters {
 		if !h.activeIn(r) || owner(key, r.Active()) != h.host {
@@ -184,11 +187,12 @@
 	return true
 }
 
-// Fraction gives this host's even part, 0 to 1, of something that a zone shares
-// by rate, such as requests per second: the least by the rosters that bind.
+// Fraction returns this host's share, from 0 to 1, of a rate that the hosts of a zone
+// share evenly, such as a number of requests per second. It is the minimum over the
+// binding rosters.
 func (h *Holder) Fraction(now time.Time, deadline time.Duration) float64 {
 	fraction := 1.0
-	for _, r := range h.binding(now, deadline) {
+	for _, r := range h.bindingRosters(now, deadline) {
 		if !h.activeIn(r) {
 			return 0
 		}
@@ -197,8 +201,8 @@
 	return fraction
 }
 
-// Settled reports whether no roster counts here but the current one.
+// Settled reports whether only the current roster is in use.
 func (h *Holder) Settled() bool { return len(h.chain) == 1 }
 
-// Incarnation is the incarnation this host holds slots under.
+// Incarnation returns the incarnation under which this host holds slots.
 func (h *Holder) Incarnation() string { return h.incarnation }
--- a/internal/selector/roster/roster.go
+++ b/internal/selector/roster/roster.go
@@ -1,14 +1,14 @@
-// Package roster decides which hosts of a zone share its upstreams' slots, and
-// when a slot may pass from one host to another, so that no slot is ever used by
-// two hosts. A Roster lists a zone's hosts at one epoch; package entry/rosters
-// keeps it as one row of the platform's table, and sends it from host to host.
-// Rendezvous hashing gives each slot to one host of a roster. A Holder is what
-// one host may use while rosters change, hosts die and messages are late. The
-// rule, its proof and what was weighed against it: docs/design/slots.md.
+// Package roster decides which hosts of a zone share the slots of the zone's upstreams,
+// and when a slot may pass from one host to another, so that no two hosts ever use the
+// same slot. A Roster lists the hosts of a zone at one epoch. Package entry/rosters
+// stores it as one row of the platform's table and sends it to other hosts. Rendezvous
+// hashing assigns each slot to one host of a roster. A Holder determines the slots that
+// one host may use while rosters change, hosts die and messages are late.
+// docs/design/slots.md describes the rule, its proof and the alternatives.
 //
-// The package relies on its caller for the time, for rosters in the order of
-// their epochs from one source, and for acknowledging an epoch only when no
-// request is outstanding beyond the slots that the host keeps by it.
+// The package relies on the code that uses it to pass in the current time, to provide
+// rosters from one source in the order of their epochs, and to acknowledge an epoch only
+// when no request is outstanding beyond the slots that the host keeps under that epoch.
 package roster
 
 import (
@@ -17,21 +17,22 @@
 	"strings"
 )
 
-// State is whether a member of a roster holds slots.
+// State is the state of a member of a roster. It determines whether the member holds
+// slots.
 type State string
 
 const (
 	// Active members hold slots.
 	Active State = "active"
-	// Leaving members hold none once they have acknowledged the epoch.
+	// Leaving members hold no slots once they have acknowledged the epoch.
 	Leaving State = "leaving"
-	// Gone members are dead by the platform's host list. Their slots stay
-	// unused until every request they can have sent is past its deadline.
+	// Gone members are dead according to the platform's host list. Their slots stay
+	// unused until all requests that they may have sent are past their deadlines.
 	Gone State = "gone"
 )
 
-// Member is one host of a zone. The tags are its form in the platform's
-// table and between hosts.
+// Member is one host of a zone. The tags define its encoding in the platform's table
+// and in messages between hosts.
 type Member struct {
 	Host        string `msgpack:"h" json:"host"`
 	Incarnation string `msgpack:"i" json:"incarnation"`
@@ -40,14 +41,14 @@
 	State       State  `msgpack:"s" json:"state"`
 }
 
-// Roster is a zone's members at one epoch, ordered by host. It is immutable.
+// Roster contains the members of a zone at one epoch, sorted by host. It is immutable.
 type Roster struct {
 	Zone    string   `msgpack:"z" json:"zone"`
 	Epoch   uint64   `msgpack:"e" json:"epoch"`
 	Members []Member `msgpack:"m" json:"members"`
 }
 
-// Member gives the member of a host.
+// Member returns the member of a host, and whether the host is a member.
 func (r Roster) Member(host string) (Member, bool) {
 	for _, m := range r.Members {
 		if m.Host == host {
@@ -57,7 +58,7 @@
 	return Member{}, false
 }
 
-// WithMember gives the next epoch, with the member added or replaced.
+// WithMember returns the roster of the next epoch, with the member added or replaced.
 func (r Roster) WithMember(m Member) Roster {
 	next := r.Without(m.Host)
 	next.Members = append(next.Members, m)
@@ -65,8 +66,8 @@
 	return next
 }
 
-// WithState gives the next epoch, with a member's state changed; without such a
-// member, the same epoch.
+// WithState returns the roster of the next epoch, with the state of a member changed.
+// If the host is not a member, it returns the roster unchanged.
 func (r Roster) WithState(host string, state State) Roster {
 	m, ok := r.Member(host)
 	if !ok {
@@ -76,7 +77,7 @@
 	return r.WithMember(m)
 }
 
-// Without gives the next epoch, with the host's member removed.
+// Without returns the roster of the next epoch, with the member of a host removed.
 func (r Roster) Without(host string) Roster {
 	next := Roster{Zone: r.Zone, Epoch: r.Epoch + 1}
 	for _, m := range r.Members {
@@ -87,7 +88,7 @@
 	return next
 }
 
-// Active gives the hosts that hold slots, by name.
+// Active returns the names of the hosts that hold slots, sorted.
 func (r Roster) Active() []string {
 	var hosts []string
 	for _, m := range r.Members {
@@ -98,7 +99,7 @@
 	return hosts
 }
 
-// owned gives the slots of an upstream that fall to a host.
+// owned returns the slots of an upstream that the roster assigns to a host.
 func (r Roster) owned(host, upstream string, slots int) SlotSet {
 	var set SlotSet
 	active := r.Active()
--- a/internal/selector/roster/roster_test.go
+++ b/internal/selector/roster/roster_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-const longest = 20 * time.Second
+// maxDeadline is the maxDeadline deadline of any service in the tests.
+const maxDeadline = 20 * time.Second
 
 func rosterOf(epoch uint64, hosts ...string) Roster {
 	r := Roster{Zone: "z", Epoch: epoch}
@@ -19,80 +20,80 @@
 	return r
 }
 
-func TestSlotsSplitWholeAndEven(t *testing.T) {
+func TestSlotsAreSplitEvenly(t *testing.T) {
 	hosts := make([]string, 74)
 	for i := range hosts {
 		hosts[i] = fmt.Sprintf("host-%d", i)
 	}
 	for _, n := range []int{1, 2, 9, 74} {
 		r := rosterOf(1, hosts[:n]...)
-		total, most := 0, 0
+		total, maxHeld := 0, 0
 		for _, h := range hosts[:n] {
 			held := 0
 			for u := range 100 {
 				held += r.owned(h, fmt.Sprintf("up-%d", u), 6).Count()
 			}
 			total += held
-			most = max(most, held)
+			maxHeld = max(maxHeld, held)
 		}
 		require.Equal(t, 600, total, "hosts %d", n)
-		require.LessOrEqual(t, most, 3*600/n, "hosts %d", n)
+		require.LessOrEqual(t, maxHeld, 3*600/n, "hosts %d", n)
 	}
 }
 
-func TestDeadMembersSlotsRestForTheLongestDeadline(t *testing.T) {
+func TestSlotsOfADeadMemberAreUnusedUntilTheDeadline(t *testing.T) {
 	now := time.Now()
 	h := NewHolder("a", "a-1", "z")
 	h.Observe(rosterOf(1, "a", "b"), now)
 	h.Ack("b", "b-1", 1)
-	require.True(t, h.Settle(now, longest))
-	before := h.Held("up", 64, longest, now).Count()
+	require.True(t, h.Settle(now, maxDeadline))
+	before := h.Held("up", 64, maxDeadline, now).Count()
 	require.Positive(t, before)
 	require.Less(t, before, 64)
 
 	h.Observe(rosterOf(1, "a", "b").WithState("b", Gone), now)
 	short := 2 * time.Second
 	require.Equal(t, before, h.Held("up", 64, short, now.Add(short-1)).Count())
-	require.Equal(t, 64, h.Held("up", 64, short, now.Add(short)).Count(), "a service with short deadlines has its slots early")
-	require.Equal(t, before, h.Held("up", 64, longest, now.Add(longest-1)).Count())
-	require.False(t, h.Settle(now.Add(longest-1), longest))
-	require.True(t, h.Settle(now.Add(longest), longest))
-	require.Equal(t, 64, h.Held("up", 64, longest, now.Add(longest)).Count())
+	require.Equal(t, 64, h.Held("up", 64, short, now.Add(short)).Count(), "a service with shorter deadlines can use the slots earlier")
+	require.Equal(t, before, h.Held("up", 64, maxDeadline, now.Add(maxDeadline-1)).Count())
+	require.False(t, h.Settle(now.Add(maxDeadline-1), maxDeadline))
+	require.True(t, h.Settle(now.Add(maxDeadline), maxDeadline))
+	require.Equal(t, 64, h.Held("up", 64, maxDeadline, now.Add(maxDeadline)).Count())
 }
 
-func TestReplacedIncarnationRestsFirst(t *testing.T) {
+func TestSlotsOfAReplacedIncarnationAreUnusedUntilTheDeadline(t *testing.T) {
 	now := time.Now()
 	h := NewHolder("a", "a-2", "z")
 	h.Observe(rosterOf(1, "a").WithMember(Member{Host: "a", Incarnation: "a-2", State: Active}), now)
 	h.Replaced(now)
-	require.Zero(t, h.Held("up", 6, longest, now.Add(longest-1)).Count())
-	require.Equal(t, 6, h.Held("up", 6, longest, now.Add(longest)).Count())
+	require.Zero(t, h.Held("up", 6, maxDeadline, now.Add(maxDeadline-1)).Count())
+	require.Equal(t, 6, h.Held("up", 6, maxDeadline, now.Add(maxDeadline)).Count())
 }
 
-func TestAckOfAnotherEpochDoesNotCount(t *testing.T) {
+func TestAckOfAnotherEpochDoesNotSettle(t *testing.T) {
 	now := time.Now()
 	for _, epoch := range []uint64{0, 1, 3} {
 		h := NewHolder("a", "a-1", "z")
 		h.Observe(rosterOf(2, "a", "b"), now)
 		h.Ack("b", "b-1", epoch)
-		require.False(t, h.Settle(now, longest), "ack of %d for 2", epoch)
-		require.Zero(t, h.Held("up", 6, longest, now))
+		require.False(t, h.Settle(now, maxDeadline), "ack of %d for 2", epoch)
+		require.Zero(t, h.Held("up", 6, maxDeadline, now))
 	}
 	h := NewHolder("a", "a-1", "z")
 	h.Observe(rosterOf(2, "a", "b"), now)
-	h.Ack("b", "another life", 2)
-	require.False(t, h.Settle(now, longest))
+	h.Ack("b", "another incarnation", 2)
+	require.False(t, h.Settle(now, maxDeadline))
 }
 
-// zoneModel is a zone whose hosts see rosters late, or not at all, whose
-// acknowledgements travel slowly and whose requests last.
+// zoneModel is a model of a zone in which hosts observe rosters late or not at all,
+// acknowledgements are delayed and requests take time.
 type zoneModel struct {
-	now      time.Time
-	rosters  []Roster
-	holders  map[string]*Holder
-	running  map[string]SlotSet // slots with a request, by host
-	acked    map[string]uint64
-	onTheWay []ack
+	now       time.Time
+	rosters   []Roster
+	holders   map[string]*Holder
+	running   map[string]SlotSet // slots with a running request, by host
+	acked     map[string]uint64
+	inTransit []ack
 }
 
 type ack struct {
@@ -102,9 +103,9 @@
 
 const modelSlots = 24
 
-// TestNoSlotIsInTwoHands runs random histories: whatever order rosters and
-// acknowledgements come in, no slot is ever usable by two hosts, nor usable
-// by one while another's request still runs on it.
+// TestNoSlotIsInTwoHands runs random histories and checks that a slot is never usable by
+// two hosts, nor usable by one host while a request of another host runs on the slot,
+// regardless of the order in which rosters and acknowledgements arrive.
 func TestNoSlotIsInTwoHands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c", "d"}
@@ -129,31 +130,31 @@
 	case "write":
 		m.rosters = append(m.rosters, nextRoster(t, last, host))
 	case "begin":
-		held := m.holders[host].Held("up", modelSlots, longest, m.now)
+		held := m.holders[host].Held("up", modelSlots, maxDeadline, m.now)
 		m.running[host] |= held & SlotSet(rapid.Uint64().Draw(t, "begun"))
 	case "end":
 		m.running[host] &= SlotSet(rapid.Uint64().Draw(t, "left"))
 	case "ack":
 		h := m.holders[host]
-		if m.running[host]&^h.Held("up", modelSlots, longest, m.now) == 0 {
+		if m.running[host]&^h.Held("up", modelSlots, maxDeadline, m.now) == 0 {
 			for _, to := range names {
-				m.onTheWay = append(m.onTheWay, ack{host, to, h.Current().Epoch})
+				m.inTransit = append(m.inTransit, ack{host, to, h.Current().Epoch})
 			}
 		}
 	case "deliver":
-		if len(m.onTheWay) > 0 {
-			i := rapid.IntRange(0, len(m.onTheWay)-1).Draw(t, "ack")
-			a := m.onTheWay[i]
+		if len(m.inTransit) > 0 {
+			i := rapid.IntRange(0, len(m.inTransit)-1).Draw(t, "ack")
+			a := m.inTransit[i]
 			m.holders[a.to].Ack(a.from, a.from+"-1", a.epoch)
-			m.onTheWay = append(m.onTheWay[:i], m.onTheWay[i+1:]...)
+			m.inTransit = append(m.inTransit[:i], m.inTransit[i+1:]...)
 		}
 	case "settle":
-		m.holders[host].Settle(m.now, longest)
+		m.holders[host].Settle(m.now, maxDeadline)
 	}
 }
 
-// nextRoster lets a host join, begin to leave or, when it is leaving, go.
-// A member is only ever removed after it left.
+// nextRoster returns the next roster: a host that is not a member or is leaving becomes
+// active, and an active host begins to leave unless it is the only active host.
 func nextRoster(t *rapid.T, last Roster, host string) Roster {
 	member, ok := last.Member(host)
 	if !ok || member.State == Leaving {
@@ -168,8 +169,8 @@
 func (m *zoneModel) check(t *rapid.T, names []string) {
 	for i, a := range names {
 		for _, b := range names[i+1:] {
-			usableA := m.holders[a].Held("up", modelSlots, longest, m.now)
-			usableB := m.holders[b].Held("up", modelSlots, longest, m.now)
+			usableA := m.holders[a].Held("up", modelSlots, maxDeadline, m.now)
+			usableB := m.holders[b].Held("up", modelSlots, maxDeadline, m.now)
 			if usableA&usableB != 0 || usableA&m.running[b] != 0 || usableB&m.running[a] != 0 {
 				t.Fatalf("%s and %s share slots: usable %b and %b, running %b and %b", a, b, usableA, usableB, m.running[a], m.running[b])
 			}
--- a/internal/selector/roster/wire_test.go
+++ b/internal/selector/roster/wire_test.go
@@ -8,9 +8,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// TestRostersStoredForm: rosters are kept in the platform's table and sent to
-// hosts of other versions, so that the keys and values of each field stay.
-func TestRostersStoredForm(t *testing.T) {
+// TestRosterStorageFormat guards against changes of the keys and values of the fields,
+// because rosters are stored in the platform's table and sent to hosts of other versions.
+func TestRosterStorageFormat(t *testing.T) {
 	r := Roster{Zone: "zone", Epoch: 7, Members: []Member{
 		{Host: "host", Incarnation: "incarnation", PeerAddr: "peer:1", ClientAddr: "caller:2", State: Gone},
 	}}
