--- a/internal/selector/entry/configsync/progress.go
+++ b/internal/selector/entry/configsync/progress.go
@@ -144,7 +144,7 @@
 	}
 	now := time.Now()
 	for _, m := range r.Roster().Members {
-		if m.Host == r.Host || m.State == roster.Gone {
+		if m.Host == r.Host || m.State == roster.Dead {
 			continue
 		}
 		other, known := r.Peers.Get(m.Host)
--- a/internal/selector/entry/drain/drain.go
+++ b/internal/selector/entry/drain/drain.go
@@ -104,7 +104,7 @@
 	sum := c.countOwn(names)
 	cur := c.Roster()
 	for _, m := range cur.Members {
-		if m.Host == c.Host || m.State == roster.Gone {
+		if m.Host == c.Host || m.State == roster.Dead {
 			continue
 		}
 		to := member.Contact{Host: m.Host, Zone: cur.Zone, PeerAddr: m.PeerAddr}
--- a/internal/selector/entry/drain/drain_test.go
+++ b/internal/selector/entry/drain/drain_test.go
@@ -67,7 +67,7 @@
 		{"unknown upstream", []string{"up-9"}, alone, true, Drained{}},
 		{"a member can't be asked", []string{"up-1"}, with(roster.Active), true, Drained{Outstanding: 1, Unknown: []string{"costa-a-2"}}},
 		{"a leaving member can't be asked", []string{"up-1"}, with(roster.Leaving), true, Drained{Outstanding: 1, Unknown: []string{"costa-a-2"}}},
-		{"a member is gone", []string{"up-1"}, with(roster.Gone), true, Drained{Outstanding: 1}},
+		{"a member is gone", []string{"up-1"}, with(roster.Dead), true, Drained{Outstanding: 1}},
 		{"another zone can't be asked", []string{"up-1", "up-far"}, alone, true, Drained{Outstanding: 1, Unknown: []string{"sierra-a"}}},
 	}
 	for _, tc := range cases {
--- a/internal/selector/entry/rosters/changes.go
+++ b/internal/selector/entry/rosters/changes.go
@@ -172,7 +172,7 @@
 	longest := m.Services.MaxTimeout()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if other.State == roster.Gone {
+	if other.State == roster.Dead {
 		since, seen := m.goneAt[other.Host]
 		if !seen || time.Since(since) < longest+deadMargin {
 			return r, false
@@ -183,7 +183,7 @@
 	if !m.isGone(other.Host, listed) {
 		return r, false
 	}
-	return r.WithState(other.Host, roster.Gone), true
+	return r.WithState(other.Host, roster.Dead), true
 }
 
 // isGone says whether a member is dead: the platform's list calls it gone or
--- a/internal/selector/entry/rosters/membership.go
+++ b/internal/selector/entry/rosters/membership.go
@@ -179,7 +179,7 @@
 	defer m.mu.Unlock()
 	isNew = m.holder.Observe(r, now)
 	for _, other := range r.Members {
-		if _, seen := m.goneAt[other.Host]; other.State == roster.Gone && !seen {
+		if _, seen := m.goneAt[other.Host]; other.State == roster.Dead && !seen {
 			m.goneAt[other.Host] = now
 		}
 	}
@@ -192,7 +192,7 @@
 func contacts(r roster.Roster) []member.Contact {
 	var out []member.Contact
 	for _, m := range r.Members {
-		if m.State != roster.Gone {
+		if m.State != roster.Dead {
 			out = append(out, member.Contact{Host: m.Host, Zone: r.Zone, PeerAddr: m.PeerAddr, ClientAddr: m.ClientAddr})
 		}
 	}
--- a/internal/selector/entry/rosters/rosters_test.go
+++ b/internal/selector/entry/rosters/rosters_test.go
@@ -160,7 +160,7 @@
 func TestGoneMembersRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHost(t, store.NewMemory(), "costa-a-1")
-		dead := roster.Member{Host: "costa-a-2", Incarnation: "2", State: roster.Gone}
+		dead := roster.Member{Host: "costa-a-2", Incarnation: "2", State: roster.Dead}
 		r := roster.Roster{Zone: "costa-a"}.WithMember(dead)
 		h.Merge(r)
 		_, ok := h.withoutDead(r, dead, nil)
@@ -183,7 +183,7 @@
 		before, _ := h.Current().Member("costa-a-1")
 		r, version, err := h.readRoster(ctx)
 		require.NoError(t, err)
-		require.NoError(t, h.writeRoster(ctx, r.WithState("costa-a-1", roster.Gone), version))
+		require.NoError(t, h.writeRoster(ctx, r.WithState("costa-a-1", roster.Dead), version))
 		require.Zero(t, h.held())
 		require.False(t, h.hasJoined())
 		require.NoError(t, h.join(ctx))
--- a/internal/selector/roster/holder.go
+++ b/internal/selector/roster/holder.go
@@ -67,11 +67,11 @@
 func hasNewDeath(before, after Roster, self string) bool {
 	for _, m := range after.Members {
 		old, known := before.Member(m.Host)
-		if known && old.State == Gone {
+		if known && old.State == Dead {
 			continue
 		}
 		replaced := known && m.Host != self && m.Incarnation != old.Incarnation
-		if m.State == Gone || replaced {
+		if m.State == Dead || replaced {
 			return true
 		}
 	}
@@ -110,7 +110,7 @@
 func (h *Holder) acked() bool {
 	cur := h.Current()
 	for _, m := range cur.Members {
-		if m.Host == h.host || m.State == Gone {
+		if m.Host == h.host || m.State == Dead {
 			continue
 		}
 		// An acknowledgement of a higher epoch is not sufficient: under that epoch
--- a/internal/selector/roster/parts_test.go
+++ b/internal/selector/roster/parts_test.go
@@ -98,7 +98,7 @@
 	require.Equal(t, 1, h.SettleStep(now.Add(time.Hour)), "no member has died")
 	h.Settle(now, maxDeadline)
 	require.Zero(t, h.SettleStep(now), "the roster is already settled")
-	h.Observe(rosterOf(1, "a", "b").WithState("b", Gone), now)
+	h.Observe(rosterOf(1, "a", "b").WithState("b", Dead), now)
 	require.Equal(t, 1, h.SettleStep(now))
 	require.Equal(t, 1, h.SettleStep(now.Add(settleStepInterval-1)))
 	require.Equal(t, 2, h.SettleStep(now.Add(settleStepInterval)))
@@ -129,7 +129,7 @@
 
 func TestWithStateOfAnUnknownHostChangesNothing(t *testing.T) {
 	r := rosterOf(3, "a")
-	require.Equal(t, r, r.WithState("b", Gone))
-	require.Equal(t, uint64(4), r.WithState("a", Gone).Epoch)
+	require.Equal(t, r, r.WithState("b", Dead))
+	require.Equal(t, uint64(4), r.WithState("a", Dead).Epoch)
 	require.Equal(t, Active, r.Members[0].State, "a roster must not be modified")
 }
--- a/internal/selector/roster/roster.go
+++ b/internal/selector/roster/roster.go
@@ -26,9 +26,9 @@
 	Active State = "active"
 	// Leaving members hold no slots once they have acknowledged the epoch.
 	Leaving State = "leaving"
-	// Gone members are dead according to the platform's host list. Their slots stay
+	// Dead members are dead according to the platform's host list. Their slots stay
 	// unused until all requests that they may have sent are past their deadlines.
-	Gone State = "gone"
+	Dead State = "gone"
 )
 
 // Member is one host of a zone. The tags define its encoding in the platform's table
--- a/internal/selector/roster/roster_test.go
+++ b/internal/selector/roster/roster_test.go
@@ -51,7 +51,7 @@
 	require.Positive(t, before)
 	require.Less(t, before, 64)
 
-	h.Observe(rosterOf(1, "a", "b").WithState("b", Gone), now)
+	h.Observe(rosterOf(1, "a", "b").WithState("b", Dead), now)
 	short := 2 * time.Second
 	require.Equal(t, before, h.Held("up", 64, short, now.Add(short-1)).Count())
 	require.Equal(t, 64, h.Held("up", 64, short, now.Add(short)).Count(), "a service with shorter deadlines can use the slots earlier")
--- a/internal/selector/roster/wire_test.go
+++ b/internal/selector/roster/wire_test.go
@@ -12,7 +12,7 @@
 // because rosters are stored in the platform's table and sent to hosts of other versions.
 func TestRosterStorageFormat(t *testing.T) {
 	r := Roster{Zone: "zone", Epoch: 7, Members: []Member{
-		{Host: "host", Incarnation: "incarnation", PeerAddr: "peer:1", ClientAddr: "caller:2", State: Gone},
+		{Host: "host", Incarnation: "incarnation", PeerAddr: "peer:1", ClientAddr: "caller:2", State: Dead},
 	}}
 	raw, err := msgpack.Marshal(r)
 	require.NoError(t, err)
