--- a/internal/selector/entry/rosters/capacity.go
+++ b/internal/selector/entry/rosters/capacity.go
@@ -45,7 +45,7 @@
 	for _, r := range svc.Rules {
 		spec := slot.RuleSpec{Name: r.Name, Upstreams: r.Local, InFlight: -1, Rate: -1}
 		if r.InFlight > 0 {
-			spec.InFlight = m.holder.Part("rule:"+r.Name, zonePart(r, m.Zone), longest, now)
+			spec.InFlight = m.holder.Share("rule:"+r.Name, zonePart(r, m.Zone), longest, now)
 		}
 		if r.Rate > 0 {
 			spec.Rate = r.Rate * zoneShare(r, m.Zone) * m.holder.Fraction(now, longest)
--- a/internal/selector/roster/holder.go
+++ b/internal/selector/roster/holder.go
@@ -164,9 +164,9 @@
 	return set
 }
 
-// Part returns this host's share of n units that the hosts of a zone share, such as a
+// Share returns this host's share of n units that the hosts of a zone share, such as a
 // rule's in-flight limit. deadline is the longest deadline of the rule's service.
-func (h *Holder) Part(key string, n int, deadline time.Duration, now time.Time) int {
+func (h *Holder) Share(key string, n int, deadline time.Duration, now time.Time) int {
 	rosters := h.bindingRosters(now, deadline)
 	count := 0
 	for i := range n {
--- a/internal/selector/roster/parts_test.go
+++ b/internal/selector/roster/parts_test.go
@@ -30,7 +30,7 @@
 		sum, rate := 0, 0.0
 		for _, name := range hosts {
 			h := settledHolder(t, name, hosts...)
-			sum += h.Part("rule:r", units, maxDeadline, time.Now())
+			sum += h.Share("rule:r", units, maxDeadline, time.Now())
 			rate += h.Fraction(time.Now(), maxDeadline)
 		}
 		require.Equal(t, units, sum)
@@ -55,15 +55,15 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			before := settledHolder(t, "a", tc.before...).Part("k", units, maxDeadline, now)
+			before := settledHolder(t, "a", tc.before...).Share("k", units, maxDeadline, now)
 			after := 0
 			if tc.fraction > 0 {
-				after = settledHolder(t, "a", tc.next...).Part("k", units, maxDeadline, now)
+				after = settledHolder(t, "a", tc.next...).Share("k", units, maxDeadline, now)
 			}
 			h := settledHolder(t, "a", tc.before...)
 			h.Observe(rosterOf(2, tc.next...), now)
 			require.False(t, h.Settled())
-			require.Equal(t, min(before, after), h.Part("k", units, maxDeadline, now))
+			require.Equal(t, min(before, after), h.Share("k", units, maxDeadline, now))
 			require.InDelta(t, tc.fraction, h.Fraction(now, maxDeadline), 1e-9)
 		})
 	}
@@ -80,7 +80,7 @@
 		h.Observe(r, now)
 		h.Ack("b", "b-1", r.Epoch)
 		h.Settle(now, maxDeadline)
-		require.Zero(t, h.Part("k", 100, maxDeadline, now), name)
+		require.Zero(t, h.Share("k", 100, maxDeadline, now), name)
 		require.Zero(t, h.Fraction(now, maxDeadline), name)
 		require.Zero(t, h.Held("up", 64, maxDeadline, now), name)
 	}
