--- a/internal/selector/entry/rosters/changes.go
+++ b/internal/selector/entry/rosters/changes.go
@@ -200,5 +200,5 @@
 		return false
 	}
 	p, known := m.Peers.Get(host)
-	return !known || time.Since(p.HeardAt) > silence
+	return !known || time.Since(p.LastSeen) > silence
 }
--- a/internal/selector/entry/status.go
+++ b/internal/selector/entry/status.go
@@ -122,10 +122,10 @@
 		if z.Revision == 0 || p.Heartbeat.Revision < z.Revision {
 			z.Revision = p.Heartbeat.Revision
 		}
-		if zone != h.zone && p.HeardAt.After(newest) {
-			newest = p.HeardAt
+		if zone != h.zone && p.LastSeen.After(newest) {
+			newest = p.LastSeen
 			z.Free, z.Held = 0, 0
-			z.FreshMillis = p.Heartbeat.FreshAge + now.Sub(p.HeardAt).Milliseconds()
+			z.FreshMillis = p.Heartbeat.FreshAge + now.Sub(p.LastSeen).Milliseconds()
 			z.add(p.Heartbeat.ZoneServiceSlots)
 		}
 	}
--- a/internal/selector/member/peer.go
+++ b/internal/selector/member/peer.go
@@ -22,11 +22,11 @@
 	Contact Contact
 	// Heartbeat is the peer's last heartbeat; zero before the first heartbeat.
 	Heartbeat Heartbeat
-	// HeardAt is when the last heartbeat was requested or, if it is a request, when
+	// LastSeen is when the last heartbeat was requested or, if it is a request, when
 	// it was received. SlotsAt is when its slots were requested. They can differ,
 	// because a heartbeat request contains no slots and keeps those of the previous
 	// response.
-	HeardAt time.Time
+	LastSeen time.Time
 	SlotsAt time.Time
 	// AskedAt is when a heartbeat was last sent to the peer, and Every is the current
 	// interval between two heartbeats to it.
@@ -47,7 +47,7 @@
 // heartbeats at a fixed interval. Heartbeats in this package have a budget of bytes,
 // so that the interval of a peer in another zone can be as long as 40 s.
 func (p Peer) Up(now time.Time) bool {
-	return !p.HeardAt.IsZero() && now.Sub(p.HeardAt) < downTimeout(p.Every, p.RTT) &&
+	return !p.LastSeen.IsZero() && now.Sub(p.LastSeen) < downTimeout(p.Every, p.RTT) &&
 		p.FailedSince.IsZero() && !p.Heartbeat.Leaving
 }
 
--- a/internal/selector/member/peers.go
+++ b/internal/selector/member/peers.go
@@ -112,7 +112,7 @@
 func (p *Peers) RecordHeartbeat(b Heartbeat, at time.Time, rtt time.Duration) {
 	p.AddKnown(b.Contact)
 	peer, ok := p.peers[b.Contact.Host]
-	if !ok || at.Before(peer.HeardAt) {
+	if !ok || at.Before(peer.LastSeen) {
 		return
 	}
 	if b.Slots == nil {
@@ -121,7 +121,7 @@
 	} else {
 		peer.ContactsHash, peer.SlotsAt = b.ContactsHash, at
 	}
-	peer.Heartbeat, peer.HeardAt, peer.FailedSince = b, at, time.Time{}
+	peer.Heartbeat, peer.LastSeen, peer.FailedSince = b, at, time.Time{}
 	if rtt > 0 {
 		peer.RTT = smooth(peer.RTT, rtt)
 	}
