--- a/internal/selector/entry/configsync/progress.go
+++ b/internal/selector/entry/configsync/progress.go
@@ -167,7 +167,7 @@
 func (r *Replica) askLagging(hosts []string) {
 	for _, host := range hosts {
 		p, ok := r.Peers.Get(host)
-		if ok && time.Since(p.AskedAt) > confirmPause {
+		if ok && time.Since(p.LastSentAt) > confirmPause {
 			r.Peers.Update(func(p *member.Peers) { p.RecordSent(host, time.Now()) })
 			go r.SendHeartbeat(context.Background(), p.Contact)
 		}
--- a/internal/selector/member/pace.go
+++ b/internal/selector/member/pace.go
@@ -54,7 +54,7 @@
 // RecordSent records that a heartbeat is sent to a host.
 func (p *Peers) RecordSent(host string, now time.Time) {
 	if peer, ok := p.peers[host]; ok {
-		peer.AskedAt = now
+		peer.LastSentAt = now
 		peer.Every = p.farInterval
 		if peer.Contact.Zone == p.self.Zone {
 			peer.Every = p.nearInterval
@@ -82,7 +82,7 @@
 func due(peers []Peer, now time.Time, interval time.Duration) []Contact {
 	var out []Contact
 	for _, peer := range peers {
-		if now.Sub(peer.AskedAt) >= interval {
+		if now.Sub(peer.LastSentAt) >= interval {
 			out = append(out, peer.Contact)
 		}
 	}
--- a/internal/selector/member/peer.go
+++ b/internal/selector/member/peer.go
@@ -28,9 +28,9 @@
 	// response.
 	LastSeen time.Time
 	SlotsAt time.Time
-	// AskedAt is when a heartbeat was last sent to the peer, and Every is the current
+	// LastSentAt is when a heartbeat was last sent to the peer, and Every is the current
 	// interval between two heartbeats to it.
-	AskedAt time.Time
+	LastSentAt time.Time
 	Every   time.Duration
 	// RTT is the moving average of the round trip time; zero before the first sample.
 	RTT time.Duration
