--- a/internal/selector/member/pace.go
+++ b/internal/selector/member/pace.go
@@ -55,9 +55,9 @@
 func (p *Peers) RecordSent(host string, now time.Time) {
 	if peer, ok := p.peers[host]; ok {
 		peer.LastSentAt = now
-		peer.Every = p.farInterval
+		peer.Interval = p.farInterval
 		if peer.Contact.Zone == p.self.Zone {
-			peer.Every = p.nearInterval
+			peer.Interval = p.nearInterval
 		}
 		p.peers[host] = peer
 	}
--- a/internal/selector/member/peer.go
+++ b/internal/selector/member/peer.go
@@ -31,7 +31,7 @@
 	// LastSentAt is when a heartbeat was last sent to the peer, and Every is the current
 	// interval between two heartbeats to it.
 	LastSentAt time.Time
-	Every   time.Duration
+	Interval   time.Duration
 	// RTT is the moving average of the round trip time; zero before the first sample.
 	RTT time.Duration
 	// ContactsHash is the hash of the contacts in the peer's last response.
@@ -47,7 +47,7 @@
 // heartbeats at a fixed interval. Heartbeats in this package have a budget of bytes,
 // so that the interval of a peer in another zone can be as long as 40 s.
 func (p Peer) Up(now time.Time) bool {
-	return !p.LastSeen.IsZero() && now.Sub(p.LastSeen) < downTimeout(p.Every, p.RTT) &&
+	return !p.LastSeen.IsZero() && now.Sub(p.LastSeen) < downTimeout(p.Interval, p.RTT) &&
 		p.FailedSince.IsZero() && !p.Heartbeat.Leaving
 }
 
