--- a/internal/selector/entry/configsync/progress.go
+++ b/internal/selector/entry/configsync/progress.go
@@ -150,7 +150,7 @@
 		other, known := r.Peers.Get(m.Host)
 		// A silent host may still serve, by an older configuration.
 		if !known || other.Heartbeat.Revision < rev {
-			if known && now.Sub(other.LastSeen) > FreezeAfter+member.LostAfter {
+			if known && now.Sub(other.LastSeen) > FreezeAfter+member.LostTimeout {
 				continue
 			}
 			p.Lagging = append(p.Lagging, m.Host)
--- a/internal/selector/entry/host_test.go
+++ b/internal/selector/entry/host_test.go
@@ -25,7 +25,7 @@
 		}
 		stopped := time.Since(cut)
 		t.Logf("stopped after %s", stopped)
-		require.Less(t, stopped, member.LostAfter)
+		require.Less(t, stopped, member.LostTimeout)
 		c.Net.Cut(nil)
 		time.Sleep(5 * time.Second)
 		require.True(t, h.Validated())
--- a/internal/selector/entry/rosters/changes.go
+++ b/internal/selector/entry/rosters/changes.go
@@ -191,7 +191,7 @@
 // list never named may just have started, and gets unlistedAfter. Silence alone
 // proves nothing (docs/design/slots.md).
 func (m *Membership) isGone(host string, listed map[string]store.State) bool {
-	silence := member.LostAfter
+	silence := member.LostTimeout
 	state, named := listed[host]
 	if !named && !m.Upstreams.Listed(host) {
 		silence = unlistedAfter
--- a/internal/selector/entry/rosters/rosters_test.go
+++ b/internal/selector/entry/rosters/rosters_test.go
@@ -126,11 +126,11 @@
 		silence time.Duration
 		dead    bool
 	}{
-		{"gone, and silent", nil, gone, member.LostAfter + 1, true},
-		{"gone, and heard", nil, gone, member.LostAfter, false},
+		{"gone, and silent", nil, gone, member.LostTimeout + 1, true},
+		{"gone, and heard", nil, gone, member.LostTimeout, false},
 		{"live, and silent", nil, live, unlistedAfter + 1, false},
-		{"dropped from the list, and silent", live, nil, member.LostAfter + 1, true},
-		{"never listed, and silent", nil, nil, member.LostAfter + 1, false},
+		{"dropped from the list, and silent", live, nil, member.LostTimeout + 1, true},
+		{"never listed, and silent", nil, nil, member.LostTimeout + 1, false},
 		{"never listed, and silent for long", nil, nil, unlistedAfter + 1, true},
 	}
 	for _, tc := range cases {
--- a/internal/selector/member/peer.go
+++ b/internal/selector/member/peer.go
@@ -6,12 +6,12 @@
 	// minDownTimeout is the minimum time without a heartbeat after which a peer
 	// receives no requests. It is four times minNearInterval.
 	minDownTimeout = 2 * time.Second
-	// LostAfter is the time without a heartbeat after which a host that is missing
+	// LostTimeout is the time without a heartbeat after which a host that is missing
 	// from the platform's host list is treated as dead and its slots are reassigned.
 	// It exceeds maxIsolation of package entry/fence (4 s), after which a host that
 	// receives no responses stops sending requests. An isolated host stopped 4.15 s
 	// after it was cut off.
-	LostAfter = 5 * time.Second
+	LostTimeout = 5 * time.Second
 	// rttSamples is the number of samples in the average of the round trip time. Each
 	// new sample has a weight of one eighth, as in TCP (RFC 6298).
 	rttSamples = 8
