--- a/internal/selector/shift/meter.go
+++ b/internal/selector/shift/meter.go
@@ -148,9 +148,9 @@
 	return -1
 }
 
-// Has reports whether there is a rule at an index and its cap allows one more
+// Allows reports whether there is a rule at an index and its cap allows one more
 // request. A cap of 1 always allows it.
-func (m *Meter) Has(i int32) bool {
+func (m *Meter) Allows(i int32) bool {
 	if i < 0 || int(i) >= len(m.rules) {
 		return false
 	}
@@ -163,7 +163,7 @@
 // refused later, because restored credit from before a window could make the window
 // exceed its bound.
 func (m *Meter) Take(i int32) bool {
-	if !m.Has(i) {
+	if !m.Allows(i) {
 		return false
 	}
 	r := &m.rules[i]
--- a/internal/selector/shift/meter_test.go
+++ b/internal/selector/shift/meter_test.go
@@ -175,7 +175,7 @@
 	require.Equal(t, int32(0), m.Index("a"))
 	require.Equal(t, int32(-1), m.Index("gone"))
 	for _, index := range []int32{-1, 2} {
-		require.False(t, m.Has(index))
+		require.False(t, m.Allows(index))
 		require.False(t, m.Take(index))
 	}
 	m.Arrive(nil)
--- a/internal/selector/steer/plan.go
+++ b/internal/selector/steer/plan.go
@@ -59,7 +59,7 @@
 func (d *Decider) Next(p *Plan, now int64) (Choice, bool) {
 	for p.rule < len(p.rules) {
 		i := p.rules[p.rule]
-		if !d.meter.Has(i) {
+		if !d.meter.Allows(i) {
 			p.Capped = true
 		} else if c, ok := d.bestSite(p, i, now); ok {
 			return c, true
