--- a/internal/selector/member/peer.go
+++ b/internal/selector/member/peer.go
@@ -27,8 +27,8 @@
 	// because a heartbeat request contains no slots and keeps those of the previous
 	// response.
 	LastSeen time.Time
-	SlotsAt time.Time
-	// LastSentAt is when a heartbeat was last sent to the peer, and Every is the current
+	SlotsAt  time.Time
+	// LastSentAt is when a heartbeat was last sent to the peer, and Interval is the current
 	// interval between two heartbeats to it.
 	LastSentAt time.Time
 	Interval   time.Duration
--- a/internal/selector/roster/holder.go
+++ b/internal/selector/roster/holder.go
@@ -61,8 +61,8 @@
 // this incarnation joined. Requests of the previous incarnation may be outstanding.
 func (h *Holder) Replaced(now time.Time) { h.lastDeathAt = now }
 
-// hasNewDeath reports whether a member died between two rosters: it became Gone, or it is
-// another host than self and has a new incarnation. A member that was already Gone in
+// hasNewDeath reports whether a member died between two rosters: it became Dead, or it is
+// another host than self and has a new incarnation. A member that was already Dead in
 // the first roster died earlier.
 func hasNewDeath(before, after Roster, self string) bool {
 	for _, m := range after.Members {
