--- a/internal/selector/entry/configsync/progress.go
+++ b/internal/selector/entry/configsync/progress.go
@@ -144,13 +144,13 @@
 	}
 	now := time.Now()
 	for _, m := range r.Roster().Members {
-		if m.Host == r.Host || m.State == roster.Gone {
+		if m.Host == r.Host || m.State == roster.Dead {
 			continue
 		}
 		other, known := r.Peers.Get(m.Host)
 		// A silent host may still serve, by an older configuration.
 		if !known || other.Heartbeat.Revision < rev {
-			if known && now.Sub(other.HeardAt) > FreezeAfter+member.LostAfter {
+			if known && now.Sub(other.LastSeen) > FreezeAfter+member.LostTimeout {
 				continue
 			}
 			p.Lagging = append(p.Lagging, m.Host)
@@ -167,7 +167,7 @@
 func (r *Replica) askLagging(hosts []string) {
 	for _, host := range hosts {
 		p, ok := r.Peers.Get(host)
-		if ok && time.Since(p.AskedAt) > confirmPause {
+		if ok && time.Since(p.LastSentAt) > confirmPause {
 			r.Peers.Update(func(p *member.Peers) { p.RecordSent(host, time.Now()) })
 			go r.SendHeartbeat(context.Background(), p.Contact)
 		}
--- a/internal/selector/entry/rosters/changes.go
+++ b/internal/selector/entry/rosters/changes.go
@@ -172,7 +172,7 @@
 	longest := m.Services.MaxTimeout()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if other.State == roster.Gone {
+	if other.State == roster.Dead {
 		since, seen := m.goneAt[other.Host]
 		if !seen || time.Since(since) < longest+deadMargin {
 			return r, false
@@ -183,7 +183,7 @@
 	if !m.isGone(other.Host, listed) {
 		return r, false
 	}
-	return r.WithState(other.Host, roster.Gone), true
+	return r.WithState(other.Host, roster.Dead), true
 }
 
 // isGone says whether a member is dead: the platform's list calls it gone or
@@ -191,7 +191,7 @@
 // list never named may just have started, and gets unlistedAfter. Silence alone
 // proves nothing (docs/design/slots.md).
 func (m *Membership) isGone(host string, listed map[string]store.State) bool {
-	silence := member.LostAfter
+	silence := member.LostTimeout
 	state, named := listed[host]
 	if !named && !m.Upstreams.Listed(host) {
 		silence = unlistedAfter
@@ -200,5 +200,5 @@
 		return false
 	}
 	p, known := m.Peers.Get(host)
-	return !known || time.Since(p.HeardAt) > silence
+	return !known || time.Since(p.LastSeen) > silence
 }
--- a/internal/selector/entry/rosters/rosters_test.go
+++ b/internal/selector/entry/rosters/rosters_test.go
@@ -126,11 +126,11 @@
 		silence time.Duration
 		dead    bool
 	}{
-		{"gone, and silent", nil, gone, member.LostAfter + 1, true},
-		{"gone, and heard", nil, gone, member.LostAfter, false},
+		{"gone, and silent", nil, gone, member.LostTimeout + 1, true},
+		{"gone, and heard", nil, gone, member.LostTimeout, false},
 		{"live, and silent", nil, live, unlistedAfter + 1, false},
-		{"dropped from the list, and silent", live, nil, member.LostAfter + 1, true},
-		{"never listed, and silent", nil, nil, member.LostAfter + 1, false},
+		{"dropped from the list, and silent", live, nil, member.LostTimeout + 1, true},
+		{"never listed, and silent", nil, nil, member.LostTimeout + 1, false},
 		{"never listed, and silent for long", nil, nil, unlistedAfter + 1, true},
 	}
 	for _, tc := range cases {
@@ -160,7 +160,7 @@
 func TestGoneMembersRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHost(t, store.NewMemory(), "costa-a-1")
-		dead := roster.Member{Host: "costa-a-2", Incarnation: "2", State: roster.Gone}
+		dead := roster.Member{Host: "costa-a-2", Incarnation: "2", State: roster.Dead}
 		r := roster.Roster{Zone: "costa-a"}.WithMember(dead)
 		h.Merge(r)
 		_, ok := h.withoutDead(r, dead, nil)
@@ -183,7 +183,7 @@
 		before, _ := h.Current().Member("costa-a-1")
 		r, version, err := h.readRoster(ctx)
 		require.NoError(t, err)
-		require.NoError(t, h.writeRoster(ctx, r.WithState("costa-a-1", roster.Gone), version))
+		require.NoError(t, h.writeRoster(ctx, r.WithState("costa-a-1", roster.Dead), version))
 		require.Zero(t, h.held())
 		require.False(t, h.hasJoined())
 		require.NoError(t, h.join(ctx))
