--- a/internal/selector/entry/fence/fence.go
+++ b/internal/selector/entry/fence/fence.go
@@ -16,12 +16,12 @@
 const (
 	// maxPause is the maximum gap between two ticks of the host's loop, which
 	// runs every 250 ms. After a longer gap the host assumes that it was
-	// paused. The value is below member.LostAfter, the silence after which the
+	// paused. The value is below member.LostTimeout, the silence after which the
 	// slots of a host are reassigned.
 	maxPause = 2 * time.Second
 	// maxIsolation is the maximum time without a response from any peer,
 	// platform or upstream before the host assumes that it is isolated. The
-	// value is below member.LostAfter (5 s), the silence after which a host
+	// value is below member.LostTimeout (5 s), the silence after which a host
 	// that the platform reports as gone loses its slots. In a test, an
 	// isolated host stopped sending 4.15 s after it lost all connections.
 	maxIsolation = 4 * time.Second
@@ -72,7 +72,7 @@
 		return
 	}
 	// A request admitted now may run until its deadline, and the slots may be
-	// reassigned after member.LostAfter plus the longest deadline. Admission
+	// reassigned after member.LostTimeout plus the longest deadline. Admission
 	// therefore stops here.
 	f.Close()
 	if !f.proving.CompareAndSwap(false, true) {
