--- a/internal/selector/entry/rosters/capacity.go
+++ b/internal/selector/entry/rosters/capacity.go
@@ -8,8 +8,8 @@
 	"cairndock/internal/selector/steer"
 )
 
-// Reconfigure works out anew what the host may use, after a change of the
-// configuration, the roster or an upstream's state.
+// Reconfigure recomputes the slots and limits of all services after a change of
+// the configuration, the roster or an upstream's state.
 func (m *Membership) Reconfigure() {
 	now := time.Now()
 	m.mu.Lock()
@@ -28,7 +28,8 @@
 	}
 }
 
-// specs gives what the host holds of a service's upstreams; m.mu is held.
+// specs returns the slots that the host holds of each of a service's upstreams.
+// The caller holds m.mu.
 func (m *Membership) specs(svc *config.ServiceView, now time.Time) []slot.Spec {
 	specs := make([]slot.Spec, 0, len(svc.Local))
 	for _, u := range svc.Local {
@@ -38,14 +39,15 @@
 	return specs
 }
 
-// ruleSpecs gives the host's part of each rule's limits; m.mu is held.
+// ruleSpecs returns the host's share of each rule's limits. The caller holds
+// m.mu.
 func (m *Membership) ruleSpecs(svc *config.ServiceView, now time.Time) []slot.RuleSpec {
 	longest := time.Duration(svc.MaxTimeout)
 	specs := make([]slot.RuleSpec, 0, len(svc.Rules))
 	for _, r := range svc.Rules {
 		spec := slot.RuleSpec{Name: r.Name, Upstreams: r.Local, InFlight: -1, Rate: -1}
 		if r.InFlight > 0 {
-			spec.InFlight = m.holder.Part("rule:"+r.Name, zonePart(r, m.Zone), longest, now)
+			spec.InFlight = m.holder.Part("rule:"+r.Name, zoneLimit(r, m.Zone), longest, now)
 		}
 		if r.Rate > 0 {
 			spec.Rate = r.Rate * zoneShare(r, m.Zone) * m.holder.Fraction(now, longest)
@@ -55,7 +57,7 @@
 	return specs
 }
 
-// zoneShare is a zone's part of a rule's slots.
+// zoneShare returns the fraction of a rule's slots that a zone has.
 func zoneShare(r config.RuleView, zone string) float64 {
 	total, own := 0, 0
 	for _, s := range r.Sites {
@@ -64,13 +66,14 @@
 			own = s.Slots
 		}
 	}
-	return float64(own) / float64(max(1, total)) // without slots it is 0
+	return float64(own) / float64(max(1, total)) // 0 if the rule has no slots
 }
 
-// zonePart splits a rule's in-flight limit over its zones in proportion to
-// their slots. Every host computes the same split, which sums to the limit:
-// each zone gets what its slots add to the rounded running sum.
-func zonePart(r config.RuleView, zone string) int {
+// zoneLimit returns a zone's share of a rule's in-flight limit. The limit is
+// split over the zones in proportion to their slots. Every host computes the
+// same split. The shares add up to the limit, because each share is the
+// difference between two consecutive rounded prefix sums.
+func zoneLimit(r config.RuleView, zone string) int {
 	total := 0
 	for _, s := range r.Sites {
 		total += s.Slots
--- a/internal/selector/entry/rosters/changes.go
+++ b/internal/selector/entry/rosters/changes.go
@@ -14,10 +14,11 @@
 	"cairndock/internal/selector/store"
 )
 
-// rejoin drops every slot and makes the host join again, as another incarnation:
-// by the roster this one died, so that its slots belong to others.
+// rejoin drops all slots and makes the host join again as a new incarnation. It
+// is called when the roster no longer has the current incarnation as an active
+// member, so that its slots belong to other hosts.
 func (m *Membership) rejoin() {
-	m.Log.Warn().Msg("roster: was taken for dead, joining again")
+	m.Log.Warn().Msg("roster: host is no longer an active member; rejoining")
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	cur := m.holder.Current()
@@ -26,7 +27,7 @@
 	m.joined = false
 }
 
-// join writes this host into its zone's roster.
+// join adds this host to its zone's roster.
 func (m *Membership) join(ctx context.Context) error {
 	r, version, err := m.readRoster(ctx)
 	if err != nil {
@@ -52,8 +53,8 @@
 	return nil
 }
 
-// markJoined notes the membership. Where an earlier incarnation was a
-// member, its requests may be outstanding still.
+// markJoined records the membership. The argument replaced means that an
+// earlier incarnation was a member, whose requests may still be outstanding.
 func (m *Membership) markJoined(replaced bool) {
 	m.mu.Lock()
 	m.joined = true
@@ -65,8 +66,8 @@
 	m.NewEpoch()
 }
 
-// writeRoster writes the zone's next roster. When the response is lost, the
-// next tick reads what became of it.
+// writeRoster writes the zone's next roster and merges it. If the response is
+// lost, the next tick reads whether the write succeeded.
 func (m *Membership) writeRoster(ctx context.Context, r roster.Roster, version int64) error {
 	body, err := peer.Encode(r)
 	if err != nil {
@@ -84,27 +85,30 @@
 }
 
 const (
-	// leaveTries is how often a host tries to write its own leaving, as other
-	// hosts may write the roster at the same time.
-	leaveTries = 5
-	// leavePause is the pause between two tries: one tick of the host's loop.
-	leavePause = 250 * time.Millisecond
+	// maxLeaveAttempts limits the attempts to write a host's own departure.
+	// Attempts can fail because other hosts write the roster concurrently.
+	maxLeaveAttempts = 5
+	// leaveRetryDelay is the time between two attempts: one tick of the host's
+	// loop.
+	leaveRetryDelay = 250 * time.Millisecond
 )
 
-// Leave marks this host as leaving, so that its slots pass to others.
+// Leave marks this host as leaving in the roster, which assigns its slots to
+// other hosts.
 func (m *Membership) Leave(ctx context.Context) {
 	m.change(ctx, func(r roster.Roster) roster.Roster { return r.WithState(m.Host, roster.Leaving) })
 }
 
-// Remove takes this host, which has nothing outstanding, off the roster.
+// Remove removes this host from the roster. The host must have no outstanding
+// requests.
 func (m *Membership) Remove(ctx context.Context) {
 	m.change(ctx, func(r roster.Roster) roster.Roster { return r.Without(m.Host) })
 }
 
-// change writes this host's own change of the roster, a few times when others
-// write at the same time.
+// change applies next to the roster and writes the result. It retries up to
+// maxLeaveAttempts times, because other hosts may write concurrently.
 func (m *Membership) change(ctx context.Context, next func(roster.Roster) roster.Roster) {
-	for range leaveTries {
+	for range maxLeaveAttempts {
 		r, version, err := m.readRoster(ctx)
 		if err == nil {
 			if !m.isMember(r) {
@@ -115,14 +119,14 @@
 		if err == nil {
 			return
 		}
-		m.Log.Warn().Err(err).Msg("roster: could not leave")
-		if !pause.For(ctx, leavePause) {
+		m.Log.Warn().Err(err).Msg("roster: failed to write own departure")
+		if !pause.For(ctx, leaveRetryDelay) {
 			return
 		}
 	}
 }
 
-// isMember reports whether this incarnation of the host is in a roster.
+// isMember reports whether a roster contains this incarnation of the host.
 func (m *Membership) isMember(r roster.Roster) bool {
 	own, ok := r.Member(m.Host)
 	m.mu.Lock()
@@ -131,17 +135,18 @@
 }
 
 const (
-	// unlistedAfter is the silence after which a member is dead that this
-	// host never saw in the platform's list.
-	unlistedAfter = time.Minute
-	// deadMargin is how much longer than the longest deadline a gone member
-	// stays in the roster.
+	// unlistedTimeout is the silence after which a member counts as dead if
+	// this host has never seen it in the platform's list.
+	unlistedTimeout = time.Minute
+	// deadMargin is the time beyond the longest request deadline for which a
+	// dead member stays in the roster.
 	deadMargin = 2 * time.Second
 )
 
-// lookAtHosts reads the platform's host list and takes one member out of the
-// roster that it calls gone and that is silent as well.
-func (m *Membership) lookAtHosts(ctx context.Context) error {
+// checkHostList reads the platform's host list and writes at most one change to
+// the roster: it marks a member as dead, or removes a member that has been dead
+// for long enough.
+func (m *Membership) checkHostList(ctx context.Context) error {
 	hosts, err := platformcalls.Get(ctx, m.Platform, m.HostList.Hosts)
 	if err != nil {
 		return eris.Wrap(err, "read host list")
@@ -163,8 +168,9 @@
 	return nil
 }
 
-// withoutDead gives the roster that follows when a member is dead, or when all
-// its requests must have ended since, and whether either is so.
+// withoutDead returns the next roster and true if a member is newly dead, or if
+// it has been dead for so long that all its requests must have ended.
+// Otherwise it returns r and false.
 func (m *Membership) withoutDead(r roster.Roster, other roster.Member, listed map[string]store.State) (roster.Roster, bool) {
 	if other.Host == m.Host {
 		return r, false
@@ -173,32 +179,33 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if other.State == roster.Gone {
-		since, seen := m.goneAt[other.Host]
+		since, seen := m.deadSince[other.Host]
 		if !seen || time.Since(since) < longest+deadMargin {
 			return r, false
 		}
-		delete(m.goneAt, other.Host)
+		delete(m.deadSince, other.Host)
 		return r.Without(other.Host), true
 	}
-	if !m.isGone(other.Host, listed) {
+	if !m.isDead(other.Host, listed) {
 		return r, false
 	}
 	return r.WithState(other.Host, roster.Gone), true
 }
 
-// isGone says whether a member is dead: the platform's list calls it gone or
-// names it no more, and it has been silent for member.LostAfter. One that the
-// list never named may just have started, and gets unlistedAfter. Silence alone
-// proves nothing (docs/design/slots.md).
-func (m *Membership) isGone(host string, listed map[string]store.State) bool {
-	silence := member.LostAfter
-	state, named := listed[host]
-	if !named && !m.Upstreams.Listed(host) {
-		silence = unlistedAfter
-	}
-	if named && state != store.Gone {
+// isDead reports whether a member is dead: the platform's list marks it as gone
+// or no longer contains it, and it has been silent for member.LostAfter. A
+// member that was never listed may just have started; for it the limit is
+// unlistedTimeout. Silence alone does not prove that a member is dead
+// (docs/design/slots.md).
+func (m *Membership) isDead(host string, listed map[string]store.State) bool {
+	maxSilence := member.LostAfter
+	state, isListed := listed[host]
+	if !isListed && !m.Upstreams.Listed(host) {
+		maxSilence = unlistedTimeout
+	}
+	if isListed && state != store.Gone {
 		return false
 	}
 	p, known := m.Peers.Get(host)
-	return !known || time.Since(p.HeardAt) > silence
+	return !known || time.Since(p.HeardAt) > maxSilence
 }
--- a/internal/selector/entry/rosters/loop.go
+++ b/internal/selector/entry/rosters/loop.go
@@ -18,38 +18,40 @@
 )
 
 const (
-	// partitionRoster is the table's partition of the rosters, by zone.
+	// partitionRoster is the table's partition that holds the rosters, keyed by
+	// zone.
 	partitionRoster = "roster"
-	// rosterInterval is the least time between two looks of a poller at the
-	// zone's roster.
+	// rosterInterval is the minimum time between two reads of the zone's roster
+	// by a poller.
 	rosterInterval = time.Second
-	// HostsInterval is the time between two looks of a poller at the
-	// platform's host list: the time that an upstream's leaving by the list
-	// may go unseen (0.8 s measured, docs/design/heartbeats.md).
+	// HostsInterval is the time between two reads of the platform's host list
+	// by a poller. It bounds the time for which hosts do not see that the list
+	// marks an upstream as leaving (0.8 s measured,
+	// docs/design/heartbeats.md).
 	HostsInterval = 2 * time.Second
-	// pollers is how many hosts of a zone look at the platform for all, so
-	// that one may fail (docs/design/configuration.md).
-	pollers = 2
-	// maxRosterRows bounds the zones read at once.
+	// pollersPerZone is the number of hosts per zone that poll the platform on behalf
+	// of the zone. With two, one may fail (docs/design/configuration.md).
+	pollersPerZone = 2
+	// maxRosterRows is the maximum number of rosters, one per zone, in one read.
 	maxRosterRows = 1000
-	// memberBytes is about the size of one member in a roster's row.
+	// memberBytes is the approximate size of one member in a roster's row, in
+	// bytes.
 	memberBytes = 110
-	// readBytesPerSecond is what a poller may spend on reading the roster, in
-	// bytes per second: a large one is read less often. Its writer sends
-	// the zone each new epoch anyway. Half of what heartbeats may take (package
-	// member).
+	// readBytesPerSecond limits the rate at which a poller reads the roster, in
+	// bytes per second. A large roster is therefore read less often, which is
+	// acceptable because its writer notifies the zone of each new epoch. The
+	// value is half of the limit for heartbeats (package member).
 	readBytesPerSecond = 2000
-	// discoverInterval is the time between the first two looks at all zones'
-	// rosters while some zone can't be reached. It doubles up to
-	// maxDiscover.
+	// discoverInterval is the time between the first two reads of all zones'
+	// rosters while some zone is unreachable. It doubles up to maxDiscoverInterval.
 	discoverInterval = 5 * time.Second
-	// maxDiscover is the longest time between two such looks, so that a zone
-	// that is gone for long costs little.
-	maxDiscover = 5 * time.Minute
+	// maxDiscoverInterval is the maximum time between two such reads. It keeps the cost
+	// of a zone that is unreachable for a long time low.
+	maxDiscoverInterval = 5 * time.Minute
 )
 
-// Loop joins the zone's roster, follows it and takes dead members out, until
-// ctx ends. A failed tick is tried again after a pause that grows.
+// Loop joins the zone's roster, follows its changes and removes dead members
+// until ctx ends. Failed ticks are retried with exponential backoff.
 func (m *Membership) Loop(ctx context.Context) {
 	retry := platformcalls.NewBackoff()
 	var last lastReads
@@ -68,17 +70,18 @@
 	}
 }
 
-// lastReads is when the roster loop last read the host list and all rosters, and
-// what it found.
+// lastReads holds the times of the roster loop's latest reads of the host list
+// and of all rosters, and the size of the zone's roster.
 type lastReads struct {
 	hosts, zones time.Time
-	// zonesEvery is the time until the next look at all rosters.
-	zonesEvery time.Duration
-	// rosterSize is about the size of the zone's roster, in bytes.
+	// zonesInterval is the time until the next read of all rosters.
+	zonesInterval time.Duration
+	// rosterSize is the approximate size of the zone's roster, in bytes.
 	rosterSize int
 }
 
-// tick joins the roster or, as a member, reads what is due.
+// tick joins the roster or, if this host is a member, does the reads that are
+// due.
 func (m *Membership) tick(ctx context.Context, last *lastReads) error {
 	if !m.hasJoined() {
 		return m.join(ctx)
@@ -98,21 +101,21 @@
 		return nil
 	}
 	last.hosts = time.Now()
-	return m.lookAtHosts(ctx)
+	return m.checkHostList(ctx)
 }
 
-// discover learns the hosts of other zones from their rosters, as long as
-// some configured zone has no host that answers. Heartbeats name the rest.
+// discover reads the hosts of other zones from their rosters while some known
+// zone has no responsive host. Further hosts are learned from heartbeats.
 func (m *Membership) discover(ctx context.Context, last *lastReads) error {
 	if !m.missesZone() {
-		last.zonesEvery = 0
+		last.zonesInterval = 0
 		return nil
 	}
-	if time.Since(last.zones) < last.zonesEvery {
+	if time.Since(last.zones) < last.zonesInterval {
 		return nil
 	}
 	last.zones = time.Now()
-	last.zonesEvery = max(discoverInterval, min(2*last.zonesEvery, maxDiscover))
+	last.zonesInterval = max(discoverInterval, min(2*last.zonesInterval, maxDiscoverInterval))
 	rows, err := platformcalls.Get(ctx, m.Platform, func(ctx context.Context) ([]store.Row, error) {
 		return m.Table.List(ctx, partitionRoster, "", maxRosterRows)
 	})
@@ -129,35 +132,36 @@
 	return nil
 }
 
-// missesZone reports whether no host of some other zone answers.
+// missesZone reports whether some other zone has no responsive host.
 func (m *Membership) missesZone() bool {
 	return slices.ContainsFunc(m.KnownZones(), func(zone string) bool {
 		return zone != m.Zone && len(m.Peers.Contacts(zone, false)) == 0
 	})
 }
 
-// hasJoined reports whether there is nothing to join: this host is a member, or
-// it is stopping.
+// hasJoined reports whether no join is needed because this host is a member or
+// is stopping.
 func (m *Membership) hasJoined() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.joined || m.Leaving()
 }
 
-// IsPoller reports whether this host is among the first of its zone that
-// answer, in an order that differs from zone to zone.
+// IsPoller reports whether this host polls the platform for its zone. The
+// pollers are the first responsive hosts of the zone in a ranking that depends
+// on the zone's name.
 func (m *Membership) IsPoller() bool {
 	ranked := roster.Rank("poll:"+m.Zone, m.Peers.UpNames())
-	return slices.Contains(ranked[:min(pollers, len(ranked))], m.Host)
+	return slices.Contains(ranked[:min(pollersPerZone, len(ranked))], m.Host)
 }
 
-// rosterKey is where a zone's roster is in the table.
+// rosterKey returns the table key of a zone's roster.
 func rosterKey(zone string) store.Key {
 	return store.Key{Partition: partitionRoster, Sort: zone}
 }
 
-// readRoster reads the zone's roster and its row's version from the table, and
-// merges it. A zone without a row has an empty roster at version 0.
+// readRoster reads and merges the zone's roster. It returns the roster and the
+// version of its row. A zone without a row has an empty roster at version 0.
 func (m *Membership) readRoster(ctx context.Context) (roster.Roster, int64, error) {
 	row, err := platformcalls.Get(ctx, m.Platform, func(ctx context.Context) (store.Row, error) {
 		return m.Table.Get(ctx, rosterKey(m.Zone))
@@ -176,15 +180,16 @@
 	return r, row.Version, nil
 }
 
-// Fetch takes the zone's roster from a host that has a newer one.
+// Fetch fetches and merges the zone's roster from a host that has a newer one.
+// A failure is only logged.
 func (m *Membership) Fetch(ctx context.Context, from member.Contact) {
 	if err := m.tryFetch(ctx, from); err != nil {
-		// Its next heartbeat shows the newer epoch again.
+		// The next heartbeat of that host triggers another fetch.
 		m.Log.Debug().Str("peer", from.Host).Err(err).Msg("roster: fetch failed")
 	}
 }
 
-// tryFetch merges a peer's roster of this host's zone.
+// tryFetch fetches the roster of this host's zone from a peer and merges it.
 func (m *Membership) tryFetch(ctx context.Context, from member.Contact) error {
 	r, err := peers.Call[roster.Roster](ctx, m.Mesh, from, peer.KindRoster, m.Zone)
 	if err != nil {
@@ -197,19 +202,19 @@
 	return nil
 }
 
-// Prove reads the roster from the table or from a host of the zone, after this
-// host was paused or cut off from everything, and reports whether it could.
-// Slots that were given away meanwhile are gone then. A host that is alone
-// waits for the table.
+// Prove reads the roster from the table or from a host of the zone after this
+// host was paused or isolated, and reports whether a read succeeded. The merge
+// drops slots that were assigned to other hosts in the meantime. A host without
+// peers depends on the table.
 func (m *Membership) Prove(ctx context.Context) bool {
-	m.Log.Warn().Msg("entry: host was paused or alone, asking for the roster")
+	m.Log.Warn().Msg("entry: host was paused or isolated; reading the roster")
 	_, _, err := m.readRoster(ctx)
 	if err == nil {
 		return true
 	}
-	m.Log.Debug().Err(err).Msg("roster: the platform can't be asked, asking the zone")
+	m.Log.Debug().Err(err).Msg("roster: platform read failed; asking hosts of the zone")
 	for _, p := range m.Peers.Zone(m.Zone) {
-		if m.tryFetch(ctx, p.Contact) == nil { // else the next host, or the next tick
+		if m.tryFetch(ctx, p.Contact) == nil { // otherwise the next host or the next tick
 			return true
 		}
 	}
--- a/internal/selector/entry/rosters/membership.go
+++ b/internal/selector/entry/rosters/membership.go
@@ -1,11 +1,11 @@
-// Package rosters keeps a host a member of its zone's roster, and gives its
-// services the slots that the rosters leave it.
+// Package rosters maintains a host's membership in the roster of its zone and
+// configures the services with the slots that the rosters assign to the host.
 //
-// It owns the chain of rosters that the host has seen, its own acknowledgement
-// and the deaths of other members. The zone's row in the platform's table is
-// the truth; heartbeats carry acknowledgements and epochs. A slot is used only
-// if it falls to this host in every roster from the last settled one to the
-// newest (docs/design/slots.md).
+// The package owns the sequence of rosters that the host has seen, the host's
+// own acknowledgement, and the detection of dead members. The zone's row in the
+// platform's table is authoritative; heartbeats carry acknowledgements and
+// epochs. A slot is used only if every roster from the last settled one to the
+// newest assigns it to this host (docs/design/slots.md).
 package rosters
 
 import (
@@ -27,26 +27,27 @@
 	"cairndock/internal/selector/store"
 )
 
-// HostLister gives the platform's list of live and leaving hosts.
+// HostLister returns the platform's list of live and leaving hosts.
 type HostLister interface {
 	Hosts(ctx context.Context) ([]store.HostState, error)
 }
 
-// Options are what a Membership is made of.
+// Options configures a Membership.
 type Options struct {
 	Host        string
 	Zone        string
 	Region      string
 	Incarnation string
 	View        func() *config.View
-	// KnownZones gives the configured zones and those with hosts.
+	// KnownZones returns the configured zones and the zones that have hosts.
 	KnownZones func() []string
-	// Leaving reports whether this host is stopping, and so joins no more.
+	// Leaving reports whether this host is stopping. A stopping host does not
+	// join again.
 	Leaving func() bool
-	// NewEpoch is called, without a lock, when there is a new roster or this
-	// host has joined one.
+	// NewEpoch is called, without locks held, after a new roster was merged or
+	// this host joined one.
 	NewEpoch func()
-	// NotifyZone sends a heartbeat to each host of the zone at once.
+	// NotifyZone sends a heartbeat to each host of the zone immediately.
 	NotifyZone func()
 	Table      config.Table
 	HostList   HostLister
@@ -62,48 +63,49 @@
 type Membership struct {
 	Options
 
-	// mu is held while slots are given to services, so that what a host
-	// acknowledges is what its gates were configured by.
+	// mu is held while the services are configured with slots, so that the
+	// host acknowledges the roster that its gates were configured from.
 	mu     sync.Mutex
 	holder *roster.Holder
 	joined bool
-	// acked is the epoch that this host acknowledged last.
+	// acked is the latest epoch that this host acknowledged.
 	acked uint64
-	// configured is the epoch that the gates were configured by.
+	// configured is the epoch that the gates were configured from.
 	configured uint64
-	// settleStep is the last step seen of the holder on its way to settle.
+	// settleStep is the holder's latest observed step towards a settled roster.
 	settleStep int
-	// goneAt is when this host first saw that a member is gone.
-	goneAt map[string]time.Time
+	// deadSince is when this host first saw each dead member in a roster.
+	deadSince map[string]time.Time
 }
 
-// New makes the Membership of a host that is no member yet.
+// New returns the Membership of a host that has not joined yet.
 func New(o Options) *Membership {
 	return &Membership{
-		Options: o,
-		holder:  roster.NewHolder(o.Host, o.Incarnation, o.Zone),
-		goneAt:  map[string]time.Time{},
+		Options:   o,
+		holder:    roster.NewHolder(o.Host, o.Incarnation, o.Zone),
+		deadSince: map[string]time.Time{},
 	}
 }
 
-// NewIncarnation draws the name of one incarnation of a host.
+// NewIncarnation returns a new unique name for an incarnation of a host.
 func NewIncarnation() string { return ulid.Make().String() }
 
-// Current is the newest roster of the zone.
+// Current returns the newest roster of the zone.
 func (m *Membership) Current() roster.Roster {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.holder.Current()
 }
 
-// Settled reports whether the newest roster is fully in force here.
+// Settled reports whether the newest roster is fully in force on this host.
 func (m *Membership) Settled() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.holder.Settled()
 }
 
-// Describe adds to a heartbeat how far this host follows the roster.
+// Describe adds this host's incarnation, epoch and acknowledgement to a
+// heartbeat.
 func (m *Membership) Describe(hb *member.Heartbeat) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -111,8 +113,8 @@
 	hb.Incarnation, hb.Epoch, hb.Acked, hb.ZoneHosts = m.holder.Incarnation(), cur.Epoch, m.acked, len(cur.Active())
 }
 
-// MergeAck takes in how far a host follows the roster, and reports whether
-// it has a newer one.
+// MergeAck merges the acknowledgement of another host and reports whether that
+// host has a newer roster.
 func (m *Membership) MergeAck(hb member.Heartbeat) (newer bool) {
 	if hb.Contact.Zone != m.Zone {
 		return false
@@ -123,9 +125,9 @@
 	return hb.Epoch > m.holder.Current().Epoch
 }
 
-// Settle acknowledges the newest roster once nothing is outstanding beyond
-// what it gives this host, and takes the slots that it adds once all others
-// have acknowledged it.
+// Settle acknowledges the newest roster once this host has no more requests
+// outstanding than the roster assigns slots to it. The host starts to use added
+// slots once all other members have acknowledged the roster.
 func (m *Membership) Settle() {
 	acked, changed := m.advance()
 	if changed {
@@ -136,8 +138,8 @@
 	}
 }
 
-// advance reports whether this host has acknowledged the newest roster now, and
-// whether the slots that it may use have changed.
+// advance reports whether this call acknowledged the newest roster, and whether
+// the slots that this host may use have changed.
 func (m *Membership) advance() (acked, changed bool) {
 	now := time.Now()
 	longest := m.Services.MaxTimeout()
@@ -149,14 +151,15 @@
 		m.acked = cur
 	}
 	settled := m.holder.Settle(now, longest)
-	// Slots become usable service by service, as their deadlines pass.
+	// Slots become usable one service at a time, when the longest deadline of
+	// the service has passed.
 	step := m.holder.SettleStep(now)
 	changed = settled || step != m.settleStep
 	m.settleStep = step
 	return acked, changed
 }
 
-// Merge takes in a roster and applies what it changes.
+// Merge merges a roster and applies its changes.
 func (m *Membership) Merge(r roster.Roster) {
 	m.Peers.Learn(contacts(r))
 	isNew, lost := m.observe(r)
@@ -171,16 +174,16 @@
 	m.NewEpoch()
 }
 
-// observe reports whether a roster is new, and whether this host is no longer an
-// active member by it.
+// observe reports whether a roster is new, and whether this host has joined but
+// is not an active member of that roster.
 func (m *Membership) observe(r roster.Roster) (isNew, lost bool) {
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	isNew = m.holder.Observe(r, now)
 	for _, other := range r.Members {
-		if _, seen := m.goneAt[other.Host]; other.State == roster.Gone && !seen {
-			m.goneAt[other.Host] = now
+		if _, seen := m.deadSince[other.Host]; other.State == roster.Gone && !seen {
+			m.deadSince[other.Host] = now
 		}
 	}
 	own, ok := r.Member(m.Host)
@@ -188,7 +191,7 @@
 	return isNew, m.joined && !m.Leaving() && !active
 }
 
-// contacts gives how to reach a roster's living members.
+// contacts returns the contacts of a roster's members that are not dead.
 func contacts(r roster.Roster) []member.Contact {
 	var out []member.Contact
 	for _, m := range r.Members {
--- a/internal/selector/entry/rosters/rosters_test.go
+++ b/internal/selector/entry/rosters/rosters_test.go
@@ -35,7 +35,7 @@
 `
 )
 
-// host is a host of costa-a with its platform.
+// host is a Membership of a host in zone costa-a with an in-memory store.
 type host struct {
 	*Membership
 	contact member.Contact
@@ -65,7 +65,7 @@
 
 func (h *host) held() int { return h.Services.Get("planning").Gate.Load().Held }
 
-// follow has hosts read the roster and acknowledge it to each other.
+// follow makes the hosts read the roster and exchange acknowledgements.
 func follow(t *testing.T, hosts ...*host) {
 	for _, h := range hosts {
 		_, _, err := h.readRoster(context.Background())
@@ -84,20 +84,20 @@
 	}
 }
 
-// TestSlotsPassBetweenMembers: the members of a zone hold all slots between
-// them, and a new member holds none until the others have acknowledged it.
+// Guards against two hosts using one slot: the members of a zone hold all slots
+// together, and a new member holds none until the others have acknowledged it.
 func TestSlotsPassBetweenMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		memory := store.NewMemory()
 		one, two := newHost(t, memory, "costa-a-1"), newHost(t, memory, "costa-a-2")
 		require.NoError(t, one.join(ctx))
-		require.Equal(t, slots, one.held(), "nobody else can hold any")
+		require.Equal(t, slots, one.held(), "the only member holds all slots")
 		follow(t, one)
 
 		require.NoError(t, two.join(ctx))
 		two.Settle()
-		require.Zero(t, two.held(), "the first has not acknowledged")
+		require.Zero(t, two.held(), "the first host has not acknowledged")
 		follow(t, one, two)
 		require.Equal(t, slots, one.held()+two.held())
 		require.Positive(t, two.held())
@@ -113,9 +113,9 @@
 	})
 }
 
-// TestDeathNeedsListAndSilence: a member is dead when the list calls it gone,
-// or names it no more, and it is silent as well; one that was never listed
-// must be silent for longer.
+// Guards against declaring a running member dead: a member is dead only if it is
+// silent and the list marks it as gone or no longer contains it. A member that
+// was never listed must be silent for longer.
 func TestDeathNeedsListAndSilence(t *testing.T) {
 	gone := []store.HostState{{Name: "costa-a-2", State: store.Gone}}
 	live := []store.HostState{{Name: "costa-a-2", State: store.Live}}
@@ -127,11 +127,11 @@
 		dead    bool
 	}{
 		{"gone, and silent", nil, gone, member.LostAfter + 1, true},
-		{"gone, and heard", nil, gone, member.LostAfter, false},
-		{"live, and silent", nil, live, unlistedAfter + 1, false},
+		{"gone, but not silent long enough", nil, gone, member.LostAfter, false},
+		{"live, and silent", nil, live, unlistedTimeout + 1, false},
 		{"dropped from the list, and silent", live, nil, member.LostAfter + 1, true},
 		{"never listed, and silent", nil, nil, member.LostAfter + 1, false},
-		{"never listed, and silent for long", nil, nil, unlistedAfter + 1, true},
+		{"never listed, and silent for long", nil, nil, unlistedTimeout + 1, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -149,15 +149,15 @@
 				for _, s := range tc.list {
 					listed[s.Name] = s.State
 				}
-				require.Equal(t, tc.dead, h.isGone("costa-a-2", listed))
+				require.Equal(t, tc.dead, h.isDead("costa-a-2", listed))
 			})
 		})
 	}
 }
 
-// TestGoneMembersRest: a gone member stays in the roster until every request
-// that it can have sent has met its deadline.
-func TestGoneMembersRest(t *testing.T) {
+// A dead member must stay in the roster until the deadline of every request that
+// it may have sent has passed. Removed earlier, its slots could be used twice.
+func TestDeadMembersStayUntilTheirRequestsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHost(t, store.NewMemory(), "costa-a-1")
 		dead := roster.Member{Host: "costa-a-2", Incarnation: "2", State: roster.Gone}
@@ -172,8 +172,8 @@
 	})
 }
 
-// TestRejoin: a host that the roster calls gone drops every slot and joins
-// again as another incarnation.
+// A host that the roster marks as dead must drop all slots and join again as a
+// new incarnation.
 func TestRejoin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
@@ -192,9 +192,9 @@
 	})
 }
 
-// TestZonePartsSumToTheLimit: a rule's in-flight limit is split over its zones
-// by their slots, to the last one.
-func TestZonePartsSumToTheLimit(t *testing.T) {
+// Guards against rounding errors when a rule's in-flight limit is split over
+// zones: the shares must add up to exactly the limit.
+func TestZoneLimitsSumToTheLimit(t *testing.T) {
 	sites := [][]int{{4}, {4, 4}, {1, 2, 3}, {0, 5}, {7, 1, 1, 1}}
 	for _, slots := range sites {
 		for limit := range 12 {
@@ -206,7 +206,7 @@
 				}
 				sum, share := 0, 0.0
 				for i := range slots {
-					sum += zonePart(r, fmt.Sprint(i))
+					sum += zoneLimit(r, fmt.Sprint(i))
 					share += zoneShare(r, fmt.Sprint(i))
 				}
 				require.Equal(t, limit, sum)
@@ -214,6 +214,6 @@
 			})
 		}
 	}
-	require.Zero(t, zonePart(config.RuleView{}, "nowhere"))
+	require.Zero(t, zoneLimit(config.RuleView{}, "nowhere"))
 	require.Zero(t, zoneShare(config.RuleView{}, "nowhere"))
 }
