--- a/internal/selector/entry/configsync/configsync.go
+++ b/internal/selector/entry/configsync/configsync.go
@@ -1,11 +1,11 @@
 // Package configsync keeps a host's replica of the configuration up to date:
-// it polls the platform's log, passes changes on between hosts, knows how old
+// it polls the platform's log, relays changes between hosts, tracks how stale
 // the replica may be, and accepts changes for the whole system.
 //
-// It owns the configuration in force, the changes kept for other hosts and the
-// time of the last proof that the revision is the newest. It relies on the
-// platform's log for the order of changes, on the peers' heartbeats for who
-// has which revision, and on the host to apply a new configuration
+// The package owns the configuration in force, the changes retained for other
+// hosts, and the time of the latest proof that the revision is the newest. It
+// depends on the platform's log for the order of changes, on the peers'
+// heartbeats for their revisions, and on the host to apply a new configuration
 // (docs/design/configuration.md).
 package configsync
 
@@ -28,30 +28,30 @@
 	"cairndock/internal/telemetry"
 )
 
-// FreezeAfter is the age of the last proof that the configuration is the
-// newest, after which the host freezes: ramps stand still and the own zone is
-// preferred. Two hosts of each zone look each second, so that a host of a zone
-// that reaches the platform never gets there (docs/design/configuration.md).
+// FreezeAfter is the age of the latest proof that the configuration is the
+// newest above which the host freezes: ramps stop and the own zone is preferred.
+// Two hosts of each zone poll every second, so no host freezes while its zone
+// can reach the platform (docs/design/configuration.md).
 const FreezeAfter = 4 * time.Second
 
-// Options are what a Replica is made of.
+// Options configures a Replica.
 type Options struct {
 	Host string
 	Zone string
-	// Now reads the host's monotonic clock, in nanoseconds.
+	// Now returns the host's monotonic clock, in nanoseconds.
 	Now func() int64
-	// Random gives random numbers in [0, 1).
+	// Random returns random numbers in [0, 1).
 	Random func() float64
-	// IsPoller reports whether this host looks at the platform for its zone.
+	// IsPoller reports whether this host polls the platform for its zone.
 	IsPoller func() bool
-	// Roster gives the newest roster of this host's zone.
+	// Roster returns the newest roster of this host's zone.
 	Roster func() roster.Roster
-	// Reconfigure applies the view that is in force now.
+	// Reconfigure applies the view that is currently in force.
 	Reconfigure func()
-	// Confirmed is called when the revision in force is proved anew to be the
-	// newest.
+	// Confirmed is called after each later proof that the revision in force is
+	// the newest.
 	Confirmed func()
-	// SendHeartbeat sends a heartbeat to a host and merges the response.
+	// SendHeartbeat exchanges a heartbeat with a host and merges the response.
 	SendHeartbeat func(ctx context.Context, to member.Contact)
 	ChangeLog     *config.Log
 	Platform      *platformcalls.Caller
@@ -67,26 +67,27 @@
 	Options
 
 	view atomic.Pointer[config.View]
-	// freshAt is when the revision in force was last known to be the newest,
-	// as read by Now; zero is never.
+	// freshAt is the time, as returned by Now, at which the revision in force
+	// was last proved to be the newest. Zero means never.
 	freshAt atomic.Int64
 
 	// mu is held while a configuration is put in force.
 	mu     sync.Mutex
-	recent []config.Change // the last changes, to pass on
+	recent []config.Change // the latest changes, retained for relaying
 }
 
-// New makes a Replica of the empty configuration.
+// New returns a Replica with the empty configuration.
 func New(o Options) *Replica {
 	r := &Replica{Options: o}
 	r.view.Store(config.NewView(config.NewState(), o.Zone))
 	return r
 }
 
-// View is the configuration in force.
+// View returns the configuration in force.
 func (r *Replica) View() *config.View { return r.view.Load() }
 
-// KnownZones gives the configured zones and those with hosts, by name.
+// KnownZones returns the configured zones and the zones that have hosts, sorted
+// by name.
 func (r *Replica) KnownZones() []string {
 	zones := []string{r.Zone}
 	for _, z := range r.View().Zones() {
@@ -97,14 +98,15 @@
 	return slices.Compact(zones)
 }
 
-// Age is how long ago the revision in force was last known to be the newest.
+// Age returns the time since the revision in force was last proved to be the
+// newest.
 func (r *Replica) Age() time.Duration { return time.Duration(r.Now() - r.freshAt.Load()) }
 
 // Frozen reports whether the configuration may no longer be the newest.
 func (r *Replica) Frozen() bool { return r.Age() > FreezeAfter }
 
-// FreshAge is Age for heartbeats: in milliseconds, rounded up, and -1 when
-// the revision was never known to be the newest.
+// FreshAge returns Age as sent in heartbeats: in milliseconds, rounded up, or -1
+// if the revision was never proved to be the newest.
 func (r *Replica) FreshAge() int64 {
 	at := r.freshAt.Load()
 	if at <= 0 {
@@ -113,17 +115,19 @@
 	return (r.Now()-at)/int64(time.Millisecond) + 1
 }
 
-// MergeFreshness takes in a peer's proof that its revision is the newest. Its
-// age counts from when this host asked, so that a slow response only makes the
-// proof older than it is.
-func (r *Replica) MergeFreshness(hb member.Heartbeat, askedAt int64) {
+// MergeFreshness merges a peer's proof that its revision is the newest. The
+// proof's age is counted from requestedAt, the time at which this host sent its
+// heartbeat, so that a slow response can only make the proof appear older than
+// it is. The time is as returned by Now.
+func (r *Replica) MergeFreshness(hb member.Heartbeat, requestedAt int64) {
 	if hb.FreshAge < 0 || r.View().Revision() < hb.Revision {
 		return
 	}
-	r.confirm(askedAt - hb.FreshAge*int64(time.Millisecond))
+	r.confirm(requestedAt - hb.FreshAge*int64(time.Millisecond))
 }
 
-// confirm notes that the revision in force was the newest at a time.
+// confirm records that the revision in force was the newest at a time as
+// returned by Now.
 func (r *Replica) confirm(at int64) {
 	for {
 		old := r.freshAt.Load()
@@ -137,7 +141,7 @@
 	r.Confirmed()
 }
 
-// Adopt puts a whole state in force, if it is newer.
+// Adopt puts a whole state in force if it is newer than the current one.
 func (r *Replica) Adopt(s *config.State) {
 	r.mu.Lock()
 	if s.Revision() > r.View().Revision() {
@@ -148,8 +152,8 @@
 	r.Reconfigure()
 }
 
-// putInForce applies changes in order and passes them on. Those at or below
-// the revision in force are skipped: a host only moves to a higher revision.
+// putInForce applies changes in order and relays them. It skips changes at or
+// below the revision in force, because a host's revision never decreases.
 func (r *Replica) putInForce(ctx context.Context, changes []config.Change) error {
 	applied, err := r.apply(changes)
 	if err != nil || len(applied) == 0 {
@@ -161,8 +165,8 @@
 	return nil
 }
 
-// apply puts the changes above the revision in force in force, all or none,
-// and gives them.
+// apply applies the changes whose revisions are above the one in force, either
+// all of them or none, and returns them.
 func (r *Replica) apply(changes []config.Change) ([]config.Change, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/selector/entry/configsync/configsync_test.go
+++ b/internal/selector/entry/configsync/configsync_test.go
@@ -21,25 +21,26 @@
 	"cairndock/internal/telemetry"
 )
 
-// replica is a Replica of costa-a-1, which is alone, with its platform.
+// replica is a Replica of the host costa-a-1, without peers and with an in-memory
+// store.
 type replica struct {
 	*Replica
 	memory *store.Memory
-	// changed counts the configurations applied.
-	changed int
+	// reconfigured counts the calls of Reconfigure.
+	reconfigured int
 }
 
 func newReplica() *replica {
 	r := &replica{memory: store.NewMemory()}
-	made := time.Now()
+	start := time.Now()
 	view := func() *config.View { return r.View() }
 	random := func() float64 { return 0.5 }
 	r.Replica = New(Options{
 		Host: "costa-a-1", Zone: "costa-a", Random: random,
-		Now:         func() int64 { return int64(time.Hour) + int64(time.Since(made)) },
+		Now:         func() int64 { return int64(time.Hour) + int64(time.Since(start)) },
 		IsPoller:    func() bool { return true },
 		Roster:      func() roster.Roster { return roster.Roster{Zone: "costa-a"} },
-		Reconfigure: func() { r.changed++ },
+		Reconfigure: func() { r.reconfigured++ },
 		Confirmed:   func() {},
 		ChangeLog:   config.NewLog(r.memory, r.memory),
 		Platform:    platformcalls.New(1000, telemetry.NewMetrics(), func() {}),
@@ -51,7 +52,7 @@
 	return r
 }
 
-// zoneChange is a change that adds a zone.
+// zoneChange returns a change that adds the zone zone-n.
 func zoneChange(t *testing.T, n int) config.Change {
 	d, err := config.ParseDocument(fmt.Appendf(nil, "[[zone]]\nname = \"zone-%d\"\nregion = \"costa\"\n", n))
 	require.NoError(t, err)
@@ -60,28 +61,30 @@
 	return c
 }
 
-// TestFreshnessNeedsTheRevision: a peer that is ahead proves nothing about
-// this host's revision, and a proof is as old as the way it came was long.
+// Guards against a host that takes a stale configuration for fresh: a peer with a
+// higher revision proves nothing about this host's revision, and the age of a
+// proof includes the time of the exchange that delivered it.
 func TestFreshnessNeedsTheRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReplica()
 		rev := r.View().Revision()
 		r.freshAt.Store(1)
-		asked := r.Now()
-		r.MergeFreshness(member.Heartbeat{Revision: rev + 1, FreshAge: 0}, asked)
+		requestedAt := r.Now()
+		r.MergeFreshness(member.Heartbeat{Revision: rev + 1, FreshAge: 0}, requestedAt)
 		require.EqualValues(t, 1, r.freshAt.Load(), "the peer is ahead")
-		r.MergeFreshness(member.Heartbeat{Revision: rev, FreshAge: -1}, asked)
+		r.MergeFreshness(member.Heartbeat{Revision: rev, FreshAge: -1}, requestedAt)
 		require.EqualValues(t, 1, r.freshAt.Load(), "the peer was never fresh")
 		time.Sleep(3 * time.Second)
 		r.freshAt.Store(1)
-		r.MergeFreshness(member.Heartbeat{Revision: rev, FreshAge: 500}, asked)
-		require.Equal(t, asked-int64(500*time.Millisecond), r.freshAt.Load())
-		r.MergeFreshness(member.Heartbeat{Revision: rev, FreshAge: 1000}, asked)
-		require.Equal(t, asked-int64(500*time.Millisecond), r.freshAt.Load(), "never older")
+		r.MergeFreshness(member.Heartbeat{Revision: rev, FreshAge: 500}, requestedAt)
+		require.Equal(t, requestedAt-int64(500*time.Millisecond), r.freshAt.Load())
+		r.MergeFreshness(member.Heartbeat{Revision: rev, FreshAge: 1000}, requestedAt)
+		require.Equal(t, requestedAt-int64(500*time.Millisecond), r.freshAt.Load(), "an older proof changes nothing")
 	})
 }
 
-// TestFrozen: a host freezes FreezeAfter its last proof, which a poll gives.
+// A host must freeze FreezeAfter after its latest proof of freshness, which a
+// poll yields.
 func TestFrozen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReplica()
@@ -99,34 +102,34 @@
 	})
 }
 
-// TestNeverBack: changes are put in force in order, once, and a whole state
-// only when it is newer.
-func TestNeverBack(t *testing.T) {
+// A host's revision must never decrease: each change is put in force in order and
+// once, and a whole state only if it is newer.
+func TestRevisionNeverDecreases(t *testing.T) {
 	r := newReplica()
 	old := r.View().State()
 	one, two, three := zoneChange(t, 1).WithRevision(1), zoneChange(t, 2).WithRevision(2), zoneChange(t, 3).WithRevision(3)
 	steps := []struct {
-		name    string
-		changes []config.Change
-		want    uint64
-		changed int
+		name         string
+		changes      []config.Change
+		want         uint64
+		reconfigured int
 	}{
 		{"a gap", []config.Change{two}, 0, 0},
 		{"the first", []config.Change{one}, 1, 1},
 		{"the first again", []config.Change{one}, 1, 1},
-		{"old ones with new ones", []config.Change{one, two, three}, 3, 2},
+		{"old and new changes", []config.Change{one, two, three}, 3, 2},
 	}
 	for _, s := range steps {
 		require.Equal(t, s.want, r.ServePush(context.Background(), "nobody", Push{Changes: s.changes}).Revision, s.name)
-		require.Equal(t, s.changed, r.changed, s.name)
+		require.Equal(t, s.reconfigured, r.reconfigured, s.name)
 	}
 	r.Adopt(old)
 	require.EqualValues(t, 3, r.View().Revision())
 	require.Len(t, r.recent, 3)
 }
 
-// TestRelayTree: of the hosts of a zone all but one pass a change on to at
-// most relayFanout others and to the root, and every host is reached.
+// A relay must reach every host of a zone, and no host relays a change to more
+// than relayFanout hosts and the root.
 func TestRelayTree(t *testing.T) {
 	const hosts, revision = 20, 7
 	name := func(i int) string { return fmt.Sprintf("costa-a-%d", i+1) }
--- a/internal/selector/entry/configsync/poll.go
+++ b/internal/selector/entry/configsync/poll.go
@@ -12,23 +12,24 @@
 )
 
 const (
-	// pollInterval is the time between two looks at the head of the log, give
-	// or take pollJitter: two hosts of each zone look each second
+	// pollInterval is the mean time between two reads of the log's head by a
+	// host, with pollJitter applied. Two hosts of each zone poll every second
 	// (docs/design/configuration.md).
 	pollInterval = time.Second
-	// pollJitter is the part of pollInterval by which a poll may come early
-	// or late, so that hosts that started together spread.
-	pollJitter = 0.1
-	// selfPollAge is the age of the last proof of freshness at which a host
-	// that is no poller looks for itself, below FreezeAfter
-	// (docs/design/configuration.md).
+	// pollJitterFraction is the fraction of pollInterval by which a poll may be
+	// early or late. It spreads the polls of hosts that started together.
+	pollJitterFraction = 0.1
+	// selfPollAge is the age of the latest proof of freshness above which a host
+	// polls even if it is not a poller of its zone. It is below FreezeAfter so
+	// that the host polls before it freezes (docs/design/configuration.md).
 	selfPollAge = 2500 * time.Millisecond
-	// snapshotEvery is how many changes lie between two snapshots.
-	snapshotEvery = 200
+	// snapshotInterval is the number of revisions between two snapshots.
+	snapshotInterval = 200
 )
 
-// PollLoop looks for new changes at the platform, and proves that there are
-// none, until ctx ends.
+// PollLoop polls the platform for new changes and confirms that the revision in
+// force is the newest, until ctx ends. Failed polls are retried with exponential
+// backoff.
 func (r *Replica) PollLoop(ctx context.Context) {
 	retry := platformcalls.NewBackoff()
 	failing := false
@@ -37,7 +38,7 @@
 		err := r.pollIfDue(ctx)
 		if (err != nil) != failing && ctx.Err() == nil {
 			failing = err != nil
-			r.Log.Warn().Err(err).Bool("failing", failing).Msg("config: asking the platform")
+			r.Log.Warn().Err(err).Bool("failing", failing).Msg("config: polling the platform failed or recovered")
 		}
 		if err != nil {
 			wait = retry.NextBackOff()
@@ -50,13 +51,14 @@
 	}
 }
 
-// pollWait spreads the polls of many hosts.
+// pollWait returns pollInterval with random jitter, which spreads the polls of
+// many hosts.
 func (r *Replica) pollWait() time.Duration {
-	return time.Duration(float64(pollInterval) * (1 - pollJitter + 2*pollJitter*r.Random()))
+	return time.Duration(float64(pollInterval) * (1 - pollJitterFraction + 2*pollJitterFraction*r.Random()))
 }
 
-// pollIfDue polls when this host does so for its zone, or when its last proof is
-// too old to wait for one from a peer.
+// pollIfDue polls if this host polls for its zone, or if its latest proof of
+// freshness is too old to wait for a proof from a peer.
 func (r *Replica) pollIfDue(ctx context.Context) error {
 	if !r.IsPoller() && r.Age() <= selfPollAge {
 		return nil
@@ -64,7 +66,7 @@
 	return r.poll(ctx)
 }
 
-// poll reads the head of the log and what came after this host's revision.
+// poll reads the head of the log and all changes after this host's revision.
 func (r *Replica) poll(ctx context.Context) error {
 	began := r.Now()
 	if r.View().Revision() == 0 {
@@ -83,7 +85,7 @@
 	return r.snapshotIfDue(ctx)
 }
 
-// readLog puts the next changes of the log in force.
+// readLog reads the next changes from the log and puts them in force.
 func (r *Replica) readLog(ctx context.Context) error {
 	changes, err := platformcalls.Get(ctx, r.Platform, func(ctx context.Context) ([]config.Change, error) {
 		return r.ChangeLog.Since(ctx, r.View().Revision())
@@ -92,12 +94,12 @@
 		return err
 	}
 	if len(changes) == 0 {
-		return eris.New("log ends before its head")
+		return eris.New("log has no changes up to its head")
 	}
 	return r.putInForce(ctx, changes)
 }
 
-// loadAll reads the newest snapshot and what came after it.
+// loadAll reads the newest snapshot and the changes after it.
 func (r *Replica) loadAll(ctx context.Context, began int64) error {
 	if err := r.Platform.Wait(ctx); err != nil {
 		return err
@@ -111,10 +113,11 @@
 	return nil
 }
 
-// snapshotIfDue stores a snapshot at every snapshotEvery-th revision.
+// snapshotIfDue stores a snapshot if the revision is a multiple of
+// snapshotInterval.
 func (r *Replica) snapshotIfDue(ctx context.Context) error {
 	rev := r.View().Revision()
-	if rev == 0 || rev%snapshotEvery != 0 {
+	if rev == 0 || rev%snapshotInterval != 0 {
 		return nil
 	}
 	return r.Platform.Do(ctx, func(ctx context.Context) error {
--- a/internal/selector/entry/configsync/progress.go
+++ b/internal/selector/entry/configsync/progress.go
@@ -14,33 +14,34 @@
 )
 
 const (
-	// confirmPause is the time between two looks at a change's progress, and
-	// between two heartbeats to a host that lags.
-	confirmPause = 100 * time.Millisecond
-	// appendTimeout bounds the acceptance of a change, retries at the table
-	// included.
+	// confirmInterval is the time between two checks of a change's progress, and
+	// the minimum time between two heartbeats to a lagging host.
+	confirmInterval = 100 * time.Millisecond
+	// appendTimeout limits the time for accepting a change, including retries of
+	// the table write.
 	appendTimeout = 10 * time.Second
-	// lapseMargin is how long after FreezeAfter a host that can't be asked
-	// has certainly frozen itself, as its last proof began before the change
-	// was accepted: 5 s in all (docs/design/configuration.md).
+	// lapseMargin is the time beyond FreezeAfter at which an unreachable host
+	// has certainly frozen itself, because its latest proof began before the
+	// change was accepted. Together they are 5 s
+	// (docs/design/configuration.md).
 	lapseMargin = time.Second
 )
 
-// ZoneProgress says whether a zone has a change in force.
+// ZoneProgress reports whether a zone has a change in force.
 type ZoneProgress struct {
 	Zone string `json:"zone"`
-	// Confirmed says that every live host of the zone has it in force.
+	// Confirmed means that every live host of the zone has the change in force.
 	Confirmed bool `json:"confirmed"`
-	// Lapsed says that the zone can't be asked, and that each of its hosts
-	// either has the change or has certainly frozen itself by now.
+	// Lapsed means that the zone has not confirmed the change, and that each of
+	// its hosts either has the change or has certainly frozen itself by now.
 	Lapsed bool `json:"lapsed,omitempty"`
-	// Lagging names hosts that do not have it yet.
+	// Lagging lists the hosts that do not have the change in force yet.
 	Lagging []string `json:"lagging,omitempty"`
 }
 
 // Applied is the response to a change.
 type Applied struct {
-	// State is accepted or pending.
+	// State is StateAccepted or StatePending.
 	State    string         `json:"state"`
 	Revision uint64         `json:"revision"`
 	Change   string         `json:"change"`
@@ -48,15 +49,16 @@
 }
 
 const (
-	// StateAccepted is the state of a change that each zone has in force, or
-	// whose hosts that may not have it have frozen themselves.
+	// StateAccepted is the state of a change if each zone has it in force or has
+	// lapsed (ZoneProgress.Lapsed).
 	StateAccepted = "accepted"
-	// StatePending is the state of a change that some zone may not have yet.
+	// StatePending is the state of a change that some zone may not have in force
+	// yet.
 	StatePending = "pending"
 )
 
-// Apply accepts a change and waits, for the given time at most, until every zone
-// has it in force, or can't be asked and has frozen itself.
+// Apply accepts a change and waits, for at most the given time, until every zone
+// has it in force or has lapsed. Errors are those of the append to the log.
 func (r *Replica) Apply(ctx context.Context, c config.Change, wait time.Duration) (Applied, error) {
 	appendCtx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
@@ -68,29 +70,30 @@
 		return Applied{}, err
 	}
 	accepted := time.Now()
-	r.forceTo(ctx, state, c.WithRevision(rev))
+	r.adoptAppended(ctx, state, c.WithRevision(rev))
 	waitCtx, stop := context.WithTimeout(ctx, wait)
 	defer stop()
 	for {
 		a := r.progress(waitCtx, rev, c.ID, accepted)
-		if a.State == StateAccepted || !pause.For(waitCtx, confirmPause) {
+		if a.State == StateAccepted || !pause.For(waitCtx, confirmInterval) {
 			return a, nil
 		}
 	}
 }
 
-// forceTo puts the state that an append gave in force here and pushes the
-// change, with the revision it was accepted at, to every zone. After a lost
-// response the state may end before the change; that comes by the log then.
-func (r *Replica) forceTo(ctx context.Context, state *config.State, c config.Change) {
+// adoptAppended puts the state that an append returned in force on this host and
+// pushes the change, with its revision, to one host of every other zone. If the
+// response of the append was lost, the state may not include the change; the
+// host then reads the change from the log.
+func (r *Replica) adoptAppended(ctx context.Context, state *config.State, c config.Change) {
 	before := r.View().Revision()
 	if state.Revision() <= before {
 		return
 	}
 	if before+1 == c.Revision {
 		if err := r.putInForce(ctx, []config.Change{c}); err != nil {
-			// The log has it; the next poll reads it from there.
-			r.Log.Debug().Err(err).Uint64("revision", c.Revision).Msg("config: accepted change not put in force yet")
+			// The next poll reads the change from the log.
+			r.Log.Debug().Err(err).Uint64("revision", c.Revision).Msg("config: accepted change is not in force yet")
 		}
 	} else {
 		r.Adopt(state)
@@ -100,18 +103,19 @@
 	}
 }
 
-// progress says which zones have a revision in force. Accepted is when it
-// was accepted, or a later time.
+// progress queries all zones and reports which of them have a revision in force.
+// The argument accepted is the time at which the change was accepted, or a later
+// time.
 func (r *Replica) progress(ctx context.Context, rev uint64, id string, accepted time.Time) Applied {
 	a := Applied{State: StateAccepted, Revision: rev, Change: id}
 	lapsed := time.Since(accepted) > FreezeAfter+lapseMargin
 	zones := r.KnownZones()
 	a.Zones = make([]ZoneProgress, len(zones))
-	var asked sync.WaitGroup
+	var queries sync.WaitGroup
 	for i, zone := range zones {
-		asked.Go(func() { a.Zones[i] = r.askProgress(ctx, zone, rev) })
+		queries.Go(func() { a.Zones[i] = r.zoneProgress(ctx, zone, rev) })
 	}
-	asked.Wait()
+	queries.Wait()
 	for i := range a.Zones {
 		p := &a.Zones[i]
 		p.Lapsed = lapsed && !p.Confirmed
@@ -122,9 +126,9 @@
 	return a
 }
 
-// askProgress asks the first host of a zone that answers. A zone none of whose
-// hosts can be asked has not confirmed the change.
-func (r *Replica) askProgress(ctx context.Context, zone string, rev uint64) ZoneProgress {
+// zoneProgress queries the hosts of a zone in turn until one replies. If none
+// replies, the zone has not confirmed the change.
+func (r *Replica) zoneProgress(ctx context.Context, zone string, rev uint64) ZoneProgress {
 	if zone == r.Zone {
 		return r.OwnProgress(rev)
 	}
@@ -135,8 +139,9 @@
 	return reply
 }
 
-// OwnProgress says whether this host's zone has a revision in force, by what
-// its live members reported in heartbeats or in reply to a push.
+// OwnProgress reports whether this host's zone has a revision in force. It uses
+// the revisions that the live members reported in heartbeats or in replies to a
+// push, and requests heartbeats from members that seem to lag.
 func (r *Replica) OwnProgress(rev uint64) ZoneProgress {
 	p := ZoneProgress{Zone: r.Zone}
 	if r.View().Revision() < rev {
@@ -148,7 +153,8 @@
 			continue
 		}
 		other, known := r.Peers.Get(m.Host)
-		// A silent host may still serve, by an older configuration.
+		// A host that was silent for a short time may still serve with an older
+		// configuration.
 		if !known || other.Heartbeat.Revision < rev {
 			if known && now.Sub(other.HeardAt) > FreezeAfter+member.LostAfter {
 				continue
@@ -158,23 +164,25 @@
 	}
 	p.Confirmed = len(p.Lagging) == 0
 	if !p.Confirmed {
-		r.askLagging(p.Lagging)
+		r.queryLagging(p.Lagging)
 	}
 	return p
 }
 
-// askLagging asks hosts that seem to lag for a heartbeat now.
-func (r *Replica) askLagging(hosts []string) {
+// queryLagging exchanges a heartbeat with each host that seems to lag, unless one
+// was sent to it within confirmInterval.
+func (r *Replica) queryLagging(hosts []string) {
 	for _, host := range hosts {
 		p, ok := r.Peers.Get(host)
-		if ok && time.Since(p.AskedAt) > confirmPause {
+		if ok && time.Since(p.AskedAt) > confirmInterval {
 			r.Peers.Update(func(p *member.Peers) { p.RecordSent(host, time.Now()) })
 			go r.SendHeartbeat(context.Background(), p.Contact)
 		}
 	}
 }
 
-// ChangeProgress gives the progress of a change by its id.
+// ChangeProgress returns the progress of the change with the given ID, and false
+// if the log has no such change.
 func (r *Replica) ChangeProgress(ctx context.Context, id string) (Applied, bool, error) {
 	var rev uint64
 	var found bool
@@ -185,6 +193,7 @@
 	if err != nil || !found {
 		return Applied{}, false, err
 	}
-	// When it was accepted is not known here; now is later.
+	// The time of acceptance is not known here. The current time is later, which
+	// progress permits.
 	return r.progress(ctx, rev, id, time.Now()), true, nil
 }
--- a/internal/selector/entry/configsync/relay.go
+++ b/internal/selector/entry/configsync/relay.go
@@ -16,32 +16,33 @@
 )
 
 const (
-	// maxRecent is how many changes a host keeps to pass on.
+	// maxRecent is the maximum number of changes that a host retains for relaying.
 	maxRecent = 1000
-	// relayFanout is how many hosts one host passes a change on to: a tree of
-	// four within the zone (docs/design/configuration.md).
+	// relayFanout is the number of hosts to which one host relays a change: the
+	// branching factor of the relay tree within the zone
+	// (docs/design/configuration.md).
 	relayFanout = 4
-	// fetchTimeout bounds the fetching of changes, or of the whole state,
-	// from a peer.
+	// fetchTimeout limits the time for fetching changes or the whole state from a
+	// peer.
 	fetchTimeout = 20 * time.Second
-	// maxChanges bounds the changes in one reply, in encoded bytes. Above
-	// it the whole state is sent.
-	maxChanges = 256 << 10
+	// maxChangesBytes is the maximum encoded size of the changes in one reply, in
+	// bytes. Above this size the whole state is sent instead.
+	maxChangesBytes = 256 << 10
 )
 
-// Push brings changes to a host. The tree by which they are relayed within a
-// zone is the same at all hosts: ranked by the revision, each passes on to the
-// next few.
+// Push is a message that sends changes to a host. All hosts of a zone compute
+// the same relay tree: the hosts are ranked by a hash of the revision, and each
+// relays to the relayFanout hosts that are its children in this ranking.
 type Push struct {
 	Changes []config.Change `msgpack:"c"`
 }
 
-// PushReply is the revision that a host has in force after a push.
+// PushReply reports the revision that a host has in force after a push.
 type PushReply struct {
 	Revision uint64 `msgpack:"r"`
 }
 
-// relay passes changes on within the zone.
+// relay sends changes to this host's relay targets within the zone.
 func (r *Replica) relay(ctx context.Context, changes []config.Change) {
 	last := changes[len(changes)-1].Revision
 	for _, c := range r.relayTargets(last) {
@@ -49,8 +50,8 @@
 	}
 }
 
-// relayTargets gives the hosts of the zone that this one passes a revision on
-// to.
+// relayTargets returns the hosts of the zone to which this host relays a
+// revision.
 func (r *Replica) relayTargets(rev uint64) []member.Contact {
 	contacts := map[string]member.Contact{}
 	names := []string{r.Host}
@@ -59,22 +60,24 @@
 		names = append(names, c.Host)
 	}
 	ranked := roster.Rank("push:"+strconv.FormatUint(rev, 10), names)
-	place := slices.Index(ranked, r.Host)
+	rank := slices.Index(ranked, r.Host)
 	var out []member.Contact
-	// The host ranked p relays to those ranked f*p+1 to f*p+f. A host that has
-	// a change before the tree reached it starts a tree at its root as well.
-	for i := place*relayFanout + 1; i <= place*relayFanout+relayFanout && i < len(ranked); i++ {
+	// With the fan-out f, the host at rank p relays to ranks f*p+1 to f*p+f. A
+	// host may receive a change before the tree reaches it, so every host except
+	// the root also sends the change to the root, which starts the tree.
+	for i := rank*relayFanout + 1; i <= rank*relayFanout+relayFanout && i < len(ranked); i++ {
 		out = append(out, contacts[ranked[i]])
 	}
-	if place != 0 {
+	if rank != 0 {
 		out = append(out, contacts[ranked[0]])
 	}
 	return out
 }
 
-// push sends changes to a host, and notes the revision that it then has.
+// push sends changes to a host and records the revision that the host replies
+// with.
 func (r *Replica) push(ctx context.Context, to member.Contact, changes []config.Change) {
-	// A host that misses the push sees the revision in the next heartbeat.
+	// A host that misses the push learns the revision from the next heartbeat.
 	reply, err := peers.Call[PushReply](ctx, r.Mesh, to, peer.KindPush, Push{changes})
 	if err != nil {
 		r.Log.Debug().Str("peer", to.Host).Err(err).Msg("config: push failed")
@@ -83,11 +86,11 @@
 	r.Peers.Update(func(p *member.Peers) { p.RecordRevision(to.Host, reply.Revision) })
 }
 
-// ServePush puts pushed changes in force. Where earlier ones are missing, it
-// fetches them from the sender.
+// ServePush puts pushed changes in force. If earlier changes are missing, it
+// fetches them from the sender. It returns the revision then in force.
 func (r *Replica) ServePush(ctx context.Context, from string, msg Push) PushReply {
 	if err := r.putInForce(ctx, msg.Changes); err != nil {
-		r.Log.Debug().Str("peer", from).Err(err).Msg("config: pushed changes do not follow, fetching")
+		r.Log.Debug().Str("peer", from).Err(err).Msg("config: pushed changes do not follow the current revision; fetching")
 		if p, ok := r.Peers.Get(from); ok {
 			r.Fetch(ctx, p.Contact)
 		}
@@ -95,15 +98,16 @@
 	return PushReply{r.View().Revision()}
 }
 
-// changesReply gives the changes after a revision, or says that the whole
-// state follows as the body, when they are too many or not kept any more.
+// changesReply contains the changes after a revision. If these are too large or
+// no longer retained, Snapshot is set and the whole state follows as the body.
 type changesReply struct {
 	Changes  []config.Change    `msgpack:"c"`
 	Snapshot bool               `msgpack:"s"`
 	Shares   map[string]float64 `msgpack:"h"`
 }
 
-// Fetch takes newer changes from a peer.
+// Fetch fetches newer changes from a peer and puts them in force. A failure is
+// only logged.
 func (r *Replica) Fetch(ctx context.Context, from member.Contact) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -112,8 +116,8 @@
 	}
 }
 
-// tryFetch puts in force what a peer has after this host's revision, and starts
-// the ramps from the peer's shares.
+// tryFetch puts the changes in force that a peer has after this host's revision,
+// and starts the ramps at the peer's shares.
 func (r *Replica) tryFetch(ctx context.Context, from member.Contact) error {
 	payload, err := peer.Encode(r.View().Revision())
 	if err != nil {
@@ -144,7 +148,8 @@
 	return nil
 }
 
-// ServeChanges writes the changes after a revision, or the whole state.
+// ServeChanges sends the changes after a revision, or the whole state, to a
+// peer.
 func (r *Replica) ServeChanges(after uint64, w *peer.Responder) {
 	r.mu.Lock()
 	recent := r.recent
@@ -152,31 +157,31 @@
 	r.mu.Unlock()
 	reply := changesReply{Shares: r.Services.Shares()}
 	i := slices.IndexFunc(recent, func(c config.Change) bool { return c.Revision == after+1 })
-	if i >= 0 && sizeOf(recent[i:]) <= maxChanges {
+	if i >= 0 && sizeOf(recent[i:]) <= maxChangesBytes {
 		reply.Changes = recent[i:]
 	} else {
 		reply.Snapshot = after < state.Revision()
 	}
 	head, err := peer.Encode(reply)
 	if err != nil {
-		r.Log.Error().Err(err).Msg("config: changes can't be encoded")
+		r.Log.Error().Err(err).Msg("config: failed to encode changes")
 		return
 	}
 	if w.Reply(head) != nil {
-		return // the connection is lost, and the peer asks again
+		return // the connection is lost, and the peer retries
 	}
 	if reply.Snapshot {
-		// Small writes are gathered, so that each frame is worth its cost.
+		// Small writes are buffered to avoid the overhead of many small frames.
 		body := bufio.NewWriterSize(w, link.MaxChunk)
 		if state.WriteSnapshot(body) != nil || body.Flush() != nil {
-			_ = w.Fail() // the connection may be what failed
+			_ = w.Fail() // Fail fails as well if the connection is lost
 			return
 		}
 	}
-	_ = w.End() // as above
+	_ = w.End() // an error means that the connection is lost
 }
 
-// sizeOf is about the encoded size of changes.
+// sizeOf returns the approximate encoded size of changes, in bytes.
 func sizeOf(changes []config.Change) int {
 	n := 0
 	for _, c := range changes {
