--- a/internal/selector/entry/heartbeats/bench_test.go
+++ b/internal/selector/entry/heartbeats/bench_test.go
@@ -15,9 +15,10 @@
 	"cairndock/internal/selector/standin"
 )
 
-// bigHost is a host of a zone of 74 with four hosts of each of 79 others, at a
-// configuration of the planned size but for its services.
-func bigHost(tb testing.TB, count int) *Exchanger {
+// newLargeExchanger returns the Exchanger of a host in a zone of 74 hosts. It also
+// has four hosts of each of 79 other zones as peers. The configuration has the
+// planned size, except for the number of services, which is count.
+func newLargeExchanger(tb testing.TB, count int) *Exchanger {
 	size := standin.PlannedSize()
 	size.Blocks, size.Services, size.Zones = 1000, count, 80
 	state := config.NewState()
@@ -47,21 +48,22 @@
 	})
 }
 
-// BenchmarkHeartbeat is one heartbeat made, encoded, decoded and recorded.
+// BenchmarkHeartbeat measures building, encoding, decoding and recording one
+// heartbeat.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, count := range []int{2, 10, 22} {
 		b.Run(fmt.Sprintf("services=%d", count), func(b *testing.B) {
-			e := bigHost(b, count)
+			e := newLargeExchanger(b, count)
 			size := 0
 			for b.Loop() {
 				from := member.Contact{Host: "zone-01-01", Zone: "zone-01"}
-				ask, err := peer.Encode(e.request(from))
+				request, err := peer.Encode(e.request(from))
 				require.NoError(b, err)
 				contacts := e.Peers.Contacts(e.Zone, false)
-				payload, err := peer.Encode(e.response(member.Heartbeat{Contact: from, ContactsHash: member.HashContacts(contacts)}))
+				response, err := peer.Encode(e.response(member.Heartbeat{Contact: from, ContactsHash: member.HashContacts(contacts)}))
 				require.NoError(b, err)
-				size = len(ask) + len(payload)
-				beat, err := peer.Decode[member.Heartbeat](payload)
+				size = len(request) + len(response)
+				beat, err := peer.Decode[member.Heartbeat](response)
 				require.NoError(b, err)
 				e.unpack(&beat)
 				beat.Contact.Host = "zone-01-01"
--- a/internal/selector/entry/heartbeats/heartbeats.go
+++ b/internal/selector/entry/heartbeats/heartbeats.go
@@ -1,9 +1,9 @@
 // Package heartbeats exchanges heartbeats with the other entry hosts.
 //
-// It owns when they are sent and how one is made and merged; what they say
-// belongs to the duties that describe this host and merge reports of others:
-// the configuration, the rosters, the upstreams' states and the tickets. Whom
-// to send to, and how often, is decided by member.Peers
+// The package sends heartbeats and builds and merges them. The contents come from
+// the components that describe this host and merge the reports of other hosts:
+// the configuration, the rosters, the upstreams' states and the tickets.
+// member.Peers decides the recipients and the intervals
 // (docs/design/heartbeats.md).
 package heartbeats
 
@@ -21,39 +21,42 @@
 // Config is the replica of the configuration.
 type Config interface {
 	View() *config.View
-	// FreshAge is the age of the proof that the revision is the newest.
+	// FreshAge returns the age of the latest proof that the revision is the
+	// newest, in milliseconds, or -1 without a proof.
 	FreshAge() int64
-	// MergeFreshness takes in a peer's proof, asked for at a time.
-	MergeFreshness(hb member.Heartbeat, askedAt int64)
-	// Fetch takes newer changes from a peer.
+	// MergeFreshness merges the proof of a peer to which this host sent a
+	// heartbeat at requestedAt, as returned by Options.Now.
+	MergeFreshness(hb member.Heartbeat, requestedAt int64)
+	// Fetch fetches newer changes from a peer.
 	Fetch(ctx context.Context, from member.Contact)
 }
 
 // Rosters is the membership in the zone's roster.
 type Rosters interface {
-	// Describe adds how far this host follows the roster.
+	// Describe adds this host's incarnation, epoch and acknowledgement.
 	Describe(hb *member.Heartbeat)
-	// MergeAck takes in how far a peer follows it, and reports whether
-	// that peer has a newer one.
+	// MergeAck merges a peer's acknowledgement and reports whether that peer
+	// has a newer roster.
 	MergeAck(hb member.Heartbeat) (newer bool)
-	// Fetch takes the newest roster from a peer.
+	// Fetch fetches the newest roster from a peer.
 	Fetch(ctx context.Context, from member.Contact)
-	// Reconfigure works out anew what this host may use.
+	// Reconfigure recomputes the slots and limits of this host.
 	Reconfigure()
 }
 
-// Upstreams are the states of the zone's upstreams.
+// Upstreams holds the states of the zone's upstreams.
 type Upstreams interface {
-	// Statuses gives what this host reports of them.
+	// Statuses returns the states that this host reports.
 	Statuses() []member.UpstreamStatus
-	// Merge takes in a peer's reports and says whether any changed a state.
+	// Merge merges a peer's reports and reports whether any changed a state.
 	Merge(statuses []member.UpstreamStatus) bool
 }
 
-// Options are what an Exchanger is made of.
+// Options configures an Exchanger.
 type Options struct {
 	Zone string
-	// Seeds are addresses to ask while no other host is known.
+	// Seeds are peer addresses that receive heartbeats while no other host is
+	// known.
 	Seeds      []string
 	Peers      *peers.Table
 	Services   *services.Set
@@ -61,30 +64,30 @@
 	Rosters    Rosters
 	Upstreams  Upstreams
 	Suspicions Suspicions
-	// Successors gives whose successor this host is.
+	// Successors returns the stopped hosts whose successor this host is.
 	Successors func() []member.Successor
 	// Leaving reports whether this host is stopping.
 	Leaving func() bool
-	// Answered is called when a peer has answered.
+	// Answered is called after each response from a peer.
 	Answered func()
-	// PeerUp is called when a peer answers that did not before.
+	// PeerUp is called when a peer becomes responsive.
 	PeerUp func()
-	// Now reads the host's monotonic clock, in nanoseconds.
+	// Now returns the host's monotonic clock, in nanoseconds.
 	Now  func() int64
 	Mesh *peer.Mesh
 }
 
-// Exchanger exchanges heartbeats.
+// Exchanger exchanges heartbeats with other hosts.
 type Exchanger struct {
 	Options
 	exchanged exchanged
 }
 
-// New makes an Exchanger.
+// New returns an Exchanger with the given options.
 func New(o Options) *Exchanger { return &Exchanger{Options: o} }
 
-// Tick sends the heartbeats that are due. While no other host is known they go
-// to the seeds: the platform may be down when the host starts.
+// Tick sends the heartbeats that are due. While no other host is known, it sends
+// heartbeats to the seeds, because the platform may be down when the host starts.
 func (e *Exchanger) Tick(ctx context.Context) {
 	var due []member.Contact
 	alone, now := false, time.Now()
@@ -109,16 +112,16 @@
 	}
 }
 
-// NotifyZone sends a heartbeat to every known host of the zone at once, when
-// all of them wait for it: an acknowledgement, a new epoch, an
-// upstream's state.
+// NotifyZone immediately sends a heartbeat to every known host of the zone. It is
+// used for updates that all of them wait for: an acknowledgement, a new epoch or
+// an upstream's state.
 func (e *Exchanger) NotifyZone() {
 	for _, p := range e.Peers.Zone(e.Zone) {
 		go e.Send(context.Background(), p.Contact)
 	}
 }
 
-// NotifyAll sends a heartbeat to every known host at once.
+// NotifyAll immediately sends a heartbeat to every known host.
 func (e *Exchanger) NotifyAll() {
 	for _, c := range e.Peers.AllContacts() {
 		go e.Send(context.Background(), c)
@@ -129,13 +132,14 @@
 func (e *Exchanger) Send(ctx context.Context, to member.Contact) {
 	ctx, cancel := context.WithTimeout(ctx, peers.CallTimeout)
 	defer cancel()
-	asked, askedAt := time.Now(), e.Now()
+	sent, sentAt := time.Now(), e.Now()
 	resp, size, err := peer.CallSized[member.Heartbeat](ctx, e.Mesh, to.PeerAddr, peer.KindHeartbeat, e.request(to))
 	if err != nil {
-		// The status shows hosts that do not answer.
+		// Unresponsive hosts are shown in the status.
 		e.Peers.RecordFailure(to.Host)
 		if ctx.Err() != nil {
-			// The connection may be cut without an error; make a new one.
+			// The connection may be broken without an error, so the next call
+			// has to use a new one.
 			e.Mesh.Drop(to.PeerAddr)
 		}
 		return
@@ -143,24 +147,24 @@
 	e.Answered()
 	e.unpack(&resp)
 	e.Peers.Update(func(p *member.Peers) { p.RecordExchange(size) })
-	e.record(resp, asked, time.Since(asked))
+	e.record(resp, sent, time.Since(sent))
 	e.mergeSuspicions(resp)
 	e.merge(ctx, resp)
-	e.Config.MergeFreshness(resp, askedAt)
+	e.Config.MergeFreshness(resp, sentAt)
 }
 
 // Serve records a peer's heartbeat, responds with this host's own and merges
 // what the peer reports.
 func (e *Exchanger) Serve(ctx context.Context, hb member.Heartbeat, w *peer.Responder) {
-	// The time it took to come is not known, so that it proves that the
-	// peer lives and no more.
+	// The transit time of a request is unknown, so the heartbeat only proves
+	// that the peer is alive.
 	e.record(hb, time.Now(), 0)
 	e.mergeSuspicions(hb)
-	_ = w.Send(e.response(hb)) // the peer sees the connection's loss itself
+	_ = w.Send(e.response(hb)) // the peer notices a lost connection itself
 	e.merge(ctx, hb)
 }
 
-// request makes the heartbeat that asks a host: who this host is and how far.
+// request returns the heartbeat that this host sends to start an exchange.
 func (e *Exchanger) request(to member.Contact) member.Heartbeat {
 	hb := e.describe(to.Zone)
 	p, _ := e.Peers.Get(to.Host)
@@ -169,25 +173,27 @@
 	return hb
 }
 
-// response makes the heartbeat that responds to one: the slots as well, and
-// the zone's hosts when the other host knows others.
-func (e *Exchanger) response(asked member.Heartbeat) member.Heartbeat {
-	hb := e.describe(asked.Contact.Zone)
+// response returns the heartbeat that responds to a received one. It also
+// contains the slots, and the zone's contacts if the other host has a different
+// set of them.
+func (e *Exchanger) response(received member.Heartbeat) member.Heartbeat {
+	hb := e.describe(received.Contact.Zone)
 	free := e.Services.Free()
 	hb.Slots = member.Pack(free)
-	if asked.Contact.Zone != e.Zone {
+	if received.Contact.Zone != e.Zone {
 		hb.ZoneSlots = member.Pack(e.Peers.ZoneFree(free))
 	}
 	contacts := e.Peers.Contacts(e.Zone, e.Leaving())
 	hb.ContactsHash = member.HashContacts(contacts)
-	if hb.ContactsHash != asked.ContactsHash {
+	if hb.ContactsHash != received.ContactsHash {
 		hb.Contacts = contacts
 	}
-	e.addSuspicions(&hb, asked.Contact.Host)
+	e.addSuspicions(&hb, received.Contact.Host)
 	return hb
 }
 
-// describe makes what every heartbeat to a host of a zone says.
+// describe returns a heartbeat with the fields that are common to all heartbeats
+// to hosts of a zone. Upstream states are included only for the own zone.
 func (e *Exchanger) describe(zone string) member.Heartbeat {
 	v := e.Config.View()
 	hb := member.Heartbeat{
@@ -202,8 +208,9 @@
 	return hb
 }
 
-// unpack names the services of a response's slots. At another revision they
-// don't match, and the next response will do.
+// unpack assigns the slots of a response to named services. The slots are left
+// packed if the response has another revision, because its list of services may
+// differ. A later response with the same revision delivers them.
 func (e *Exchanger) unpack(hb *member.Heartbeat) {
 	v := e.Config.View()
 	if hb.Revision != v.Revision() {
@@ -214,21 +221,22 @@
 	hb.ZoneServiceSlots = member.Unpack(hb.ZoneSlots, names)
 }
 
-// record notes a heartbeat. A host that did not answer before may bring a zone
-// within reach, which decisions must know at once.
-func (e *Exchanger) record(hb member.Heartbeat, asked time.Time, rtt time.Duration) {
+// record records a heartbeat. If the peer was not up before, record calls PeerUp,
+// because its zone may become reachable and the routing decisions must use this
+// immediately.
+func (e *Exchanger) record(hb member.Heartbeat, requestedAt time.Time, rtt time.Duration) {
 	var before member.Peer
 	e.Peers.Update(func(p *member.Peers) {
 		before, _ = p.Get(hb.Contact.Host)
-		p.RecordHeartbeat(hb, asked, rtt)
+		p.RecordHeartbeat(hb, requestedAt, rtt)
 	})
 	if !before.Up(time.Now()) {
 		e.PeerUp()
 	}
 }
 
-// merge takes in what any heartbeat reports, and fetches what is newer at the
-// peer.
+// merge merges the contents that requests and responses have in common. It
+// fetches the roster and the configuration if the peer has newer ones.
 func (e *Exchanger) merge(ctx context.Context, hb member.Heartbeat) {
 	e.Peers.Learn(hb.Contacts)
 	e.Peers.Update(func(p *member.Peers) { p.RecordSuccessors(hb.Successors, time.Now()) })
--- a/internal/selector/entry/heartbeats/heartbeats_test.go
+++ b/internal/selector/entry/heartbeats/heartbeats_test.go
@@ -15,8 +15,8 @@
 	"cairndock/internal/selector/member"
 )
 
-// replica, membership and states are the host's duties; calls notes what they
-// were asked for, in order.
+// replica, membership and states are test doubles for the components of a host;
+// calls records the order of their calls.
 type (
 	replica struct {
 		view  *config.View
@@ -47,15 +47,16 @@
 }
 func (s *states) Merge([]member.UpstreamStatus) bool { return s.changes }
 
-// nobody observes suspicions.
-type nobody struct{}
+// nopObserver ignores all events of suspicions.
+type nopObserver struct{}
 
-func (nobody) SuspicionsChanged()                   {}
-func (nobody) UpstreamTerminated(string, time.Time) {}
-func (nobody) Quarantined(poison.Quarantine)        {}
-func (nobody) Released(poison.Fingerprint, bool)    {}
+func (nopObserver) SuspicionsChanged()                   {}
+func (nopObserver) UpstreamTerminated(string, time.Time) {}
+func (nopObserver) Quarantined(poison.Quarantine)        {}
+func (nopObserver) Released(poison.Fingerprint, bool)    {}
 
-// newExchanger is costa-a-1. Up counts the peers that came within reach.
+// newExchanger returns the Exchanger of costa-a-1. The result up counts the calls
+// of PeerUp.
 func newExchanger(t *testing.T, m *membership, s *states) (e *Exchanger, calls *[]string, up *int) {
 	view := configtest.View(t, configtest.Planning)
 	calls, up = new([]string), new(int)
@@ -64,7 +65,7 @@
 	return New(Options{
 		Zone: "costa-a", Peers: peers.New(member.Contact{Host: "costa-a-1", Zone: "costa-a", PeerAddr: "costa-a-1:2"}),
 		Services: services.NewSet(r.View, func() float64 { return 0.5 }), Config: r, Rosters: m, Upstreams: s,
-		Suspicions: poison.NewTable("costa-a-1", time.Now(), nobody{}),
+		Suspicions: poison.NewTable("costa-a-1", time.Now(), nopObserver{}),
 		Successors: func() []member.Successor { return nil }, Leaving: func() bool { return false },
 		Answered: func() {}, PeerUp: func() { *up++ }, Now: func() int64 { return 1 },
 	}), calls, up
@@ -74,36 +75,36 @@
 	return member.Heartbeat{Contact: member.Contact{Host: host, Zone: zone, PeerAddr: host + ":2"}, Revision: 1}
 }
 
-// TestUpstreamsAreReportedWithinTheZone: other zones do not hear of upstreams'
-// states, and get the zone's slots instead.
+// Upstream states must be sent only to hosts of the same zone. Hosts of other
+// zones receive the zone's slots instead.
 func TestUpstreamsAreReportedWithinTheZone(t *testing.T) {
 	e, _, _ := newExchanger(t, &membership{}, &states{})
-	within, beyond := e.response(heartbeat("costa-a-2", "costa-a")), e.response(heartbeat("costa-b-1", "costa-b"))
-	require.NotEmpty(t, within.UpstreamStatuses)
-	require.Empty(t, within.ZoneSlots)
-	require.Empty(t, beyond.UpstreamStatuses)
-	require.NotEmpty(t, beyond.ZoneSlots)
-	require.EqualValues(t, 5, beyond.FreshAge)
+	sameZone, otherZone := e.response(heartbeat("costa-a-2", "costa-a")), e.response(heartbeat("costa-b-1", "costa-b"))
+	require.NotEmpty(t, sameZone.UpstreamStatuses)
+	require.Empty(t, sameZone.ZoneSlots)
+	require.Empty(t, otherZone.UpstreamStatuses)
+	require.NotEmpty(t, otherZone.ZoneSlots)
+	require.EqualValues(t, 5, otherZone.FreshAge)
 }
 
-// TestContactsTravelWhenTheyChanged: a peer that has the zone's hosts by their
-// hash gets the hash alone.
-func TestContactsTravelWhenTheyChanged(t *testing.T) {
+// A peer whose hash shows that it already has the zone's contacts must receive
+// only the hash.
+func TestContactsAreSentOnlyWhenChanged(t *testing.T) {
 	e, _, _ := newExchanger(t, &membership{}, &states{})
-	asked := heartbeat("costa-b-1", "costa-b")
-	first := e.response(asked)
+	received := heartbeat("costa-b-1", "costa-b")
+	first := e.response(received)
 	require.Len(t, first.Contacts, 1)
-	asked.ContactsHash = first.ContactsHash
-	require.Empty(t, e.response(asked).Contacts)
+	received.ContactsHash = first.ContactsHash
+	require.Empty(t, e.response(received).Contacts)
 	e.Peers.Update(func(p *member.Peers) {
 		p.RecordHeartbeat(heartbeat("costa-a-2", "costa-a"), time.Now(), time.Millisecond)
 	})
-	require.Len(t, e.response(asked).Contacts, 2)
+	require.Len(t, e.response(received).Contacts, 2)
 }
 
-// TestMergeFetchesWhatIsNewer: states are applied before anything is fetched,
-// and only what is newer at the peer is fetched.
-func TestMergeFetchesWhatIsNewer(t *testing.T) {
+// merge must apply upstream states before it fetches anything, and fetch the
+// roster or the configuration only if the peer has a newer one.
+func TestMergeFetchesOnlyNewerData(t *testing.T) {
 	cases := []struct {
 		name     string
 		newer    bool
@@ -128,7 +129,8 @@
 	}
 }
 
-// TestPeerUp: the services get the reports at once when a peer answers that did not.
+// PeerUp must be called exactly when a peer becomes responsive, because the
+// services then have to use its reports immediately.
 func TestPeerUp(t *testing.T) {
 	e, _, up := newExchanger(t, &membership{}, &states{})
 	b := heartbeat("costa-b-1", "costa-b")
@@ -141,8 +143,8 @@
 	require.Equal(t, 2, *up)
 }
 
-// TestSlotsOfAnotherRevision: slots that belong to another configuration's
-// services are left packed.
+// Slots of another revision must stay packed, because they may belong to a
+// different list of services.
 func TestSlotsOfAnotherRevision(t *testing.T) {
 	e, _, _ := newExchanger(t, &membership{}, &states{})
 	b := heartbeat("costa-b-1", "costa-b")
@@ -154,8 +156,9 @@
 	require.Empty(t, b.ServiceSlots)
 }
 
-// Suspicions reach a host whatever becomes of single heartbeats, and are sent once.
-func TestSuspicionsAreSentUntilThePeerHasThem(t *testing.T) {
+// Suspicions must reach a host even if single heartbeats are lost, and must not be
+// sent again after the host has acknowledged them.
+func TestSuspicionsAreSentUntilAcknowledged(t *testing.T) {
 	a, _, _ := newExchanger(t, &membership{}, &states{})
 	b, _, _ := newExchanger(t, &membership{}, &states{})
 	f := poison.Content{Target: "/x"}.Fingerprint()
@@ -166,9 +169,9 @@
 	require.Len(t, again.Suspicions.Reports, 1)
 	b.mergeSuspicions(again)
 	require.True(t, b.Suspicions.(*poison.Table).Suspected(f))
-	answer := b.response(again)
-	answer.Contact.Host = "costa-a-2" // both are made as costa-a-1
-	a.mergeSuspicions(answer)
-	require.Empty(t, a.request(member.Contact{Host: "costa-a-2", Zone: "costa-a"}).Suspicions.Reports, "it has them")
-	require.Len(t, a.request(member.Contact{Host: "costa-a-3", Zone: "costa-a"}).Suspicions.Reports, 1, "another does not")
+	response := b.response(again)
+	response.Contact.Host = "costa-a-2" // newExchanger names both hosts costa-a-1
+	a.mergeSuspicions(response)
+	require.Empty(t, a.request(member.Contact{Host: "costa-a-2", Zone: "costa-a"}).Suspicions.Reports, "costa-a-2 has the suspicion")
+	require.Len(t, a.request(member.Contact{Host: "costa-a-3", Zone: "costa-a"}).Suspicions.Reports, 1, "costa-a-3 does not have it")
 }
--- a/internal/selector/entry/heartbeats/suspicions.go
+++ b/internal/selector/entry/heartbeats/suspicions.go
@@ -8,22 +8,26 @@
 	"cairndock/internal/selector/member"
 )
 
-// Suspicions are what hosts know of requests that end upstreams. All hosts share them,
-// as such a request may come to any.
+// Suspicions holds the requests that are suspected of terminating upstreams. All
+// hosts share suspicions, because such a request may reach any host.
 type Suspicions interface {
-	// UpdateFor returns what another host does not have yet, and MergeUpdate merges what it sent.
+	// UpdateFor returns the suspicions that a host with the given watermarks does
+	// not have yet.
 	UpdateFor(m poison.Watermarks, now time.Time) poison.Update
-	MergeUpdate(n poison.Update, now time.Time) poison.Watermarks
+	// MergeUpdate merges an update from another host and returns the resulting
+	// watermarks.
+	MergeUpdate(u poison.Update, now time.Time) poison.Watermarks
 }
 
-// exchanged has how far this host and each other one, by its name, have each other's
-// suspicions.
+// exchanged holds, by host name, the watermarks of the suspicions that this host
+// and each other host have received from each other.
 type exchanged struct {
 	mu    sync.Mutex
 	hosts map[string]poison.Watermarks
 }
 
-// addSuspicions adds to a heartbeat what its receiver does not have yet.
+// addSuspicions adds the suspicions to a heartbeat that the receiver does not have
+// yet.
 func (e *Exchanger) addSuspicions(hb *member.Heartbeat, to string) {
 	e.exchanged.mu.Lock()
 	marks := e.exchanged.hosts[to]
@@ -31,7 +35,8 @@
 	hb.Suspicions = e.Suspicions.UpdateFor(marks, time.Now())
 }
 
-// mergeSuspicions merges what a heartbeat brought.
+// mergeSuspicions merges the suspicions in a heartbeat and stores the new
+// watermarks of its sender.
 func (e *Exchanger) mergeSuspicions(hb member.Heartbeat) {
 	marks := e.Suspicions.MergeUpdate(hb.Suspicions, time.Now())
 	e.exchanged.mu.Lock()
