--- a/internal/selector/entry/peers/peers.go
+++ b/internal/selector/entry/peers/peers.go
@@ -1,9 +1,9 @@
-// Package peers is what a host knows of the other entry hosts, for all of its
-// duties to read.
+// Package peers holds a host's table of the other entry hosts, which all
+// components of the host read.
 //
-// It owns the member.Peers and their lock. Heartbeats, rosters and responses
-// of other hosts write it. No other lock is taken under its lock, but that of
-// the random source given to WithMostFree.
+// The package owns the member.Peers and their lock. Heartbeats, rosters and
+// responses of other hosts update the table. While the lock is held, no other
+// lock is acquired except that of the random source passed to WithMostFree.
 package peers
 
 import (
@@ -16,32 +16,34 @@
 	"cairndock/internal/selector/member"
 )
 
-// CallTimeout bounds one message to a peer and its reply, a heartbeat among
-// them: it is below the 2 s of silence after which a peer gets no requests
-// (package member).
+// CallTimeout limits the time for one message to a peer and its reply, including
+// heartbeats. It is below the 2 s of silence after which a peer receives no
+// requests (package member).
 const CallTimeout = 1500 * time.Millisecond
 
-// Call sends a message to a host and gives its reply, within CallTimeout.
+// Call sends a message to a host and returns its reply. It fails after
+// CallTimeout.
 func Call[T any](ctx context.Context, m *peer.Mesh, to member.Contact, kind peer.Kind, message any) (T, error) {
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	return peer.Call[T](ctx, m, to.PeerAddr, kind, message)
 }
 
-// CallFirst calls hosts one after another until one replies, and reports
-// whether one did. Why a host did not is not kept: heartbeats find that out too,
-// and the status shows hosts that do not answer.
+// CallFirst calls hosts one after another until one replies, and reports whether
+// one did. Errors are discarded, because heartbeats detect unresponsive hosts as
+// well and the status shows them.
 func CallFirst[T any](ctx context.Context, m *peer.Mesh, hosts []member.Contact, kind peer.Kind, message any) (T, bool) {
 	for _, to := range hosts {
 		if reply, err := Call[T](ctx, m, to, kind, message); err == nil {
 			return reply, true
 		}
 	}
-	var none T
-	return none, false
+	var zero T
+	return zero, false
 }
 
-// Table is the other hosts as this host knows them.
+// Table holds the other hosts that this host knows. It is safe for concurrent
+// use.
 type Table struct {
 	host string
 	zone string
@@ -51,62 +53,63 @@
 	peers *member.Peers
 }
 
-// New makes a Table of a host that knows no other.
+// New returns an empty Table for the host that self describes.
 func New(self member.Contact) *Table {
 	return &Table{host: self.Host, zone: self.Zone, self: self, peers: member.NewPeers(self)}
 }
 
-// SetSelf starts the table over, once it is known how this host is reached.
+// SetSelf sets the contact of this host, once its addresses are known, and clears
+// the table.
 func (t *Table) SetSelf(self member.Contact) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.self, t.peers = self, member.NewPeers(self)
 }
 
-// Self is how this host is reached.
+// Self returns the contact of this host.
 func (t *Table) Self() member.Contact {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.self
 }
 
-// Update runs f on the peers. It must not keep them.
+// Update calls f with the peers while the lock is held. f must not retain them.
 func (t *Table) Update(f func(p *member.Peers)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f(t.peers)
 }
 
-// Get gives a host.
+// Get returns the peer with the given host name, and whether it is known.
 func (t *Table) Get(host string) (member.Peer, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.peers.Get(host)
 }
 
-// Zones gives the zones of the known hosts, by name.
+// Zones returns the zones of the known hosts, sorted by name.
 func (t *Table) Zones() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.peers.Zones())
 }
 
-// Zone gives the known hosts of a zone, by name.
+// Zone returns the known hosts of a zone, sorted by name.
 func (t *Table) Zone(zone string) []member.Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.peers.Zone(zone)
 }
 
-// Contacts gives the hosts of a zone that may be named to others, this one
-// included unless it is leaving.
+// Contacts returns the contacts of a zone that may be announced to other hosts
+// and clients. Those of the own zone include this host unless selfLeaving is set.
 func (t *Table) Contacts(zone string, selfLeaving bool) []member.Contact {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.peers.Contacts(zone, time.Now(), selfLeaving)
 }
 
-// ContactsByZone gives the contacts of every zone.
+// ContactsByZone returns the result of Contacts for every zone.
 func (t *Table) ContactsByZone(selfLeaving bool) map[string][]member.Contact {
 	now := time.Now()
 	t.mu.Lock()
@@ -118,8 +121,8 @@
 	return out
 }
 
-// NearestContacts gives the contacts of all zones but this host, its own zone
-// first.
+// NearestContacts returns the contacts of all zones except this host, the own
+// zone first.
 func (t *Table) NearestContacts() []member.Contact {
 	now := time.Now()
 	t.mu.Lock()
@@ -133,7 +136,7 @@
 	return out
 }
 
-// OneOfEachZone gives one contact of each other zone.
+// OneOfEachZone returns one contact of each other zone that has any.
 func (t *Table) OneOfEachZone() []member.Contact {
 	now := time.Now()
 	t.mu.Lock()
@@ -150,7 +153,8 @@
 	return out
 }
 
-// AllContacts gives how to reach every known host, answering or not.
+// AllContacts returns the contacts of all known hosts, including unresponsive
+// ones.
 func (t *Table) AllContacts() []member.Contact {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -163,7 +167,8 @@
 	return out
 }
 
-// UpContacts gives the hosts of a zone that answer, by name.
+// UpContacts returns the contacts of the responsive hosts of a zone, sorted by
+// host name.
 func (t *Table) UpContacts(zone string) []member.Contact {
 	now := time.Now()
 	var out []member.Contact
@@ -175,8 +180,8 @@
 	return out
 }
 
-// UpNames gives the names of this host and, after it, of the hosts of its zone
-// that answer.
+// UpNames returns the name of this host followed by the names of the responsive
+// hosts of its zone.
 func (t *Table) UpNames() []string {
 	hosts := []string{t.host}
 	for _, c := range t.UpContacts(t.zone) {
@@ -185,7 +190,7 @@
 	return hosts
 }
 
-// AnyUp reports whether any other host answers.
+// AnyUp reports whether any other host is responsive.
 func (t *Table) AnyUp() bool {
 	now := time.Now()
 	t.mu.Lock()
@@ -198,9 +203,9 @@
 	return false
 }
 
-// ForTicket finds the host that a ticket's request goes to: the one that the
-// stopped issuer handed its tickets to, else the issuer, else, with anyOfZone,
-// a host of the issuer's zone, which may know.
+// ForTicket returns the host to query for a ticket: the host to which a stopped
+// issuer handed its tickets over, otherwise the issuer, otherwise, if anyOfZone
+// is set, a host of the issuer's zone, which may know the issuer.
 func (t *Table) ForTicket(host, incarnation, zone string, anyOfZone bool) (member.Contact, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -216,12 +221,12 @@
 	return member.Contact{}, false
 }
 
-// RecordFailure notes that a host did not answer.
+// RecordFailure records that a host did not respond.
 func (t *Table) RecordFailure(host string) {
 	t.Update(func(p *member.Peers) { p.RecordFailure(host, time.Now()) })
 }
 
-// Learn notes that hosts exist.
+// Learn adds hosts to the table.
 func (t *Table) Learn(contacts []member.Contact) {
 	t.Update(func(p *member.Peers) {
 		for _, c := range contacts {
--- a/internal/selector/entry/peers/slots.go
+++ b/internal/selector/entry/peers/slots.go
@@ -7,10 +7,11 @@
 	"cairndock/internal/selector/member"
 )
 
-// WithMostFree gives the host of a zone that reported most free slots for a
-// service, and whether there is one. In the own zone only a host with free
-// slots is worth a hop. Random, in [0, 1), spreads many askers over hosts that
-// are equal.
+// WithMostFree returns the responsive host of a zone that reported the most free
+// slots for a service, and whether there is one. In the own zone only hosts with
+// free slots qualify, because a full one does not justify another hop. The
+// function random returns values in [0, 1) that spread the requests of many hosts
+// over hosts with equally many free slots.
 func (t *Table) WithMostFree(zone, service string, random func() float64) (member.Contact, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -31,8 +32,8 @@
 	return best, bestFree >= 0
 }
 
-// SlotsOf gives a service's slots among those of several, and whether they are
-// there.
+// SlotsOf returns the slots of a service from a list, and whether the list
+// contains the service.
 func SlotsOf(all []member.ServiceSlots, service string) (member.ServiceSlots, bool) {
 	for _, s := range all {
 		if s.Service == service {
@@ -42,7 +43,8 @@
 	return member.ServiceSlots{}, false
 }
 
-// ZoneFree sums the slots of this host's zone; own are this host's.
+// ZoneFree returns the sum of the slots of this host, own, and those that the
+// responsive hosts of its zone reported. Only services in own are included.
 func (t *Table) ZoneFree(own []member.ServiceSlots) []member.ServiceSlots {
 	now := time.Now()
 	sum := slices.Clone(own)
@@ -54,6 +56,7 @@
 	return sum
 }
 
+// addFree adds the slots in more to those of the same services in sum.
 func addFree(sum, more []member.ServiceSlots) {
 	for _, f := range more {
 		for i := range sum {
@@ -66,19 +69,20 @@
 	}
 }
 
-// ZoneReport is the newest that is known of another zone.
+// ZoneReport is the newest report of another zone.
 type ZoneReport struct {
 	Zone string
-	// Free are the zone's slots, and At is when they were asked for.
+	// Free holds the zone's slots. At is the time at which they were requested.
 	Free []member.ServiceSlots
 	At   time.Time
-	// RTT is the shortest round trip to a host of the zone; zero is unknown.
+	// RTT is the shortest round-trip time to a host of the zone. Zero means
+	// unknown.
 	RTT time.Duration
-	// Up says that a host of the zone answers.
+	// Up means that a host of the zone is responsive.
 	Up bool
 }
 
-// ZoneReports gives the newest report of each other zone.
+// ZoneReports returns the newest report of each other zone.
 func (t *Table) ZoneReports(now time.Time) []ZoneReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,7 +95,7 @@
 	return out
 }
 
-// newestReport gives what the hosts of a zone that answer reported last.
+// newestReport returns the newest report of the responsive hosts of a zone.
 func newestReport(zone string, hosts []member.Peer, now time.Time) ZoneReport {
 	z := ZoneReport{Zone: zone}
 	for _, p := range hosts {
