--- a/internal/selector/entry/directory/directory.go
+++ b/internal/selector/entry/directory/directory.go
@@ -1,9 +1,9 @@
-// Package directory gives clients the entry hosts that they may use, best
-// first.
+// Package directory lists the entry hosts that a client may use, in order of
+// preference.
 //
-// It owns the responses that it keeps ready: clients of one zone share a few.
-// It relies on the configuration for the zones of clients, and on the peers for
-// the hosts that answer.
+// The package owns a cache of encoded responses; the clients of one zone share a
+// few of them. It depends on the configuration for the zones of clients, and on
+// the peers for the responsive hosts.
 package directory
 
 import (
@@ -33,7 +33,7 @@
 	Addr string `json:"addr"`
 }
 
-// Entries is the response to which hosts a client may use, best first.
+// Entries is the list of hosts that a client may use, in order of preference.
 type Entries struct {
 	Service   string  `json:"service"`
 	Revision  uint64  `json:"revision"`
@@ -42,48 +42,50 @@
 }
 
 const (
-	// maxEntries bounds the hosts named to a client.
+	// maxEntries is the maximum number of hosts in a response.
 	maxEntries = 16
-	// variants is how many orders the clients of one zone are spread over.
+	// variants is the number of different host orders that are used for the
+	// clients of one zone.
 	variants = 16
 )
 
-// Options are what a Directory is made of.
+// Options configures a Directory.
 type Options struct {
-	// Zone is the zone of clients that the configuration does not place.
+	// Zone is the zone assumed for clients without a zone in the configuration.
 	Zone string
 	// TTL is how long clients may use a response.
-	TTL     time.Duration
-	View    func() *config.View
-	Peers   *peers.Table
+	TTL   time.Duration
+	View  func() *config.View
+	Peers *peers.Table
+	// Leaving reports whether this host is stopping.
 	Leaving func() bool
 }
 
-// Directory gives clients the hosts that they may use.
+// Directory computes and caches the lists of hosts for clients.
 type Directory struct {
 	Options
 	current atomic.Pointer[page]
 }
 
-// New makes a Directory.
+// New returns a Directory with the given options.
 func New(o Options) *Directory { return &Directory{Options: o} }
 
-// page holds the responses at one revision, while the same hosts answer.
+// page caches the responses for one revision and one set of responsive hosts.
 type page struct {
 	revision uint64
-	// contacts are the hosts that answer, by zone.
+	// contacts holds the responsive hosts, by zone.
 	contacts  map[string][]member.Contact
-	responses sync.Map // audience to []byte
+	responses sync.Map // maps audience to []byte
 }
 
-// audience is the clients that get the same response.
+// audience identifies the clients that receive the same response.
 type audience struct {
 	service string
 	zone    string
 	variant uint8
 }
 
-// audienceOf gives the audience that a client belongs to.
+// audienceOf returns the audience that a client belongs to.
 func (d *Directory) audienceOf(v *config.View, service string, client netip.Addr) audience {
 	zone := v.ClientZone(client)
 	if zone == "" {
@@ -92,15 +94,15 @@
 	return audience{service, zone, variantOf(client)}
 }
 
-// variantOf spreads clients by their network, so that one network's clients
-// share connections.
+// variantOf returns the variant for a client's network. Clients of one network get
+// the same order of hosts, so that they share connections.
 func variantOf(client netip.Addr) uint8 {
 	b := client.As16()
 	return uint8(xxhash.Sum64(b[:15]) % variants)
 }
 
-// JSON gives the response to a client, as JSON. When the service is not known
-// its error is a *verdict.Error.
+// JSON returns the encoded response for a client, from the cache if possible. If
+// the service is unknown, the error is a *verdict.Error.
 func (d *Directory) JSON(service string, client netip.Addr) ([]byte, error) {
 	v := d.View()
 	if _, ok := v.Service(service); !ok {
@@ -108,8 +110,8 @@
 	}
 	to := d.audienceOf(v, service, client)
 	p := d.pageAt(v.Revision())
-	if kept, ok := p.responses.Load(to); ok {
-		return kept.([]byte), nil
+	if cached, ok := p.responses.Load(to); ok {
+		return cached.([]byte), nil
 	}
 	response, err := json.Marshal(d.entries(p.contacts, to))
 	if err != nil {
@@ -119,40 +121,41 @@
 	return response, nil
 }
 
-// Entries works the response to a client out from what is known now.
+// Entries computes the response for a client from the current state, without the
+// cache.
 func (d *Directory) Entries(service string, client netip.Addr) Entries {
 	return d.entries(d.contacts(), d.audienceOf(d.View(), service, client))
 }
 
-// Refresh drops the responses kept when the hosts that answer have changed.
+// Refresh drops the cached responses if the set of responsive hosts has changed.
 func (d *Directory) Refresh() {
-	kept := d.current.Load()
-	if kept == nil {
+	cached := d.current.Load()
+	if cached == nil {
 		return
 	}
-	if now := d.contacts(); !maps.EqualFunc(now, kept.contacts, slices.Equal[[]member.Contact]) {
-		d.current.Store(&page{revision: kept.revision, contacts: now})
+	if contacts := d.contacts(); !maps.EqualFunc(contacts, cached.contacts, slices.Equal[[]member.Contact]) {
+		d.current.Store(&page{revision: cached.revision, contacts: contacts})
 	}
 }
 
-// contacts gives the hosts that answer and are not leaving, by zone.
+// contacts returns the responsive hosts that are not leaving, by zone.
 func (d *Directory) contacts() map[string][]member.Contact {
 	return d.Peers.ContactsByZone(d.Leaving())
 }
 
-// pageAt gives the page of a revision, making it when there is none.
+// pageAt returns the cached page of a revision, or a new one if there is none.
 func (d *Directory) pageAt(revision uint64) *page {
-	kept := d.current.Load()
-	if kept != nil && kept.revision == revision {
-		return kept
+	cached := d.current.Load()
+	if cached != nil && cached.revision == revision {
+		return cached
 	}
-	made := &page{revision: revision, contacts: d.contacts()}
-	d.current.Store(made)
-	return made
+	fresh := &page{revision: revision, contacts: d.contacts()}
+	d.current.Store(fresh)
+	return fresh
 }
 
-// entries orders hosts for an audience: its zone first, then its region, then
-// the rest.
+// entries orders hosts for an audience: those of its zone first, then those of its
+// region, then all others.
 func (d *Directory) entries(contacts map[string][]member.Contact, to audience) Entries {
 	v := d.View()
 	region := v.Region(to.zone)
@@ -173,7 +176,7 @@
 	return out
 }
 
-// rank orders hosts by rendezvous hashing on a variant.
+// rank orders hosts by rendezvous hashing with the variant as the key.
 func rank(variant string, contacts []member.Contact) []member.Contact {
 	var names []string
 	for _, c := range contacts {
@@ -187,7 +190,8 @@
 	return out
 }
 
-// distance is 0 within a zone, 1 within a region and 2 beyond.
+// distance returns 0 for the own zone, 1 for another zone of the own region, and 2
+// for other regions.
 func distance(zone, region, ownZone, ownRegion string) int {
 	switch {
 	case strings.EqualFold(zone, ownZone):
--- a/internal/selector/entry/directory/directory_test.go
+++ b/internal/selector/entry/directory/directory_test.go
@@ -35,11 +35,12 @@
 `
 
 var (
-	placed   = netip.MustParseAddr("10.2.0.1")
-	unplaced = netip.MustParseAddr("10.9.0.1")
+	knownClient   = netip.MustParseAddr("10.2.0.1")
+	unknownClient = netip.MustParseAddr("10.9.0.1")
 )
 
-// newDirectory is of costa-a-1, with hosts in three zones.
+// newDirectory returns the Directory of costa-a-1, with the given number of other
+// hosts in each of three zones.
 func newDirectory(t *testing.T, others int) *Directory {
 	view := configtest.View(t, doc)
 	table := peers.New(member.Contact{Host: "costa-a-1", Zone: "costa-a", ClientAddr: "costa-a-1:3"})
@@ -56,6 +57,7 @@
 	})
 }
 
+// zones returns the zones of the entries, in order.
 func zones(e Entries) []string {
 	var out []string
 	for _, entry := range e.Entries {
@@ -64,17 +66,17 @@
 	return out
 }
 
-// TestNearestFirst: the client's zone, then its region, then the rest; a
-// client that is not placed is taken for one of this host's zone.
+// Hosts of the client's zone must come first, then those of its region, then all
+// others. A client without a configured zone is treated as one of this host's zone.
 func TestNearestFirst(t *testing.T) {
 	d := newDirectory(t, 1)
-	far := zones(d.Entries("planning", placed))
+	far := zones(d.Entries("planning", knownClient))
 	require.Equal(t, "sierra-a", far[0])
 	require.ElementsMatch(t, []string{"costa-a", "costa-a", "costa-b"}, far[1:], "all at the same distance")
-	require.Equal(t, []string{"costa-a", "costa-a", "costa-b", "sierra-a"}, zones(d.Entries("planning", unplaced)))
+	require.Equal(t, []string{"costa-a", "costa-a", "costa-b", "sierra-a"}, zones(d.Entries("planning", unknownClient)))
 }
 
-// TestEntriesAreBounded: a client is named maxEntries hosts at most.
+// A response must contain at most maxEntries hosts.
 func TestEntriesAreBounded(t *testing.T) {
 	contacts := map[string][]member.Contact{}
 	for i := range maxEntries + 1 {
@@ -83,25 +85,25 @@
 	require.Len(t, newDirectory(t, 0).entries(contacts, audience{zone: "costa-a"}).Entries, maxEntries)
 }
 
-// TestJSON: a kept response is given until the hosts that answer change, and
-// a service that is not known is refused.
+// A cached response must be used until Refresh finds that the responsive hosts
+// have changed, and an unknown service must be refused.
 func TestJSON(t *testing.T) {
 	d := newDirectory(t, 1)
 	decode := func() (e Entries) {
-		body, err := d.JSON("planning", unplaced)
+		body, err := d.JSON("planning", unknownClient)
 		require.NoError(t, err)
 		require.NoError(t, json.Unmarshal(body, &e))
 		return e
 	}
 	first := decode()
-	require.Equal(t, d.Entries("planning", unplaced), first)
+	require.Equal(t, d.Entries("planning", unknownClient), first)
 	require.EqualValues(t, 5000, first.TTLMillis)
 	require.EqualValues(t, 1, first.Revision)
 	d.Peers.RecordFailure("costa-a-2")
-	require.Equal(t, first, decode(), "kept")
+	require.Equal(t, first, decode(), "the response is cached")
 	d.Refresh()
 	require.Len(t, decode().Entries, len(first.Entries)-1)
 
-	_, err := d.JSON("none", unplaced)
+	_, err := d.JSON("none", unknownClient)
 	require.Equal(t, verdict.UnknownService, verdict.From(err).Reason)
 }
