--- a/internal/selector/entry/configtest/configtest.go
+++ b/internal/selector/entry/configtest/configtest.go
@@ -1,4 +1,4 @@
-// Package configtest makes configurations in force, for the tests of one duty of
+// Package configtest creates configurations for the tests of single components of
 // an entry host.
 package configtest
 
@@ -10,7 +10,8 @@
 	"cairndock/internal/selector/config"
 )
 
-// Planning is a zone with one service, planning, at one upstream, up-1.
+// Planning is a document with one zone, the service planning and its only
+// upstream, up-1.
 const Planning = `
 [[zone]]
 name = "costa-a"
@@ -28,8 +29,8 @@
 slots = 4
 `
 
-// View gives a configuration in force as a host of costa-a sees it, at
-// revision 1.
+// View returns a function that returns the view of a document's configuration at
+// revision 1, for a host in zone costa-a.
 func View(tb testing.TB, doc string) func() *config.View {
 	d, err := config.ParseDocument([]byte(doc))
 	require.NoError(tb, err)
--- a/internal/selector/entry/platformcalls/platformcalls.go
+++ b/internal/selector/entry/platformcalls/platformcalls.go
@@ -1,7 +1,7 @@
-// Package platformcalls holds a host's calls to the platform's table and host
-// list within the rate that the platform grants it.
+// Package platformcalls limits the rate of a host's calls to the platform's table
+// and host list.
 //
-// It owns the rate limiter of the host.
+// The package owns the rate limiter of the host.
 package platformcalls
 
 import (
@@ -18,30 +18,33 @@
 )
 
 const (
-	// burst is how many calls a host may make at once.
+	// burst is the number of calls that a host may make at once.
 	burst = 10
-	// timeout bounds one call, its wait for the rate included.
+	// timeout limits the time for one call, including the wait for the rate
+	// limiter.
 	timeout = 2 * time.Second
-	// retryMin is the first pause after a failed call.
-	retryMin = 250 * time.Millisecond
-	// retryMax is the longest pause after failed calls.
-	retryMax = 5 * time.Second
+	// initialBackoff is the backoff after the first failed call.
+	initialBackoff = 250 * time.Millisecond
+	// maxBackoff is the longest backoff between failed calls.
+	maxBackoff = 5 * time.Second
 )
 
-// Caller makes a host's calls to the platform.
+// Caller makes a host's calls to the platform. It is safe for concurrent use.
 type Caller struct {
 	limiter  *rate.Limiter
 	metrics  *telemetry.Metrics
 	answered func()
 }
 
-// New makes a Caller. It runs answered after each call that was answered.
+// New returns a Caller that makes at most callsPerSecond calls per second after a
+// burst. It calls answered after each call to which the platform responded.
 func New(callsPerSecond float64, metrics *telemetry.Metrics, answered func()) *Caller {
 	return &Caller{limiter: rate.NewLimiter(rate.Limit(callsPerSecond), burst), metrics: metrics, answered: answered}
 }
 
-// Do makes one call, within the host's rate and the time for one call. That
-// there is no such row, or that it has changed, is an answer of the platform.
+// Do makes one call within the host's rate and the timeout. The errors
+// store.ErrNotFound and store.ErrConflict are responses of the platform and do
+// not count as failures.
 func (c *Caller) Do(ctx context.Context, f func(ctx context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -58,7 +61,7 @@
 	return err
 }
 
-// Get makes one call, as Do does, and gives what it reads.
+// Get makes one call, as Do does, and returns the value that f reads.
 func Get[T any](ctx context.Context, c *Caller, f func(ctx context.Context) (T, error)) (out T, err error) {
 	err = c.Do(ctx, func(ctx context.Context) (err error) {
 		out, err = f(ctx)
@@ -69,13 +72,13 @@
 
 // Wait waits until the host's rate allows one more call.
 func (c *Caller) Wait(ctx context.Context) error {
-	return eris.Wrap(c.limiter.Wait(ctx), "wait for the platform's rate")
+	return eris.Wrap(c.limiter.Wait(ctx), "wait for the rate limit of platform calls")
 }
 
-// NewBackoff gives the pauses between calls that fail one after another.
+// NewBackoff returns the exponential backoff for consecutive failed calls.
 func NewBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = retryMin
-	b.MaxInterval = retryMax
+	b.InitialInterval = initialBackoff
+	b.MaxInterval = maxBackoff
 	return b
 }
--- a/internal/selector/entry/platformcalls/platformcalls_test.go
+++ b/internal/selector/entry/platformcalls/platformcalls_test.go
@@ -13,7 +13,8 @@
 	"cairndock/internal/telemetry"
 )
 
-// TestAnswered: only a platform that answered counts as heard.
+// The callback for responses must run only if the platform responded, because a
+// host uses it to detect that it is isolated.
 func TestAnswered(t *testing.T) {
 	for name, tc := range map[string]struct {
 		err      error
@@ -23,7 +24,7 @@
 		"no such row":     {store.ErrNotFound, 1},
 		"row has changed": {store.ErrConflict, 1},
 		"throttled":       {store.ErrThrottled, 0},
-		"not reached":     {errors.New("connection refused"), 0},
+		"unreachable":     {errors.New("connection refused"), 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			answered := 0
@@ -34,8 +35,8 @@
 	}
 }
 
-// TestCallsKeepTheRate: after the burst, calls come at the rate; a call whose
-// turn does not come in time is not made.
+// After the burst, calls must stay within the rate, and a call that cannot start
+// before its timeout must not be made.
 func TestCallsKeepTheRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		made := 0
