--- a/internal/selector/entry/api.go
+++ b/internal/selector/entry/api.go
@@ -16,13 +16,14 @@
 	"cairndock/internal/selector/ticket"
 )
 
-// Apply accepts a change and waits, for the given time at most, for every
-// zone to have it in force.
+// Apply accepts a change and waits, for at most the given time, until every zone
+// has it in force or has lapsed.
 func (h *Host) Apply(ctx context.Context, c config.Change, wait time.Duration) (configsync.Applied, error) {
 	return h.config.Apply(ctx, c, wait)
 }
 
-// ChangeProgress gives the progress of a change by its id.
+// ChangeProgress returns the progress of the change with the given ID, and whether
+// the change exists.
 func (h *Host) ChangeProgress(ctx context.Context, id string) (configsync.Applied, bool, error) {
 	return h.config.ChangeProgress(ctx, id)
 }
@@ -36,22 +37,23 @@
 	return h.dispatch.Dispatch(ctx, req)
 }
 
-// IssueTicket makes a ticket for one request to a service. Its error is a
+// IssueTicket issues a ticket for one request to a service. Its error is a
 // *verdict.Error.
 func (h *Host) IssueTicket(service string) (ticket.Ticket, error) { return h.tickets.Issue(service) }
 
-// EntriesFor gives the hosts that a client may use, as JSON.
+// EntriesFor returns the hosts that a client may use, encoded as JSON.
 func (h *Host) EntriesFor(service string, client netip.Addr) ([]byte, error) {
 	return h.directory.JSON(service, client)
 }
 
-// DrainProgress asks every host that may have work at the upstreams.
+// DrainProgress queries every host that may have requests outstanding at the
+// upstreams, and returns the totals.
 func (h *Host) DrainProgress(ctx context.Context, upstreams []string) drain.Drained {
 	return h.drain.Count(ctx, upstreams)
 }
 
-// ServePeer serves one stream of another entry host. A kind of message that this
-// version does not know gets no reply.
+// ServePeer serves one stream of another entry host. It sends no reply to kinds of
+// messages that this version does not support.
 func (h *Host) ServePeer(ctx context.Context, from peer.Hello, kind peer.Kind, payload []byte, w *peer.Responder) {
 	switch kind {
 	case peer.KindForward:
@@ -84,13 +86,13 @@
 		serve(payload, func(m []ticket.Handover) {
 			h.tickets.Adopt(m)
 			reply(w, true)
-			h.tickNow() // every host is to know the successor
+			h.tickNow() // every host has to learn the successor
 		})
 	}
 }
 
-// serve decodes a message and serves it. One that can't be decoded gets no
-// reply: the sender's deadline ends its call.
+// serve decodes a message and passes it to f. A message that cannot be decoded
+// gets no reply; the sender's call then ends at its deadline.
 func serve[T any](payload []byte, f func(T)) {
 	m, err := peer.Decode[T](payload)
 	if err != nil {
@@ -99,6 +101,6 @@
 	f(m)
 }
 
-// reply sends the reply to a message. Where it can't be sent, the connection
-// is lost, and the peer's own call fails.
+// reply sends the reply to a message. An error is ignored, because it means that
+// the connection is lost and the peer's call fails as well.
 func reply(w *peer.Responder, message any) { _ = w.Send(message) }
--- a/internal/selector/entry/bench_test.go
+++ b/internal/selector/entry/bench_test.go
@@ -25,8 +25,9 @@
 	"cairndock/internal/settings"
 )
 
-// bigState is a configuration of the planned size, but for what is given.
-func bigState(tb testing.TB, blocks, services, zones int) *config.State {
+// newLargeState returns a configuration of the planned size, except for the given
+// numbers of blocks, services and zones.
+func newLargeState(tb testing.TB, blocks, services, zones int) *config.State {
 	size := standin.PlannedSize()
 	size.Blocks, size.Services, size.Zones = blocks, services, zones
 	s := config.NewState()
@@ -39,8 +40,9 @@
 	return s
 }
 
-// bigHost is a host with a configuration of a given size in force.
-func bigHost(tb testing.TB, s *config.State) *Host {
+// newLargeHost returns a host that has a configuration in force, is in a zone of 74
+// hosts, and has four hosts of each of 79 other zones as peers.
+func newLargeHost(tb testing.TB, s *config.State) *Host {
 	memory := store.NewMemory()
 	set := servesettings.Settings{
 		Host:    settings.Host{Name: "zone-00-00", Zone: "zone-00", Region: "region-00"},
@@ -51,7 +53,7 @@
 		Settings: set, Table: memory, Objects: memory, Hosts: memory, Transport: peer.TCP((&net.Dialer{}).DialContext), Log: zerolog.Nop(),
 		Traces: sdktrace.NewTracerProvider(sdktrace.WithSampler(sdktrace.NeverSample())),
 	})
-	h.rosters.Merge(bigRoster(74))
+	h.rosters.Merge(newLargeRoster(74))
 	h.config.Adopt(s)
 	for z := 1; z < 80; z++ {
 		for i := range 4 {
@@ -64,8 +66,10 @@
 	return h
 }
 
-func bigRoster(hosts int) roster.Roster { return standin.PlannedSize().Roster(0, hosts, 1) }
+// newLargeRoster returns a roster with the given number of hosts.
+func newLargeRoster(hosts int) roster.Roster { return standin.PlannedSize().Roster(0, hosts, 1) }
 
+// heapMB returns the size of the live heap, in megabytes.
 func heapMB() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -74,13 +78,14 @@
 	return float64(m.HeapAlloc) / 1e6
 }
 
-// BenchmarkEntries is the look-up of callers, with blocks loaded.
+// BenchmarkEntries measures the directory lookup of clients by the number of
+// blocks in the configuration.
 func BenchmarkEntries(b *testing.B) {
 	for _, blocks := range []int{26_000, 130_000, 260_000} {
 		b.Run(fmt.Sprintf("blocks=%d", blocks), func(b *testing.B) {
 			before := heapMB()
-			s := bigState(b, blocks, 1, 80)
-			h := bigHost(b, s)
+			s := newLargeState(b, blocks, 1, 80)
+			h := newLargeHost(b, s)
 			heap := heapMB() - before
 			addrs := make([]netip.Addr, 1024)
 			for i := range addrs {
@@ -100,12 +105,13 @@
 	}
 }
 
-// BenchmarkChange is a change put in force, by the size of the configuration.
+// BenchmarkChange measures putting a change in force by the size of the
+// configuration.
 func BenchmarkChange(b *testing.B) {
 	for _, services := range []int{2, 10, 22} {
 		b.Run(fmt.Sprintf("sites=%d", services*80), func(b *testing.B) {
 			before := heapMB()
-			h := bigHost(b, bigState(b, 1000, services, 80))
+			h := newLargeHost(b, newLargeState(b, 1000, services, 80))
 			heap := heapMB() - before
 			for b.Loop() {
 				doc := config.Document{Rules: []config.Rule{{Name: "service-0-all", Service: "service-0", Selector: "tier=main", Share: 1}}}
@@ -120,11 +126,11 @@
 	}
 }
 
-// BenchmarkBlockChange is a change of one block among many.
+// BenchmarkBlockChange measures changing one block by the number of blocks.
 func BenchmarkBlockChange(b *testing.B) {
 	for _, blocks := range []int{26_000, 130_000, 260_000} {
 		b.Run(fmt.Sprintf("blocks=%d", blocks), func(b *testing.B) {
-			h := bigHost(b, bigState(b, blocks, 1, 80))
+			h := newLargeHost(b, newLargeState(b, blocks, 1, 80))
 			for b.Loop() {
 				doc := config.Document{Blocks: []config.Block{{CIDR: "1.0.0.0/24", Zone: "zone-03"}}}
 				c, err := doc.Change("c", 0)
@@ -137,12 +143,13 @@
 	}
 }
 
-// BenchmarkRosterChange is a new epoch worked out, by the zone's hosts.
+// BenchmarkRosterChange measures merging a new epoch by the number of hosts in the
+// zone.
 func BenchmarkRosterChange(b *testing.B) {
 	for _, hosts := range []int{2, 20, 74} {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
-			h := bigHost(b, bigState(b, 1000, 22, 80))
-			r := bigRoster(hosts)
+			h := newLargeHost(b, newLargeState(b, 1000, 22, 80))
+			r := newLargeRoster(hosts)
 			r.Epoch = 10
 			for b.Loop() {
 				r.Epoch++
@@ -152,11 +159,12 @@
 	}
 }
 
-// BenchmarkTick is one tick of a host's own loop, four of them a second.
+// BenchmarkTick measures one tick of a host's loop, which runs four times per
+// second.
 func BenchmarkTick(b *testing.B) {
 	for _, services := range []int{2, 10, 22} {
 		b.Run(fmt.Sprintf("services=%d", services), func(b *testing.B) {
-			h := bigHost(b, bigState(b, 1000, services, 80))
+			h := newLargeHost(b, newLargeState(b, 1000, services, 80))
 			for b.Loop() {
 				h.peers.Update(func(p *member.Peers) { p.Due(time.Now()) })
 				h.rosters.Settle()
@@ -166,11 +174,11 @@
 	}
 }
 
-// BenchmarkSnapshot is the whole configuration written and read.
+// BenchmarkSnapshot measures writing and reading the whole configuration.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, blocks := range []int{26_000, 260_000} {
 		b.Run(fmt.Sprintf("blocks=%d", blocks), func(b *testing.B) {
-			s := bigState(b, blocks, 22, 80)
+			s := newLargeState(b, blocks, 22, 80)
 			size := 0
 			for b.Loop() {
 				var snap bytes.Buffer
--- a/internal/selector/entry/changes_test.go
+++ b/internal/selector/entry/changes_test.go
@@ -18,7 +18,7 @@
 	"cairndock/internal/selector/store"
 )
 
-// change makes a change of one rule's share.
+// change returns a change that sets the share of the rule all.
 func (c *cluster) change(id string, base uint64, share float64) config.Change {
 	doc := fmt.Sprintf("[[rule]]\nname = \"all\"\nservice = \"planning\"\nselector = \"\"\nshare = %v\n", share)
 	d, err := config.ParseDocument([]byte(doc))
@@ -28,28 +28,29 @@
 	return change
 }
 
-// revision is the newest revision of the configuration.
+// revision returns the newest revision of the configuration in the log.
 func (c *cluster) revision() uint64 {
 	rev, err := config.NewLog(c.Memory, c.Memory).Head(context.Background())
 	require.NoError(c.T, err)
 	return rev
 }
 
-// watch notes the revisions of all hosts and fails when one goes back.
-func (c *cluster) watch(stop <-chan struct{}) (went chan string) {
-	went = make(chan string, 1)
+// watch polls the revisions of all hosts until stop is closed. If a revision
+// decreases, it sends a message and ends. It closes the channel on stop.
+func (c *cluster) watch(stop <-chan struct{}) (regressed chan string) {
+	regressed = make(chan string, 1)
 	go func() {
 		seen := map[*entry.Host]uint64{}
 		for {
 			select {
 			case <-stop:
-				close(went)
+				close(regressed)
 				return
 			case <-time.After(20 * time.Millisecond):
 			}
 			for _, h := range c.Live() {
 				if rev := h.View().Revision(); rev < seen[h] {
-					went <- fmt.Sprintf("%s went from %d to %d", h.Self().Host, seen[h], rev)
+					regressed <- fmt.Sprintf("%s regressed from %d to %d", h.Self().Host, seen[h], rev)
 					return
 				} else {
 					seen[h] = rev
@@ -57,12 +58,12 @@
 			}
 		}
 	}()
-	return went
+	return regressed
 }
 
-// behind gives the hosts that have not a revision and do not know that
-// theirs may be old.
-func (c *cluster) behind(rev uint64) []string {
+// lagging returns the hosts that do not have a revision in force and are not
+// frozen, so they do not detect that their configuration may be outdated.
+func (c *cluster) lagging(rev uint64) []string {
 	var out []string
 	for _, h := range c.Live() {
 		if h.View().Revision() < rev && !h.Frozen() {
@@ -72,13 +73,14 @@
 	return out
 }
 
-// TestAcceptedIsInForce applies a change under faults. Once it is said to be
-// accepted, every host has it in force or has frozen itself; no host ever
-// goes back; and when the fault is over all have it.
+// Guards against hosts that serve with an older configuration after a change was
+// reported as accepted. Under each fault, every host must then have the change in
+// force or be frozen, no host's revision may decrease, and all hosts must have the
+// change after the fault.
 func TestAcceptedIsInForce(t *testing.T) {
 	cases := []struct {
 		name  string
-		fault func(c *cluster) // runs beside the change
+		fault func(c *cluster) // runs concurrently with the change
 		state string
 	}{
 		{name: "nothing fails", state: configsync.StateAccepted},
@@ -87,7 +89,7 @@
 		}},
 		{name: "one zone cut off from everything", state: configsync.StateAccepted, fault: func(c *cluster) { c.CutOff(15*time.Second, "sierra-a", "up-sierra-a") }},
 		{name: "a host paused", state: configsync.StateAccepted, fault: func(c *cluster) { c.CutOff(15*time.Second, "sierra-a-2") }},
-		{name: "platform slow to answer", state: configsync.StateAccepted, fault: func(c *cluster) {
+		{name: "platform responds slowly", state: configsync.StateAccepted, fault: func(c *cluster) {
 			c.Memory.SetFault(func(_ string, after bool) error {
 				if after {
 					time.Sleep(300 * time.Millisecond)
@@ -97,8 +99,8 @@
 			time.Sleep(10 * time.Second)
 			c.Memory.SetFault(nil)
 		}},
-		{name: "the write's answer lost", state: configsync.StateAccepted, fault: func(c *cluster) { c.LoseAnswers(time.Second) }},
-		{name: "platform throttles every second call", state: configsync.StateAccepted, fault: func(c *cluster) {
+		{name: "response of the write lost", state: configsync.StateAccepted, fault: func(c *cluster) { c.LoseAnswers(time.Second) }},
+		{name: "platform throttles every other call", state: configsync.StateAccepted, fault: func(c *cluster) {
 			var n atomic.Int64
 			c.Memory.SetFault(func(op string, after bool) error {
 				if n.Add(1)%2 == 0 && !after && op != "transact" {
@@ -109,7 +111,7 @@
 			time.Sleep(10 * time.Second)
 			c.Memory.SetFault(nil)
 		}},
-		{name: "cut off and a host restarted elsewhere", state: configsync.StateAccepted, fault: func(c *cluster) {
+		{name: "zone cut off and a host of another zone restarted", state: configsync.StateAccepted, fault: func(c *cluster) {
 			go c.CutOff(15*time.Second, "sierra-a", "up-sierra-a")
 			c.Kill("costa-b-1")
 			c.Start("costa-b-1")
@@ -121,32 +123,32 @@
 			inBubble(t, clustertest.Anywhere, func(c *cluster) {
 				ctx, stop := context.WithCancel(context.Background())
 				defer stop()
-				went := c.watch(ctx.Done())
+				regressed := c.watch(ctx.Done())
 				if tc.fault != nil {
 					go tc.fault(c)
 					time.Sleep(100 * time.Millisecond)
 				}
-				began := time.Now()
-				applied, err := c.applyTrying("under-fault", 1)
+				start := time.Now()
+				applied, err := c.applyWithRetries("under-fault", 1)
 				require.NoError(t, err)
-				t.Logf("%s after %s", applied.State, time.Since(began))
+				t.Logf("%s after %s", applied.State, time.Since(start))
 				require.Equal(t, tc.state, applied.State)
-				require.Empty(t, c.behind(applied.Revision), "accepted, but neither in force nor frozen")
+				require.Empty(t, c.lagging(applied.Revision), "hosts have neither the accepted change in force nor frozen themselves")
 				time.Sleep(30 * time.Second)
 				for _, h := range c.Live() {
 					require.Equal(t, applied.Revision, h.View().Revision(), h.Self().Host)
 					require.False(t, h.Frozen(), h.Self().Host)
 				}
 				stop()
-				require.Empty(t, <-went)
+				require.Empty(t, <-regressed)
 			})
 		})
 	}
 }
 
-// applyTrying submits a change by the first host and, as the command does,
-// again with the same id while its outcome is not known.
-func (c *cluster) applyTrying(id string, base uint64) (configsync.Applied, error) {
+// applyWithRetries submits a change to the first host. Like the command, it retries
+// with the same ID while the outcome is unknown.
+func (c *cluster) applyWithRetries(id string, base uint64) (configsync.Applied, error) {
 	var applied configsync.Applied
 	var err error
 	for range 10 {
@@ -159,13 +161,15 @@
 	return applied, err
 }
 
+// cutFromPlatform cuts the hosts of a zone off from the platform for a time.
 func (c *cluster) cutFromPlatform(zone string, d time.Duration) {
 	c.Net.Cut(func(a, b string) bool { return strings.HasPrefix(a, zone) && b == "platform" })
 	time.Sleep(d)
 	c.Net.Cut(nil)
 }
 
-// TestPlatformDownRefusesChanges: nothing is accepted, nothing is lost.
+// While the platform is down, a host must refuse changes and continue to serve.
+// The same change must be accepted after the platform is available again.
 func TestPlatformDownRefusesChanges(t *testing.T) {
 	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		go c.StoreDown(20 * time.Second)
@@ -174,21 +178,22 @@
 		require.Error(t, err)
 		time.Sleep(7 * time.Second)
 		for _, h := range c.Live() {
-			require.True(t, h.Frozen(), "frozen: the newest revision can't be known")
+			require.True(t, h.Frozen(), "the host must freeze, because the newest revision is unknown")
 			_, err := clustertest.Ask(h, clustertest.Lookup("/x"))
-			require.NoError(t, err, "and serving")
+			require.NoError(t, err, "a frozen host must serve")
 		}
 		calls := c.Memory.Calls("get")
 		time.Sleep(20 * time.Second)
 		t.Logf("platform calls over the 20 s around its return: %d by %d hosts", c.Memory.Calls("get")-calls, len(c.Live()))
-		applied, err := c.applyTrying("down", 1)
+		applied, err := c.applyWithRetries("down", 1)
 		require.NoError(t, err)
 		require.Equal(t, configsync.StateAccepted, applied.State)
 	})
 }
 
-// TestRacingChanges: of changes to one object one wins, and the others are
-// told who; changes to different objects all pass; an id counts once.
+// Of concurrent changes to one object, exactly one must be accepted, and the
+// conflicts must name it. Concurrent changes to different objects must all be
+// accepted. A change ID must be applied only once.
 func TestRacingChanges(t *testing.T) {
 	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		hosts := c.Live()
@@ -242,19 +247,20 @@
 	})
 }
 
-// TestSpreadTime measures from accepted to in force on every host.
+// The time from submitting a change until it is in force on every host must stay
+// below 2 s.
 func TestSpreadTime(t *testing.T) {
 	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		var slowest, sum time.Duration
 		const changes = 100
 		for i := range changes {
-			began := time.Now()
+			start := time.Now()
 			applied, err := c.Host("costa-a-1").Apply(context.Background(), c.change(fmt.Sprintf("n-%d", i), uint64(i+1), 0.9), 0)
 			require.NoError(t, err)
-			for len(c.behind(applied.Revision)) > 0 {
+			for len(c.lagging(applied.Revision)) > 0 {
 				time.Sleep(5 * time.Millisecond)
 			}
-			took := time.Since(began)
+			took := time.Since(start)
 			slowest = max(slowest, took)
 			sum += took
 			time.Sleep(300 * time.Millisecond)
@@ -264,8 +270,8 @@
 	})
 }
 
-// TestStartsFromPeers: a host that can't ask the platform takes the
-// configuration from peers that are known to be fresh.
+// A starting host that cannot reach the platform must fetch the configuration from
+// peers that have a proof of its freshness.
 func TestStartsFromPeers(t *testing.T) {
 	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		c.Kill("costa-a-2")
@@ -280,14 +286,15 @@
 	})
 }
 
-// TestLostAnswerAfterAnothersChange: a host that is one change behind submits
-// its own, whose answer is lost. The other's revision must not be given to it.
+// Guards against assigning the revision of another host's change to an own change:
+// a host that lags by one change submits its own, and the response of the write is
+// lost.
 func TestLostAnswerAfterAnothersChange(t *testing.T) {
 	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		c.Apply("others", "[[zone]]\nname = \"new\"\nregion = \"costa\"\n", 1)
 		c.LoseAnswers(100 * time.Millisecond)
 		h := c.Host("costa-a-1")
-		require.EqualValues(t, 1, h.View().Revision(), "not polled yet")
+		require.EqualValues(t, 1, h.View().Revision(), "the host has not polled yet")
 		applied, err := h.Apply(context.Background(), c.change("mine", 1, 0.9), 0)
 		require.NoError(t, err)
 		require.EqualValues(t, 3, applied.Revision)
--- a/internal/selector/entry/explain.go
+++ b/internal/selector/entry/explain.go
@@ -11,7 +11,7 @@
 	"cairndock/internal/selector/steer"
 )
 
-// Explanation says how one client's request to a service would be steered.
+// Explanation describes how a client's request to a service would be steered.
 type Explanation struct {
 	Service    string             `json:"service"`
 	Caller     string             `json:"caller"`
@@ -23,7 +23,7 @@
 	Entries    []directory.Entry  `json:"entries"`
 }
 
-// RuleExplanation says why a rule would or would not be chosen.
+// RuleExplanation describes why a rule would or would not be chosen.
 type RuleExplanation struct {
 	Rule     string  `json:"rule"`
 	Selector string  `json:"selector"`
@@ -33,7 +33,8 @@
 	Why      string  `json:"why"`
 }
 
-// Explain says how a client's request would be steered.
+// Explain returns how a client's request would be steered. It returns an error if
+// the service is unknown.
 func (h *Host) Explain(service string, client netip.Addr) (Explanation, error) {
 	v := h.View()
 	svc, ok := v.Service(service)
@@ -53,8 +54,8 @@
 	return e, nil
 }
 
-// explainRule says why a rule would or would not be chosen, by the first reason
-// that applies.
+// explainRule returns why a rule would or would not be chosen, with the first
+// reason that applies.
 func explainRule(r config.RuleView, s shift.Status, sites []steer.SiteStatus) RuleExplanation {
 	e := RuleExplanation{Rule: r.Name, Selector: r.Selector, Share: s.Share, Target: s.Target, Cap: s.Cap}
 	reachable, free := 0, 0
--- a/internal/selector/entry/explain_test.go
+++ b/internal/selector/entry/explain_test.go
@@ -10,7 +10,7 @@
 	"cairndock/internal/selector/steer"
 )
 
-// TestExplainRule: an operator is given the first reason that applies.
+// The explanation of a rule must give the first reason that applies.
 func TestExplainRule(t *testing.T) {
 	site := func(rule string, reachable bool, use float64) steer.SiteStatus {
 		return steer.SiteStatus{Rule: rule, Slots: 2, Reachable: reachable, Use: use}
--- a/internal/selector/entry/goaway_test.go
+++ b/internal/selector/entry/goaway_test.go
@@ -15,18 +15,19 @@
 	"cairndock/internal/selector/entry/forward"
 )
 
-// sendEvery leaves a host idle between two requests for about as long as one takes
-// from another region: while the host is idle, the next is mostly on its way.
-const sendEvery = clustertest.Latency + 40*time.Millisecond
+// sendInterval is chosen so that the host is idle between two requests for about
+// the transit time from another region. While the host is idle, the next request
+// is usually in transit.
+const sendInterval = clustertest.Latency + 40*time.Millisecond
 
-// forwards counts what became of the requests that a host sent on to another.
+// forwards counts the outcomes of the requests that a host forwarded to another.
 type forwards struct {
 	answered, notRun, lost int
 }
 
-// sendOn sends one request on, as a host does that knows its peer by an old
-// heartbeat.
-func (f *forwards) sendOn(mu *sync.Mutex, m *peer.Mesh, addr string) {
+// forwardOne forwards one request, like a host whose latest heartbeat from the peer
+// was sent before the stop.
+func (f *forwards) forwardOne(mu *sync.Mutex, m *peer.Mesh, addr string) {
 	req := clustertest.Lookup("/x")
 	ctx, cancel := context.WithDeadline(context.Background(), req.Deadline)
 	defer cancel()
@@ -43,12 +44,12 @@
 	}
 }
 
-// A host stopped as planned while another, which had not yet heard of it, sent
-// requests on to it. Those that were on their way when the stop's wait was over
-// were cut with the connection, and reported as such that may have run: a request
-// that may not be repeated was lost, though the stop reported that it cut none. The
-// cause: the wait counted what handlers had decoded, and the connection was broken
-// apart from its reading.
+// Guards against requests that are lost in a planned stop although the stop reports
+// none. Another host that has not learned of the stop forwards requests. Requests
+// in transit at the end of the stop's wait were cut with the connection and
+// reported as possibly run, so that those that must not be repeated were lost. The
+// wait counted only requests that handlers had decoded, and the connection was
+// closed independently of its reader.
 func TestARequestSentOnToAStoppingHostIsAnsweredOrDidNotRun(t *testing.T) {
 	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		h := c.Host("costa-a-1")
@@ -67,8 +68,8 @@
 		var mu sync.Mutex
 		var wait sync.WaitGroup
 		var out forwards
-		for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(sendEvery) {
-			wait.Go(func() { out.sendOn(&mu, other, addr) })
+		for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(sendInterval) {
+			wait.Go(func() { out.forwardOne(&mu, other, addr) })
 			select {
 			case <-stopped:
 				end = time.Now()
--- a/internal/selector/entry/host.go
+++ b/internal/selector/entry/host.go
@@ -37,7 +37,7 @@
 	"cairndock/internal/telemetry"
 )
 
-// Options are what a Host is made of.
+// Options configures a Host.
 type Options struct {
 	Settings servesettings.Settings
 	Table    config.Table
@@ -45,18 +45,19 @@
 	Hosts    rosters.HostLister
 	// Transport carries connections between hosts.
 	Transport peer.Transport
-	// DialUpstream makes connections to upstreams; nil is TCP.
+	// DialUpstream opens connections to upstreams. Nil means TCP.
 	DialUpstream upstream.DialFunc
-	// StopClients ends the clients' connections: it takes no new ones, waits
-	// until each request in flight has its response, aborts what is left when
-	// ctx ends, and returns how many requests it cut. It is nil where the host
-	// has no listener for clients.
+	// StopClients closes the clients' connections: it accepts no new ones, waits
+	// until each request in flight has its response, aborts the remaining
+	// requests when ctx ends, and returns the number of requests that it
+	// aborted. It is nil if the host has no listener for clients.
 	StopClients func(ctx context.Context) int64
-	// SuspendClock tells for how long the machine was suspended; nil is this machine's.
+	// SuspendClock measures the time for which the machine was suspended. Nil
+	// means the clock of this machine.
 	SuspendClock suspend.Clock
 	Log          zerolog.Logger
 	Traces       trace.TracerProvider
-	// Seed makes the host's random choices repeatable.
+	// Seed is the seed of the host's random choices.
 	Seed uint64
 }
 
@@ -65,7 +66,7 @@
 	opts         Options
 	zone         string
 	incarnation  string
-	made         time.Time
+	createdAt    time.Time
 	suspendWatch *suspend.Watch
 	log          zerolog.Logger
 	tracer       trace.Tracer
@@ -74,7 +75,7 @@
 	mesh         *peer.Mesh
 	client       *upstream.Client
 
-	// What the host knows, and what it may use by that.
+	// Replicated state and the permissions derived from it.
 	peers      *peers.Table
 	services   *services.Set
 	config     *configsync.Replica
@@ -82,41 +83,42 @@
 	upstreams  *upstreams.Tracker
 	heartbeats *heartbeats.Exchanger
 	fence      *fence.Fence
-	// suspicions are of requests that end upstreams.
+	// suspicions holds the requests suspected of terminating upstreams.
 	suspicions *poison.Table
 	platform   *platformcalls.Caller
 
-	// The way of a request.
+	// The path of a request.
 	admission *admission.Admitter
 	forward   *forward.Forwarder
 	dispatch  *dispatch.Dispatcher
 	tickets   *tickets.Issuer
 	links     *links.Links
 
-	// What operators and clients ask for beside it.
+	// Queries of operators and clients.
 	directory *directory.Directory
 	drain     *drain.Counter
 
 	serving atomic.Bool
 	leaving atomic.Bool
-	// inFlight counts the requests of clients and of other hosts, and ofClients
-	// those of clients alone.
-	inFlight  atomic.Int64
-	ofClients atomic.Int64
-	wake      chan struct{}
+	// inFlight counts the requests of clients and of other hosts;
+	// clientsInFlight counts only the requests of clients.
+	inFlight        atomic.Int64
+	clientsInFlight atomic.Int64
+	wake            chan struct{}
 
 	stop context.CancelFunc
 	wait sync.WaitGroup
 }
 
-// New makes a host. Its settings must have been prepared.
+// New returns a host. The defaults of its settings must have been filled in by
+// Default.
 func New(o Options) *Host {
 	s := o.Settings
 	h := &Host{
 		opts:         o,
 		zone:         s.Host.Zone,
 		incarnation:  rosters.NewIncarnation(),
-		made:         time.Now(),
+		createdAt:    time.Now(),
 		suspendWatch: suspend.NewWatch(cmp.Or[suspend.Clock](o.SuspendClock, suspend.Machine{})),
 		log:          o.Log.With().Str("host", s.Host.Name).Logger(),
 		tracer:       telemetry.Tracer(o.Traces),
@@ -126,7 +128,7 @@
 	}
 	hello := peer.Hello{Host: s.Host.Name, Zone: s.Host.Zone, Incarnation: h.incarnation}
 	h.mesh = peer.NewMesh(hello, o.Transport, h)
-	h.suspicions = poison.NewTable(h.incarnation, h.made, &suspicionObserver{host: h})
+	h.suspicions = poison.NewTable(h.incarnation, h.createdAt, &suspicionObserver{host: h})
 	h.fence = fence.New(h.now)
 	h.platform = platformcalls.New(s.Platform.CallsPerSecond, h.metrics, h.fence.Answered)
 	h.peers = peers.New(member.Contact{
@@ -139,8 +141,9 @@
 	return h
 }
 
-// makeReplicas makes what follows the platform and the upstreams. The parts use
-// each other: what is made later is reached through a function.
+// makeReplicas creates the components that track the state of the platform and
+// the upstreams. The components use each other: one that is created later is
+// accessed through a function.
 func (h *Host) makeReplicas() {
 	o, id := h.opts, h.opts.Settings.Host
 	h.config = configsync.New(configsync.Options{
@@ -164,7 +167,7 @@
 	})
 }
 
-// makeRequestPath makes what a request passes through.
+// makeRequestPath creates the components that handle requests.
 func (h *Host) makeRequestPath() {
 	id := h.opts.Settings.Host
 	h.client = upstream.New(h.opts.DialUpstream, h.upstreams.Observe)
@@ -189,8 +192,8 @@
 	})
 }
 
-// makeReports makes what reports on the parts: to other hosts, to clients and to
-// operators.
+// makeReports creates the components that report the host's state to other hosts,
+// clients and operators.
 func (h *Host) makeReports() {
 	s := h.opts.Settings
 	h.heartbeats = heartbeats.New(heartbeats.Options{
@@ -209,15 +212,16 @@
 
 func (h *Host) roster() roster.Roster { return h.rosters.Current() }
 
-// upstreamsChanged applies a change of an upstream's state that this host saw
-// first, and reports it to the zone at once.
+// upstreamsChanged applies a change of an upstream's state that this host
+// observed, and immediately reports it to the zone.
 func (h *Host) upstreamsChanged() {
 	h.rosters.Reconfigure()
 	h.heartbeats.NotifyZone()
 }
 
-// Start begins the host's duties. Clients must be able to reach the host by
-// then: clientAddr is the address of the listener opened for them.
+// Start starts the host. Clients must already be able to reach the host:
+// clientAddr is the address of the listener that is open for them. Start returns
+// an error if the host cannot listen for peers.
 func (h *Host) Start(ctx context.Context, clientAddr string) error {
 	addr, err := h.mesh.Listen(h.opts.Settings.Peers.Listen)
 	if err != nil {
@@ -238,7 +242,7 @@
 	return nil
 }
 
-// Close stops the host at once.
+// Close stops the host immediately, without waiting for requests in flight.
 func (h *Host) Close() {
 	if h.stop != nil {
 		h.stop()
@@ -249,36 +253,37 @@
 	h.client.Close()
 }
 
-// Self is how the host is reached.
+// Self returns the contact of the host.
 func (h *Host) Self() member.Contact { return h.peers.Self() }
 
-// Metrics gives the host's metrics.
+// Metrics returns the host's metrics.
 func (h *Host) Metrics() *telemetry.Metrics { return h.metrics }
 
-// View is the configuration in force.
+// View returns the configuration in force.
 func (h *Host) View() *config.View { return h.config.View() }
 
-// Serving reports whether the host ever had a configuration that was known
-// to be the newest, and somewhere to send requests to. It never serves from an
-// old configuration alone.
+// Serving reports whether the host has ever had both a configuration that was
+// proved to be the newest and a target for requests. A host never starts to serve
+// with a configuration that may be outdated.
 func (h *Host) Serving() bool { return h.serving.Load() }
 
-// Ready reports whether clients should come: the host serves, and it is not
+// Ready reports whether clients should use this host: it is serving and not
 // leaving.
 func (h *Host) Ready() bool { return h.Serving() && !h.leaving.Load() }
 
-// clockStart is what the host's clock reads when the host is made; above
-// zero, so that zero is always long ago.
+// clockStart is the value of the host's clock, in nanoseconds, when the host is
+// created. It is above zero so that zero always lies well in the past.
 const clockStart = int64(time.Hour)
 
-// now reads the host's monotonic clock, in nanoseconds. It counts the time for which the machine was suspended, as the other hosts do: they
-// give a silent host's slots away meanwhile.
+// now returns the host's monotonic clock, in nanoseconds. The clock includes the
+// time for which the machine was suspended, because the other hosts reassign a
+// silent host's slots during that time.
 func (h *Host) now() int64 {
 	h.suspendWatch.Check()
-	return clockStart + int64(time.Since(h.made)+h.suspendWatch.Total())
+	return clockStart + int64(time.Since(h.createdAt)+h.suspendWatch.Total())
 }
 
-// lockedRand is a random source for many goroutines.
+// lockedRand is a random source that is safe for concurrent use.
 type lockedRand struct {
 	mu sync.Mutex
 	r  *rand.Rand
--- a/internal/selector/entry/host_test.go
+++ b/internal/selector/entry/host_test.go
@@ -12,18 +12,17 @@
 	"cairndock/internal/selector/member"
 )
 
-// TestIsolatedHostStopsInTime: a host that nobody answers stops sending to
-// upstreams before its silence can count against it, and starts again once
-// it has seen the roster.
+// An isolated host must stop sending to upstreams before the other hosts can declare
+// it dead, and must resume after it has read the roster.
 func TestIsolatedHostStopsInTime(t *testing.T) {
 	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		h := c.Host("costa-a-1")
 		c.Net.Cut(func(a, _ string) bool { return a == "costa-a-1" })
-		cut := time.Now()
+		cutAt := time.Now()
 		for h.Validated() {
 			time.Sleep(10 * time.Millisecond)
 		}
-		stopped := time.Since(cut)
+		stopped := time.Since(cutAt)
 		t.Logf("stopped after %s", stopped)
 		require.Less(t, stopped, member.LostAfter)
 		c.Net.Cut(nil)
@@ -34,23 +33,24 @@
 	})
 }
 
-// A suspended machine's monotonic clock stands still: its host believed that it still
-// held the slots that others had been given meanwhile.
+// Guards against the use of reassigned slots after a suspension: the monotonic clock
+// stops while a machine is suspended, so the host assumed that it still held slots
+// that had been assigned to other hosts in the meantime.
 func TestASuspendedHostProvesItsSlotsFirst(t *testing.T) {
 	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		h := c.Host("costa-a-1")
 		require.True(t, h.Validated())
 		c.Suspend("costa-a-1", time.Second)
-		require.True(t, h.Validated(), "shorter than a pause that counts")
+		require.True(t, h.Validated(), "the suspension is too short to close the fence")
 		c.Suspend("costa-a-1", 30*time.Second)
 		require.False(t, h.Validated())
 		time.Sleep(5 * time.Second)
-		require.True(t, h.Validated(), "it has read its zone's roster")
+		require.True(t, h.Validated(), "the host has read the roster of its zone")
 	})
 }
 
-// TestStartingHostOpensOnceItCanSend: callers are told to come back until
-// the host holds slots or hears from a host that does.
+// A starting host must not serve clients before it holds slots or another host is
+// responsive, and must serve soon after that.
 func TestStartingHostOpensOnceItCanSend(t *testing.T) {
 	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		h := c.Host("costa-a-1")
@@ -61,7 +61,7 @@
 		for !h.Serving() {
 			time.Sleep(time.Millisecond)
 		}
-		require.True(t, h.CanSend(), "is ready, and can't send")
+		require.True(t, h.CanSend(), "the host is ready but has no target for requests")
 		require.Less(t, time.Since(started), 2*entry.Tick)
 	})
 }
--- a/internal/selector/entry/limits_test.go
+++ b/internal/selector/entry/limits_test.go
@@ -12,7 +12,8 @@
 	"cairndock/internal/selector/config"
 )
 
-// runsIn sums the runs of a zone's upstreams; "" is every zone.
+// runsIn returns the number of requests that a zone's upstreams ran. An empty name
+// means all zones.
 func (c *cluster) runsIn(zone string) int {
 	n := 0
 	for name, u := range c.Upstreams {
@@ -23,13 +24,13 @@
 	return n
 }
 
-// TestInFlightLimit samples all upstreams together while more is offered
-// than a rule's limit allows, and hosts come and go.
+// The number of requests outstanding at all upstreams must stay within a rule's
+// in-flight limit while the load exceeds the limit and a host is restarted.
 func TestInFlightLimit(t *testing.T) {
 	for _, limit := range []int{1, 3, 7} {
 		t.Run(fmt.Sprint(limit), func(t *testing.T) {
 			inBubble(t, fmt.Sprintf("[[rule]]\nname = \"all\"\nservice = \"planning\"\nselector = \"\"\nshare = 1.0\nin_flight = %d\n", limit), func(c *cluster) {
-				most, stop := 0, make(chan struct{})
+				maxOutstanding, stop := 0, make(chan struct{})
 				sampled := make(chan struct{})
 				go func() {
 					defer close(sampled)
@@ -43,7 +44,7 @@
 						for _, u := range c.Upstreams {
 							out += u.Ledger().Outstanding
 						}
-						most = max(most, out)
+						maxOutstanding = max(maxOutstanding, out)
 					}
 				}()
 				time.AfterFunc(3*time.Second, func() {
@@ -53,28 +54,29 @@
 				out := c.Load(100, 10*time.Second)
 				close(stop)
 				<-sampled
-				t.Logf("at most %d outstanding of %d allowed, %d answered", most, limit, out.Good)
-				require.LessOrEqual(t, most, limit)
+				t.Logf("at most %d outstanding of %d allowed, %d answered", maxOutstanding, limit, out.Good)
+				require.LessOrEqual(t, maxOutstanding, limit)
 				require.Positive(t, out.Good)
 			})
 		})
 	}
 }
 
-// TestRateLimit: over all hosts, a rule's rate holds over the whole load.
+// The requests that all hosts send must stay within a rule's rate over the whole
+// load.
 func TestRateLimit(t *testing.T) {
 	inBubble(t, "[[rule]]\nname = \"all\"\nservice = \"planning\"\nselector = \"\"\nshare = 1.0\nrate = 20.0\n", func(c *cluster) {
 		const seconds = 15
 		out := c.Load(100, seconds*time.Second)
 		t.Logf("%d ran in %d s at a limit of 20/s, %d answered", c.runsIn(""), seconds, out.Good)
-		// One request of credit for each of the 5 hosts.
+		// Each of the 5 hosts may exceed its rate by one request.
 		require.LessOrEqual(t, c.runsIn(""), 20*seconds+5)
 		require.GreaterOrEqual(t, out.Good, 20*seconds*3/4)
 	})
 }
 
-// TestColdRegion moves half of the traffic to a zone whose upstreams are
-// cold, at once and by a ramp.
+// Moving half of the traffic to a zone with cold upstreams by a ramp must cause
+// fewer slow and refused requests than moving it at once.
 func TestColdRegion(t *testing.T) {
 	const rules = `
 [[rule]]
@@ -116,5 +118,5 @@
 			})
 		})
 	}
-	require.Less(t, slow[0.05], slow[0], "a ramp spares callers the cold upstreams")
+	require.Less(t, slow[0.05], slow[0], "a ramp must reduce the effect of cold upstreams on clients")
 }
--- a/internal/selector/entry/links_test.go
+++ b/internal/selector/entry/links_test.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	linkLimit = 1_000_000 // bytes per second
-	bundle    = 400_000   // bytes
-	linkRules = `
+	linkLimit   = 1_000_000 // bytes per second
+	bundleBytes = 400_000
+	linkRules   = `
 [[rule]]
 name = "far"
 service = "planning"
@@ -51,19 +51,20 @@
 `
 )
 
-// measured is how long lookups are measured, alone and beside bundles alike.
-// In 5 and 8 seconds the p99 was the second worst of a few hundred, and one
-// connection that was made meanwhile decided it: one run in eight failed.
-const measured = 40 * time.Second
+// measurePeriod is the time for which lookups are measured, both alone and together
+// with bundles. With 5 and 8 seconds, the p99 was the second-worst of a few hundred
+// lookups, so that one new connection determined it and one run in eight failed.
+const measurePeriod = 40 * time.Second
 
-// TestLookupsBesideBundles sends lookups over a limited link, alone and
-// beside bundles that would fill it.
+// Guards against bulk traffic that delays lookups: on a limited link, the p99 of
+// lookups must hardly rise while bundles use the remaining capacity, and the link's
+// limit must not be exceeded.
 func TestLookupsBesideBundles(t *testing.T) {
 	inBubble(t, linkRules, func(c *cluster) {
 		docs := c.StartUpstream("up-sierra-docs", "1")
 		docs.Latency = 0
 		time.Sleep(3 * time.Second)
-		alone := c.farLookups(measured)
+		alone := c.remoteLookups(measurePeriod)
 
 		ctx, stop := context.WithCancel(context.Background())
 		var downloads sync.WaitGroup
@@ -72,39 +73,39 @@
 		}
 		time.Sleep(3 * time.Second)
 		before := c.sentBy("sierra-a")
-		var most int64
+		var maxPerSecond int64
 		sampled := make(chan struct{})
 		go func() {
 			defer close(sampled)
-			for range int(measured / time.Second) {
-				at := c.sentBy("sierra-a")
+			for range int(measurePeriod / time.Second) {
+				atStart := c.sentBy("sierra-a")
 				time.Sleep(time.Second)
-				most = max(most, c.sentBy("sierra-a")-at)
+				maxPerSecond = max(maxPerSecond, c.sentBy("sierra-a")-atStart)
 			}
 		}()
-		beside := c.farLookups(measured)
+		together := c.remoteLookups(measurePeriod)
 		<-sampled
-		perSecond := float64(c.sentBy("sierra-a")-before) / measured.Seconds()
+		perSecond := float64(c.sentBy("sierra-a")-before) / measurePeriod.Seconds()
 		stop()
 		downloads.Wait()
 
-		t.Logf("lookups' p99 alone %s, beside bundles %s; link used %.0f B/s, at most %d in a second, of %d", alone, beside, perSecond, most, linkLimit)
-		require.LessOrEqual(t, beside, alone*6/5)
-		require.LessOrEqual(t, most, int64(linkLimit))
+		t.Logf("lookups' p99 alone %s, beside bundles %s; link used %.0f B/s, at most %d in a second, of %d", alone, together, perSecond, maxPerSecond, linkLimit)
+		require.LessOrEqual(t, together, alone*6/5)
+		require.LessOrEqual(t, maxPerSecond, int64(linkLimit))
 		require.GreaterOrEqual(t, perSecond, 0.8*linkLimit)
 	})
 }
 
-// farLookups sends lookups from one host to the far zone and gives their p99.
-// None of them may fail.
-func (c *cluster) farLookups(d time.Duration) time.Duration {
+// remoteLookups sends lookups from one host to zone sierra-a and returns the p99 of
+// their durations. No lookup may fail.
+func (c *cluster) remoteLookups(d time.Duration) time.Duration {
 	var mu sync.Mutex
 	var took []time.Duration
 	var wait sync.WaitGroup
 	failed := map[verdict.Reason]int{}
 	for i := range int(d / (50 * time.Millisecond)) {
 		wait.Go(func() {
-			began := time.Now()
+			start := time.Now()
 			_, err := clustertest.Ask(c.Host("costa-a-1"), clustertest.Lookup(fmt.Sprintf("/tracks/%d", i)))
 			mu.Lock()
 			defer mu.Unlock()
@@ -112,7 +113,7 @@
 				failed[verdict.From(err).Reason]++
 				return
 			}
-			took = append(took, time.Since(began))
+			took = append(took, time.Since(start))
 		})
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -123,23 +124,23 @@
 	return took[len(took)*99/100]
 }
 
-// download takes one bundle after another until ctx ends.
+// download requests one bundle after another until ctx ends.
 func (c *cluster) download(ctx context.Context) {
 	for ctx.Err() == nil {
 		req := &call.Request{
-			Service: "documents", Method: http.MethodGet, Target: fmt.Sprintf("/bytes/%d", bundle), Deadline: time.Now().Add(time.Minute),
+			Service: "documents", Method: http.MethodGet, Target: fmt.Sprintf("/bytes/%d", bundleBytes), Deadline: time.Now().Add(time.Minute),
 		}
-		a, err := c.Host("costa-a-2").Do(ctx, req)
+		resp, err := c.Host("costa-a-2").Do(ctx, req)
 		if err != nil {
 			time.Sleep(50 * time.Millisecond)
 			continue
 		}
-		_, _ = io.Copy(io.Discard, a.Body)
-		_ = a.Body.Close()
+		_, _ = io.Copy(io.Discard, resp.Body)
+		_ = resp.Body.Close()
 	}
 }
 
-// sentBy sums the bytes that a zone's hosts put on the link to costa.
+// sentBy returns the number of bytes that a zone's hosts sent on the link to costa.
 func (c *cluster) sentBy(zone string) int64 {
 	var sum int64
 	for i := range 2 {
--- a/internal/selector/entry/loop.go
+++ b/internal/selector/entry/loop.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// tick is the pace of the host's own loop: half of the least time between
-// two heartbeats to a host (package member).
-const tick = 250 * time.Millisecond
+// tickInterval is the interval of the host's loop: half of the minimum time
+// between two heartbeats to a host (package member).
+const tickInterval = 250 * time.Millisecond
 
-// loop ticks until ctx ends, and early when tickNow asks for it.
+// loop calls tick at every interval, and early after a call of tickNow, until ctx
+// ends.
 func (h *Host) loop(ctx context.Context) {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		h.tick(ctx)
@@ -24,7 +25,7 @@
 	}
 }
 
-// tick does what every duty has to do from time to time.
+// tick runs the periodic tasks of all components.
 func (h *Host) tick(ctx context.Context) {
 	h.fence.Tick(ctx, h.rosters.Prove)
 	h.heartbeats.Tick(ctx)
@@ -37,22 +38,23 @@
 	h.links.Retune(ctx)
 }
 
-// tickNow makes the loop tick early, to send what changed to other hosts at once.
+// tickNow makes the loop tick immediately, so that changes are sent to other hosts
+// without delay.
 func (h *Host) tickNow() {
 	select {
 	case h.wake <- struct{}{}:
-	default: // it is to tick already
+	default: // a tick is already pending
 	}
 }
 
-// refreshServices gives the services the latest reports of the zones.
+// refreshServices passes the latest zone reports to the services.
 func (h *Host) refreshServices() {
 	now := time.Now()
 	h.services.Refresh(h.peers.ZoneReports(now), h.config.Frozen(), now, h.now())
 }
 
-// serveIfReady opens a starting host to clients once its configuration is
-// known to be the newest and there is somewhere to send requests to.
+// serveIfReady marks a starting host as serving once its configuration is proved
+// to be the newest and it has a target for requests.
 func (h *Host) serveIfReady() {
 	if h.serving.Load() || h.config.Frozen() || !h.canSend() {
 		return
@@ -62,15 +64,16 @@
 	}
 }
 
-// canSend reports whether the host holds slots or hears from another host.
-// One whose zone has no upstreams at all has nothing to wait for.
+// canSend reports whether the host holds slots or another host is responsive. It
+// also returns true if the host's zone has no upstreams, because such a host
+// never holds slots.
 func (h *Host) canSend() bool {
-	waits := false
+	hasUpstreams := false
 	for _, svc := range h.View().Services() {
 		if h.services.Get(svc.Name).Gate.Load().Held > 0 {
 			return true
 		}
-		waits = waits || len(svc.Local) > 0
+		hasUpstreams = hasUpstreams || len(svc.Local) > 0
 	}
-	return !waits || h.peers.AnyUp()
+	return !hasUpstreams || h.peers.AnyUp()
 }
--- a/internal/selector/entry/main_test.go
+++ b/internal/selector/entry/main_test.go
@@ -9,10 +9,10 @@
 
 func TestMain(m *testing.M) { testmain.OneProcessor(m) }
 
-// cluster is a system under test, with what these tests do to it.
+// cluster extends a Cluster with helpers for the tests of this package.
 type cluster struct{ *clustertest.Cluster }
 
-// inBubble runs a test on a cluster whose time is fake.
+// inBubble runs a test with a cluster in a bubble of fake time.
 func inBubble(t *testing.T, rules string, f func(c *cluster)) {
 	clustertest.Run(t, rules, func(c *clustertest.Cluster) { f(&cluster{c}) })
 }
--- a/internal/selector/entry/policy_test.go
+++ b/internal/selector/entry/policy_test.go
@@ -15,7 +15,7 @@
 	"cairndock/internal/selector/standin"
 )
 
-const capped = `
+const cappedRules = `
 [[rule]]
 name = "capped"
 service = "planning"
@@ -29,14 +29,15 @@
 share = 0.7
 `
 
-// TestCapHoldsOverTheFleet: through failover, retries, restarts and a change
-// in mid-flight, a rule never gets more than its cap of what all hosts were
-// asked, and one request for each host that counts.
+// A rule must never receive more than its cap of all requests that the hosts
+// received, plus one request for each host that enforces the cap. This applies
+// during failover, retries, restarts and a change under load.
 func TestCapHoldsOverTheFleet(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault func(c *cluster)
-		// hosts is how many counts of a cap there were: one a host's life.
+		// hosts is the number of incarnations of hosts, each of which enforces the
+		// cap by its own count.
 		hosts int
 	}{
 		{"nothing fails", func(*cluster) {}, 5},
@@ -63,7 +64,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			inBubble(t, fmt.Sprintf(capped, 0.4), func(c *cluster) {
+			inBubble(t, fmt.Sprintf(cappedRules, 0.4), func(c *cluster) {
 				time.AfterFunc(time.Second, func() { tc.fault(c) })
 				out := c.Load(60, 15*time.Second)
 				offered := out.Good + out.Refused + out.Doubt
@@ -72,8 +73,8 @@
 				require.LessOrEqual(t, float64(runs), 0.4*float64(offered)+float64(tc.hosts))
 				require.Zero(t, c.Over())
 
-				// A lower cap holds for all that comes after it is accepted.
-				doc := strings.Replace(fmt.Sprintf(capped, 0.1), "share = 0.3", "share = 0.1", 1)
+				// A lower cap applies to all requests after the change is accepted.
+				doc := strings.Replace(fmt.Sprintf(cappedRules, 0.1), "share = 0.3", "share = 0.1", 1)
 				d, err := config.ParseDocument([]byte(doc))
 				require.NoError(t, err)
 				change, err := d.Change("lower", c.revision())
@@ -93,7 +94,8 @@
 	}
 }
 
-// TestOverload offers twice the capacity.
+// At a load of twice the capacity, the hosts must serve at least 90 % of the capacity,
+// serve all admitted requests in time, and add hardly any load by retries.
 func TestOverload(t *testing.T) {
 	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		const capacity = 120
@@ -103,18 +105,18 @@
 		ran := float64(c.runsIn("")-before) / 15
 		t.Logf("answered %d/s of a capacity of %d/s, ran %.0f/s, slowest %s", out.Good/15, capacity, ran, out.Slowest)
 		require.GreaterOrEqual(t, out.Good/15, capacity*90/100)
-		require.Zero(t, out.Doubt, "what was admitted is answered within its deadline")
-		require.LessOrEqual(t, ran, float64(out.Good)/15*1.05, "retries add no load")
+		require.Zero(t, out.Doubt, "admitted requests must be served within their deadline")
+		require.LessOrEqual(t, ran, float64(out.Good)/15*1.05, "retries must not add load")
 		require.Zero(t, c.Over())
 	})
 }
 
-// TestMisleadingMeasurements: load reports that freeze, lie or stop change
-// nothing much.
+// Wrong or missing load reports must reduce the number of served requests by at most
+// 10 %.
 func TestMisleadingMeasurements(t *testing.T) {
 	zero, one := 0.0, 1.0
 	goodput := map[string]int{}
-	for name, lie := range map[string]func(c *cluster){
+	for name, inject := range map[string]func(c *cluster){
 		"true": func(*cluster) {},
 		"zero": func(c *cluster) { c.faultAll(standin.Faults{ReportLoad: &zero}) },
 		"full": func(c *cluster) { c.faultAll(standin.Faults{ReportLoad: &one}) },
@@ -131,7 +133,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, clustertest.Anywhere, func(c *cluster) {
-				lie(c)
+				inject(c)
 				out := c.Load(110, 10*time.Second)
 				goodput[name] = out.Good
 				t.Logf("answered %d, refused %d, in doubt %d", out.Good, out.Refused, out.Doubt)
@@ -144,7 +146,7 @@
 	}
 }
 
-// TestSlowUpstream: one upstream in six is slow. Requests go around it.
+// If one of six upstreams is slow, most of its requests must go to the others.
 func TestSlowUpstream(t *testing.T) {
 	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		c.Load(60, 3*time.Second)
--- a/internal/selector/entry/settings.go
+++ b/internal/selector/entry/settings.go
@@ -9,26 +9,27 @@
 )
 
 const (
-	// stopWindow is how long a planned stop may take at most, by default.
-	stopWindow = 5 * time.Minute
-	// stopGrace is how long a stopping host waits for requests on their way
-	// before it looks whether it is idle, by default.
-	stopGrace = 2 * time.Second
-	// callsPerSecond is a host's rate of calls to the platform, by default.
-	callsPerSecond = 5
+	// defaultStopWindow is the maximum duration of a planned stop.
+	defaultStopWindow = 5 * time.Minute
+	// defaultStopGrace is the time for which a stopping host waits for requests
+	// in transit before it checks whether it is idle.
+	defaultStopGrace = 2 * time.Second
+	// defaultCallsPerSecond is a host's rate of calls to the platform, per
+	// second.
+	defaultCallsPerSecond = 5
 )
 
-// Default fills the defaults of a host's settings.
+// Default fills in the defaults of a host's settings.
 func Default(s *servesettings.Settings) {
-	s.Stop.Window = cmp.Or(s.Stop.Window, settings.Duration(stopWindow))
-	s.Stop.Grace = cmp.Or(s.Stop.Grace, settings.Duration(stopGrace))
-	s.Platform.CallsPerSecond = cmp.Or(s.Platform.CallsPerSecond, callsPerSecond)
+	s.Stop.Window = cmp.Or(s.Stop.Window, settings.Duration(defaultStopWindow))
+	s.Stop.Grace = cmp.Or(s.Stop.Grace, settings.Duration(defaultStopGrace))
+	s.Platform.CallsPerSecond = cmp.Or(s.Platform.CallsPerSecond, defaultCallsPerSecond)
 	s.Platform.Region = cmp.Or(s.Platform.Region, "local")
 	s.Platform.Table = cmp.Or(s.Platform.Table, "cairndock")
 	s.Platform.Bucket = cmp.Or(s.Platform.Bucket, "cairndock")
 }
 
-// Check notes the faults of a host's settings.
+// Check adds the faults of a host's settings to f.
 func Check(s servesettings.Settings, f *settings.Faults) {
 	s.Host.Check(f)
 	f.Require(s.Peers.Listen != "", "peers.listen", "must be set")
--- a/internal/selector/entry/status.go
+++ b/internal/selector/entry/status.go
@@ -15,14 +15,15 @@
 	Host     string `json:"host"`
 	Zone     string `json:"zone"`
 	Revision uint64 `json:"revision"`
-	// FreshMillis is the age of the proof that the revision is the newest.
+	// FreshMillis is the age of the latest proof that the revision is the
+	// newest, in milliseconds.
 	FreshMillis int64 `json:"fresh_ms"`
 	Frozen      bool  `json:"frozen"`
 	Ready       bool  `json:"ready"`
 	Leaving     bool  `json:"leaving"`
 	InFlight    int64 `json:"in_flight"`
 	Tickets     int   `json:"tickets"`
-	// CutOff names the zones none of whose hosts answer.
+	// CutOff lists the zones that have no responsive host.
 	CutOff   []string        `json:"cut_off,omitempty"`
 	Zones    []ZoneStatus    `json:"zones"`
 	Services []ServiceStatus `json:"services"`
@@ -31,23 +32,23 @@
 	Leavers  []string        `json:"leaving_upstreams,omitempty"`
 }
 
-// ZoneStatus is what a host knows of a zone.
+// ZoneStatus is a host's view of a zone.
 type ZoneStatus struct {
 	Zone   string `json:"zone"`
 	Region string `json:"region"`
-	// Revision is the lowest that a live host of the zone has in force.
+	// Revision is the lowest revision in force on a responsive host of the zone.
 	Revision    uint64 `json:"revision"`
 	FreshMillis int64  `json:"fresh_ms"`
 	Hosts       int    `json:"hosts"`
 	Up          int    `json:"up"`
-	// Free and Held sum the zone's slots over all services.
+	// Free and Held are the sums of the zone's slots over all services.
 	Free int `json:"free"`
 	Held int `json:"held"`
-	// Slots is what the configuration gives the zone.
+	// Slots is the number of slots that the configuration assigns to the zone.
 	Slots int `json:"slots"`
 }
 
-// ServiceStatus is a service's standing on the host.
+// ServiceStatus is the state of a service on the host.
 type ServiceStatus struct {
 	Service string             `json:"service"`
 	Free    int                `json:"free"`
@@ -58,7 +59,7 @@
 	Sites   []steer.SiteStatus `json:"sites"`
 }
 
-// Status gives the host's view of the system.
+// Status returns the host's view of the system.
 func (h *Host) Status() Status {
 	v := h.View()
 	s := Status{
@@ -90,7 +91,7 @@
 	return s
 }
 
-// serviceStatus gives a service's slots and shares on this host.
+// serviceStatus returns a service's slots and shares on this host.
 func (h *Host) serviceStatus(name string) ServiceStatus {
 	svc := h.services.Get(name)
 	load := svc.Gate.Load()
@@ -102,8 +103,9 @@
 	return out
 }
 
-// zoneStatus gives what is known of a zone: of the own one by this host and its
-// peers, of another by the newest heartbeat of a host there that answers.
+// zoneStatus returns the status of a zone. For the own zone, it is derived from
+// this host and its peers; for another zone, from the newest heartbeat of a
+// responsive host there.
 func (h *Host) zoneStatus(v *config.View, zone string, free []member.ServiceSlots) ZoneStatus {
 	z := ZoneStatus{Zone: zone, Region: v.Region(zone), Slots: v.ZoneSlots()[zone]}
 	now := time.Now()
@@ -132,6 +134,7 @@
 	return z
 }
 
+// add adds slots to the sums of the zone.
 func (z *ZoneStatus) add(free []member.ServiceSlots) {
 	for _, f := range free {
 		z.Free += f.Free
@@ -139,7 +142,7 @@
 	}
 }
 
-// registerMetrics adds the gauges that read the host's state when asked.
+// registerMetrics registers the gauges that read the host's state on collection.
 func (h *Host) registerMetrics() {
 	m := h.metrics
 	m.Gauge("cairndock_config_revision", func() float64 { return float64(h.View().Revision()) })
--- a/internal/selector/entry/stop.go
+++ b/internal/selector/entry/stop.go
@@ -7,29 +7,30 @@
 	"cairndock/internal/pause"
 )
 
-// StopReport says how a planned stop went.
+// StopReport is the result of a planned stop.
 type StopReport struct {
-	// Waited is how long the stop took.
+	// Waited is the duration of the stop.
 	Waited time.Duration
-	// Cut is how many requests were broken off because the window ended, or got an
-	// error response since the host stops.
+	// Cut is the number of requests that were aborted because the window ended,
+	// or that received an error response because the host was stopping.
 	Cut int64
-	// HandedOver is set when another host is the successor for the tickets.
+	// HandedOver reports whether another host took over the tickets.
 	HandedOver bool
 }
 
-// Stop takes the host out of service: it is no longer named to clients, leaves
-// the zone's roster, serves what still comes, ends the clients' connections,
-// waits for what is in flight and hands its tickets over. It ends early when ctx
-// does.
+// Stop takes the host out of service. The host is no longer announced to clients,
+// leaves the zone's roster, serves the requests that still arrive, closes the
+// clients' connections, waits for the requests in flight and hands its tickets
+// over. Stop ends early if ctx ends.
 //
-// The connections end before the wait: a request that was read from one is not
-// in flight yet, and would be served by a host that has left. The same holds for
-// requests of other hosts. Those go elsewhere once nothing is in flight: until then
-// the host answers what it is asked as a member, and before the tickets are handed
-// over, as a request that was read may still use one.
+// The clients' connections are closed before the wait, because a request that was
+// read from a connection may not be in flight yet and would otherwise be served
+// after the host has left. The same applies to requests of other hosts. Their
+// connections are closed once nothing is in flight, because until then the host
+// serves them as a member of the zone, and before the tickets are handed over,
+// because a request that was already read may still use one.
 func (h *Host) Stop(ctx context.Context) StopReport {
-	began := time.Now()
+	start := time.Now()
 	h.log.Info().Msg("entry: stop began")
 	h.leaving.Store(true)
 	h.services.Leave()
@@ -42,15 +43,15 @@
 	cut := h.stopClients(ctx)
 	h.waitIdle(ctx)
 	h.mesh.GoAway(ctx)
-	h.waitIdle(ctx) // for what came in between
+	h.waitIdle(ctx) // for requests that arrived in the meantime
 	report := StopReport{HandedOver: h.tickets.HandOver(context.WithoutCancel(ctx))}
 	report.Cut = cut + h.uncounted()
 	if h.inFlight.Load() == 0 && h.services.Outstanding() == 0 {
-		// A host with a slot still taken stays a member, and its slots unused,
-		// until the platform calls it gone.
+		// Otherwise a slot is still in use. The host then stays a member, and its
+		// slots stay unused, until the platform lists it as gone.
 		h.rosters.Remove(context.WithoutCancel(ctx))
 	}
-	report.Waited = time.Since(began)
+	report.Waited = time.Since(start)
 	h.log.Info().Dur("waited", report.Waited).Int64("cut", report.Cut).Bool("handed_over", report.HandedOver).
 		Msg("entry: stop ended")
 	return report
@@ -60,15 +61,15 @@
 // returns is called.
 func (h *Host) InFlight() func() {
 	h.inFlight.Add(1)
-	h.ofClients.Add(1)
+	h.clientsInFlight.Add(1)
 	return func() {
-		h.ofClients.Add(-1)
+		h.clientsInFlight.Add(-1)
 		h.inFlight.Add(-1)
 	}
 }
 
-// stopClients ends the clients' connections, and returns how many requests it
-// cut.
+// stopClients closes the clients' connections and returns the number of requests
+// that it aborted.
 func (h *Host) stopClients(ctx context.Context) int64 {
 	if h.opts.StopClients == nil {
 		return 0
@@ -76,22 +77,22 @@
 	return h.opts.StopClients(ctx)
 }
 
-// uncounted is how many requests are in flight that stopClients did not count:
-// those of other hosts, whose connections are still to be closed.
+// uncounted returns the number of requests in flight that stopClients did not
+// count: those of other hosts, whose connections are still open.
 func (h *Host) uncounted() int64 {
 	if h.opts.StopClients == nil {
 		return h.inFlight.Load()
 	}
-	return h.inFlight.Load() - h.ofClients.Load()
+	return h.inFlight.Load() - h.clientsInFlight.Load()
 }
 
-// idlePoll is the time between two looks whether a stopping host is idle.
-const idlePoll = 20 * time.Millisecond
+// idlePollInterval is the time between two checks whether a stopping host is idle.
+const idlePollInterval = 20 * time.Millisecond
 
-// waitIdle waits until nothing is in flight, or ctx ends.
+// waitIdle waits until no request is in flight or ctx ends.
 func (h *Host) waitIdle(ctx context.Context) {
 	for h.inFlight.Load() > 0 || h.services.Outstanding() > 0 || h.tickets.Running() > 0 {
-		if !pause.For(ctx, idlePoll) {
+		if !pause.For(ctx, idlePollInterval) {
 			return
 		}
 	}
--- a/internal/selector/entry/suspicions.go
+++ b/internal/selector/entry/suspicions.go
@@ -10,23 +10,24 @@
 	"cairndock/internal/selector/member"
 )
 
-// newsEvery bounds how often a host reports changes of suspicions at once; heartbeats
-// bring the others.
-const newsEvery = 250 * time.Millisecond
+// minNotifyInterval is the minimum time between two immediate reports of changed
+// suspicions. Changes in between are sent with the regular heartbeats.
+const minNotifyInterval = 250 * time.Millisecond
 
-// suspicionObserver reports changes of a host's suspicions.
+// suspicionObserver reports changes of a host's suspicions to other hosts and to
+// the log.
 type suspicionObserver struct {
 	host *Host
-	// reportedAt is when it last did, by the host's clock.
+	// reportedAt is the time of the latest immediate report, by the host's clock.
 	reportedAt atomic.Int64
 }
 
-// SuspicionsChanged tells the own zone and a host of each other zone, which do the same
-// with what is news to them.
+// SuspicionsChanged sends heartbeats to the own zone and to one host of each other
+// zone. These hosts relay the changes that are new to them in the same way.
 func (o *suspicionObserver) SuspicionsChanged() {
 	h, now := o.host, o.host.now()
 	last := o.reportedAt.Load()
-	if now-last < int64(newsEvery) || !o.reportedAt.CompareAndSwap(last, now) {
+	if now-last < int64(minNotifyInterval) || !o.reportedAt.CompareAndSwap(last, now) {
 		return
 	}
 	h.heartbeats.NotifyZone()
@@ -35,7 +36,8 @@
 	}
 }
 
-// UpstreamTerminated does nothing: the slots of an upstream that fails are back when it responds.
+// UpstreamTerminated does nothing, because the slots of a failed upstream become
+// usable again when it responds.
 func (o *suspicionObserver) UpstreamTerminated(string, time.Time) {}
 
 // Quarantined logs that a request is refused.
@@ -48,15 +50,16 @@
 	o.host.log.Info().Str("fingerprint", f.String()).Msg("entry: request released from quarantine")
 }
 
-// guard makes what stands before the client that sends requests to upstreams.
+// guard returns the guard that checks requests before the client sends them to
+// upstreams.
 func (h *Host) guard() *suspicions.Guard {
 	return suspicions.New(suspicions.Options{
 		Sender: h.client, Table: h.suspicions, Dial: h.opts.DialUpstream, Leaving: h.isLeaving, Log: h.log,
 	})
 }
 
-// isLeaving reports whether an upstream of the zone takes no new work, or is gone from
-// the configuration.
+// isLeaving reports whether an upstream of the zone accepts no new requests or is
+// no longer in the configuration.
 func (h *Host) isLeaving(name string) bool {
 	u, ok := h.View().LocalUpstream(name)
 	return !ok || h.upstreams.Leaving(u)
--- a/internal/selector/entry/tickets_test.go
+++ b/internal/selector/entry/tickets_test.go
@@ -17,7 +17,7 @@
 	"cairndock/internal/verdict"
 )
 
-// booking is a request that must run at most once.
+// booking returns a request that must run at most once.
 func booking(ticket string) *call.Request {
 	return &call.Request{
 		Service: "planning", Method: http.MethodPost, Target: "/bookings", Body: []byte("{}"),
@@ -25,19 +25,21 @@
 	}
 }
 
-func (c *cluster) mint(host string) string {
+// issueTicket returns a new ticket of a host.
+func (c *cluster) issueTicket(host string) string {
 	t, err := c.Host(host).IssueTicket("planning")
 	require.NoError(c.T, err)
 	return t.String()
 }
 
-// faultAll gives every upstream the same faults.
+// faultAll sets the same faults for every upstream.
 func (c *cluster) faultAll(f standin.Faults) {
 	for _, u := range c.Upstreams {
 		u.SetFaults(f)
 	}
 }
 
+// runs returns the number of times that the request of a ticket ran.
 func (c *cluster) runs(ticket string) int {
 	n := 0
 	for _, u := range c.Upstreams {
@@ -46,25 +48,26 @@
 	return n
 }
 
-// told is what a caller was told last.
-func told(err error) verdict.Verdict {
+// reported returns the verdict that a result reports to a client.
+func reported(err error) verdict.Verdict {
 	if err == nil {
 		return verdict.Ran
 	}
 	return verdict.From(err).Verdict
 }
 
-// TestAtMostOnce breaks the way of one booking at every point and then
-// resends it by every host. The upstreams' ledger shows how often it ran.
+// Guards against a request with a ticket that runs twice or is reported wrongly. A
+// failure is injected at every point of the path of one booking, which is then
+// resent through every host. The upstreams' ledgers show how often it ran.
 func TestAtMostOnce(t *testing.T) {
 	const issuer = "costa-a-1"
 	cases := []struct {
 		name string
-		// first sends the booking; again comes before the resends.
+		// first sends the booking; again runs before the resends.
 		first func(c *cluster, ticket string) error
 		again func(c *cluster)
 		runs  int
-		// last is what the last resend is told.
+		// last is the verdict that the last resend reports.
 		last verdict.Verdict
 	}{
 		{name: "nothing fails", runs: 1, last: verdict.Ran},
@@ -78,37 +81,37 @@
 			c.faultAll(standin.Faults{})
 			return err
 		}},
-		{name: "upstream dies before it runs", runs: 0, last: verdict.MayHaveRun, first: func(c *cluster, ticket string) error {
+		{name: "upstream fails before it runs the booking", runs: 0, last: verdict.MayHaveRun, first: func(c *cluster, ticket string) error {
 			c.faultAll(standin.Faults{DropBefore: true})
 			_, err := clustertest.Ask(c.Host(issuer), booking(ticket))
 			c.faultAll(standin.Faults{})
 			return err
 		}},
-		{name: "upstream dies after it ran", runs: 1, last: verdict.MayHaveRun, first: func(c *cluster, ticket string) error {
+		{name: "upstream fails after it ran the booking", runs: 1, last: verdict.MayHaveRun, first: func(c *cluster, ticket string) error {
 			c.faultAll(standin.Faults{DropAfter: true})
 			_, err := clustertest.Ask(c.Host(issuer), booking(ticket))
 			c.faultAll(standin.Faults{})
 			return err
 		}},
-		{name: "answer breaks off", runs: 1, last: verdict.MayHaveRun, first: func(c *cluster, ticket string) error {
+		{name: "response truncated", runs: 1, last: verdict.MayHaveRun, first: func(c *cluster, ticket string) error {
 			c.faultAll(standin.Faults{Truncate: true})
 			_, err := clustertest.Ask(c.Host(issuer), booking(ticket))
 			c.faultAll(standin.Faults{})
 			return err
 		}},
-		{name: "caller leaves", runs: 1, last: verdict.Ran, first: func(c *cluster, ticket string) error {
+		{name: "client disconnects", runs: 1, last: verdict.Ran, first: func(c *cluster, ticket string) error {
 			ctx, cancel := context.WithTimeout(context.Background(), clustertest.Latency/2)
 			defer cancel()
 			_, err := c.Host(issuer).Do(ctx, booking(ticket))
 			return err
 		}},
-		{name: "upstream slower than the caller's deadline", runs: 1, last: verdict.Ran, first: func(c *cluster, ticket string) error {
+		{name: "upstream slower than the client's deadline", runs: 1, last: verdict.Ran, first: func(c *cluster, ticket string) error {
 			c.faultAll(standin.Faults{Delay: clustertest.Timeout})
 			_, err := clustertest.Ask(c.Host(issuer), booking(ticket))
 			c.faultAll(standin.Faults{})
 			return err
 		}, again: func(*cluster) { time.Sleep(clustertest.Timeout) }},
-		{name: "resends race each other", runs: 1, last: verdict.Ran, first: func(c *cluster, ticket string) error {
+		{name: "concurrent resends", runs: 1, last: verdict.Ran, first: func(c *cluster, ticket string) error {
 			var wait sync.WaitGroup
 			for _, h := range c.Live() {
 				for range 3 {
@@ -118,15 +121,15 @@
 			wait.Wait()
 			return nil
 		}},
-		{name: "issuer killed after", runs: 1, last: verdict.MayHaveRun, again: func(c *cluster) { c.Kill(issuer) }},
+		{name: "issuer killed afterwards", runs: 1, last: verdict.MayHaveRun, again: func(c *cluster) { c.Kill(issuer) }},
 		{name: "issuer killed and replaced", runs: 1, last: verdict.MayHaveRun, again: func(c *cluster) {
 			c.Kill(issuer)
 			c.Start(issuer)
 			time.Sleep(5 * time.Second)
 		}},
-		{name: "issuer killed while it runs", runs: 1, last: verdict.MayHaveRun, first: func(c *cluster, ticket string) error {
+		{name: "issuer killed while the booking runs", runs: 1, last: verdict.MayHaveRun, first: func(c *cluster, ticket string) error {
 			go func() {
-				// The way there takes 35 ms.
+				// The transit time to the issuer is 35 ms.
 				time.Sleep(35*time.Millisecond + clustertest.Latency/2)
 				c.Kill(issuer)
 			}()
@@ -160,7 +163,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			inBubble(t, clustertest.Anywhere, func(c *cluster) {
-				ticket := c.mint(issuer)
+				ticket := c.issueTicket(issuer)
 				first := tc.first
 				if first == nil {
 					first = func(c *cluster, ticket string) error {
@@ -168,7 +171,7 @@
 						return err
 					}
 				}
-				c.checkTold(ticket, told(first(c, ticket)))
+				c.checkReported(ticket, reported(first(c, ticket)))
 				if tc.again != nil {
 					tc.again(c)
 				}
@@ -176,8 +179,8 @@
 				var last verdict.Verdict
 				for _, h := range c.Live() {
 					_, err := clustertest.Ask(h, booking(ticket))
-					last = told(err)
-					c.checkTold(ticket, last)
+					last = reported(err)
+					c.checkReported(ticket, last)
 				}
 				require.Equal(t, tc.runs, c.runs(ticket))
 				require.Equal(t, tc.last.String(), last.String())
@@ -187,21 +190,23 @@
 	}
 }
 
-// checkTold holds what a caller was told against the ledger.
-func (c *cluster) checkTold(ticket string, v verdict.Verdict) {
+// checkReported compares a verdict that a client received with the ledgers.
+func (c *cluster) checkReported(ticket string, v verdict.Verdict) {
 	runs := c.runs(ticket)
 	require.LessOrEqual(c.T, runs, 1, "ran twice")
 	if v == verdict.NotRun {
-		require.Zero(c.T, runs, "told not-run")
+		require.Zero(c.T, runs, "reported as not-run, but ran")
 	}
 	if v == verdict.Ran {
-		require.Equal(c.T, 1, runs, "told ran")
+		require.Equal(c.T, 1, runs, "reported as ran")
 	}
 }
 
+// A ticket must be valid for one request only: resends get the same response, and
+// another request with the same ticket is refused.
 func TestTicketsServeOneRequest(t *testing.T) {
 	inBubble(t, clustertest.Anywhere, func(c *cluster) {
-		ticket := c.mint("costa-a-1")
+		ticket := c.issueTicket("costa-a-1")
 		one, err := clustertest.Ask(c.Host("costa-a-1"), booking(ticket))
 		require.NoError(t, err)
 		for _, h := range c.Live() {
@@ -217,9 +222,10 @@
 	})
 }
 
-// hears waits until a host answers another.
-func hears(h *entry.Host, name string, limit time.Duration) bool {
-	for began := time.Now(); time.Since(began) < limit; time.Sleep(entry.Tick) {
+// waitPeerUp waits until a host regards another host as responsive, and reports
+// whether this happened within the limit.
+func waitPeerUp(h *entry.Host, name string, limit time.Duration) bool {
+	for start := time.Now(); time.Since(start) < limit; time.Sleep(entry.Tick) {
 		if h.Hears(name) {
 			return true
 		}
@@ -227,13 +233,13 @@
 	return false
 }
 
-// TestTicketsFindTheirIssuerByZone: a host that does not know the issuer
-// asks one of its zone.
+// A host that does not know the issuer of a ticket must query a host of the issuer's
+// zone.
 func TestTicketsFindTheirIssuerByZone(t *testing.T) {
 	inBubble(t, clustertest.Anywhere, func(c *cluster) {
-		ticket := c.mint("costa-a-1")
+		ticket := c.issueTicket("costa-a-1")
 		far := c.Host("sierra-a-1")
-		require.True(t, hears(far, "costa-a-2", 5*time.Second), "no other host of the issuer's zone is known")
+		require.True(t, waitPeerUp(far, "costa-a-2", 5*time.Second), "no other host of the issuer's zone is known")
 		far.Forget("costa-a-1")
 		one, err := clustertest.Ask(far, booking(ticket))
 		require.NoError(t, err)
