--- a/internal/selector/entry/clustertest/cluster.go
+++ b/internal/selector/entry/clustertest/cluster.go
@@ -33,16 +33,17 @@
 )
 
 const (
-	// UpstreamSlots is how many slots each upstream has: few, so that limits are
-	// reached soon.
+	// UpstreamSlots is the number of slots of each upstream. It is small so that
+	// tests reach limits soon.
 	UpstreamSlots = 2
-	// Latency is how long an upstream takes for a request.
+	// Latency is the time that an upstream takes for a request.
 	Latency = 100 * time.Millisecond
-	// Timeout is how long clients wait, and hosts for a connection to an upstream.
+	// Timeout is the timeout of clients for a request, and of hosts for opening a
+	// connection to an upstream.
 	Timeout = time.Second
 )
 
-// service is the configuration of the one service.
+// service is the configuration of the only service.
 const service = `
 [[service]]
 name = "planning"
@@ -60,18 +61,20 @@
 share = 1.0
 `
 
-// Cluster is a small system on a fake network, in a synctest bubble.
+// Cluster is a small system of hosts and upstreams on a fake network, in a synctest
+// bubble.
 type Cluster struct {
 	T         *testing.T
 	Net       *memnet.Network
 	Memory    *store.Memory
 	Upstreams map[string]*standin.Upstream
-	hosts     sync.Map // of *entry.Host, those alive, by name
-	// clocks are the clocks of the hosts' machines, of *suspendtest.Clock by name.
+	hosts     sync.Map // maps the names of live hosts to *entry.Host
+	// clocks maps host names to the *suspendtest.Clock of the host's machine.
 	clocks sync.Map
 }
 
-// Run runs a test on a cluster whose time is fake, with rules in force.
+// Run runs a test with a cluster that has the given rules in force, in a bubble of
+// fake time.
 func Run(t *testing.T, rules string, f func(c *Cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &Cluster{T: t, Net: &memnet.Network{Delay: delay}, Memory: store.NewMemory(), Upstreams: map[string]*standin.Upstream{}}
@@ -93,12 +96,14 @@
 	})
 }
 
+// regionOf returns the region of a zone, host or upstream by its name.
 func regionOf(name string) string {
 	region, _, _ := strings.Cut(strings.TrimPrefix(name, "up-"), "-")
 	return region
 }
 
-// delay is 1 ms within a region and 35 ms between regions.
+// delay returns the delay of a link: 1 ms within a region and 35 ms between
+// regions.
 func delay(from, to string) time.Duration {
 	if regionOf(from) == regionOf(to) {
 		return time.Millisecond
@@ -117,7 +122,7 @@
 	return u
 }
 
-// Apply writes a change straight to the log, as another host would.
+// Apply appends a change directly to the log, like a host outside the cluster.
 func (c *Cluster) Apply(id, doc string, base uint64) {
 	d, err := config.ParseDocument([]byte(doc))
 	require.NoError(c.T, err)
@@ -127,7 +132,7 @@
 	require.NoError(c.T, err)
 }
 
-// Start starts a host, or a new incarnation of one.
+// Start starts a host, or a new incarnation of a host that was killed.
 func (c *Cluster) Start(name string) *entry.Host {
 	set := servesettings.Settings{
 		Host:    settings.Host{Name: name, Zone: name[:strings.LastIndex(name, "-")], Region: regionOf(name)},
@@ -152,22 +157,24 @@
 	return h
 }
 
+// clock returns the suspend clock of a host's machine.
 func (c *Cluster) clock(host string) *suspendtest.Clock {
 	v, _ := c.clocks.LoadOrStore(host, &suspendtest.Clock{})
 	return v.(*suspendtest.Clock)
 }
 
-// Suspend has a host's machine wake up after a suspension.
+// Suspend simulates that a host's machine resumes after a suspension of the given
+// duration.
 func (c *Cluster) Suspend(host string, d time.Duration) { c.clock(host).Suspend(d) }
 
-// Host gives a live host, or nil.
+// Host returns a live host, or nil.
 func (c *Cluster) Host(name string) *entry.Host {
 	v, _ := c.hosts.Load(name)
 	h, _ := v.(*entry.Host)
 	return h
 }
 
-// Live gives the live hosts, always in the same order.
+// Live returns the live hosts, always in the same order.
 func (c *Cluster) Live() []*entry.Host {
 	var out []*entry.Host
 	for _, name := range hostNames {
@@ -178,34 +185,38 @@
 	return out
 }
 
+// closeAll stops all hosts and upstreams and waits until their goroutines have
+// ended.
 func (c *Cluster) closeAll() {
-	c.Net.Cut(nil) // what waits for a cut link would never end
+	c.Net.Cut(nil) // otherwise goroutines that wait for a cut link never end
 	for _, h := range c.Live() {
 		h.Close()
 	}
 	for _, u := range c.Upstreams {
 		_ = u.Close()
 	}
-	time.Sleep(time.Minute) // everything that waits has ended by then
+	time.Sleep(time.Minute) // all waiting goroutines end within this time
 }
 
-// WaitSettled waits until the hosts together hold every slot, and gives how long
-// that took, or -1 after the limit.
+// WaitSettled waits until the hosts together hold all slots, are ready and see all
+// zones. It returns the time that this took, or -1 after the limit.
 func (c *Cluster) WaitSettled(limit time.Duration) time.Duration {
-	began := time.Now()
-	for time.Since(began) < limit {
+	start := time.Now()
+	for time.Since(start) < limit {
 		held, slots := c.Held()
 		if held == slots && !slices.ContainsFunc(c.Live(), unsettled) {
-			return time.Since(began)
+			return time.Since(start)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	return -1
 }
 
+// unsettled reports whether a host is not ready or has no contact to some zone.
 func unsettled(h *entry.Host) bool { return !h.Ready() || len(h.Status().CutOff) > 0 }
 
-// Held sums the slots that the live hosts may use, and those of all upstreams.
+// Held returns the number of slots that the live hosts hold, and the number of slots
+// of all upstreams.
 func (c *Cluster) Held() (held, slots int) {
 	for _, h := range c.Live() {
 		for _, svc := range h.Status().Services {
@@ -215,7 +226,8 @@
 	return held, len(c.Upstreams) * UpstreamSlots
 }
 
-// Over sums the requests that met an upstream without a free slot.
+// Over returns the number of requests that arrived at an upstream without a free
+// slot.
 func (c *Cluster) Over() int {
 	sum := 0
 	for _, u := range c.Upstreams {
--- a/internal/selector/entry/clustertest/faults.go
+++ b/internal/selector/entry/clustertest/faults.go
@@ -11,7 +11,7 @@
 	"cairndock/internal/selector/store"
 )
 
-// Kill ends a host at once; the platform's list says so 3 s later.
+// Kill closes a host immediately. The platform's list marks it as gone 3 s later.
 func (c *Cluster) Kill(name string) {
 	h := c.Host(name)
 	c.hosts.Delete(name)
@@ -23,10 +23,10 @@
 	})
 }
 
-// CutOff cuts the names that begin with one of the prefixes off from all others,
-// the platform too, for a time: a host, or a zone by its hosts and upstreams. A
-// single host acts as a paused one does if the time is longer than the silence
-// after which it closes its fence by itself.
+// CutOff isolates the names that begin with one of the prefixes from all other
+// names, including the platform, for a time. The prefixes can select a host, or a
+// zone by its hosts and upstreams. An isolated single host behaves like a paused
+// one if the time exceeds the silence after which it closes its fence.
 func (c *Cluster) CutOff(d time.Duration, prefixes ...string) {
 	inside := func(name string) bool {
 		return slices.ContainsFunc(prefixes, func(p string) bool { return strings.HasPrefix(name, p) })
@@ -36,33 +36,33 @@
 	c.Net.Cut(nil)
 }
 
-// StoreDown has the platform's store fail every call for a time.
+// StoreDown makes every call to the platform's store fail for a time.
 func (c *Cluster) StoreDown(d time.Duration) {
 	c.Memory.SetFault(func(string, bool) error { return errors.New("platform is down") })
 	time.Sleep(d)
 	c.Memory.SetFault(nil)
 }
 
-// LoseAnswers makes writes take effect without an answer.
+// LoseAnswers makes writes succeed without a response for a time.
 func (c *Cluster) LoseAnswers(d time.Duration) {
 	c.Memory.SetFault(func(op string, after bool) error {
 		if op == "transact" && after {
-			return errors.New("answer lost")
+			return errors.New("response lost")
 		}
 		return nil
 	})
 	time.AfterFunc(d, func() { c.Memory.SetFault(nil) })
 }
 
-// platform is the platform as one host reaches it: a cut link to the name
-// "platform" makes its calls hang until they time out.
+// platform is one host's access to the platform. While the link to the name
+// "platform" is cut, its calls block until they time out.
 type platform struct {
 	*store.Memory
 	host memnet.End
 }
 
-// reach waits until the host can reach the platform, or ctx ends, which
-// store.Memory then returns as the call's error.
+// reach waits until the host can reach the platform or ctx ends. In the latter
+// case, store.Memory returns the error of ctx.
 func (p platform) reach(ctx context.Context) context.Context {
 	_ = p.host.Reach(ctx, "platform")
 	return ctx
--- a/internal/selector/entry/clustertest/leaving_test.go
+++ b/internal/selector/entry/clustertest/leaving_test.go
@@ -32,21 +32,21 @@
 	require.NoError(c.T, err)
 }
 
-// TestLeavingUpstreamGetsNoNewWork: from the first report on, no new request
-// reaches it after 2 s, and no source that lags brings it back.
+// A leaving upstream must receive no new requests more than 2 s after the first
+// report, even if a source that lags still reports it as live.
 func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
 	const name = "up-costa-a-1"
 	cases := []struct {
-		name string
-		sign func(c *Cluster)
+		name     string
+		announce func(c *Cluster)
 	}{
 		{"by the configuration", func(c *Cluster) { c.leave(name) }},
-		{"by its own word", func(c *Cluster) { c.Upstreams[name].Drain() }},
-		{"by the platform's list, which then goes back", func(c *Cluster) {
+		{"by its own announcement", func(c *Cluster) { c.Upstreams[name].Drain() }},
+		{"by the platform's list, which then reverts", func(c *Cluster) {
 			c.Memory.SetHost(name, store.Leaving)
 			time.AfterFunc(3*time.Second, func() { c.Memory.SetHost(name, store.Live) })
 		}},
-		{"by its own word while the platform is down", func(c *Cluster) {
+		{"by its own announcement while the platform is down", func(c *Cluster) {
 			go c.StoreDown(8 * time.Second)
 			c.Upstreams[name].Drain()
 		}},
@@ -57,17 +57,18 @@
 			Run(t, Anywhere, func(c *Cluster) {
 				c.Load(100, 3*time.Second)
 				require.Positive(t, c.Upstreams[name].Ledger().Runs)
-				signed := time.Now()
-				tc.sign(c)
+				announcedAt := time.Now()
+				tc.announce(c)
 				c.Load(100, 10*time.Second)
-				last := c.Upstreams[name].Ledger().LastNew.Sub(signed)
-				t.Logf("last new request %s after the sign", last)
-				// The platform's list is read every 2 s, the sign's age there.
+				last := c.Upstreams[name].Ledger().LastNew.Sub(announcedAt)
+				t.Logf("last new request %s after the announcement", last)
+				// The platform's list is read every 2 s, which delays an
+				// announcement there.
 				require.Less(t, last, 2*time.Second+rosters.HostsInterval)
-				if strings.Contains(tc.name, "list") || strings.Contains(tc.name, "own word") {
+				if strings.Contains(tc.name, "list") || strings.Contains(tc.name, "own announcement") {
 					c.restartUpstream(name)
 					c.Load(100, 6*time.Second)
-					require.Positive(t, c.Upstreams[name].Ledger().Runs, "a new instance gets work")
+					require.Positive(t, c.Upstreams[name].Ledger().Runs, "a new instance must receive requests")
 				}
 				require.Zero(t, c.Over())
 			})
@@ -75,13 +76,15 @@
 	}
 }
 
+// restartUpstream replaces an upstream by a new instance.
 func (c *Cluster) restartUpstream(name string) {
 	require.NoError(c.T, c.Upstreams[name].Close())
 	time.Sleep(100 * time.Millisecond)
 	c.StartUpstream(name, "2")
 }
 
-// TestPlannedStopCutsNothing replaces every host in turn under load.
+// Replacing every host in turn by planned stops must cut no request under load, and
+// at most 1 % of the requests may be refused.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	Run(t, Anywhere, func(c *Cluster) {
 		stopped := make(chan struct{})
@@ -104,30 +107,30 @@
 				return
 			case <-time.After(20 * time.Millisecond):
 			}
-			h := c.entryOf(i)
+			h := c.entryFor(i)
 			wait.Go(func() { out.One(h, fmt.Sprintf("/tracks/%d", i)) })
 		}
 	})
 }
 
-// entryOf asks a host which to use, as callers do: one that is starting
-// still sends them on to another.
-func (c *Cluster) entryOf(i int) *entry.Host {
+// entryFor queries the directory of a host, like a client, and returns the first
+// live host that it lists. Hosts that are starting are not queried.
+func (c *Cluster) entryFor(i int) *entry.Host {
 	hosts := slices.DeleteFunc(c.Live(), func(h *entry.Host) bool { return !h.Serving() })
-	asked := hosts[i%len(hosts)]
-	answer, err := asked.EntriesFor("planning", netip.MustParseAddr("127.0.0.1"))
+	queried := hosts[i%len(hosts)]
+	response, err := queried.EntriesFor("planning", netip.MustParseAddr("127.0.0.1"))
 	require.NoError(c.T, err)
-	var named directory.Entries
-	require.NoError(c.T, json.Unmarshal(answer, &named))
-	for _, e := range named.Entries {
+	var list directory.Entries
+	require.NoError(c.T, json.Unmarshal(response, &list))
+	for _, e := range list.Entries {
 		if h := c.Host(e.Host); h != nil {
 			return h
 		}
 	}
-	return asked
+	return queried
 }
 
-// replace stops a host as planned and starts its next incarnation.
+// replace stops a host by a planned stop and starts its next incarnation.
 func (c *Cluster) replace(t *testing.T, name string) {
 	h := c.Host(name)
 	report := h.Stop(context.Background())
@@ -138,8 +141,8 @@
 	time.Sleep(5 * time.Second)
 }
 
-// TestStopWaitsForLongDownloads: a request that lasts longer than the grace
-// is not cut, and neither is one that a peer sent on.
+// A planned stop must wait for a request that lasts longer than the grace period
+// and must not cut it.
 func TestStopWaitsForLongDownloads(t *testing.T) {
 	const length = 20 * time.Second
 	Run(t, Anywhere, func(c *Cluster) {
@@ -153,8 +156,9 @@
 	})
 }
 
-// TestStopSaysWhatItCut: the end of the window, or a second signal.
-func TestStopSaysWhatItCut(t *testing.T) {
+// A planned stop that ends early must report the requests that it cut. The context
+// ends as it does at the end of the window or on a second signal.
+func TestStopReportsCutRequests(t *testing.T) {
 	Run(t, Anywhere, func(c *Cluster) {
 		h := c.Host("costa-b-1")
 		defer h.InFlight()()
--- a/internal/selector/entry/clustertest/load.go
+++ b/internal/selector/entry/clustertest/load.go
@@ -14,32 +14,34 @@
 	"cairndock/internal/verdict"
 )
 
-// Counts are what a load got: Good are whole answers and Slow those of them that
-// took longer than slowAfter, Wrong the answers to other requests, Refused the
-// requests proved not to have run, and Doubt those that may have run.
+// Counts holds the outcomes of a load. Good counts complete responses, and Slow
+// those of them that took longer than slowThreshold. Wrong counts responses to
+// other requests, Refused the requests that provably did not run, and Doubt those
+// that may have run.
 type Counts struct {
 	Good, Slow, Wrong, Refused, Doubt int
-	// Slowest is the longest time to an outcome.
+	// Slowest is the longest time until an outcome.
 	Slowest time.Duration
-	// Reasons counts what was not answered.
+	// Reasons counts the failed requests by reason.
 	Reasons map[verdict.Reason]int
 
 	mu sync.Mutex
 }
 
-// slowAfter is three times a warm upstream's latency.
-const slowAfter = 3 * Latency
+// slowThreshold is three times a warm upstream's latency.
+const slowThreshold = 3 * Latency
 
-// Load sends lookups to the live hosts in turn, whatever becomes of them.
+// Load sends lookups to the live hosts in turn, at a fixed rate that does not depend
+// on their outcomes, and returns the counts when all have ended.
 func (c *Cluster) Load(perSecond int, d time.Duration) *Counts {
 	out := &Counts{Reasons: map[verdict.Reason]int{}}
 	var wait sync.WaitGroup
-	pause := time.Second / time.Duration(perSecond)
-	for i := range int(d / pause) {
+	interval := time.Second / time.Duration(perSecond)
+	for i := range int(d / interval) {
 		hosts := c.Live()
 		h := hosts[i%len(hosts)]
 		wait.Go(func() { out.One(h, fmt.Sprintf("/tracks/%d", i)) })
-		time.Sleep(pause)
+		time.Sleep(interval)
 	}
 	wait.Wait()
 	return out
@@ -47,9 +49,9 @@
 
 // One sends a lookup to a host and counts its outcome.
 func (o *Counts) One(h *entry.Host, path string) {
-	began := time.Now()
+	start := time.Now()
 	body, err := Ask(h, Lookup(path))
-	took := time.Since(began)
+	took := time.Since(start)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.Slowest = max(o.Slowest, took)
@@ -65,26 +67,26 @@
 		o.Wrong++
 	default:
 		o.Good++
-		if took > slowAfter {
+		if took > slowThreshold {
 			o.Slow++
 		}
 	}
 }
 
-// Lookup is a request that may be repeated.
+// Lookup returns a request that may be repeated.
 func Lookup(path string) *call.Request {
 	return &call.Request{Service: "planning", Method: http.MethodGet, Target: path, Deadline: time.Now().Add(Timeout)}
 }
 
-// Ask sends a request to a host and gives the whole answer.
+// Ask sends a request to a host and returns the complete body of the response.
 func Ask(h *entry.Host, req *call.Request) (string, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), req.Deadline)
 	defer cancel()
-	a, err := h.Do(ctx, req)
+	resp, err := h.Do(ctx, req)
 	if err != nil {
 		return "", err
 	}
-	defer a.Body.Close()
-	body, err := io.ReadAll(a.Body)
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
 	return string(body), err
 }
--- a/internal/selector/entry/clustertest/memnet/memnet_test.go
+++ b/internal/selector/entry/clustertest/memnet/memnet_test.go
@@ -17,8 +17,8 @@
 	return &Network{Delay: func(string, string) time.Duration { return delay }}
 }
 
-// connect gives both ends of a connection from a to b.
-func connect(t *testing.T, n *Network) (here, there net.Conn) {
+// connect returns both ends of a connection from a to b.
+func connect(t *testing.T, n *Network) (dialer, acceptor net.Conn) {
 	l, err := End{n, "b"}.Listen("b:1")
 	require.NoError(t, err)
 	accepted := make(chan net.Conn, 1)
@@ -28,48 +28,48 @@
 			accepted <- c
 		}
 	}()
-	here, err = End{n, "a"}.Dial(context.Background(), "b:1")
+	dialer, err = End{n, "a"}.Dial(context.Background(), "b:1")
 	require.NoError(t, err)
-	there = <-accepted
-	t.Cleanup(func() { _, _ = here.Close(), there.Close() })
-	return here, there
+	acceptor = <-accepted
+	t.Cleanup(func() { _, _ = dialer.Close(), acceptor.Close() })
+	return dialer, acceptor
 }
 
-// TestWritesArriveInOrder: after the delay of the link, and a cut link delays
-// them until it is healed.
+// Writes must be delivered in order after the delay of the link. A cut link must
+// delay them until it is healed.
 func TestWritesArriveInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
-		here, there := connect(t, n)
+		dialer, acceptor := connect(t, n)
 		read := func() string {
 			buf := make([]byte, 2)
-			_, err := io.ReadFull(there, buf)
+			_, err := io.ReadFull(acceptor, buf)
 			require.NoError(t, err)
 			return string(buf)
 		}
 		began := time.Now()
-		_, err := here.Write([]byte("a"))
+		_, err := dialer.Write([]byte("a"))
 		require.NoError(t, err)
-		_, err = here.Write([]byte("b"))
+		_, err = dialer.Write([]byte("b"))
 		require.NoError(t, err)
 		require.Equal(t, "ab", read())
 		require.Equal(t, delay, time.Since(began))
 
 		n.Cut(func(a, b string) bool { return a == "b" && b == "a" })
-		_, err = here.Write([]byte("cd"))
+		_, err = dialer.Write([]byte("cd"))
 		require.NoError(t, err)
 		time.AfterFunc(time.Minute, func() { n.Cut(nil) })
 		began = time.Now()
 		require.Equal(t, "cd", read())
 		require.Equal(t, time.Minute, time.Since(began))
-		require.NoError(t, here.Close())
-		_, err = there.Read(make([]byte, 1))
+		require.NoError(t, dialer.Close())
+		_, err = acceptor.Read(make([]byte, 1))
 		require.ErrorIs(t, err, io.EOF)
 	})
 }
 
-// TestDial: hangs on a cut link until ctx ends, and is refused where nobody
-// listens.
+// Dial must block on a cut link until ctx ends, and must be refused at an address
+// without a listener.
 func TestDial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
@@ -85,26 +85,26 @@
 	})
 }
 
-// TestEndsCloseAlone: an end that closed its sending side still reads, and one
-// that writes to a closed end is told so by a later write.
-func TestEndsCloseAlone(t *testing.T) {
+// An end that closed its sending side must still be able to read. After a write to a
+// closed end, a later write must fail.
+func TestEndsCloseIndependently(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
-		here, there := connect(t, n)
-		require.NoError(t, here.(*conn).CloseWrite())
-		_, err := there.Read(make([]byte, 1))
+		dialer, acceptor := connect(t, n)
+		require.NoError(t, dialer.(*conn).CloseWrite())
+		_, err := acceptor.Read(make([]byte, 1))
 		require.ErrorIs(t, err, io.EOF)
-		_, err = there.Write([]byte("a"))
+		_, err = acceptor.Write([]byte("a"))
 		require.NoError(t, err)
-		_, err = io.ReadFull(here, make([]byte, 1))
+		_, err = io.ReadFull(dialer, make([]byte, 1))
 		require.NoError(t, err)
 
-		require.NoError(t, here.Close())
-		_, err = there.Write([]byte("b"))
-		require.NoError(t, err, "not known yet")
+		require.NoError(t, dialer.Close())
+		_, err = acceptor.Write([]byte("b"))
+		require.NoError(t, err, "the closed end is not detected yet")
 		time.Sleep(delay)
 		synctest.Wait()
-		_, err = there.Write([]byte("c"))
+		_, err = acceptor.Write([]byte("c"))
 		require.ErrorIs(t, err, net.ErrClosed)
 	})
 }
--- a/internal/selector/entry/clustertest/slots_test.go
+++ b/internal/selector/entry/clustertest/slots_test.go
@@ -9,15 +9,16 @@
 	"cairndock/internal/selector/store"
 )
 
-// TestSlotsAreConserved offers more than the capacity while hosts, the
-// platform and links fail. No upstream may ever see a request for which it
-// has no slot, and all capacity must come back.
+// Guards against slots that are used twice or lost while hosts, the platform and
+// links fail under a load above the capacity. No upstream may receive a request
+// without a free slot, and the full capacity must be available after the fault.
 func TestSlotsAreConserved(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault func(c *Cluster)
-		// lasts is how long the load goes on beside the fault; 20 s by default.
-		lasts time.Duration
+		// duration is the duration of the load during the fault. It is at least
+		// 20 s.
+		duration time.Duration
 	}{
 		{"nothing fails", func(*Cluster) {}, 0},
 		{"host killed", func(c *Cluster) { c.Kill("costa-a-1") }, 0},
@@ -32,12 +33,12 @@
 			c.Start("costa-a-1")
 		}, 0},
 		{"host paused for 30 s", func(c *Cluster) { c.CutOff(30*time.Second, "costa-a-1") }, 35 * time.Second},
-		{"host paused for 30 s and taken for gone", func(c *Cluster) {
+		{"host paused for 30 s and listed as gone", func(c *Cluster) {
 			time.AfterFunc(4*time.Second, func() { c.Memory.SetHost("costa-a-1", store.Gone) })
 			c.CutOff(30*time.Second, "costa-a-1")
 			c.Memory.SetHost("costa-a-1", store.Live)
 		}, 35 * time.Second},
-		{"roster write whose answer is lost", func(c *Cluster) {
+		{"response of a roster write lost", func(c *Cluster) {
 			c.LoseAnswers(5 * time.Second)
 			c.Kill("costa-a-1")
 			time.Sleep(200 * time.Millisecond)
@@ -51,7 +52,7 @@
 			time.Sleep(time.Second)
 			c.Start("costa-a-1")
 		}, 0},
-		{"zone cut off and host killed in it", func(c *Cluster) {
+		{"zone cut off and one of its hosts killed", func(c *Cluster) {
 			go c.CutOff(12*time.Second, "costa-a", "up-costa-a")
 			time.Sleep(5 * time.Second)
 			c.Kill("costa-a-2")
@@ -69,17 +70,17 @@
 					tc.fault(c)
 					settled <- c.WaitSettled(time.Minute)
 				}()
-				lasts := max(tc.lasts, 20*time.Second)
-				during := c.Load(perSecond, lasts)
-				back := <-settled
+				duration := max(tc.duration, 20*time.Second)
+				during := c.Load(perSecond, duration)
+				recovery := <-settled
 				after := c.Load(perSecond, 4*time.Second)
 				t.Logf("answered per second: before %d, during %d, after %d; refused %d, in doubt %d; all slots held %s after the fault",
-					before.Good/4, during.Good/int(lasts.Seconds()), after.Good/4, during.Refused, during.Doubt, back)
-				require.Zero(t, c.Over(), "requests beyond a slot")
-				require.Zero(t, before.Wrong+during.Wrong+after.Wrong, "answers of another request")
+					before.Good/4, during.Good/int(duration.Seconds()), after.Good/4, during.Refused, during.Doubt, recovery)
+				require.Zero(t, c.Over(), "requests without a free slot")
+				require.Zero(t, before.Wrong+during.Wrong+after.Wrong, "responses to other requests")
 				held, slots := c.Held()
-				require.NotEqual(t, time.Duration(-1), back, "slots lost for good: %d of %d held", held, slots)
-				require.Greater(t, after.Good, before.Good*9/10, "capacity lost for good")
+				require.NotEqual(t, time.Duration(-1), recovery, "slots not recovered: %d of %d held", held, slots)
+				require.Greater(t, after.Good, before.Good*9/10, "capacity not recovered")
 			})
 		})
 	}
