--- a/internal/selector/entry/changes_test.go
+++ b/internal/selector/entry/changes_test.go
@@ -99,7 +99,7 @@
 			time.Sleep(10 * time.Second)
 			c.Memory.SetFault(nil)
 		}},
-		{name: "response of the write lost", state: configsync.StateAccepted, fault: func(c *cluster) { c.LoseAnswers(time.Second) }},
+		{name: "response of the write lost", state: configsync.StateAccepted, fault: func(c *cluster) { c.LoseResponses(time.Second) }},
 		{name: "platform throttles every other call", state: configsync.StateAccepted, fault: func(c *cluster) {
 			var n atomic.Int64
 			c.Memory.SetFault(func(op string, after bool) error {
@@ -292,7 +292,7 @@
 func TestLostAnswerAfterAnothersChange(t *testing.T) {
 	inBubble(t, clustertest.Anywhere, func(c *cluster) {
 		c.Apply("others", "[[zone]]\nname = \"new\"\nregion = \"costa\"\n", 1)
-		c.LoseAnswers(100 * time.Millisecond)
+		c.LoseResponses(100 * time.Millisecond)
 		h := c.Host("costa-a-1")
 		require.EqualValues(t, 1, h.View().Revision(), "the host has not polled yet")
 		applied, err := h.Apply(context.Background(), c.change("mine", 1, 0.9), 0)
--- a/internal/selector/entry/clustertest/faults.go
+++ b/internal/selector/entry/clustertest/faults.go
@@ -43,8 +43,8 @@
 	c.Memory.SetFault(nil)
 }
 
-// LoseAnswers makes writes succeed without a response for a time.
-func (c *Cluster) LoseAnswers(d time.Duration) {
+// LoseResponses makes writes succeed without a response for a time.
+func (c *Cluster) LoseResponses(d time.Duration) {
 	c.Memory.SetFault(func(op string, after bool) error {
 		if op == "transact" && after {
 			return errors.New("response lost")
--- a/internal/selector/entry/clustertest/slots_test.go
+++ b/internal/selector/entry/clustertest/slots_test.go
@@ -39,7 +39,7 @@
 			c.Memory.SetHost("costa-a-1", store.Live)
 		}, 35 * time.Second},
 		{"response of a roster write lost", func(c *Cluster) {
-			c.LoseAnswers(5 * time.Second)
+			c.LoseResponses(5 * time.Second)
 			c.Kill("costa-a-1")
 			time.Sleep(200 * time.Millisecond)
 			c.Start("costa-a-1")
