--- a/internal/selector/entry/export_test.go
+++ b/internal/selector/entry/export_test.go
@@ -25,8 +25,8 @@
 	h.peers.Update(func(p *member.Peers) { p.Forget(host) })
 }
 
-// Hears reports whether the host regards another host as responsive.
-func (h *Host) Hears(host string) bool {
+// IsPeerUp reports whether the host regards another host as responsive.
+func (h *Host) IsPeerUp(host string) bool {
 	p, known := h.peers.Get(host)
 	return known && p.Up(time.Now())
 }
--- a/internal/selector/entry/tickets_test.go
+++ b/internal/selector/entry/tickets_test.go
@@ -226,7 +226,7 @@
 // whether this happened within the limit.
 func waitPeerUp(h *entry.Host, name string, limit time.Duration) bool {
 	for start := time.Now(); time.Since(start) < limit; time.Sleep(entry.Tick) {
-		if h.Hears(name) {
+		if h.IsPeerUp(name) {
 			return true
 		}
 	}
