--- a/internal/selector/config/append.go
+++ b/internal/selector/config/append.go
@@ -14,30 +14,32 @@
 )
 
 const (
-	// maxInline is the largest encoded change kept in a row, in bytes; a larger
-	// one goes to the object store. It is half of DynamoDB's limit of 400 KB
-	// for an item.
+	// maxInline is the maximum size of an encoded change that is stored in a
+	// row, in bytes. Larger changes are written to the object store. The value
+	// is half of DynamoDB's item size limit of 400 KB.
 	maxInline = 200 << 10
-	// maxAppendAttempts limits how often an append that found the head moved
-	// starts again: changes come 0.22 times a second
-	// (docs/design/configuration.md), so that two in a row are rare.
+	// maxAppendAttempts limits the attempts of an append that keeps finding the
+	// head moved by another change. The design rate is 0.22 changes per second
+	// (docs/design/configuration.md), so two lost races in a row are rare.
 	maxAppendAttempts = 20
-	// firstThrottlePause is the first pause of a call that was throttled; it
-	// grows by the backoff package's defaults (1.5 times, 50% jitter).
-	firstThrottlePause = 50 * time.Millisecond
-	// maxThrottlePause is the longest such pause.
-	maxThrottlePause = time.Second
+	// initialThrottleDelay is the initial delay before a throttled call is
+	// retried. The delay grows by the backoff package's defaults (factor 1.5,
+	// 50% jitter).
+	initialThrottleDelay = 50 * time.Millisecond
+	// maxThrottleDelay is the maximum delay before a throttled call is retried.
+	maxThrottleDelay = time.Second
 )
 
-// Append accepts a change: in one transaction the head moves on by one, the
-// change id becomes used and the change is logged. It returns the resulting
-// state and the change's revision; for a change id that was accepted before,
-// that revision again and a state that may not have reached it.
+// Append accepts a change. One transaction increments the head revision, marks
+// the change id as used and writes the change to the log. Append returns the
+// resulting state and the change's revision. If the change id was accepted
+// before, Append returns the original revision and a state that may be older.
 //
-// The error is a *Conflict if another change of an object came first, and
-// joined errors of tomlfile.KeyError if references of the result would not hold; in both
-// cases nothing was written. After any other error the outcome is unknown until
-// the id is read; appending the same id again is safe.
+// The error is a *Conflict if another change to one of the objects was accepted
+// first, and joined errors of type tomlfile.KeyError if the change would leave
+// invalid references. In both cases nothing was written. After any other error
+// the outcome is unknown until the id is read; appending the same id again is
+// safe.
 func (l *Log) Append(ctx context.Context, s *State, c Change) (*State, uint64, error) {
 	if rev, used, err := l.idUsed(ctx, c.ID); err != nil || used {
 		return s, rev, err
@@ -59,7 +61,8 @@
 		if isRefusal(err) {
 			return s, 0, l.nameWinner(ctx, err)
 		}
-		// The response to the transaction may have been lost: the id decides.
+		// The response to the transaction may have been lost. The row of the
+		// change id shows whether the change was accepted.
 		rev, used, idErr := l.idUsed(ctx, c.ID)
 		if idErr != nil {
 			return s, 0, idErr
@@ -74,36 +77,37 @@
 	return s, 0, eris.Errorf("head moved %d times while appending", maxAppendAttempts)
 }
 
-// isRefusal reports whether an append failed by the change's own content, so
-// that another attempt would fail too.
+// isRefusal reports whether an append failed because of the change's own
+// content, in which case a retry would fail too.
 func isRefusal(err error) bool {
 	var conflict *Conflict
-	var faulty tomlfile.KeyError
-	return errors.As(err, &conflict) || errors.As(err, &faulty)
+	var keyErr tomlfile.KeyError
+	return errors.As(err, &conflict) || errors.As(err, &keyErr)
 }
 
-// wroteNothing reports whether a failed transaction certainly had no effect, so
-// that the change may be appended again. Any other error is left to the
-// submitter, as the transaction may still take effect after the id was read.
+// wroteNothing reports whether a failed transaction certainly had no effect and
+// the change may be appended again. Any other error is returned to the
+// submitter, because the transaction may still take effect after the id was
+// read.
 func wroteNothing(err error) bool {
 	return errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrThrottled)
 }
 
-// retryThrottled calls f until it is not throttled or ctx ends; then it returns
-// the last error. f must be safe to repeat.
+// retryThrottled calls f until it is not throttled or ctx is done, and returns
+// the result of the last call. f must be safe to repeat.
 func retryThrottled[T any](ctx context.Context, f func() (T, error)) (T, error) {
-	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval = firstThrottlePause
-	pauses.MaxInterval = maxThrottlePause
+	delays := backoff.NewExponentialBackOff()
+	delays.InitialInterval = initialThrottleDelay
+	delays.MaxInterval = maxThrottleDelay
 	for {
 		v, err := f()
-		if !errors.Is(err, store.ErrThrottled) || !pause.For(ctx, pauses.NextBackOff()) {
+		if !errors.Is(err, store.ErrThrottled) || !pause.For(ctx, delays.NextBackOff()) {
 			return v, err
 		}
 	}
 }
 
-// idUsed is ByID that waits while it is throttled.
+// idUsed calls ByID and retries while the call is throttled.
 func (l *Log) idUsed(ctx context.Context, id string) (uint64, bool, error) {
 	used := false
 	rev, err := retryThrottled(ctx, func() (rev uint64, err error) {
@@ -113,8 +117,8 @@
 	return rev, used, err
 }
 
-// nameWinner adds the winning change's id to a conflict, if the log still can
-// be read: the id is only a help, the conflict stands without it.
+// nameWinner adds the id of the winning change to a conflict if the log can be
+// read. The id is optional: without it the conflict is returned as it is.
 func (l *Log) nameWinner(ctx context.Context, cause error) error {
 	var conflict *Conflict
 	if !errors.As(cause, &conflict) || conflict.Winner == 0 {
@@ -130,8 +134,8 @@
 	return cause
 }
 
-// storeLarge stores a change that is too large for its row as an object, and
-// returns the object's name, or "" if the change fits.
+// storeLarge writes a change that is too large for a row to the object store.
+// It returns the object's name, or "" if the change fits in a row.
 func (l *Log) storeLarge(ctx context.Context, c Change) (string, error) {
 	body, err := encode(c)
 	if err != nil || len(body) <= maxInline {
@@ -141,7 +145,8 @@
 	return name, eris.Wrap(l.objects.PutObject(ctx, name, body), "store large change")
 }
 
-// commit tries to append a change to a state that is at the head of the log.
+// commit tries once to append a change to s, which must be at the head of the
+// log.
 func (l *Log) commit(ctx context.Context, s *State, c Change, object string) (*State, error) {
 	if conflict := s.conflict(c); conflict != nil {
 		return nil, conflict
@@ -167,7 +172,8 @@
 		return nil, err
 	}
 	return next, l.table.Transact(ctx, []store.Write{
-		// The head's version is its revision: both rise by one each time.
+		// The version of the head row equals its revision: both increase by one
+		// with each change.
 		{Key: store.Key{Partition: partitionHead, Sort: sortHead}, IfVersion: int64(s.Revision()), Body: headBody},
 		{Key: store.Key{Partition: partitionLog, Sort: logSort(c.Revision)}, Body: logBody},
 		{Key: store.Key{Partition: partitionChange, Sort: c.ID}, Body: headBody},
--- a/internal/selector/config/append_test.go
+++ b/internal/selector/config/append_test.go
@@ -10,9 +10,9 @@
 	"cairndock/internal/tomlfile"
 )
 
-// TestAppendRetryRule: a change that is at fault is never appended again, one of
-// which certainly nothing was written is, and any other outcome is left to the
-// submitter.
+// TestAppendRetryRule checks which failed appends are retried: an invalid change
+// is not, a change of which certainly nothing was written is, and any other
+// error is returned to the submitter.
 func TestAppendRetryRule(t *testing.T) {
 	cases := []struct {
 		name         string
--- a/internal/selector/config/blocks.go
+++ b/internal/selector/config/blocks.go
@@ -8,25 +8,25 @@
 	"github.com/rotisserie/eris"
 )
 
-// manyEdits is the number of edits from which on a change copies the whole prefix
-// table once, instead of one path of it for each block.
-const manyEdits = 1000
+// minEditsForClone is the minimum number of edits for which a change copies the whole
+// prefix table once instead of copying one path of the table for each block.
+const minEditsForClone = 1000
 
-// blocks are the blocks of client addresses, in a prefix table that finds the
-// longest one that contains an address.
+// blocks holds the blocks of client addresses in a prefix table, which finds
+// the most specific block that contains an address.
 type blocks struct {
 	table *bart.Table[blockEntry]
-	// owned means that no other state shares table, so that it may be changed
-	// in place.
+	// owned means that no other state shares table and that table may be
+	// modified in place.
 	owned bool
-	// zoneNames are the zones of all blocks ever set, and zoneIndex their
-	// indexes.
+	// zoneNames lists the zones of all blocks ever set. zoneIndex maps each
+	// zone to its index in zoneNames.
 	zoneNames []string
 	zoneIndex map[string]uint32
 }
 
-// blockEntry is a block in the table. zone indexes blocks.zoneNames, so that
-// 260,000 blocks do not hold as many strings.
+// blockEntry is a block in the table. zone is an index into blocks.zoneNames,
+// which saves one string for each of 260,000 blocks.
 type blockEntry struct {
 	version uint64
 	zone    uint32
@@ -34,7 +34,8 @@
 
 func (b *blocks) size() int { return b.table.Size() }
 
-// version returns 0 for a name that is no prefix, as no block has one.
+// version returns 0 for a name that is not a prefix, because no block has such
+// a name.
 func (b *blocks) version(name string) uint64 {
 	prefix, err := netip.ParsePrefix(name)
 	if err != nil {
@@ -52,7 +53,7 @@
 }
 
 func (b *blocks) unshare(edits int) {
-	if b.owned = edits >= manyEdits; b.owned {
+	if b.owned = edits >= minEditsForClone; b.owned {
 		b.table = b.table.Clone()
 	}
 }
@@ -95,5 +96,5 @@
 	return n
 }
 
-// zone returns a block's zone.
+// zone returns the zone name of a block.
 func (b *blocks) zone(e blockEntry) string { return b.zoneNames[e.zone] }
--- a/internal/selector/config/change.go
+++ b/internal/selector/config/change.go
@@ -19,38 +19,39 @@
 // Edit sets or deletes one object.
 type Edit struct {
 	Ref Ref `msgpack:"r"`
-	// Base is the version that the object must have; zero means that it must
-	// not exist.
+	// Base is the version that the object must have; 0 means that the object
+	// must not exist.
 	Base uint64 `msgpack:"b"`
-	// AtMost makes Base an upper limit: the object may have any version up to
+	// AtMost makes Base an upper bound: the object may have any version up to
 	// Base, or not exist.
 	AtMost bool `msgpack:"m"`
-	// Body is the encoded object; an empty one deletes it.
+	// Body is the encoded object; an empty Body deletes the object.
 	Body []byte `msgpack:"o"`
 }
 
-// Change is a set of edits that is accepted as a whole or not at all.
+// Change is a set of edits that is accepted atomically.
 type Change struct {
-	// ID is chosen by the submitter and must never be used for another change.
+	// ID is chosen by the submitter and must be unique to the change.
 	ID string `msgpack:"i"`
 	// Revision is assigned when the change is accepted.
 	Revision uint64 `msgpack:"v"`
 	Edits    []Edit `msgpack:"e"`
 }
 
-// WithRevision returns a copy with the revision it was accepted at.
+// WithRevision returns a copy of c with the revision at which it was accepted.
 func (c Change) WithRevision(rev uint64) Change {
 	c.Revision = rev
 	return c
 }
 
-// Conflict is the error of an edit whose object was changed after the submitter
-// read it. It is also the operator API's response, in JSON.
+// Conflict is the error for an edit whose object was changed after the submitter
+// read it. In JSON it is also the operator API's response.
 type Conflict struct {
 	Ref Ref `json:"object"`
-	// Winner is the object's version now, 0 if it does not exist.
+	// Winner is the object's current version, 0 if the object does not exist.
 	Winner uint64 `json:"winner_revision"`
-	// WinnerID is the id of the change that made it, if it could be read.
+	// WinnerID is the id of the change that set this version, if it could be
+	// read.
 	WinnerID string `json:"winner_change,omitempty"`
 }
 
--- a/internal/selector/config/config_test.go
+++ b/internal/selector/config/config_test.go
@@ -15,7 +15,7 @@
 	"cairndock/internal/selector/store"
 )
 
-const good = `
+const validDoc = `
 [[zone]]
 name = "costa-a"
 region = "costa"
@@ -64,7 +64,7 @@
 	require.Len(t, strings.Split(err.Error(), "\n"), 2, "every fault at once")
 }
 
-// stateOf applies documents one after the other.
+// stateOf returns the state after documents were applied in order.
 func stateOf(t *testing.T, docs ...string) *State {
 	s := NewState()
 	for i, text := range docs {
@@ -80,7 +80,7 @@
 }
 
 func TestReferences(t *testing.T) {
-	before := stateOf(t, good)
+	before := stateOf(t, validDoc)
 	cases := []struct{ name, doc, want string }{
 		{"unknown service", "[[rule]]\nname = \"r\"\nservice = \"none\"", `rule["r"].service: unknown service "none"`},
 		{"unknown zone", "[[upstream]]\nname = \"u\"\nservice = \"planning\"\nzone = \"none\"\naddr = \"1.2.3.4:1\"\nslots = 1", `upstream["u"].zone: unknown zone "none"`},
@@ -115,8 +115,8 @@
 	return &svc.Rules[i], true
 }
 
-func TestViewAndCapOfNothing(t *testing.T) {
-	s := stateOf(t, good, "[[block]]\ncidr = \"10.1.0.0/16\"\nzone = \"costa-a\"",
+func TestViewAndCapOfZero(t *testing.T) {
+	s := stateOf(t, validDoc, "[[block]]\ncidr = \"10.1.0.0/16\"\nzone = \"costa-a\"",
 		"[[rule]]\nname = \"none\"\nservice = \"planning\"\nshare = 0.0\ncap = 0.0")
 	v := NewView(s, "costa-a")
 	svc, ok := v.Service("planning")
@@ -127,13 +127,14 @@
 	require.InDelta(t, 1, rule.MaxShare(), 0)
 	rule, ok = ruleOf(svc, "none")
 	require.True(t, ok)
-	require.Zero(t, rule.MaxShare(), "a cap of 0 is not taken for one that is not set")
+	require.Zero(t, rule.MaxShare(), "a cap of 0 must differ from an unset cap")
 	require.Equal(t, "costa-a", v.ClientZone(netip.MustParseAddr("10.1.2.3")))
 	require.Empty(t, v.ClientZone(netip.MustParseAddr("10.2.0.1")))
 }
 
-// TestViewFollows: a view moved on by changes equals one made anew.
-func TestViewFollows(t *testing.T) {
+// TestViewIsUpdatedByChanges checks that a view updated with changes equals a view built
+// from the resulting state.
+func TestViewIsUpdatedByChanges(t *testing.T) {
 	steps := []string{
 		"[[service]]\nname = \"documents\"",
 		"[[upstream]]\nname = \"up-2\"\nservice = \"documents\"\nzone = \"costa-a\"\naddr = \"127.0.0.1:2\"\nslots = 2",
@@ -144,7 +145,7 @@
 		"[[remove]]\nkind = \"upstream\"\nname = \"up-2\"",
 		"[[remove]]\nkind = \"service\"\nname = \"documents\"",
 	}
-	s := stateOf(t, good)
+	s := stateOf(t, validDoc)
 	v := NewView(s, "costa-a")
 	for _, text := range steps {
 		doc, err := ParseDocument([]byte(text))
@@ -160,13 +161,13 @@
 }
 
 func TestSnapshotIsTheState(t *testing.T) {
-	s := stateOf(t, good, "[[block]]\ncidr = \"10.1.0.0/16\"\nzone = \"costa-a\"\n[[link]]\nfrom = \"a\"\nto = \"b\"\nbytes_per_second = 5", "[[remove]]\nkind = \"rule\"\nname = \"all\"")
+	s := stateOf(t, validDoc, "[[block]]\ncidr = \"10.1.0.0/16\"\nzone = \"costa-a\"\n[[link]]\nfrom = \"a\"\nto = \"b\"\nbytes_per_second = 5", "[[remove]]\nkind = \"rule\"\nname = \"all\"")
 	var snap bytes.Buffer
 	require.NoError(t, s.WriteSnapshot(&snap))
 	whole := snap.Bytes()
 	for _, n := range []int{0, 10, len(whole) / 2, len(whole) - 1} {
 		_, err := ReadSnapshot(bytes.NewReader(whole[:n]))
-		require.Error(t, err, "a part of %d bytes", n)
+		require.Error(t, err, "snapshot truncated to %d bytes", n)
 	}
 	again, err := ReadSnapshot(bytes.NewReader(whole))
 	require.NoError(t, err)
@@ -176,19 +177,20 @@
 }
 
 func TestDocumentRoundTrip(t *testing.T) {
-	s := stateOf(t, good)
+	s := stateOf(t, validDoc)
 	doc := s.Document()
 	c, err := doc.Change("again", 0)
 	require.NoError(t, err)
-	require.Nil(t, s.conflict(c), "the versions it gives are those it takes")
-	s = stateOf(t, good, "[[zone]]\nname = \"costa-a\"\nregion = \"moved\"")
+	require.Nil(t, s.conflict(c), "a document must be accepted with the versions it contains")
+	s = stateOf(t, validDoc, "[[zone]]\nname = \"costa-a\"\nregion = \"moved\"")
 	conflict := s.conflict(c)
 	require.NotNil(t, conflict)
 	require.Equal(t, "zone/costa-a", conflict.Ref.String())
 }
 
-// TestAppendUnderFaults: whatever fails, a change is in the log once or not at
-// all, and appending it again by its id settles which.
+// TestAppendUnderFaults checks that a change is in the log at most once,
+// whichever store call fails, and exactly once after it is appended again with
+// the same id.
 func TestAppendUnderFaults(t *testing.T) {
 	errDown := errors.New("down")
 	cases := []struct {
--- a/internal/selector/config/document.go
+++ b/internal/selector/config/document.go
@@ -17,22 +17,23 @@
 )
 
 const (
-	// maxSlots is how many slots an upstream may have: a roster.SlotSet is one
-	// machine word of 64 bits.
+	// maxSlots is the maximum number of slots of an upstream, because a
+	// roster.SlotSet is one machine word of 64 bits.
 	maxSlots = 64
-	// longestMaxTimeout limits Service.MaxTimeout, and so how long the slots of
-	// a dead host stay unused.
-	longestMaxTimeout = 10 * time.Minute
-	// defaultTimeout is the timeout of a service that sets none.
+	// maxTimeoutLimit is the upper bound of Service.MaxTimeout, which limits
+	// how long the slots of a dead host stay unused.
+	maxTimeoutLimit = 10 * time.Minute
+	// defaultTimeout is the timeout of a service without a configured timeout.
 	defaultTimeout = 2 * time.Second
-	// defaultMaxTimeout is the longest timeout of a service that sets none; it
-	// is never below the service's timeout.
+	// defaultMaxTimeout is the maximum timeout of a service without a configured
+	// maximum. A longer configured timeout replaces this default.
 	defaultMaxTimeout = 10 * time.Second
-	// defaultRetryShare limits retries as a share of requests: a tenth, as
-	// docs/design/request.md says.
+	// defaultRetryShare limits retries as a share of requests, 0 to 1
+	// (docs/design/request.md).
 	defaultRetryShare = 0.1
-	// defaultReserved is the part of a link kept for interactive traffic.
-	defaultReserved = 0.3
+	// defaultReservedShare is the share of a link that is reserved for interactive
+	// traffic, 0 to 1.
+	defaultReservedShare = 0.3
 )
 
 // Removal deletes one object.
@@ -41,8 +42,8 @@
 	Name string `toml:"name"`
 }
 
-// Document is a configuration as operators write it. It may hold only some of
-// the objects: those it does not name stay as they are.
+// Document is a configuration as operators write it. A document may contain only
+// some of the objects; other objects stay unchanged.
 type Document struct {
 	Zones     []Zone     `toml:"zone,omitempty"`
 	Services  []Service  `toml:"service,omitempty"`
@@ -51,13 +52,14 @@
 	Blocks    []Block    `toml:"block,omitempty"`
 	Links     []Link     `toml:"link,omitempty"`
 	Removals  []Removal  `toml:"remove,omitempty"`
-	// Versions are the versions that the submitter read, by "kind/name".
+	// Versions holds the object versions that the submitter read, by
+	// "kind/name".
 	Versions map[string]uint64 `toml:"versions,omitempty"`
 }
 
-// ParseDocument decodes a TOML document, applies defaults and checks every
-// value. Unknown keys are faults. Its error joins a tomlfile.KeyError for each
-// fault.
+// ParseDocument decodes a TOML document, applies defaults and validates every
+// value. Unknown keys are faults. The returned error joins one tomlfile.KeyError
+// for each fault.
 func ParseDocument(data []byte) (Document, error) {
 	var doc Document
 	if err := tomlfile.Decode(data, &doc); err != nil {
@@ -81,7 +83,7 @@
 	}
 }
 
-// faults are the faults of a document, or of the state after a change.
+// faults collects the faults of a document, or of the state after a change.
 type faults []error
 
 func (f *faults) add(ref Ref, key, format string, args ...any) {
@@ -106,15 +108,16 @@
 	c.require(v >= 0 && v <= 1, key, "must be from 0 to 1, is %v", v)
 }
 
-// object is what a document does with an object of any kind.
+// object is the interface that a document uses for objects of all kinds.
 type object interface {
 	// ref identifies the object.
 	ref() Ref
-	// check finds the faults that do not depend on other objects.
+	// check adds the faults that do not depend on other objects to c.
 	check(c checker)
 }
 
-// objects are all objects of the document, by kind, and then its removals.
+// objects iterates over all objects of the document by kind, followed by its
+// removals.
 func (d *Document) objects() iter.Seq[object] {
 	return func(yield func(object) bool) {
 		_ = each(d.Zones, yield) && each(d.Services, yield) && each(d.Upstreams, yield) && each(d.Rules, yield) &&
@@ -122,7 +125,8 @@
 	}
 }
 
-// each yields pointers into list, and reports whether all were taken.
+// each yields pointers to the elements of list. It returns false if yield
+// stopped the iteration.
 func each[T any, P interface {
 	*T
 	object
@@ -135,8 +139,8 @@
 	return true
 }
 
-// check returns every fault of the document by itself, and brings the names of
-// blocks into their canonical form.
+// check returns every fault that can be found without the current state, and
+// normalizes the names of blocks.
 func (d *Document) check() error {
 	var found faults
 	seen := map[Ref]bool{}
@@ -160,7 +164,7 @@
 	c.require(s.Prefer == PreferLatency || s.Prefer == PreferHeadroom,
 		"prefer", "must be latency or headroom, is %q", s.Prefer)
 	c.require(s.Timeout > 0 && s.Timeout <= s.MaxTimeout, "timeout", "must be above 0 and at most max_timeout")
-	c.require(s.MaxTimeout <= Duration(longestMaxTimeout), "max_timeout", "must be at most %s", longestMaxTimeout)
+	c.require(s.MaxTimeout <= Duration(maxTimeoutLimit), "max_timeout", "must be at most %s", maxTimeoutLimit)
 	c.share(s.RetryBudget(), "retry_share")
 }
 
@@ -218,8 +222,8 @@
 	return d
 }
 
-// Change makes the document a change with an id of the submitter's choice.
-// Objects without an entry in Versions must not have changed after base.
+// Change converts the document to a change with the given id. Objects without
+// an entry in Versions must not have changed after revision base.
 func (d *Document) Change(id string, base uint64) (Change, error) {
 	c := Change{ID: id}
 	var errs []error
--- a/internal/selector/config/log.go
+++ b/internal/selector/config/log.go
@@ -14,20 +14,22 @@
 const (
 	// partitionHead holds the rows sortHead and sortSnapshot.
 	partitionHead = "config"
-	// partitionLog holds a logRow for each revision, by logSort.
+	// partitionLog holds a logRow for each revision, with logSort as sort key.
 	partitionLog = "config-log"
-	// partitionChange holds a head for each accepted change, by its id.
+	// partitionChange holds a head for each accepted change, with the change id
+	// as sort key.
 	partitionChange = "config-change"
-	// sortHead is the row with the newest revision.
+	// sortHead is the sort key of the row with the newest revision.
 	sortHead = "head"
-	// sortSnapshot is the row with the newest snapshot's revision.
+	// sortSnapshot is the sort key of the row with the newest snapshot's
+	// revision.
 	sortSnapshot = "snapshot"
 )
 
-// readPage is how many changes one read of the log requests: 19,000
-// changes a day (docs/design/configuration.md) are 0.22 a second, so that
-// a page covers a host's absence of 7 minutes.
-const readPage = 100
+// readPageSize is the number of changes that one read of the log requests. At the
+// design rate of 19,000 changes per day (docs/design/configuration.md), or 0.22
+// per second, one page covers a host that was offline for 7 minutes.
+const readPageSize = 100
 
 // Table is the part of the store's table that the log uses.
 type Table interface {
@@ -42,19 +44,19 @@
 	GetObject(ctx context.Context, name string) ([]byte, error)
 }
 
-// Log is the append-only log of accepted changes, shared by all hosts. It keeps
-// nothing itself and is safe for concurrent use.
+// Log is the append-only log of accepted changes, shared by all hosts. It has
+// no state of its own and is safe for concurrent use.
 type Log struct {
 	table   Table
 	objects Objects
 }
 
-// NewLog makes a log on a table and an object store.
+// NewLog returns a log that is stored in a table and an object store.
 func NewLog(table Table, objects Objects) *Log {
 	return &Log{table: table, objects: objects}
 }
 
-// head is the body of every row that only names a revision.
+// head is the body of every row that contains only a revision.
 type head struct {
 	Revision uint64 `msgpack:"r"`
 }
@@ -62,18 +64,18 @@
 // logRow is the body of a row of the log.
 type logRow struct {
 	Change Change `msgpack:"c"`
-	// Object is the name of the object that holds the change if it is large;
-	// Change then has only its id and revision.
+	// Object is the name of the object that contains a large change, else
+	// empty. If Object is set, Change has only the id and the revision.
 	Object string `msgpack:"o"`
 }
 
-// Head reads the newest revision; 0 if no change was ever accepted.
+// Head reads the newest revision. It returns 0 if no change was ever accepted.
 func (l *Log) Head(ctx context.Context) (uint64, error) {
 	rev, _, err := l.readHead(ctx, store.Key{Partition: partitionHead, Sort: sortHead})
 	return rev, err
 }
 
-// readHead returns the revision that a row names, and whether there is the row.
+// readHead returns the revision in a row, and whether the row exists.
 func (l *Log) readHead(ctx context.Context, key store.Key) (uint64, bool, error) {
 	row, err := l.table.Get(ctx, key)
 	if errors.Is(err, store.ErrNotFound) {
@@ -86,13 +88,13 @@
 	return h.Revision, true, err
 }
 
-// logSort is a revision as a sort key: of equal length, so that the rows are in
-// the order of their revisions.
+// logSort returns the sort key of a revision. All keys have the same length, so
+// rows sort by revision.
 func logSort(rev uint64) string { return fmt.Sprintf("%020d", rev) }
 
-// Since reads the changes after a revision, oldest first, at most readPage.
+// Since reads up to readPageSize changes after a revision, oldest first.
 func (l *Log) Since(ctx context.Context, rev uint64) ([]Change, error) {
-	rows, err := l.table.List(ctx, partitionLog, logSort(rev), readPage)
+	rows, err := l.table.List(ctx, partitionLog, logSort(rev), readPageSize)
 	if err != nil {
 		return nil, eris.Wrap(err, "read log")
 	}
@@ -107,7 +109,8 @@
 	return changes, nil
 }
 
-// decodeRow returns a row's change, reading its object if it is large.
+// decodeRow returns the change of a row. A large change is read from the object
+// store.
 func (l *Log) decodeRow(ctx context.Context, row store.Row) (Change, error) {
 	r, err := decode[logRow](row.Body)
 	if err != nil || r.Object == "" {
@@ -133,14 +136,14 @@
 				return nil, err
 			}
 		}
-		if len(changes) < readPage {
+		if len(changes) < readPageSize {
 			return s, nil
 		}
 	}
 }
 
-// ByID returns the revision at which a change id was accepted, and whether it
-// was.
+// ByID returns the revision at which a change id was accepted. The bool is false
+// if it was not accepted.
 func (l *Log) ByID(ctx context.Context, id string) (uint64, bool, error) {
 	return l.readHead(ctx, store.Key{Partition: partitionChange, Sort: id})
 }
--- a/internal/selector/config/object.go
+++ b/internal/selector/config/object.go
@@ -1,12 +1,12 @@
-// Package config holds the operator configuration of the selector path: its
+// Package config implements the operator configuration of the selector path: its
 // objects (this file), documents as operators write them, changes to objects
-// and their log in the store, the State at one revision, snapshots of it, and
-// the View of it that one zone's hosts work by.
+// and the log of changes in the store, the State at one revision, snapshots of
+// a State, and the View of a State that the hosts of one zone use.
 //
-// State and View are immutable; With returns the next one and shares what did
-// not change. The log is the only part that does I/O, by the interfaces Table
-// and Objects. When a host reads the log and passes changes on is decided in
-// the entry package.
+// State and View are immutable; With returns a new value that shares unchanged
+// data with the old one. Only the log does I/O, through the interfaces Table
+// and Objects. Package entry decides when a host reads the log and propagates
+// changes.
 package config
 
 import "cairndock/internal/tomlfile"
@@ -24,30 +24,31 @@
 	KindLink     Kind = "link"
 )
 
-// kinds are all kinds, in the order of a snapshot.
+// kinds lists all kinds in the order in which a snapshot contains them.
 var kinds = []Kind{KindZone, KindService, KindUpstream, KindRule, KindLink, KindBlock}
 
-// Class is how a service's traffic is treated on shared links.
+// Class is the traffic class of a service on shared links.
 type Class string
 
 // The classes of traffic.
 const (
-	// Interactive traffic may use the whole link, and has a reserved part.
+	// Interactive traffic may use the whole link and has a reserved share.
 	Interactive Class = "interactive"
-	// Bulk traffic uses what interactive traffic leaves.
+	// Bulk traffic uses the capacity that interactive traffic does not use.
 	Bulk Class = "bulk"
 )
 
-// Repeat is which requests of a service may run more than once.
+// Repeat defines which requests of a service may run more than once.
 type Repeat string
 
 // The values of Repeat.
 const (
 	// RepeatNever allows no repetition.
 	RepeatNever Repeat = "never"
-	// RepeatSafe allows it for GET, HEAD and OPTIONS (RFC 9110 section 9.2.1).
+	// RepeatSafe allows repetition of the safe methods GET, HEAD and OPTIONS
+	// (RFC 9110 section 9.2.1).
 	RepeatSafe Repeat = "safe"
-	// RepeatAlways allows it for every method.
+	// RepeatAlways allows repetition of every method.
 	RepeatAlways Repeat = "always"
 )
 
@@ -63,32 +64,32 @@
 	}
 }
 
-// Prefer is what the choice of a zone for a service's requests weighs most.
+// Prefer is the main criterion for selecting a zone for a service's requests.
 type Prefer string
 
 // The values of Prefer.
 const (
-	// PreferLatency weighs the round trip most.
+	// PreferLatency gives the most weight to the round-trip time.
 	PreferLatency Prefer = "latency"
-	// PreferHeadroom weighs crowding more than PreferLatency does.
+	// PreferHeadroom gives more weight to utilization than PreferLatency does.
 	PreferHeadroom Prefer = "headroom"
 )
 
-// UpstreamState is the state an operator sets for an upstream.
+// UpstreamState is the state that an operator sets for an upstream.
 type UpstreamState string
 
 // The states of an upstream.
 const (
-	// StateLive upstreams get requests.
+	// StateLive marks an upstream that receives requests.
 	StateLive UpstreamState = "live"
-	// StateLeaving upstreams get no new requests.
+	// StateLeaving marks an upstream that receives no new requests.
 	StateLeaving UpstreamState = "leaving"
 )
 
 // Duration is a duration written as text, such as "1.5s".
 type Duration = tomlfile.Duration
 
-// Zone is an availability zone and the region it is part of.
+// Zone is an availability zone and its region.
 type Zone struct {
 	Name   string `toml:"name" msgpack:"n"`
 	Region string `toml:"region" msgpack:"r"`
@@ -97,18 +98,18 @@
 // Service is a service that clients name in their requests.
 type Service struct {
 	Name string `toml:"name" msgpack:"n"`
-	// Class is interactive by default.
+	// Class defaults to Interactive.
 	Class Class `toml:"class" msgpack:"c"`
-	// Repeat is never by default.
+	// Repeat defaults to RepeatNever.
 	Repeat Repeat `toml:"repeat" msgpack:"r"`
-	// Prefer is latency by default.
+	// Prefer defaults to PreferLatency.
 	Prefer Prefer `toml:"prefer" msgpack:"p"`
-	// Timeout is the time of a request whose client sets none.
+	// Timeout is the timeout of a request whose client sets none.
 	Timeout Duration `toml:"timeout" msgpack:"t"`
-	// MaxTimeout limits the time of every request, and so how long the slots
-	// of a dead host stay unused.
+	// MaxTimeout limits the timeout of every request, and thereby how long the
+	// slots of a dead host stay unused.
 	MaxTimeout Duration `toml:"max_timeout" msgpack:"m"`
-	// RetryShare limits retries as a share of requests, 0 to 1; nil is
+	// RetryShare limits retries as a share of requests, 0 to 1; nil means
 	// defaultRetryShare.
 	RetryShare *float64 `toml:"retry_share" msgpack:"s"`
 }
@@ -120,7 +121,7 @@
 	Zone    string `toml:"zone" msgpack:"z"`
 	// Addr is "address:port".
 	Addr string `toml:"addr" msgpack:"a"`
-	// Slots is how many requests it can run at a time, 1 to maxSlots.
+	// Slots is the maximum number of concurrent requests, 1 to maxSlots.
 	Slots  int               `toml:"slots" msgpack:"l"`
 	Labels map[string]string `toml:"labels" msgpack:"b"`
 	State  UpstreamState     `toml:"state" msgpack:"t"`
@@ -130,19 +131,20 @@
 type Rule struct {
 	Name    string `toml:"name" msgpack:"n"`
 	Service string `toml:"service" msgpack:"s"`
-	// Selector chooses the upstreams by their labels, in the syntax of
-	// Kubernetes' label selectors.
+	// Selector selects upstreams by label, in the syntax of Kubernetes label
+	// selectors.
 	Selector string `toml:"selector" msgpack:"l"`
 	// Share is the target share of the service's requests, 0 to 1.
 	Share float64 `toml:"share" msgpack:"h"`
-	// Cap is the share that is never exceeded, 0 to 1; nil is 1. It is a
-	// pointer so that a cap of 0 is distinct from one that is not set.
+	// Cap is the upper limit of the share, 0 to 1; nil means 1. Cap is a
+	// pointer to distinguish a cap of 0 from an unset cap.
 	Cap *float64 `toml:"cap" msgpack:"c"`
-	// Ramp is how fast the share may move, in share per second; 0 is at once.
+	// Ramp is the maximum rate of change of the share, per second; 0 means that
+	// changes apply at once.
 	Ramp float64 `toml:"ramp" msgpack:"p"`
-	// Rate limits requests per second over all hosts; 0 is no limit.
+	// Rate limits requests per second over all hosts; 0 means no limit.
 	Rate float64 `toml:"rate" msgpack:"r"`
-	// InFlight limits outstanding requests over all hosts; 0 is no limit.
+	// InFlight limits concurrent requests over all hosts; 0 means no limit.
 	InFlight int `toml:"in_flight" msgpack:"f"`
 }
 
@@ -152,25 +154,28 @@
 	Zone string `toml:"zone" msgpack:"z"`
 }
 
-// Link is the limit of the link between two regions, one way.
+// Link configures the bandwidth limit from one region to another. Each direction
+// is a separate Link.
 type Link struct {
 	From string `toml:"from" msgpack:"f"`
 	To   string `toml:"to" msgpack:"t"`
-	// BytesPerSecond is the whole link's limit over all hosts.
+	// BytesPerSecond limits the link over all hosts.
 	BytesPerSecond int64 `toml:"bytes_per_second" msgpack:"b"`
-	// Reserved is the part kept for interactive traffic, 0 to 1; nil is
-	// defaultReserved.
+	// Reserved is the share reserved for interactive traffic, 0 to 1; nil means
+	// defaultReservedShare.
 	Reserved *float64 `toml:"reserved" msgpack:"r"`
 }
 
-// MaxShare is the share that the rule never exceeds, 0 to 1.
+// MaxShare returns the upper limit of the rule's share, 0 to 1.
 func (r Rule) MaxShare() float64 { return valueOr(r.Cap, 1) }
 
-// RetryBudget is the limit of the service's retries, as a share of its requests.
+// RetryBudget returns the limit of the service's retries, as a share of its
+// requests, 0 to 1.
 func (s Service) RetryBudget() float64 { return valueOr(s.RetryShare, defaultRetryShare) }
 
-// ReservedShare is the part of the link kept for interactive traffic.
-func (l Link) ReservedShare() float64 { return valueOr(l.Reserved, defaultReserved) }
+// ReservedShare returns the share of the link that is reserved for interactive
+// traffic, 0 to 1.
+func (l Link) ReservedShare() float64 { return valueOr(l.Reserved, defaultReservedShare) }
 
 func valueOr(p *float64, def float64) float64 {
 	if p == nil {
--- a/internal/selector/config/references.go
+++ b/internal/selector/config/references.go
@@ -6,25 +6,30 @@
 	"strings"
 )
 
-// shareSlack is how far a sum of shares may be above 1 by rounding: far above
-// the rounding of float64 sums, far below any share that operators write.
-const shareSlack = 1e-9
+// shareTolerance is the tolerance by which a sum of shares may exceed 1. It is far
+// above the rounding errors of float64 sums and far below any share that
+// operators write.
+const shareTolerance = 1e-9
 
 // referenceCheck collects the faults of the state after a change.
 type referenceCheck struct {
 	faults
 	before, after *State
-	// addrs are the upstreams by address; made when first needed.
+	// addrs maps addresses to upstream names. It is built on first use.
 	addrs map[string][]string
 }
 
-// checkReferences checks the state after a change: every object of the change
-// that refers to a missing one, every remaining object that refers to a deleted
-// one, every service whose shares add up to more than 1, and every upstream
-// that the change would move to another zone is a fault. The slots of an
-// upstream must never belong to two zones at once, so that an upstream moves by
-// being removed and added under another name. Only what the edits touch is
-// looked at: the rest was checked when it was accepted.
+// checkReferences checks the state after a change. The faults are:
+//   - an object of the change that refers to a missing object,
+//   - a remaining object that refers to a deleted object,
+//   - an upstream with the address of another upstream,
+//   - a service whose shares add up to more than 1,
+//   - an upstream that the change would move to another zone. The slots of an
+//     upstream must never belong to two zones at once, so moving an upstream
+//     requires removing it and adding it under another name.
+//
+// Only objects affected by the edits are checked, because all others were
+// checked when they were accepted.
 func (s *State) checkReferences(before *State, edits []Edit) error {
 	c := &referenceCheck{before: before, after: s}
 	services := map[string]bool{}
@@ -51,8 +56,8 @@
 	return errors.Join(c.faults...)
 }
 
-// unknown adds the fault of an object that refers to a missing zone or service,
-// which key names.
+// unknown adds a fault for an object that refers to a missing zone or service.
+// key is the name of the reference, "zone" or "service".
 func (c *referenceCheck) unknown(ref Ref, key, target string) {
 	c.add(ref, key, "unknown %s %q", key, target)
 }
@@ -111,7 +116,7 @@
 			sum += r.value.Share
 		}
 	}
-	if sum > 1+shareSlack {
+	if sum > 1+shareTolerance {
 		c.add(Ref{KindService, service}, "rules", "shares add up to %v, above 1", sum)
 	}
 }
--- a/internal/selector/config/snapshot.go
+++ b/internal/selector/config/snapshot.go
@@ -13,10 +13,10 @@
 	"cairndock/internal/selector/store"
 )
 
-// A snapshot is a whole state, for hosts that start and peers that are far
-// behind: a gzip stream of msgpack values, a snapshotHeader and then a
-// snapshotObject for each object. It is written and read object by object, so
-// that neither end holds all of it.
+// A snapshot is a complete state, for hosts that start and peers that are far
+// behind. Its format is a gzip stream of msgpack values: a snapshotHeader,
+// followed by a snapshotObject for each object. Objects are encoded and decoded
+// one by one to avoid a second copy of the state in memory.
 
 type snapshotHeader struct {
 	Revision uint64 `msgpack:"r"`
@@ -29,7 +29,7 @@
 	Body    []byte `msgpack:"b"`
 }
 
-// WriteSnapshot writes the whole state.
+// WriteSnapshot writes the whole state to out.
 func (s *State) WriteSnapshot(out io.Writer) error {
 	zip := gzip.NewWriter(out)
 	enc := msgpack.NewEncoder(zip)
@@ -56,8 +56,8 @@
 	return eris.Wrap(err, "write snapshot")
 }
 
-// ReadSnapshot reads what WriteSnapshot wrote. A snapshot that is cut short or
-// damaged is an error.
+// ReadSnapshot reads a snapshot written by WriteSnapshot. It returns an error if
+// the snapshot is truncated or corrupt.
 func ReadSnapshot(in io.Reader) (*State, error) {
 	zip, err := gzip.NewReader(in)
 	if err != nil {
@@ -103,8 +103,7 @@
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return eris.Wrap(err, "read snapshot row")
 	}
-	// Without a row, or with one that can't be decoded, this snapshot is the
-	// newest.
+	// If the row is missing or can't be decoded, this snapshot is the newest.
 	if h, err := decode[head](row.Body); err == nil && h.Revision >= s.Revision() {
 		return nil
 	}
@@ -118,7 +117,7 @@
 
 func snapshotName(rev uint64) string { return "snapshot/" + logSort(rev) }
 
-// Load reads the state at the head of the log: the newest snapshot and the
+// Load reads the state at the head of the log, from the newest snapshot and the
 // changes after it.
 func (l *Log) Load(ctx context.Context) (*State, error) {
 	s, err := l.loadSnapshot(ctx)
@@ -138,7 +137,7 @@
 	}
 	body, err := l.objects.GetObject(ctx, snapshotName(rev))
 	if errors.Is(err, store.ErrNotFound) {
-		return NewState(), nil // the log holds every change
+		return NewState(), nil // the log contains every change
 	}
 	if err != nil {
 		return nil, eris.Wrap(err, "read snapshot")
--- a/internal/selector/config/state.go
+++ b/internal/selector/config/state.go
@@ -14,7 +14,7 @@
 )
 
 // State is the whole configuration at one revision. It is immutable: With
-// returns the next one, which shares what did not change.
+// returns a new State that shares unchanged objects with the old one.
 type State struct {
 	revision uint64
 	digest   uint64
@@ -27,22 +27,23 @@
 	blocks    blocks
 }
 
-// collection is what State does with the objects of any kind.
+// collection is the interface that State uses for the objects of each kind.
 type collection interface {
-	// size is how many objects there are.
+	// size returns the number of objects.
 	size() int
-	// version returns the revision that last changed an object, 0 if there is
-	// none.
+	// version returns the revision that last changed an object, or 0 if the
+	// object does not exist.
 	version(name string) uint64
-	// unshare makes a copy that a change with so many edits may write to.
+	// unshare copies shared data before a change with the given number of edits
+	// is applied.
 	unshare(edits int)
-	// set writes an edit that is accepted at a revision.
+	// set applies an edit that was accepted at revision rev.
 	set(e Edit, rev uint64) error
 	// each calls f with every object, in any order.
 	each(f func(name string, version uint64, v any))
 }
 
-// NewState is the empty configuration at revision 0.
+// NewState returns the empty configuration at revision 0.
 func NewState() *State {
 	return &State{
 		zones:     byName[Zone]{},
@@ -54,7 +55,7 @@
 	}
 }
 
-// collection returns the objects of a kind, or nil if there is no such kind.
+// collection returns the objects of a kind, or nil if the kind is unknown.
 func (s *State) collection(kind Kind) collection {
 	switch kind {
 	case KindZone:
@@ -73,14 +74,16 @@
 	return nil
 }
 
-// Revision is the number of the last change in the state, 0 for none.
+// Revision returns the revision of the last change in the state, 0 if there was
+// none.
 func (s *State) Revision() uint64 { return s.revision }
 
-// Digest is a hash of every object's name and version. If two hosts at the same
-// revision have different digests, one of them has missed a change.
+// Digest returns a hash of the names and versions of all objects. If two hosts
+// at the same revision have different digests, one of them has missed a change.
 func (s *State) Digest() uint64 { return s.digest }
 
-// version returns the revision that last changed the object, 0 if there is none.
+// version returns the revision that last changed the object, or 0 if the object
+// does not exist.
 func (s *State) version(ref Ref) uint64 {
 	c := s.collection(ref.Kind)
 	if c == nil {
@@ -89,21 +92,21 @@
 	return c.version(ref.Name)
 }
 
-// conflict returns a conflict for the first edit whose object is not at the version
-// that the edit requires, or nil.
+// conflict returns a conflict for the first edit whose object does not have the
+// version that the edit requires, or nil if there is none.
 func (s *State) conflict(c Change) *Conflict {
 	for _, e := range c.Edits {
-		have := s.version(e.Ref)
-		if have == e.Base || (e.AtMost && have < e.Base) {
+		current := s.version(e.Ref)
+		if current == e.Base || (e.AtMost && current < e.Base) {
 			continue
 		}
-		return &Conflict{Ref: e.Ref, Winner: have}
+		return &Conflict{Ref: e.Ref, Winner: current}
 	}
 	return nil
 }
 
-// With returns the state after an accepted change, whose revision must be the
-// next one.
+// With returns the state after an accepted change. The revision of the change
+// must follow the revision of s.
 func (s *State) With(c Change) (*State, error) {
 	if c.Revision != s.revision+1 {
 		return nil, eris.Errorf("change %s has revision %d after %d", c.ID, c.Revision, s.revision)
@@ -120,8 +123,8 @@
 	return &next, nil
 }
 
-// unshareTouched copies the collections that a change will write to, so that the
-// state before stays as it is.
+// unshareTouched copies the collections that a change will modify, to leave the
+// previous state unchanged.
 func (s *State) unshareTouched(c Change) {
 	touched := map[Kind]bool{}
 	for _, e := range c.Edits {
@@ -133,7 +136,7 @@
 	}
 }
 
-// apply writes one edit into collections that are not shared.
+// apply applies one edit. The collection of its kind must not be shared.
 func (s *State) apply(e Edit, rev uint64) error {
 	c := s.collection(e.Ref.Kind)
 	if c == nil {
@@ -146,8 +149,9 @@
 	return c.set(e, rev)
 }
 
-// objectHash is an object's part of the digest: 0 if it does not exist. The digest
-// is compared between hosts, so that this text must stay as it is.
+// objectHash returns the contribution of an object to the digest, 0 if the
+// object does not exist. Hosts compare digests with each other, so the hashed
+// text must not change.
 func objectHash(ref Ref, version uint64) uint64 {
 	if version == 0 {
 		return 0
@@ -161,10 +165,10 @@
 	value   T
 }
 
-// byName are the objects of one kind, by name.
+// byName holds the objects of one kind by name.
 type byName[T any] map[string]entry[T]
 
-// sorted returns the objects by name.
+// sorted returns the objects, sorted by name.
 func (o byName[T]) sorted() []T {
 	out := make([]T, 0, len(o))
 	for _, name := range slices.Sorted(maps.Keys(o)) {
@@ -201,11 +205,12 @@
 	return nil
 }
 
-// labelSets holds one map for each set of labels ever seen, by its text. They
-// are few, and tens of thousands of upstreams share them; none is ever dropped.
+// labelSets holds one map for each distinct set of labels, with the encoded set
+// as key. Entries are never removed, because there are few distinct sets, which
+// tens of thousands of upstreams share.
 var labelSets sync.Map
 
-// intern makes the upstream share its strings and labels with others.
+// intern replaces the upstream's strings and labels with shared copies.
 func (u *Upstream) intern() {
 	u.Service = unique.Make(u.Service).Value()
 	u.Zone = unique.Make(u.Zone).Value()
--- a/internal/selector/config/view.go
+++ b/internal/selector/config/view.go
@@ -11,20 +11,20 @@
 	"k8s.io/apimachinery/pkg/labels"
 )
 
-// Site is the part of a rule's upstreams that one zone has.
+// Site describes the upstreams of a rule in one zone.
 type Site struct {
 	Zone   string
 	Region string
-	// Slots is the sum of the slots of those that are not leaving.
+	// Slots is the total number of slots of the upstreams that are not leaving.
 	Slots int
 }
 
 // RuleView is a rule with the upstreams that its selector matches.
 type RuleView struct {
 	Rule
-	// Sites are the zones with matching upstreams, by name.
+	// Sites lists the zones with matching upstreams, ordered by name.
 	Sites []Site
-	// Local are the indexes in ServiceView.Local of those that match.
+	// Local holds the indexes in ServiceView.Local of the matching upstreams.
 	Local []int32
 }
 
@@ -33,7 +33,7 @@
 	Service
 	// Rules are ordered by name.
 	Rules []RuleView
-	// Local are the zone's own upstreams, ordered by name.
+	// Local lists the upstreams in the view's own zone, ordered by name.
 	Local []Upstream
 }
 
@@ -42,8 +42,9 @@
 	state    *State
 	zone     string
 	services map[string]*ServiceView
-	// slots is computed when first used: computed for each status, it took 52%
-	// of the time of a host that accepts changes at full size (commit 3b76388).
+	// slots is computed on first use. When it was computed for each status
+	// report, it took 52% of the CPU time of a host that accepts changes at
+	// full size.
 	slotsOnce sync.Once
 	slots     map[string]int
 }
@@ -53,8 +54,8 @@
 	return (&View{state: s, zone: zone}).With(s, nil)
 }
 
-// With returns the view of s, which follows v's state by changes. Services that
-// no change touches are shared with v.
+// With returns the view of s, where changes are the changes between the state of
+// v and s. Services that are not affected by changes are shared with v.
 func (v *View) With(s *State, changes []Change) *View {
 	next := &View{state: s, zone: v.zone, services: make(map[string]*ServiceView, len(s.services))}
 	touched, all := v.touched(s, changes)
@@ -70,8 +71,8 @@
 	return next
 }
 
-// touched returns the services that changes affect, before or after them, or
-// that all are.
+// touched returns the services that are affected by changes, in the state before
+// or after them. If all is true, every service is affected.
 func (v *View) touched(after *State, changes []Change) (services map[string]bool, all bool) {
 	services = map[string]bool{}
 	for _, c := range changes {
@@ -94,7 +95,7 @@
 	return services, false
 }
 
-// build evaluates the named services, which exist.
+// build evaluates the named services. All of them must exist.
 func (v *View) build(names map[string]bool) {
 	if len(names) == 0 {
 		return
@@ -131,8 +132,8 @@
 	return v
 }
 
-// newRuleView evaluates a rule. Its selector was checked when the change was
-// accepted; one that can't be parsed all the same matches nothing.
+// newRuleView evaluates a rule. The selector was validated when the change was
+// accepted; an invalid selector matches nothing.
 func newRuleView(s *State, r Rule, svc *ServiceView, all []Upstream) RuleView {
 	v := RuleView{Rule: r}
 	selector, err := labels.Parse(r.Selector)
@@ -166,14 +167,15 @@
 	return v
 }
 
-// labelled is an upstream's labels together with those that every upstream has:
-// name, zone and region. It copies nothing.
+// labelled provides an upstream's labels together with the built-in labels name,
+// zone and region, without copying them.
 type labelled struct {
 	upstream *Upstream
 	region   string
 }
 
-// Labels returns the labels of an upstream that selectors match.
+// Labels returns the labels of an upstream for matching by selectors, including
+// the built-in labels name, zone and region.
 func Labels(u Upstream, region string) labels.Labels { return labelled{&u, region} }
 
 // Get implements labels.Labels.
@@ -204,10 +206,10 @@
 	return "", false
 }
 
-// Revision is the revision of the state.
+// Revision returns the revision of the view's state.
 func (v *View) Revision() uint64 { return v.state.revision }
 
-// State is the state the view was made from.
+// State returns the state from which the view was built.
 func (v *View) State() *State { return v.state }
 
 // Service returns a service by name.
@@ -231,8 +233,8 @@
 	return u.value.Zone, ok
 }
 
-// ZoneSlots returns, by zone, the sum of the slots of the upstreams that are not
-// leaving. The map is shared and must not be changed.
+// ZoneSlots returns the total number of slots of the upstreams that are not
+// leaving, by zone. The map is shared and must not be modified.
 func (v *View) ZoneSlots() map[string]int {
 	v.slotsOnce.Do(func() {
 		v.slots = map[string]int{}
@@ -254,10 +256,10 @@
 	return out
 }
 
-// Region returns a zone's region, or "".
+// Region returns the region of a zone, or "" if the zone is unknown.
 func (v *View) Region(zone string) string { return v.state.zones[zone].value.Region }
 
-// ServiceNames returns the services' names in order.
+// ServiceNames returns the names of the services, sorted.
 func (v *View) ServiceNames() []string { return slices.Sorted(maps.Keys(v.services)) }
 
 // Zones returns the zones, ordered by name.
@@ -269,8 +271,8 @@
 	return l.value, ok
 }
 
-// ClientZone returns the zone of the longest block that contains a client's
-// address, or "".
+// ClientZone returns the zone of the most specific block that contains a
+// client's address, or "" if there is none.
 func (v *View) ClientZone(addr netip.Addr) string {
 	b, ok := v.state.blocks.table.Lookup(addr.Unmap())
 	if !ok {
