--- a/internal/selector/link/bucket.go
+++ b/internal/selector/link/bucket.go
@@ -1,12 +1,13 @@
-// Package link keeps the traffic from one region to another under the limit of
-// the link between them, and lets interactive traffic go before bulk.
+// Package link limits the traffic from one region to another to the configured
+// rate of the link between them, and prioritizes interactive over bulk traffic.
 //
-// Each host of a region sends within a part of its own: a token bucket
-// with two classes of traffic, which a Pacer shares between goroutines. The
-// parts are even; Loans lets hosts lend each other what they do not use. Package
-// entry/links works out the even parts, asks other hosts for loans, and sets each
-// pacer to its part and the balance of its loans. docs/design/shares.md has the
-// measurements and what was weighed.
+// Each host of a region sends within its own share of the link, which is
+// enforced by a token bucket with two traffic classes. A Pacer makes the bucket
+// safe for use by many goroutines. The shares are even; hosts lend each other
+// unused rate through Loans. Package entry/links computes the even shares,
+// requests loans from other hosts, and configures each pacer with the share of
+// the host and the balance of its loans. docs/design/shares.md has the
+// measurements and the alternatives.
 package link
 
 import (
@@ -18,68 +19,69 @@
 type Class uint8
 
 const (
-	// Interactive traffic may use the whole rate at once.
+	// Interactive traffic may use the whole rate.
 	Interactive Class = iota
-	// Bulk traffic gets what interactive traffic leaves.
+	// Bulk traffic gets the rate that interactive traffic does not use.
 	Bulk
 )
 
 const (
-	// burst is how much unused time a link may make up for.
+	// burst is the capacity of the bucket, as time at its rate.
 	burst = 25 * time.Millisecond
-	// debt is how far ahead of its rate interactive traffic may go, so that it
-	// need not wait for a chunk of bulk. On 1 MB/s interactive traffic waited
-	// up to 16.8 ms without it and with whole chunks, 0.34 ms with it and chunks
-	// of chunkTime (commit "Prove rosters, caps, links, verdicts, tickets and
-	// frames one by one").
-	debt = 25 * time.Millisecond
-	// averageOver is the time constant of the moving average of interactive
+	// maxOverdraft is how far interactive traffic may overdraw the bucket, as time at
+	// its rate, to avoid waiting behind a chunk of bulk traffic. On a link of
+	// 1 MB/s, interactive traffic waited up to 16.8 ms without maxOverdraft and with
+	// chunks of MaxChunk, and up to 0.34 ms with maxOverdraft and chunks of chunkTime.
+	maxOverdraft = 25 * time.Millisecond
+	// averagingPeriod is the time constant of the moving average of interactive
 	// traffic.
-	averageOver = 200 * time.Millisecond
-	// headroomPart is the room that interactive traffic keeps free for its next
-	// burst, as a part of what it uses. With 0.05 and debt, bulk used 95, 95, 92
-	// and 86% of what 0, 10, 30 and 60% interactive left, and 98, 96, 91 and 85%
-	// with 0.15 and no debt (same commit).
-	headroomPart = 0.05
-	// leastBulkPart divides the rate into the least rate by which the wait of
-	// bulk is worked out while interactive leaves nothing, so that bulk asks
-	// again within a bounded time.
-	leastBulkPart = 100
-	// leastRate, in bytes per second, stands for a limit below it, so that no
-	// wait is infinite.
-	leastRate = 1
+	averagingPeriod = 200 * time.Millisecond
+	// headroomFraction is the rate reserved for the next burst of interactive
+	// traffic, as a fraction of the rate that interactive traffic uses. When
+	// interactive traffic used 0, 10, 30 and 60% of the link, bulk traffic used
+	// 95, 95, 92 and 86% of the rest with 0.05 and maxOverdraft, and 98, 96, 91 and 85%
+	// with 0.15 and no maxOverdraft.
+	headroomFraction = 0.05
+	// minBulkRateDivisor is the divisor of the rate that gives the minimum rate for
+	// computing the wait of bulk traffic. It bounds the wait while interactive
+	// traffic uses the whole rate.
+	minBulkRateDivisor = 100
+	// minRate is the minimum rate in bytes per second. It replaces lower
+	// limits to keep waits finite.
+	minRate = 1
 )
 
-// bucket is one host's part of a link. It has no lock; now is in nanoseconds of
-// a monotonic clock.
+// bucket is a token bucket for one host's share of a link. It is not safe for
+// concurrent use. Parameters named now are nanoseconds of a monotonic clock.
 type bucket struct {
 	rate     float64 // bytes per second
-	reserved float64 // part of the rate kept for interactive traffic, 0 to 1
-	level    float64 // bytes that may be sent now; negative is a debt
+	reserved float64 // fraction of the rate reserved for interactive traffic, 0 to 1
+	level    float64 // bytes that may be sent now; negative if overdrawn
 	filledAt int64
 	// recent is the moving average of interactive bytes per second.
 	recent float64
-	// bulkLevel is how many bytes of bulk may be sent now, within level.
+	// bulkLevel is the number of bytes of bulk traffic that may be sent now,
+	// within level.
 	bulkLevel float64
 }
 
-// newBucket makes a bucket for a limit in bytes per second, of which a part, 0 to
-// 1, is reserved for interactive traffic.
+// newBucket returns a bucket for a limit in bytes per second, of which the
+// fraction reserved, 0 to 1, is reserved for interactive traffic.
 func newBucket(limit, reserved float64, now int64) *bucket {
 	b := &bucket{filledAt: now}
 	b.configure(limit, reserved)
 	return b
 }
 
-// configure changes the limit and the reserved part. The rate is below the limit
-// by burst and debt, so that no second sees more than the limit.
+// configure sets the limit and the reserved fraction. The rate is lower than the
+// limit by burst and maxOverdraft, to keep the bytes sent in any second within the limit.
 func (b *bucket) configure(limit, reserved float64) {
-	b.rate = max(leastRate, limit) / (1 + burst.Seconds() + debt.Seconds())
+	b.rate = max(minRate, limit) / (1 + burst.Seconds() + maxOverdraft.Seconds())
 	b.reserved = reserved
 }
 
-// take asks to send n bytes. It gives zero when they may be sent now, and counts
-// them; else it gives how long to wait before asking again.
+// take takes n bytes from the bucket and returns 0 if they may be sent now. Else
+// it takes nothing and returns how long to wait before the next attempt.
 func (b *bucket) take(class Class, n int, now int64) time.Duration {
 	b.fill(now)
 	if class == Interactive {
@@ -88,31 +90,31 @@
 	return b.takeBulk(float64(n))
 }
 
-// fill brings the levels and the average up to now.
+// fill updates the levels and the average to the time now.
 func (b *bucket) fill(now int64) {
 	elapsed := float64(now-b.filledAt) / float64(time.Second)
 	b.filledAt = now
-	most := b.rate * burst.Seconds()
-	b.level = min(most, b.level+b.rate*elapsed)
-	b.recent *= math.Exp(-elapsed / averageOver.Seconds())
-	b.bulkLevel = min(most, b.bulkLevel+b.bulkRate()*elapsed)
+	capacity := b.rate * burst.Seconds()
+	b.level = min(capacity, b.level+b.rate*elapsed)
+	b.recent *= math.Exp(-elapsed / averagingPeriod.Seconds())
+	b.bulkLevel = min(capacity, b.bulkLevel+b.bulkRate()*elapsed)
 }
 
-// bulkRate is how many bytes per second bulk may use: what recent interactive
-// traffic leaves of the rate, less some headroom for it. The headroom is a part
-// of what interactive uses, counted up to the part of the rate that is reserved
-// for it.
+// bulkRate returns the bytes per second available to bulk traffic: the rate
+// minus recent interactive traffic and a headroom for it. The headroom is a
+// fraction of recent interactive traffic, which for this purpose is capped at
+// the reserved fraction of the rate.
 func (b *bucket) bulkRate() float64 {
-	headroom := headroomPart * min(b.recent, b.rate*b.reserved)
+	headroom := headroomFraction * min(b.recent, b.rate*b.reserved)
 	return max(0, b.rate-b.recent-headroom)
 }
 
 func (b *bucket) takeInteractive(n float64) time.Duration {
-	if lowest := -b.rate * debt.Seconds(); b.level <= lowest {
-		return duration(lowest-b.level+1, b.rate)
+	if minLevel := -b.rate * maxOverdraft.Seconds(); b.level <= minLevel {
+		return duration(minLevel-b.level+1, b.rate)
 	}
 	b.level -= n
-	b.recent += n / averageOver.Seconds()
+	b.recent += n / averagingPeriod.Seconds()
 	return 0
 }
 
@@ -121,14 +123,14 @@
 		return duration(-b.level+1, b.rate)
 	}
 	if b.bulkLevel <= 0 {
-		return duration(1-b.bulkLevel, max(b.bulkRate(), b.rate/leastBulkPart))
+		return duration(1-b.bulkLevel, max(b.bulkRate(), b.rate/minBulkRateDivisor))
 	}
 	b.level -= n
 	b.bulkLevel -= n
 	return 0
 }
 
-// duration is how long some bytes take at a rate in bytes per second.
+// duration returns the time to send bytes at a rate in bytes per second.
 func duration(bytes, rate float64) time.Duration {
 	return time.Duration(bytes / rate * float64(time.Second))
 }
--- a/internal/selector/link/bucket_test.go
+++ b/internal/selector/link/bucket_test.go
@@ -10,27 +10,28 @@
 
 const testLimit = 1_000_000.0
 
-// sending is one chunk let through.
+// sending is one chunk that the bucket admitted.
 type sending struct {
 	at    time.Duration
 	class Class
 	n     int
 }
 
-// drive offers bulk all the time and interactive at a rate, and gives what
-// was let through and the longest wait of an interactive chunk.
+// drive offers bulk traffic continuously and interactive traffic at a rate in
+// bytes per second. It returns the admitted chunks and the longest wait of an
+// interactive chunk.
 func drive(b *bucket, length time.Duration, interactive float64) (sent []sending, slowest time.Duration) {
 	const step = 500 * time.Microsecond
-	const small = 1000
+	const interactiveChunk = 1000
 	var bulkAt, dueAt time.Duration
 	var queue []time.Duration
 	for now := time.Duration(0); now < length; now += step {
 		for interactive > 0 && now >= dueAt {
 			queue = append(queue, dueAt)
-			dueAt += time.Duration(small / interactive * float64(time.Second))
+			dueAt += time.Duration(interactiveChunk / interactive * float64(time.Second))
 		}
-		for len(queue) > 0 && b.take(Interactive, small, int64(now)) == 0 {
-			sent = append(sent, sending{now, Interactive, small})
+		for len(queue) > 0 && b.take(Interactive, interactiveChunk, int64(now)) == 0 {
+			sent = append(sent, sending{now, Interactive, interactiveChunk})
 			slowest = max(slowest, now-queue[0])
 			queue = queue[1:]
 		}
@@ -54,7 +55,7 @@
 	return n
 }
 
-// TestLimitHoldsInEverySecond looks at every window of a second.
+// TestLimitHoldsInEverySecond checks the limit in every window of one second.
 func TestLimitHoldsInEverySecond(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		interactive := rapid.Float64Range(1000, 2*testLimit).Draw(t, "interactive")
@@ -64,9 +65,9 @@
 			for j := i; j < len(sent) && sent[j].at < sent[i].at+time.Second; j++ {
 				sum += sent[j].n
 			}
-			// One chunk of slack: a chunk is never sent in parts.
+			// The tolerance is one chunk, because a chunk is never split.
 			if sum > testLimit+MaxChunk {
-				t.Fatalf("%d bytes in the second from %s on", sum, sent[i].at)
+				t.Fatalf("%d bytes in the second after %s", sum, sent[i].at)
 			}
 		}
 	})
@@ -77,7 +78,7 @@
 		const length = 10 * time.Second
 		sent, slowest := drive(newBucket(testLimit, 0.3, 0), length, interactive)
 		left := (testLimit - interactive) * length.Seconds()
-		t.Logf("interactive %.0f B/s: bulk used %.0f%% of what was left, slowest interactive chunk waited %s",
+		t.Logf("interactive %.0f B/s: bulk used %.0f%% of the rest, slowest interactive chunk waited %s",
 			interactive, 100*float64(total(sent, Bulk))/left, slowest)
 		require.GreaterOrEqual(t, float64(total(sent, Bulk)), 0.8*left)
 		require.InDelta(t, interactive*length.Seconds(), float64(total(sent, Interactive)), 0.02*testLimit*length.Seconds())
--- a/internal/selector/link/pacer.go
+++ b/internal/selector/link/pacer.go
@@ -9,49 +9,53 @@
 )
 
 const (
-	// MaxChunk is the most bytes to send at once.
+	// MaxChunk is the maximum chunk size on any link, in bytes.
 	MaxChunk = 16 << 10
-	// leastChunk is the most bytes to send at once on the slowest links.
-	leastChunk = 1 << 10
-	// chunkTime is how long one chunk may hold the link, so that interactive
-	// traffic does not wait behind bulk; see debt for the measurement.
+	// minChunk is the chunk size on the slowest links, in bytes.
+	minChunk = 1 << 10
+	// chunkTime is the maximum time that one chunk occupies the link. It limits
+	// how long interactive traffic waits behind bulk traffic; see maxOverdraft for the
+	// measurement.
 	chunkTime = 4 * time.Millisecond
 )
 
-// Pacer is a bucket that many goroutines share.
+// Pacer limits the rate at which a host sends over one link. It is safe for
+// concurrent use.
 type Pacer struct {
 	mu     sync.Mutex
 	bucket *bucket
 	start  time.Time
 	sent   [2]int64 // bytes, by class
-	// waited says that something had to wait since the last Demand. That was
-	// demandAt after start, when demandSent bytes had been sent.
+	// waited reports whether any sender had to wait since the last call of
+	// Demand. That call was at demandAt after start, when demandSent bytes had
+	// been sent in total.
 	waited     bool
 	demandAt   time.Duration
 	demandSent int64
 }
 
-// NewPacer makes a pacer for a limit in bytes per second, of which a part, 0 to
-// 1, is reserved for interactive traffic.
+// NewPacer returns a pacer for a limit in bytes per second, of which the
+// fraction reserved, 0 to 1, is reserved for interactive traffic.
 func NewPacer(limit, reserved float64) *Pacer {
 	return &Pacer{bucket: newBucket(limit, reserved, 0), start: time.Now()}
 }
 
-// Configure changes the limit and the reserved part.
+// Configure sets the limit in bytes per second and the reserved fraction, 0 to 1.
 func (p *Pacer) Configure(limit, reserved float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.bucket.configure(limit, reserved)
 }
 
-// Chunk gives the most bytes to send at once on this link.
+// Chunk returns the maximum number of bytes to send at once on this link.
 func (p *Pacer) Chunk() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(leastChunk, min(MaxChunk, int(p.bucket.rate*chunkTime.Seconds())))
+	return max(minChunk, min(MaxChunk, int(p.bucket.rate*chunkTime.Seconds())))
 }
 
-// Wait waits until n bytes of a class may be sent. Its error is that of ctx.
+// Wait blocks until n bytes of a class may be sent. It returns ctx.Err() if ctx
+// is done first.
 func (p *Pacer) Wait(ctx context.Context, class Class, n int) error {
 	for {
 		d := p.take(class, n)
@@ -64,8 +68,8 @@
 	}
 }
 
-// take asks the bucket to send n bytes now; it gives zero, or how long to wait
-// before asking again.
+// take takes n bytes from the bucket and returns 0, or returns how long to wait
+// before the next attempt.
 func (p *Pacer) take(class Class, n int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,8 +82,9 @@
 	return d
 }
 
-// Demand gives the bytes per second sent since the last Demand, and whether
-// anything had to wait, so that more would have been sent at a higher rate.
+// Demand returns the bytes per second sent since the last call of Demand. more
+// reports whether any sender had to wait in this time, which means that a higher
+// rate would have been used.
 func (p *Pacer) Demand() (used float64, more bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,7 +98,7 @@
 	return used, more
 }
 
-// Sent gives the bytes of a class sent so far.
+// Sent returns the number of bytes of a class sent since the pacer was created.
 func (p *Pacer) Sent(class Class) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
