--- a/internal/selector/upstream/attempt.go
+++ b/internal/selector/upstream/attempt.go
@@ -16,27 +16,27 @@
 	"cairndock/internal/verdict"
 )
 
-// attempt is one request on its way to an upstream.
+// attempt is one attempt to send a request to an upstream.
 type attempt struct {
 	target Target
-	began  time.Time
+	start  time.Time
 	once   sync.Once
 	done   Done
 
 	mu sync.Mutex
-	// conn is nil until a connection was assigned; requestNumber is the
-	// request's number on it.
+	// conn is nil until a connection is assigned. requestNumber is the
+	// request's number on conn.
 	conn          *conn
 	requestNumber uint64
 }
 
-// finish reports the slot as free. Calls after the first have no effect.
+// finish reports the slot as free. Only the first call has an effect.
 func (a *attempt) finish(outcome slot.Outcome) {
-	a.once.Do(func() { a.done(outcome, time.Since(a.began)) })
+	a.once.Do(func() { a.done(outcome, time.Since(a.start)) })
 }
 
-// gotConn records the connection that the Transport assigned. It runs before
-// the first byte is written.
+// gotConn records the connection that the Transport assigned. The Transport
+// calls it before it writes the first byte.
 func (a *attempt) gotConn(info httptrace.GotConnInfo, deadline time.Time) {
 	c, ok := info.Conn.(*conn)
 	if !ok {
@@ -63,17 +63,19 @@
 	}
 }
 
-// upstream is "zone/name", as verdicts and responses name an upstream.
+// upstream returns "zone/name", the form in which verdicts and responses
+// identify an upstream.
 func (a *attempt) upstream() string { return a.target.Zone + "/" + a.target.Name }
 
-// fail ends a request that got no response. Where bytes were written, the slot
-// is free only when the upstream has closed the connection.
+// fail ends an attempt without a response and returns its *verdict.Error. If any
+// byte was written, the slot becomes free only when the upstream has closed the
+// connection.
 func (a *attempt) fail(ctx context.Context, err error) error {
 	c := a.current()
 	written := c != nil && c.seal()
 	f := classify(written, ctx.Err())
 	if written {
-		// Closing cancels the request; its result says nothing more.
+		// Close cancels the request. Its error does not affect the outcome.
 		_ = c.Close()
 		c.whenClosed(func() { a.finish(f.outcome) })
 	} else {
@@ -85,22 +87,23 @@
 	return verdict.New(f.verdict, f.reason, "no connection in time").WithUpstream(a.upstream())
 }
 
-// failure is the meaning of an attempt without a response.
+// failure is the classification of an attempt without a response.
 type failure struct {
 	verdict verdict.Verdict
 	reason  verdict.Reason
-	// outcome is what the attempt counts as in the upstream's record.
+	// outcome is recorded for the upstream.
 	outcome slot.Outcome
-	// detail introduces the cause; empty if the cause is only the time.
+	// detail is the prefix of the error text; empty if the attempt only ran out
+	// of time.
 	detail string
 }
 
-// classify is the rule for an attempt without a response. written says whether
-// any byte of the request was handed to the connection: without one the
-// request has certainly not run, with one it may have. ctxErr is the state of
-// the request's context. An upstream is not blamed for a client that left
-// before anything was sent. A request that is cancelled before it is sent
-// reports its deadline as the reason, as nobody reads that response.
+// classify classifies an attempt without a response. written reports whether any
+// byte of the request was passed to the connection: if not, the request
+// certainly did not run, else it may have run. ctxErr is the error of the
+// request's context. If the client left before anything was sent, the outcome
+// does not count against the upstream. A request that is cancelled before it is
+// sent gets DeadlineLapsed as its reason, because no client reads the response.
 func classify(written bool, ctxErr error) failure {
 	left := errors.Is(ctxErr, context.Canceled)
 	switch {
@@ -119,9 +122,9 @@
 	}
 }
 
-// refused ends a request that the upstream refused without running it.
+// refused ends an attempt that the upstream refused without running the request.
 func (a *attempt) refused(resp *http.Response) error {
-	// A body that can't be read whole only costs the connection.
+	// If the body can't be read completely, only the connection is lost.
 	_, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxHeaderBytes))
 	if err == nil {
 		a.responseRead()
@@ -131,7 +134,8 @@
 	return verdict.New(verdict.NotRun, verdict.UpstreamShed, "upstream refused").WithUpstream(a.upstream())
 }
 
-// response makes the response, whose body frees the slot at its end.
+// response returns the response for the client. The slot becomes free when the
+// body was read to its end or closed.
 func (a *attempt) response(resp *http.Response, cancel context.CancelFunc) *call.Response {
 	chunked := len(resp.TransferEncoding) > 0 && strings.EqualFold(resp.TransferEncoding[0], "chunked")
 	b := &body{attempt: a, inner: resp.Body, cancel: cancel}
@@ -146,15 +150,15 @@
 	}
 }
 
-// body is a response's body that frees the slot at its end.
+// body is a response body that frees the slot of the request at its end.
 type body struct {
 	attempt *attempt
 	inner   io.ReadCloser
 	cancel  context.CancelFunc
-	// unframed means that the body has neither a length nor chunks, so that
-	// its end can't be distinguished from a broken connection.
+	// unframed means that the body has neither a length nor chunks. Its end
+	// can't be distinguished from a broken connection.
 	unframed bool
-	whole    bool
+	complete bool
 }
 
 // Read returns io.EOF only when the whole response was read.
@@ -164,8 +168,8 @@
 		if b.unframed {
 			return n, io.ErrUnexpectedEOF
 		}
-		if !b.whole {
-			b.whole = true
+		if !b.complete {
+			b.complete = true
 			b.attempt.responseRead()
 			b.attempt.finish(slot.Success)
 		}
@@ -173,10 +177,11 @@
 	return n, err
 }
 
-// Close cancels the request if its response was not read whole; the slot is
-// free once the upstream has closed its side of the connection.
+// Close cancels the request if its response was not read completely. In this
+// case the slot becomes free when the upstream has closed its side of the
+// connection.
 func (b *body) Close() error {
-	if b.whole {
+	if b.complete {
 		err := b.inner.Close()
 		b.cancel()
 		return err
@@ -189,7 +194,7 @@
 	}
 	c.whenClosed(func() { b.attempt.finish(slot.Failure) })
 	b.cancel()
-	// The response is given up, so that an error of closing changes nothing.
+	// The response is discarded, so an error of Close has no effect.
 	_ = c.Close()
 	return b.inner.Close()
 }
--- a/internal/selector/upstream/client.go
+++ b/internal/selector/upstream/client.go
@@ -1,14 +1,15 @@
-// Package upstream sends requests to the upstreams of one zone and determines
-// for each whether it has run, and when the upstream is no longer busy with
-// it, which frees the request's slot. It owns the connections to upstreams and
-// relies on slot for who may send.
+// Package upstream sends requests to the upstreams of one zone. For each request
+// it determines whether the request has run, and when the upstream is no longer
+// busy with it, which frees the request's slot. The package owns the connections
+// to upstreams; package slot decides which requests may be sent.
 //
-// internal/gateway/exchange does the same duty for the gateway. Both exist
-// because they must control different ends of a connection: this package
-// half-closes it to learn when a cancelled request has ended (net/http's
-// Transport allows that by a net.Conn of its own), exchange checks that each
-// response belongs to its request and that an idle connection is silent (which
-// the Transport hides), and needs no notice of the end.
+// Package internal/gateway/exchange has the same task in the gateway. The two
+// packages need control over different aspects of a connection. This package
+// half-closes a connection to detect when a cancelled request has ended, which
+// is possible with net/http's Transport and a custom net.Conn. Package exchange
+// checks that each response belongs to its request and that no data arrives on
+// an idle connection, which the Transport hides; it does not need to detect the
+// end of a cancelled request.
 package upstream
 
 import (
@@ -32,33 +33,35 @@
 )
 
 const (
-	// dialTimeout limits connecting: far above a round trip within a zone,
-	// and half of a service's default timeout of 2 s. Cut links are not
-	// probed as by gateway/dial: upstreams are in the own zone.
+	// dialTimeout limits connection set-up. It is far above a round trip within
+	// a zone and half of a service's default timeout of 2 s. Unlike
+	// gateway/dial, this package does not probe for broken network links,
+	// because all upstreams are in the host's own zone.
 	dialTimeout = time.Second
-	// idleTimeout closes connections without a request.
+	// idleTimeout is the time after which an idle connection is closed.
 	idleTimeout = 30 * time.Second
-	// maxIdle limits the idle connections to one upstream: the most slots that
-	// an upstream can have by its configuration.
-	maxIdle = 64
-	// maxHeaderBytes limits a response's header, and what is read of the body
-	// of a refusal or probe.
+	// maxIdlePerUpstream limits the idle connections to one upstream. It equals the maximum
+	// number of slots that can be configured for an upstream.
+	maxIdlePerUpstream = 64
+	// maxHeaderBytes limits the header of a response, and the bytes read from
+	// the body of a refusal or of a response to a probe.
 	maxHeaderBytes = 64 << 10
 )
 
 // DialFunc connects to an upstream.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Status is what an upstream reports of itself in the headers of a response or
-// probe. It is not gateway/exchange.ResponseInfo, which tells whether a response
-// belongs to its request: here the connection carries one request at a time and
-// is not used again after one that broke off.
+// Status is the state that an upstream reports in the headers of a response,
+// also to a probe. Unlike gateway/exchange.ResponseInfo, it has no information on
+// whether a response belongs to its request, because here a connection carries
+// one request at a time and is not reused after an incomplete response.
 type Status struct {
-	// Incarnation is one life of the upstream's process.
+	// Incarnation identifies one process of the upstream.
 	Incarnation string
-	// Leaving means that it asks for no new requests.
+	// Leaving means that the upstream accepts no new requests.
 	Leaving bool
-	// Load is its own view of its load, 0 to 1; negative if it reports none.
+	// Load is the load that the upstream reports, 0 to 1; negative if it reports
+	// none.
 	Load float64
 }
 
@@ -70,19 +73,20 @@
 	Addr string
 }
 
-// Done is called exactly once, when a request's slot is free again: the
-// upstream has responded in full, has refused, or is no longer busy with the
-// request. latency runs from Send.
+// Done is called exactly once, when a request's slot is free again because the
+// upstream has sent its complete response, has refused the request, or is no
+// longer busy with it. latency is the time since the call of Send.
 type Done func(outcome slot.Outcome, latency time.Duration)
 
 // Client sends requests to the upstreams of one zone.
 type Client struct {
 	transport *http.Transport
-	// observe is called with the status in each response's headers.
-	observe func(name string, s Status)
+	// onStatus is called with the status in each response's headers.
+	onStatus func(name string, s Status)
 }
 
-// New makes a client. A nil dial is TCP; onStatus may be nil.
+// New returns a client. If dial is nil, the client dials TCP. onStatus is called
+// with the status in each response's headers, and may be nil.
 func New(dial DialFunc, onStatus func(name string, s Status)) *Client {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
@@ -90,7 +94,7 @@
 	if onStatus == nil {
 		onStatus = func(string, Status) {}
 	}
-	c := &Client{observe: onStatus}
+	c := &Client{onStatus: onStatus}
 	c.transport = &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			nc, err := dial(ctx, network, addr)
@@ -101,7 +105,7 @@
 		},
 		DisableCompression:     true,
 		MaxIdleConns:           0, // no limit over all upstreams
-		MaxIdleConnsPerHost:    maxIdle,
+		MaxIdleConnsPerHost:    maxIdlePerUpstream,
 		IdleConnTimeout:        idleTimeout,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
@@ -111,12 +115,12 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// Send sends a request once and returns the response's header with its body
-// still to be read. Its error is a *verdict.Error: NotRun when no byte was
-// written or the upstream itself refused, else MayHaveRun. done is called once
-// in every case.
+// Send sends a request once and returns the response, whose body is not read
+// yet. The error is a *verdict.Error: NotRun if no byte was written or the
+// upstream refused the request, else MayHaveRun. done is called exactly once in
+// every case.
 func (c *Client) Send(ctx context.Context, t Target, req *call.Request, done Done) (*call.Response, error) {
-	a := &attempt{target: t, began: time.Now(), done: done}
+	a := &attempt{target: t, start: time.Now(), done: done}
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	trace := &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { a.gotConn(i, req.Deadline) }}
 	out, err := newRequest(httptrace.WithClientTrace(ctx, trace), t, req)
@@ -131,7 +135,7 @@
 		cancel()
 		return nil, failure
 	}
-	c.observe(t.Name, parseStatus(resp.Header))
+	c.onStatus(t.Name, parseStatus(resp.Header))
 	if isRefusal(resp) {
 		defer cancel()
 		return nil, a.refused(resp)
@@ -139,7 +143,7 @@
 	return a.response(resp, cancel), nil
 }
 
-// newRequest makes the HTTP request for an upstream.
+// newRequest returns the HTTP request for an upstream.
 func newRequest(ctx context.Context, t Target, req *call.Request) (*http.Request, error) {
 	u, err := url.ParseRequestURI(req.Target)
 	if err != nil {
@@ -149,8 +153,8 @@
 	out := (&http.Request{
 		Method: req.Method, URL: u, Host: t.Addr, Header: req.Header.Clone(),
 		ProtoMajor: 1, ProtoMinor: 1, ContentLength: int64(len(req.Body)),
-		// A Body without GetBody keeps the Transport from sending the
-		// request a second time by itself.
+		// Without GetBody, the Transport does not retry a request that has a
+		// Body.
 		Body: io.NopCloser(bytes.NewReader(req.Body)),
 	}).WithContext(ctx)
 	if out.Header == nil {
@@ -164,14 +168,15 @@
 	return out, nil
 }
 
-// isRefusal reports whether the upstream states that it did not run the
-// request: by 503 and its own header. A bare 503 may come after a run.
+// isRefusal reports whether the upstream states that it did not run the request,
+// by status 503 and HeaderShed. A 503 without this header may be sent after the
+// request ran.
 func isRefusal(resp *http.Response) bool {
 	return resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(call.HeaderShed) == verdict.NotRun.String()
 }
 
-// parseStatus reads an upstream's status. A load that is no number counts as
-// not reported.
+// parseStatus reads an upstream's status from headers. A load that is not a
+// number is treated as not reported.
 func parseStatus(h http.Header) Status {
 	s := Status{Incarnation: h.Get(call.HeaderInstance), Leaving: h.Get(call.HeaderState) == call.StateLeaving, Load: -1}
 	if load, err := strconv.ParseFloat(h.Get(call.HeaderLoad), 64); err == nil {
@@ -180,8 +185,8 @@
 	return s
 }
 
-// Probe requests an upstream's status from its health path. Its HTTP status
-// does not count, and the report may be late or wrong.
+// Probe requests an upstream's status from its health path. The HTTP status of
+// the response is ignored. The report may be outdated or wrong.
 func (c *Client) Probe(ctx context.Context, t Target) (Status, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.Addr+"/healthz", nil)
 	if err != nil {
@@ -192,7 +197,7 @@
 		return Status{}, eris.Wrap(err, "probe upstream")
 	}
 	defer resp.Body.Close()
-	// The body is read only so that the connection can be used again.
+	// Reading the body allows the connection to be reused.
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxHeaderBytes))
 	return parseStatus(resp.Header), nil
 }
--- a/internal/selector/upstream/client_test.go
+++ b/internal/selector/upstream/client_test.go
@@ -18,24 +18,25 @@
 	"cairndock/internal/verdict"
 )
 
-// heldServer is a server whose handler signals its begin and its end.
+// heldServer is a server whose handler signals its start and its end, and runs
+// until letFinish is called.
 type heldServer struct {
-	server *httptest.Server
-	began  chan struct{}
-	finish chan struct{}
-	ended  chan struct{}
-	once   sync.Once
+	server  *httptest.Server
+	started chan struct{}
+	finish  chan struct{}
+	ended   chan struct{}
+	once    sync.Once
 }
 
-// letFinish lets the handler end.
+// letFinish lets the handler return.
 func (h *heldServer) letFinish() { h.once.Do(func() { close(h.finish) }) }
 
-// newHeldServer serves requests that run until letFinish, whatever the client
-// does.
+// newHeldServer starts a server whose requests run until letFinish is called,
+// also if the client leaves.
 func newHeldServer(t *testing.T) *heldServer {
-	h := &heldServer{began: make(chan struct{}, 1), finish: make(chan struct{}), ended: make(chan struct{})}
+	h := &heldServer{started: make(chan struct{}, 1), finish: make(chan struct{}), ended: make(chan struct{})}
 	h.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		h.began <- struct{}{}
+		h.started <- struct{}{}
 		<-h.finish
 		_, _ = io.WriteString(w, "late")
 		close(h.ended)
@@ -54,7 +55,7 @@
 }
 
 // TestSlotIsHeldUntilTheUpstreamIsDone cancels a request that the upstream
-// keeps running: its slot must not be free before that ends.
+// continues to run. The slot must not become free before the upstream is done.
 func TestSlotIsHeldUntilTheUpstreamIsDone(t *testing.T) {
 	h := newHeldServer(t)
 	c := New(nil, nil)
@@ -65,14 +66,14 @@
 		_, err := c.Send(ctx, targetOf(h.server), get(time.Minute), func(o slot.Outcome, _ time.Duration) { free <- o })
 		failed <- err
 	}()
-	<-h.began
+	<-h.started
 	cancel()
 	e := verdict.From(<-failed)
 	require.Equal(t, verdict.MayHaveRun, e.Verdict)
 	require.Equal(t, verdict.CallerLeft, e.Reason)
 	select {
 	case <-free:
-		t.Fatal("slot was free while the request ran")
+		t.Fatal("slot became free while the request ran")
 	case <-time.After(50 * time.Millisecond):
 	}
 	h.letFinish()
@@ -99,8 +100,8 @@
 		{name: "closed without a response", want: verdict.MayHaveRun, reason: verdict.UpstreamFailed, outcome: slot.Failure,
 			handler: func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }},
 		{name: "no response in time", timeout: time.Second, want: verdict.MayHaveRun, reason: verdict.DeadlineLapsed, outcome: slot.Failure,
-			// It must not respond even when the connection closes, as the
-			// response may come before the client has noticed its deadline.
+			// The handler must not respond when the connection closes, because
+			// the response could arrive before the client notices its deadline.
 			handler: func(_ http.ResponseWriter, r *http.Request) {
 				<-r.Context().Done()
 				panic(http.ErrAbortHandler)
@@ -134,7 +135,7 @@
 	}
 }
 
-// TestClassify is the rule for attempts without a response.
+// TestClassify checks the classification of attempts without a response.
 func TestClassify(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -161,7 +162,7 @@
 	}
 }
 
-// TestBodies: only a response whose end is certain reads to io.EOF.
+// TestBodies checks that only a body whose end is certain returns io.EOF.
 func TestBodies(t *testing.T) {
 	const whole = "0123456789"
 	cases := []struct {
--- a/internal/selector/upstream/conn.go
+++ b/internal/selector/upstream/conn.go
@@ -8,37 +8,40 @@
 	"github.com/rotisserie/eris"
 )
 
-// cancelGrace is how long after a request's deadline an upstream that neither
-// responds nor closes may still be busy with it; then its slot counts as free.
-// Upstreams stop at the deadline they are sent (docs/design/request.md); the
-// margin is for clocks and the network.
+// cancelGrace is the time after a request's deadline at which the slot is
+// considered free if the upstream has neither responded nor closed the
+// connection. Upstreams stop work at the deadline in the request
+// (docs/design/request.md); the grace period allows for clock differences and
+// network delays.
 const cancelGrace = 500 * time.Millisecond
 
-// errFenced is the error of a write after the request was abandoned or its
+// errFenced is returned by writes after the request was abandoned or its
 // deadline has passed.
 var errFenced = eris.New("request was abandoned before this write")
 
 // halfCloser is a connection whose sending side can be closed alone.
 type halfCloser interface{ CloseWrite() error }
 
-// conn is a connection to an upstream that records whether any byte of its
-// request was written, and when the upstream is done with the request. readMu
-// is taken before writeMu or mu; those two are never held together.
+// conn is a connection to an upstream. It records whether any byte of the
+// current request was written, and when the upstream is done with the request.
+// Lock order: readMu before writeMu or mu. writeMu and mu are never held
+// together.
 type conn struct {
 	net.Conn
 
-	// writeMu guards what Write decides by.
+	// writeMu guards the fields that Write checks and sets.
 	writeMu  sync.Mutex
 	written  bool // a byte of the current request was written
-	fenced   bool // nothing more may be written
+	fenced   bool // further writes fail
 	deadline time.Time
 
-	// readMu keeps linger from reading beside the Transport.
+	// readMu prevents concurrent reads by linger and the Transport.
 	readMu sync.Mutex
 
 	mu sync.Mutex
-	// lastRequest numbers the requests on the connection, from 1; busyRequest is
-	// the one whose response is not whole yet, or 0.
+	// lastRequest is the number of the last request on the connection, counted
+	// from 1. busyRequest is the number of the request whose response is not
+	// complete yet, or 0.
 	lastRequest uint64
 	busyRequest uint64
 	closing     bool // Close was called
@@ -59,8 +62,8 @@
 	return c.lastRequest
 }
 
-// end records that a request's whole response was read. The connection may
-// carry the next request already.
+// end records that the complete response of a request was read. The connection
+// may already be used by the next request.
 func (c *conn) end(request uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,8 +81,8 @@
 	return c.written
 }
 
-// Write fails once the request's deadline has passed, so that a host that was
-// paused sends nothing late.
+// Write fails after the request's deadline, so that a host that was paused does
+// not send an expired request.
 func (c *conn) Write(p []byte) (int, error) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -90,7 +93,7 @@
 	return c.Conn.Write(p)
 }
 
-// Read reads for the Transport, until the connection is being closed.
+// Read reads for the Transport. It returns net.ErrClosed after Close was called.
 func (c *conn) Read(p []byte) (int, error) {
 	if c.isClosing() {
 		return 0, net.ErrClosed
@@ -109,8 +112,8 @@
 	return c.closing
 }
 
-// Close cancels the request, if there is one: it closes the sending side and
-// waits, in the background, for the upstream to close its own, which confirms
+// Close cancels the current request, if there is one. It closes the sending side
+// and waits in the background until the upstream closes its side, which confirms
 // that the request has ended there. Closing both sides at once would free the
 // slot while the request still runs.
 func (c *conn) Close() error {
@@ -129,22 +132,22 @@
 		return err
 	}
 	c.seal()
-	// An error of these two means a broken connection, which linger meets.
+	// Both calls fail only on a broken connection, which linger detects.
 	_ = half.CloseWrite()
-	_ = c.SetReadDeadline(time.Now()) // wakes a reader
+	_ = c.SetReadDeadline(time.Now()) // interrupts a blocked Read
 	go c.linger()
 	return nil
 }
 
-// linger discards what still arrives until the upstream closes its side, or
-// until it must have stopped: cancelGrace after the request's deadline.
+// linger discards received data until the upstream closes its side, or until
+// cancelGrace after the request's deadline, when the upstream must have stopped.
 func (c *conn) linger() {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	c.writeMu.Lock()
 	deadline := c.deadline
 	c.writeMu.Unlock()
-	_ = c.SetReadDeadline(deadline.Add(cancelGrace)) // fails only if closed
+	_ = c.SetReadDeadline(deadline.Add(cancelGrace)) // fails only on a closed connection
 	buf := make([]byte, 4<<10)
 	for {
 		if _, err := c.Conn.Read(buf); err != nil {
@@ -155,7 +158,7 @@
 	c.markClosed()
 }
 
-// markClosed runs what waits for the connection's end.
+// markClosed marks the connection as closed and runs the onClose functions.
 func (c *conn) markClosed() {
 	c.mu.Lock()
 	c.closed = true
@@ -167,8 +170,8 @@
 	}
 }
 
-// whenClosed runs f once the upstream is done with the connection, at once if
-// it already is.
+// whenClosed runs f when the upstream is done with the connection, or at once if
+// the upstream is already done.
 func (c *conn) whenClosed(f func()) {
 	c.mu.Lock()
 	if !c.closed {
