--- a/internal/selector/server/abort/abort.go
+++ b/internal/selector/server/abort/abort.go
@@ -1,10 +1,11 @@
-// Package abort runs HTTP servers that, when they stop, end the requests still
-// in flight with error responses, and count those that they cut.
+// Package abort provides HTTP servers that, on a stop, end the requests still in
+// flight with error responses and count the requests that they cut.
 //
-// It owns the context that every request's derives from, and the count. It
-// relies on httpserver for the connections, and on the handlers to begin each
-// response by WriteHeader and to end when their request's context does: they
-// ask Aborted why it ended, and call Cut when they give a request up for it.
+// The package owns the base context of all requests and the count of cut
+// requests. Package httpserver manages the connections. Handlers must begin each
+// response with WriteHeader and return when their request's context is done.
+// They call Aborted to find out whether a stop ended the context, and Cut if
+// they abandon a request because of the stop.
 package abort
 
 import (
@@ -20,30 +21,30 @@
 	"cairndock/internal/httpserver"
 )
 
-// grace is how long the error responses of aborted requests may take: a
-// handler needs some milliseconds to notice, and a connection between
-// requests is read for 50 ms after the drain began (package httpserver).
-const grace = 250 * time.Millisecond
+// abortGrace is the time for the error responses to aborted requests. A handler needs
+// some milliseconds to notice the abort, and a connection between requests is
+// read for 50 ms after the start of the drain (package httpserver).
+const abortGrace = 250 * time.Millisecond
 
-// errStopping is the cause of the end of an aborted request's context.
+// errStopping is the cancellation cause of the contexts of aborted requests.
 var errStopping = eris.New("the host is stopping")
 
 // Server is an httpserver.Server whose requests can be aborted.
 type Server struct {
 	*httpserver.Server
 	abort context.CancelCauseFunc
-	// leaving is set when clients are to leave their connections.
-	leaving atomic.Bool
+	// closeAfterResponses is set when responses must close their connections.
+	closeAfterResponses atomic.Bool
 
 	mu sync.Mutex
-	// running is how many requests have a handler at work, and cut how many
-	// ended without the response that they would have had.
+	// running is the number of requests whose handler runs. cut is the number
+	// of requests that ended without their regular response because of a stop.
 	running int64
 	cut     int64
 }
 
-// New makes a server that does not listen yet. The hook BaseContext of the
-// http.Server is the package's.
+// New returns a server that does not listen yet. It sets the BaseContext hook of
+// the http.Server and wraps its Handler.
 func New(o httpserver.Options) *Server {
 	base, abort := context.WithCancelCause(context.Background())
 	s := &Server{abort: abort}
@@ -53,11 +54,11 @@
 	return s
 }
 
-// Aborted reports whether a request's context ended since the host stops, and
-// not since its client left or its time was over.
+// Aborted reports whether a request's context ended because the host stops, and
+// not because the client left or the request's deadline passed.
 func Aborted(ctx context.Context) bool { return context.Cause(ctx) == errStopping }
 
-// Cut notes that the request of a response is given up since the host stops.
+// Cut records that the handler of w abandons its request because the host stops.
 func Cut(w http.ResponseWriter) {
 	for {
 		switch v := w.(type) {
@@ -66,32 +67,32 @@
 			return
 		case interface{ Unwrap() http.ResponseWriter }:
 			w = v.Unwrap()
-		default: // not of this package's servers
+		default: // the request is not served by this package
 			return
 		}
 	}
 }
 
-// EndReads has reads of a request's body fail with os.ErrDeadlineExceeded once
-// the request is aborted. The returned function ends that, and reports whether
-// it was in time.
+// EndReads makes reads of a request's body fail with os.ErrDeadlineExceeded when
+// the request's context is done. The returned function removes this effect and
+// reports whether it was called before the context was done.
 func EndReads(w http.ResponseWriter, r *http.Request) (stop func() bool) {
 	control := http.NewResponseController(w)
 	return context.AfterFunc(r.Context(), func() {
-		// It fails only on a closed connection, which the read notices.
+		// It fails only on a closed connection, on which the read fails too.
 		_ = control.SetReadDeadline(time.Now())
 	})
 }
 
-// count counts requests from the start to the end of their handler. One whose
-// response breaks off ends by a panic.
+// count counts requests from the start to the end of their handler. A handler
+// panics to break off its response.
 func (s *Server) count(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		resp, broken := &response{ResponseWriter: w, server: s}, true
+		resp, panicked := &response{ResponseWriter: w, server: s}, true
 		s.begin()
-		defer func() { s.end(resp.cut || broken && Aborted(r.Context())) }()
+		defer func() { s.end(resp.cut || panicked && Aborted(r.Context())) }()
 		next.ServeHTTP(resp, r)
-		broken = false
+		panicked = false
 	})
 }
 
@@ -110,52 +111,54 @@
 	}
 }
 
-// response tells its client to leave the connection, by what is so when it is
-// sent: its request may have begun long before. Otherwise the client would send
-// its next request to a connection that is being closed.
+// response is a response that asks its client to close the connection if the
+// server is stopping when the header is sent, also if the request began before.
+// Otherwise the client could send its next request on a connection that is about
+// to be closed.
 type response struct {
 	http.ResponseWriter
 	server *Server
-	// cut is set when the handler gave the request up since the host stops.
+	// cut is set when the handler abandons the request because the host stops.
 	cut bool
 }
 
-// WriteHeader begins the response.
+// WriteHeader implements http.ResponseWriter.
 func (r *response) WriteHeader(status int) {
-	if r.server.leaving.Load() {
+	if r.server.closeAfterResponses.Load() {
 		r.Header().Set("Connection", "close")
 	}
 	r.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap is for http.ResponseController.
+// Unwrap returns the wrapped ResponseWriter, for http.ResponseController.
 func (r *response) Unwrap() http.ResponseWriter { return r.ResponseWriter }
 
-// CloseAfterResponses has each response, also those to requests in flight,
-// tell its client to leave the connection. New requests are still served.
-func (s *Server) CloseAfterResponses() { s.leaving.Store(true) }
+// CloseAfterResponses makes every response, also to requests in flight, ask its
+// client to close the connection. New requests are still served.
+func (s *Server) CloseAfterResponses() { s.closeAfterResponses.Store(true) }
 
-// Stop takes no new connections and waits until all requests have their
-// responses, or the context ends. Then it aborts those in flight, gives their
-// error responses a little time and closes all connections. It returns how
-// many requests were cut: given up since the host stops, aborted, or still without an
-// end when it closed them.
+// Stop stops accepting connections and waits until all requests have their
+// responses or ctx is done. In the latter case it aborts the requests in flight,
+// allows a short time for their error responses and closes all connections. It
+// returns the number of cut requests: requests whose handler called Cut, whose
+// response broke off after the abort, or whose handler still ran when the
+// connections were closed.
 func (s *Server) Stop(ctx context.Context) int64 {
 	s.CloseAfterResponses()
 	if s.Drain(ctx) == nil {
-		return s.cutOff()
+		return s.totalCut()
 	}
 	s.abort(errStopping)
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), grace)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), abortGrace)
 	defer cancel()
-	_ = s.Drain(ctx) // Close ends what has not taken its response
-	cut := s.cutOff()
+	_ = s.Drain(ctx) // Close ends the connections that remain
+	cut := s.totalCut()
 	s.Close()
 	return cut
 }
 
-// cutOff counts the requests that are cut if all connections close now.
-func (s *Server) cutOff() int64 {
+// totalCut returns the number of cut requests if all connections are closed now.
+func (s *Server) totalCut() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.cut + s.running
--- a/internal/selector/server/abort/abort_test.go
+++ b/internal/selector/server/abort/abort_test.go
@@ -15,13 +15,13 @@
 	"cairndock/internal/selector/server/abort"
 )
 
-// ended is what a handler saw when its request's context ended.
+// ended is the state of a request's context when it ended.
 type ended struct {
 	err     error
 	aborted bool
 }
 
-// startServer serves a handler and gives the address.
+// startServer starts a server with a handler and returns its address.
 func startServer(t *testing.T, h http.HandlerFunc) (*abort.Server, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,7 +32,7 @@
 	return s, l.Addr().String()
 }
 
-// send sends a request for a path on a new connection.
+// send sends a GET request for a path on a new connection.
 func send(t *testing.T, address, path string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -44,7 +44,7 @@
 	return c
 }
 
-// stop stops a server whose window has a length.
+// stop stops a server, waiting for requests in flight for at most window.
 func stop(t *testing.T, s *abort.Server, window time.Duration) int64 {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), window)
@@ -52,18 +52,18 @@
 	return s.Stop(ctx)
 }
 
-// TestStopCountsWhatItCut has one request of each sort in flight when the
-// window ends.
+// TestStopCountsWhatItCut checks the count of cut requests for each way in which
+// a request in flight can end.
 func TestStopCountsWhatItCut(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		end      func(w http.ResponseWriter, r *http.Request)
 		cut      int64
-		answered bool
+		response bool
 	}{
-		{"is done within the window", func(http.ResponseWriter, *http.Request) { time.Sleep(50 * time.Millisecond) }, 0, true},
-		{"gets its own response in the grace", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, 0, true},
-		{"is given up", func(w http.ResponseWriter, r *http.Request) {
+		{"ends within the window", func(http.ResponseWriter, *http.Request) { time.Sleep(50 * time.Millisecond) }, 0, true},
+		{"gets its regular response within the grace period", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, 0, true},
+		{"is abandoned by its handler", func(w http.ResponseWriter, r *http.Request) {
 			<-r.Context().Done()
 			abort.Cut(w)
 		}, 1, true},
@@ -84,13 +84,14 @@
 			<-started
 			require.Equal(t, c.cut, stop(t, s, 200*time.Millisecond))
 			_, err := http.ReadResponse(bufio.NewReader(conn), nil)
-			require.Equal(t, c.answered, err == nil, "%v", err)
+			require.Equal(t, c.response, err == nil, "%v", err)
 		})
 	}
 }
 
-// A window that is over already, as after a second signal.
-func TestStopAnswersWhatItAbortsAtOnce(t *testing.T) {
+// The window is already over when the stop begins, as after a second signal. The
+// aborted request must still get its error response.
+func TestStopRespondsAtOnceToAbortedRequests(t *testing.T) {
 	started := make(chan struct{})
 	s, address := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		close(started)
@@ -100,17 +101,17 @@
 	})
 	conn := send(t, address, "/")
 	<-started
-	began := time.Now()
+	start := time.Now()
 	require.EqualValues(t, 1, stop(t, s, 0))
-	require.Less(t, time.Since(began), time.Second)
+	require.Less(t, time.Since(start), time.Second)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 }
 
-// A response that did not say so left its client on a connection that was
-// closed right after it, with the client's next request on the way.
-func TestResponsesToRequestsInFlightTellClientsToLeave(t *testing.T) {
+// If a response does not ask the client to close the connection, the client may
+// send its next request while the server closes the connection.
+func TestResponsesToRequestsInFlightCloseTheConnection(t *testing.T) {
 	started, release := make(chan struct{}), make(chan struct{})
 	s, address := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		close(started)
@@ -126,9 +127,9 @@
 	require.True(t, resp.Close)
 }
 
-// A client that leaves, and a deadline of the request's own, end its context
-// too, but abort nothing.
-func TestAbortedTellsWhyAContextEnded(t *testing.T) {
+// A client that leaves and a deadline of the request also end the context of a
+// request. Aborted must return false for both.
+func TestAbortedIsTrueOnlyAfterAStop(t *testing.T) {
 	seen := make(chan ended, 1)
 	started := make(chan struct{}, 1)
 	s, address := startServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -144,9 +145,9 @@
 	send(t, address, "/deadline")
 	<-started
 	require.Equal(t, ended{context.DeadlineExceeded, false}, <-seen)
-	leaving := send(t, address, "/")
+	conn := send(t, address, "/")
 	<-started
-	require.NoError(t, leaving.Close())
+	require.NoError(t, conn.Close())
 	require.Equal(t, ended{context.Canceled, false}, <-seen)
 	send(t, address, "/")
 	<-started
--- a/internal/selector/server/harness_test.go
+++ b/internal/selector/server/harness_test.go
@@ -28,7 +28,7 @@
 	loopback  = "127.0.0.1:0"
 	testToken = "0123456789abcdef"
 	// testDoc has an upstream with one slot in each zone. While zone b has no
-	// host, no change is soon in force everywhere.
+	// host, a change stays pending.
 	testDoc = `
 [[service]]
 name = "s"
@@ -60,18 +60,18 @@
 `
 )
 
-// testServer is a server of one host, whose upstream runs a handler.
+// testServer is a server of one host. The upstream runs a test's handler.
 type testServer struct {
 	*Server
 	t *testing.T
-	// late delays what the server reads from the clients of connect, in
+	// readDelay delays the server's reads on connections to delayedAddr, in
 	// nanoseconds.
-	late   atomic.Int64
-	extra  net.Addr
-	memory *store.Memory
+	readDelay   atomic.Int64
+	delayedAddr net.Addr
+	memory      *store.Memory
 }
 
-// startServer starts the host of zone a, once it has its slot.
+// startServer starts the host of zone a and waits until it has its slot.
 func startServer(t *testing.T, stop servesettings.Stop, upstream http.HandlerFunc) *testServer {
 	t.Helper()
 	memory := store.NewMemory()
@@ -84,22 +84,23 @@
 	}
 	appendConfig(t, memory, fmt.Sprintf(testDoc, addrs...))
 	s := &testServer{Server: startHost(t, memory, "a", stop), t: t, memory: memory}
-	s.listenLate()
+	s.listenDelayed()
 	return s
 }
 
-// startBoth is startServer with a host of zone b, so that each forwards
-// requests that it has no slot for to the other.
+// startBoth is startServer with an additional host of zone b. Each host forwards
+// requests for which it has no slot to the other host.
 func startBoth(t *testing.T, stop servesettings.Stop, upstream http.HandlerFunc) (s *testServer, other *Server) {
 	t.Helper()
 	s = startServer(t, stop, upstream)
 	other = startHost(t, s.memory, "b", stop)
 	require.Eventually(t, func() bool { return hasFree(s.Server, "b") && hasFree(other, "a") },
-		10*time.Second, 10*time.Millisecond, "the hosts know each other")
+		10*time.Second, 10*time.Millisecond, "the hosts must discover each other")
 	return s, other
 }
 
-// hasFree reports whether a host knows of a free slot in the other's zone.
+// hasFree reports whether the status of a host shows a free slot in the other
+// host's zone.
 func hasFree(s *Server, zone string) bool {
 	for _, z := range s.Host.Status().Zones {
 		if z.Zone == zone {
@@ -120,7 +121,7 @@
 		Platform:  servesettings.Platform{CallsPerSecond: 100},
 		Stop:      stop,
 	}
-	// Its fault is that the platform, which is in memory, has no address.
+	// Prepare fails because the in-memory platform has no address.
 	_ = Prepare(&set)
 	s, err := Start(t.Context(), entry.Options{
 		Settings: set, Table: memory, Objects: memory, Hosts: memory, Transport: peer.TCP((&net.Dialer{}).DialContext),
@@ -131,7 +132,7 @@
 	require.Eventually(t, func() bool {
 		st := s.Host.Status()
 		return st.Ready && len(st.Services) == 1 && st.Services[0].Held == 1
-	}, 10*time.Second, 10*time.Millisecond, "the host has its slot")
+	}, 10*time.Second, 10*time.Millisecond, "the host must have its slot")
 	return s
 }
 
@@ -145,18 +146,18 @@
 	require.NoError(t, err)
 }
 
-// listenLate serves clients at one more address, whose reads are delayed.
-func (s *testServer) listenLate() {
+// listenDelayed serves clients at an additional address with delayed reads.
+func (s *testServer) listenDelayed() {
 	s.t.Helper()
 	l, err := net.Listen("tcp", loopback)
 	require.NoError(s.t, err)
-	s.extra = l.Addr()
+	s.delayedAddr = l.Addr()
 	go func() {
-		_ = serve(s.callers, httpservertest.LateListener{Listener: l, Late: &s.late}, servesettings.TLS{})
+		_ = serve(s.callers, httpservertest.LateListener{Listener: l, Late: &s.readDelay}, servesettings.TLS{})
 	}()
 }
 
-// client is one connection.
+// client is a client's connection.
 type client struct {
 	net.Conn
 	t      *testing.T
@@ -178,17 +179,17 @@
 	require.NoError(c.t, err)
 }
 
-// response reads a whole response.
+// response reads a complete response.
 func (c *client) response() (*http.Response, string) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.reader, nil)
-	require.NoError(c.t, err, "the connection was closed with no response")
+	require.NoError(c.t, err, "the connection was closed without a response")
 	body, err := io.ReadAll(resp.Body)
 	require.NoError(c.t, err)
 	return resp, string(body)
 }
 
-// stop stops the server, in a goroutine.
+// stop stops the server in a goroutine. The channel receives the report.
 func (s *testServer) stop() <-chan entry.StopReport {
 	report := make(chan entry.StopReport, 1)
 	go func() { report <- s.Stop(s.t.Context()) }()
--- a/internal/selector/server/server.go
+++ b/internal/selector/server/server.go
@@ -1,7 +1,7 @@
-// Package server joins the parts of one entry host of `cairndock serve`: it
-// checks the settings of all sections, makes the host with its clients of the
-// platform, and runs it with the listeners for clients (package caller) and for
-// operators (package operator), up to their planned stop.
+// Package server assembles one entry host of `cairndock serve`. It validates the
+// settings of all sections, creates the host with its clients of the platform,
+// and runs the host with the listeners for clients (package caller) and for
+// operators (package operator) until the planned stop.
 package server
 
 import (
@@ -26,8 +26,8 @@
 	"cairndock/internal/telemetry"
 )
 
-// Prepare applies the defaults of all sections and checks them. Its error joins
-// every fault.
+// Prepare applies the defaults of all sections and validates them. The returned
+// error joins all faults.
 func Prepare(s *servesettings.Settings) error {
 	entry.Default(s)
 	caller.Default(&s.Callers)
@@ -46,7 +46,8 @@
 type Server struct {
 	// Host is the host that the server runs.
 	Host *entry.Host
-	// CallerAddr and OperatorAddr are where clients and operators are served.
+	// CallerAddr and OperatorAddr are the addresses, as "host:port", of the
+	// listeners for clients and operators.
 	CallerAddr   string
 	OperatorAddr string
 
@@ -55,8 +56,9 @@
 	failed    chan error
 }
 
-// HostOptions returns the options of a host that uses the platform of the
-// settings, and mutual TLS between hosts if they have it.
+// HostOptions returns the options of a host that uses the platform in the
+// settings, and mutual TLS between hosts if the settings enable it. It returns
+// an error if the TLS files can't be read.
 func HostOptions(s servesettings.Settings, log zerolog.Logger, tp *sdktrace.TracerProvider) (entry.Options, error) {
 	o := entry.Options{
 		Settings: s, Log: log, Traces: tp, Transport: peer.TCP((&net.Dialer{}).DialContext),
@@ -73,8 +75,8 @@
 	return o, nil
 }
 
-// Start starts a host and its listeners. The host serves until Stop or Close; ctx
-// ends its background work too.
+// Start starts a host and its listeners. The host serves until Stop or Close is
+// called. Its background work also ends when ctx is done.
 func Start(ctx context.Context, o entry.Options) (*Server, error) {
 	s := &Server{failed: make(chan error, 2)} // one for each listener
 	o.StopClients = func(ctx context.Context) int64 { return s.callers.Stop(ctx) }
@@ -102,7 +104,7 @@
 }
 
 // serve serves a listener until the server is stopped or closed, and then
-// returns nil; over mutual TLS if there are files for it.
+// returns nil. It uses mutual TLS if files are configured.
 func serve(srv *abort.Server, l net.Listener, files servesettings.TLS) error {
 	if !files.Enabled() {
 		return srv.Serve(l, nil)
@@ -114,27 +116,28 @@
 	return srv.Serve(l, f.Server())
 }
 
-// Failed receives the error that ended a listener, or nil after Stop or Close.
+// Failed returns a channel that receives the error that ended a listener, or nil
+// after Stop or Close.
 func (s *Server) Failed() <-chan error { return s.failed }
 
-// closeTimeout limits the wait for operators' requests, at the end of a stop.
-// Those that wait longer for a change to be in force are aborted.
-const closeTimeout = time.Second
+// operatorsTimeout limits how long the end of a stop waits for operator requests.
+// Requests that wait longer for a change to take effect are aborted.
+const operatorsTimeout = time.Second
 
-// Stop takes the host out of service as the settings' section [stop] says, and
-// closes it. Operators are served to the end, as their requests show how the
-// stop goes. ctx ends the wait early.
+// Stop takes the host out of service as configured in the settings section
+// [stop], and closes it. Operators are served until the end, because their
+// requests show the progress of the stop. If ctx is done, the wait ends early.
 func (s *Server) Stop(ctx context.Context) entry.StopReport {
 	s.callers.CloseAfterResponses()
 	report := s.Host.Stop(ctx)
-	closeCtx, cancel := context.WithTimeout(ctx, closeTimeout)
+	closeCtx, cancel := context.WithTimeout(ctx, operatorsTimeout)
 	defer cancel()
 	report.Cut += s.operators.Stop(closeCtx)
 	s.Close()
 	return report
 }
 
-// Close ends the server at once, as a crash would: requests in flight are cut.
+// Close ends the server at once, like a crash: requests in flight are cut.
 func (s *Server) Close() {
 	s.callers.Close()
 	s.operators.Close()
--- a/internal/selector/server/server_test.go
+++ b/internal/selector/server/server_test.go
@@ -10,8 +10,9 @@
 	"cairndock/internal/settings"
 )
 
-// TestEveryFaultAtOnce names the key of each value that is missing or wrong.
-func TestEveryFaultAtOnce(t *testing.T) {
+// TestPrepareReportsAllFaults checks that the error of Prepare contains the key of each
+// missing or invalid value.
+func TestPrepareReportsAllFaults(t *testing.T) {
 	s := servesettings.Settings{
 		Callers:   servesettings.Callers{MaxBody: 1 << 30},
 		Operators: servesettings.Operators{Token: "short"},
--- a/internal/selector/server/stop_test.go
+++ b/internal/selector/server/stop_test.go
@@ -16,24 +16,26 @@
 
 const lookup = "GET /s/s/x HTTP/1.1\r\nHost: h\r\n\r\n"
 
-func whole(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }
+func respondWhole(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }
 
-// Clients saw a kept connection closed with no response to a request that an
-// upstream had got, while the stop reported that nothing was cut:
+// A keep-alive connection could be closed without a response to a request that
+// an upstream had received, while the stop reported no cut requests:
 //
-//  1. the connection's goroutine read the request's bytes from the kernel, and
-//     was not run again;
-//  2. the stop's grace ended, nothing counted as in flight, the host handed its
-//     tickets over and left;
-//  3. http.Server.Shutdown closed the connection, which still counted as idle.
+//  1. the connection's goroutine read the request's bytes from the kernel and
+//     was not scheduled again;
+//  2. the grace period of the stop ended, no request was counted as in flight,
+//     and the host handed over its tickets and left;
+//  3. http.Server.Shutdown closed the connection, which was still considered
+//     idle.
 //
-// So connections end where they are read, and before the stop counts.
+// Therefore the goroutine that reads a connection closes it, before the stop
+// counts requests.
 func TestARequestThatWasReadBeforeTheStopClosesIdleConnectionsIsAnswered(t *testing.T) {
-	s, _ := startBoth(t, stopAfter(400*time.Millisecond, 5*time.Second), whole)
-	c := s.connect(s.extra.String())
+	s, _ := startBoth(t, stopAfter(400*time.Millisecond, 5*time.Second), respondWhole)
+	c := s.connect(s.delayedAddr.String())
 	c.write(lookup)
 	c.response()
-	s.late.Store(int64(300 * time.Millisecond))
+	s.readDelay.Store(int64(300 * time.Millisecond))
 	report := s.stop()
 	time.Sleep(300 * time.Millisecond)
 	c.write(lookup)
@@ -43,23 +45,23 @@
 	require.Zero(t, (<-report).Cut)
 }
 
-// A request that came after the wait for requests in flight, while the host
-// handed its tickets over and left, was served for a second at most and was then
-// cut, while the stop reported that nothing was.
+// A request that arrived after the wait for requests in flight, while the host
+// handed over its tickets and left, was cut after at most one second, but the
+// stop reported no cut requests.
 func TestNoRequestIsCutByAStopThatReportsNone(t *testing.T) {
 	s, _ := startBoth(t, stopAfter(300*time.Millisecond, 5*time.Second), func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
 			time.Sleep(2 * time.Second)
 		}
-		whole(w, r)
+		respondWhole(w, r)
 	})
-	c := s.connect(s.extra.String())
+	c := s.connect(s.delayedAddr.String())
 	c.write(lookup)
 	c.response()
-	s.late.Store(int64(200 * time.Millisecond))
+	s.readDelay.Store(int64(200 * time.Millisecond))
 	report := s.stop()
 	time.Sleep(200 * time.Millisecond)
-	s.memory.SetFault(func(string, bool) error { // the platform is slow, and so is leaving
+	s.memory.SetFault(func(string, bool) error { // a slow platform delays leaving
 		time.Sleep(200 * time.Millisecond)
 		return nil
 	})
@@ -70,8 +72,8 @@
 	require.Zero(t, (<-report).Cut)
 }
 
-// At the end of the window the connections of requests in flight were closed
-// with no response, so that their clients did not know whether they had run.
+// If the connections of requests in flight are closed without a response at the
+// end of the window, clients don't know whether their requests have run.
 func TestRequestsInFlightAtTheEndOfTheWindowGetAVerdict(t *testing.T) {
 	started, release := make(chan struct{}, 2), make(chan struct{})
 	s := startServer(t, stopAfter(100*time.Millisecond, time.Second), func(w http.ResponseWriter, r *http.Request) {
@@ -79,21 +81,21 @@
 			started <- struct{}{}
 			<-release
 		}
-		whole(w, r)
+		respondWhole(w, r)
 	})
 	defer close(release)
 	running, queued, sending := s.connect(s.CallerAddr), s.connect(s.CallerAddr), s.connect(s.CallerAddr)
 	running.write(lookup)
 	<-started
-	queued.write(lookup) // the slot is taken
+	queued.write(lookup) // the slot is in use
 	sending.write("POST /s/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nab")
 	require.Eventually(t, func() bool { return s.Host.Status().InFlight == 3 }, time.Second, time.Millisecond)
 	report := s.stop()
 	for _, want := range []struct {
-		c      *client
-		status int
-		reason verdict.Reason
-		proved verdict.Verdict
+		c       *client
+		status  int
+		reason  verdict.Reason
+		verdict verdict.Verdict
 	}{
 		{running, http.StatusGatewayTimeout, verdict.Interrupted, verdict.MayHaveRun},
 		{queued, http.StatusServiceUnavailable, verdict.Stopping, verdict.NotRun},
@@ -102,14 +104,15 @@
 		resp, body := want.c.response()
 		require.Equal(t, want.status, resp.StatusCode, body)
 		require.Contains(t, body, `"title":"`+string(want.reason)+`"`)
-		require.Equal(t, want.proved.String(), resp.Header.Get(verdict.Header))
-		require.True(t, resp.Close, "the connection ends")
+		require.Equal(t, want.verdict.String(), resp.Header.Get(verdict.Header))
+		require.True(t, resp.Close, "the connection must close")
 	}
 	require.EqualValues(t, 3, (<-report).Cut)
 }
 
-// What the stop reports as cut includes a response that breaks off.
-func TestAResponseThatIsCutBreaksOffAndIsReported(t *testing.T) {
+// An incomplete response must be included in the cut requests that a stop
+// reports.
+func TestACutResponseIsIncompleteAndIsReported(t *testing.T) {
 	started, release := make(chan struct{}), make(chan struct{})
 	s := startServer(t, stopAfter(100*time.Millisecond, 500*time.Millisecond), func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/x" {
@@ -128,12 +131,13 @@
 	resp, err := http.ReadResponse(c.reader, nil)
 	require.NoError(t, err)
 	_, err = io.Copy(io.Discard, resp.Body)
-	require.Error(t, err, "a response that breaks off never looks whole")
+	require.Error(t, err, "an incomplete response must not look complete")
 	require.EqualValues(t, 1, (<-report).Cut)
 }
 
-// A client that does not read holds its handler in a write, which no end of a
-// context reaches. It is in flight for the host as well, and is cut once.
+// If a client does not read, its handler blocks in a write, which the end of the
+// context does not interrupt. The request is in flight both for the listener
+// and for the host, and must be counted as cut only once.
 func TestAClientThatDoesNotReadIsCutOnce(t *testing.T) {
 	s := startServer(t, stopAfter(100*time.Millisecond, 500*time.Millisecond), func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/x" {
@@ -147,8 +151,9 @@
 	require.EqualValues(t, 1, (<-s.stop()).Cut)
 }
 
-// What the stop reports as cut includes requests that another host sent here.
-func TestARequestOfAnotherHostThatIsCutIsReported(t *testing.T) {
+// Requests that another host forwarded to this host must be included in the cut
+// requests that a stop reports.
+func TestACutRequestOfAnotherHostIsReported(t *testing.T) {
 	started, release := make(chan struct{}, 4), make(chan struct{})
 	s, other := startBoth(t, stopAfter(100*time.Millisecond, 500*time.Millisecond), func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/x" {
@@ -165,17 +170,17 @@
 	require.EqualValues(t, 1, (<-s.stop()).Cut)
 }
 
-// putConfig is an operator's change that is not soon in force everywhere.
+// putConfig returns an operator's request for a change that stays pending.
 func putConfig(id string) string {
 	const doc = "[[zone]]\nname = \"c\"\nregion = \"r\"\n"
 	return fmt.Sprintf("PUT /v1/config?wait=30s HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer %s\r\nCairndock-Change: %s\r\n"+
 		"If-Match: \"1\"\r\nContent-Length: %d\r\n\r\n%s", testToken, id, len(doc), doc)
 }
 
-// The connections of operators were closed at the end of a stop whatever they
-// carried: a change was accepted, and its operator did not hear of it.
+// If all operator connections are closed at the end of a stop, an operator whose
+// change was accepted gets no response.
 func TestAnOperatorsChangeThatWasAcceptedIsAnsweredByAStop(t *testing.T) {
-	s := startServer(t, stopAfter(100*time.Millisecond, 5*time.Second), whole)
+	s := startServer(t, stopAfter(100*time.Millisecond, 5*time.Second), respondWhole)
 	c := s.connect(s.OperatorAddr)
 	c.write(putConfig("mine"))
 	require.Eventually(t, func() bool { return s.Host.View().Revision() == 2 }, 3*time.Second, time.Millisecond, "accepted")
@@ -186,10 +191,10 @@
 	require.Zero(t, (<-report).Cut)
 }
 
-// A change that did not arrive whole was closed without a word: its operator
-// did not know that it was not accepted.
-func TestAnOperatorsChangeThatDoesNotArriveIsRefusedByAStop(t *testing.T) {
-	s := startServer(t, stopAfter(100*time.Millisecond, 5*time.Second), whole)
+// If the connection of a partially received change is closed without a response,
+// the operator does not know that the change was not accepted.
+func TestAnIncompleteOperatorChangeIsRefusedByAStop(t *testing.T) {
+	s := startServer(t, stopAfter(100*time.Millisecond, 5*time.Second), respondWhole)
 	c := s.connect(s.OperatorAddr)
 	text := putConfig("mine")
 	c.write(text[:len(text)-5])
@@ -202,9 +207,10 @@
 	require.EqualValues(t, 1, s.Host.View().Revision())
 }
 
-// A request of an operator that had begun to arrive was closed as well.
-func TestAnOperatorsRequestThatHasBegunIsAnsweredByAStop(t *testing.T) {
-	s := startServer(t, stopAfter(100*time.Millisecond, 5*time.Second), whole)
+// The connection of a partially received operator request must not be closed by
+// a stop before the request is served.
+func TestAPartlyReceivedOperatorRequestIsServedByAStop(t *testing.T) {
+	s := startServer(t, stopAfter(100*time.Millisecond, 5*time.Second), respondWhole)
 	c := s.connect(s.OperatorAddr)
 	const text = "GET /v1/status HTTP/1.1\r\nHost: h\r\n\r\n"
 	c.write(text[:10])
--- a/internal/selector/server/stoprefusal_test.go
+++ b/internal/selector/server/stoprefusal_test.go
@@ -10,7 +10,8 @@
 	"cairndock/internal/verdict"
 )
 
-// requireStopping reads a response that sends its client to another host at once.
+// requireStopping reads a refusal that makes the client retry at another host at
+// once.
 func (c *client) requireStopping() {
 	c.t.Helper()
 	resp, body := c.response()
@@ -18,10 +19,10 @@
 	require.Contains(c.t, body, `"title":"`+string(verdict.Stopping)+`"`)
 	require.Equal(c.t, verdict.NotRun.String(), resp.Header.Get(verdict.Header))
 	require.Equal(c.t, "0", resp.Header.Get("Retry-After"))
-	require.True(c.t, resp.Close, "the connection ends")
+	require.True(c.t, resp.Close, "the connection must close")
 }
 
-// holdSlot has the host's only slot in use until the test ends.
+// holdSlot starts a server whose only slot is in use until the test ends.
 func holdSlot(t *testing.T, grace, window time.Duration) *testServer {
 	t.Helper()
 	started, release := make(chan struct{}), make(chan struct{})
@@ -30,7 +31,7 @@
 			close(started)
 			<-release
 		}
-		whole(w, r)
+		respondWhole(w, r)
 	})
 	t.Cleanup(func() { close(release) })
 	s.connect(s.CallerAddr).write(lookup)
@@ -40,29 +41,30 @@
 
 const otherLookup = "GET /s/s/other HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// Clients of a stopping host were told that upstreams were full and to come back in a
-// second, as a host that has given up its slots has none that is free. Another host
-// serves them at once.
-func TestARequestThatComesToAStoppingHostWithoutSlotsIsSentAway(t *testing.T) {
+// A host that has released its slots has no free slot. If a stopping host responds
+// that upstreams are full and to retry after one second, clients wait although
+// another host would serve them at once.
+func TestAStoppingHostWithoutSlotsRefusesNewRequests(t *testing.T) {
 	s := holdSlot(t, 2*time.Second, 3*time.Second)
 	late := s.connect(s.CallerAddr)
 	report := s.stop()
 	require.Eventually(t, func() bool { return s.Host.Status().Services[0].Held == 0 }, time.Second, time.Millisecond)
-	began := time.Now()
+	start := time.Now()
 	late.write(otherLookup)
 	late.requireStopping()
-	require.Less(t, time.Since(began), time.Second)
+	require.Less(t, time.Since(start), time.Second)
 	require.EqualValues(t, 2, (<-report).Cut)
 }
 
-// Requests that waited for a slot went on to wait, in vain, when the host gave it up.
-func TestARequestThatWaitsAtAStoppingHostIsSentAway(t *testing.T) {
+// Requests that wait for a slot must not continue to wait after the host released
+// its slots, because they can't get one.
+func TestAStoppingHostRefusesRequestsThatWaitForASlot(t *testing.T) {
 	s := holdSlot(t, 2*time.Second, 3*time.Second)
 	queued := s.connect(s.CallerAddr)
 	queued.write(otherLookup)
 	require.Eventually(t, func() bool { return s.Host.Status().InFlight == 2 }, time.Second, time.Millisecond)
-	began := time.Now()
+	start := time.Now()
 	s.stop()
 	queued.requireStopping()
-	require.Less(t, time.Since(began), time.Second)
+	require.Less(t, time.Since(start), time.Second)
 }
