--- a/internal/selector/store/contract_test.go
+++ b/internal/selector/store/contract_test.go
@@ -12,15 +12,15 @@
 	"cairndock/internal/selector/store"
 )
 
-// hosts is the part of the host list under contract; config.Table and
-// config.Objects are those of the table and the objects.
-type hosts interface {
+// hostList is the interface of the host list under test. The interfaces of the
+// table and the objects are config.Table and config.Objects.
+type hostList interface {
 	Hosts(ctx context.Context) ([]store.HostState, error)
 }
 
-// both runs a contract against Memory itself and against the clients, which
-// reach a Memory through their wire protocols.
-func both(t *testing.T, contract func(t *testing.T, m *store.Memory, tb config.Table, ob config.Objects, hs hosts)) {
+// runContract runs a contract test against a Memory, and against the clients with a
+// server that provides a Memory by the clients' wire protocols.
+func runContract(t *testing.T, contract func(t *testing.T, m *store.Memory, tb config.Table, ob config.Objects, hs hostList)) {
 	t.Run("memory", func(t *testing.T) {
 		m := store.NewMemory()
 		contract(t, m, m, m, m)
@@ -39,7 +39,7 @@
 }
 
 func TestTableContract(t *testing.T) {
-	both(t, func(t *testing.T, m *store.Memory, tb config.Table, _ config.Objects, _ hosts) {
+	runContract(t, func(t *testing.T, m *store.Memory, tb config.Table, _ config.Objects, _ hostList) {
 		ctx := context.Background()
 		_, err := tb.Get(ctx, key("p", "a"))
 		require.ErrorIs(t, err, store.ErrNotFound)
@@ -49,7 +49,7 @@
 		require.NoError(t, err)
 		require.Equal(t, store.Row{Key: key("p", "b"), Version: 1, Body: []byte{0, 255}}, row)
 
-		// One condition that fails keeps all rows as they are.
+		// If one condition fails, no row changes.
 		for _, version := range []int64{0, 2} {
 			err = tb.Transact(ctx, []store.Write{{Key: key("p", "new"), Body: []byte("x")}, {Key: key("p", "a"), IfVersion: version, Body: []byte("x")}})
 			require.ErrorIs(t, err, store.ErrConflict)
@@ -71,7 +71,8 @@
 		require.Equal(t, "002", rows[0].Key.Sort)
 		require.Equal(t, "003", rows[1].Key.Sort)
 
-		// A service may end a page before the limit, by its size; a list does not.
+		// The service may end a page before the limit because of its size. List
+		// must read the following pages.
 		large := make([]byte, 200<<10)
 		for i := range 8 {
 			require.NoError(t, tb.Transact(ctx, []store.Write{{Key: key("large", fmt.Sprintf("%03d", i)), Body: large}}))
@@ -88,12 +89,12 @@
 		require.ErrorIs(t, tb.Transact(ctx, []store.Write{{Key: key("p", "c")}}), store.ErrThrottled)
 		m.SetFault(nil)
 		_, err = tb.Get(ctx, key("p", "c"))
-		require.ErrorIs(t, err, store.ErrNotFound, "a throttled write wrote nothing")
+		require.ErrorIs(t, err, store.ErrNotFound, "a throttled write must have no effect")
 	})
 }
 
 func TestObjectContract(t *testing.T) {
-	both(t, func(t *testing.T, m *store.Memory, _ config.Table, ob config.Objects, _ hosts) {
+	runContract(t, func(t *testing.T, m *store.Memory, _ config.Table, ob config.Objects, _ hostList) {
 		ctx := context.Background()
 		_, err := ob.GetObject(ctx, "a/b")
 		require.ErrorIs(t, err, store.ErrNotFound)
@@ -110,7 +111,7 @@
 }
 
 func TestHostListContract(t *testing.T) {
-	both(t, func(t *testing.T, m *store.Memory, _ config.Table, _ config.Objects, hs hosts) {
+	runContract(t, func(t *testing.T, m *store.Memory, _ config.Table, _ config.Objects, hs hostList) {
 		m.SetHost("b", store.Leaving)
 		m.SetHost("a", store.Live)
 		got, err := hs.Hosts(context.Background())
--- a/internal/selector/store/dynamodb.go
+++ b/internal/selector/store/dynamodb.go
@@ -28,8 +28,8 @@
 	attrBody = "body"
 )
 
-// staticCredentials provides the keys of the settings, and never those of the
-// environment or of a metadata service.
+// staticCredentials provides the keys in the settings. Credentials of the
+// environment or of a metadata service are never used.
 type staticCredentials struct{ id, secret string }
 
 // Retrieve implements aws.CredentialsProvider.
@@ -37,13 +37,13 @@
 	return aws.Credentials{AccessKeyID: c.id, SecretAccessKey: c.secret, Source: "settings"}, nil
 }
 
-// Table is a client of one table, by the DynamoDB protocol.
+// Table is a client for one table of a service with the DynamoDB protocol.
 type Table struct {
 	client *dynamodb.Client
 	name   string
 }
 
-// NewTable makes a client of the table in the settings.
+// NewTable returns a client for the table in the settings.
 func NewTable(s servesettings.Platform) *Table {
 	return &Table{name: s.Table, client: dynamodb.New(dynamodb.Options{
 		BaseEndpoint: aws.String(s.TableEndpoint), Region: s.Region,
@@ -51,8 +51,8 @@
 	})}
 }
 
-// Get reads a row by a strongly consistent read. Its errors are ErrNotFound,
-// ErrThrottled and those of the network.
+// Get reads a row with a strongly consistent read. It returns ErrNotFound,
+// ErrThrottled or another error of the call.
 func (t *Table) Get(ctx context.Context, key Key) (Row, error) {
 	out, err := t.client.GetItem(ctx, &dynamodb.GetItemInput{
 		TableName: &t.name, ConsistentRead: aws.Bool(true),
@@ -94,10 +94,10 @@
 	return p
 }
 
-// List reads up to limit rows of a partition whose sort key is above after, in
-// the order of the sort key, by strongly consistent reads. It gives fewer only
-// when there are no more: DynamoDB ends a page at 1 MB, below the limit where
-// rows are large, so List reads on.
+// List reads up to limit rows of a partition whose sort key is greater than
+// after, ordered by sort key, with strongly consistent reads. It returns fewer
+// rows only if there are no more. DynamoDB ends a page at 1 MB, which for large
+// rows is before limit, so List reads as many pages as needed.
 func (t *Table) List(ctx context.Context, partition, after string, limit int) ([]Row, error) {
 	var rows []Row
 	page := &dynamodb.QueryInput{
@@ -133,8 +133,9 @@
 	return &types.AttributeValueMemberN{Value: strconv.FormatInt(n, 10)}
 }
 
-// rowOf decodes an item. Keys and body are typed by the table's schema and by
-// put; the version is checked, as a missing one would pass for a new row.
+// rowOf decodes an item. The table's schema and put determine the types of keys
+// and body. The version is checked, because a row without a version would be
+// treated as a row that does not exist.
 func rowOf(item map[string]types.AttributeValue) (Row, error) {
 	var row Row
 	if v, ok := item[attrPartition].(*types.AttributeValueMemberS); ok {
@@ -155,8 +156,9 @@
 	return row, eris.Wrap(err, "read row version")
 }
 
-// tableError distinguishes a failed condition from a collision with another
-// transaction and from the rate limit, after which a call may be sent again.
+// tableError converts an error of the client. A failed condition becomes
+// ErrConflict. A conflict with another transaction and an exceeded rate limit
+// become ErrThrottled, after which a call may be retried.
 func tableError(err error) error {
 	var canceled *types.TransactionCanceledException
 	if errors.As(err, &canceled) {
@@ -167,14 +169,14 @@
 		}
 		return eris.Wrap(ErrThrottled, "transaction was canceled")
 	}
-	// The three codes by which DynamoDB reports a rate limit.
+	// DynamoDB reports an exceeded rate limit with one of these three codes.
 	if hasCode(err, "ProvisionedThroughputExceededException", "ThrottlingException", "RequestLimitExceeded") {
 		return eris.Wrap(ErrThrottled, "call table")
 	}
 	return eris.Wrap(err, "call table")
 }
 
-// hasCode reports whether an error of a service has one of the codes.
+// hasCode reports whether err is an API error with one of the codes.
 func hasCode(err error, codes ...string) bool {
 	var api smithy.APIError
 	return errors.As(err, &api) && slices.Contains(codes, api.ErrorCode())
--- a/internal/selector/store/hostlist.go
+++ b/internal/selector/store/hostlist.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	// hostListTimeout limits one read of the host list, from connecting to
-	// the last byte: the list is read every 2 s.
+	// hostListTimeout limits one read of the host list, from the start of the
+	// connection to the last byte. The list is read every 2 s.
 	hostListTimeout = 3 * time.Second
-	// maxHostListBytes limits the body that is read; a longer one fails to
-	// decode: far above what the 5,900 hosts of docs/design/request.md
-	// need.
+	// maxHostListBytes limits the bytes that are read of the body; a longer body
+	// fails to decode. The limit is far above the size of a list of the 5,900
+	// hosts in docs/design/request.md.
 	maxHostListBytes = 8 << 20
 )
 
-// HostList is a client of the platform's list of hosts.
+// HostList is a client for the platform's list of hosts.
 type HostList struct {
 	client *http.Client
 	url    string
 }
 
-// NewHostList makes a client of the list in the settings.
+// NewHostList returns a client for the list in the settings.
 func NewHostList(s servesettings.Platform) *HostList {
 	return &HostList{client: &http.Client{Timeout: hostListTimeout}, url: s.HostsURL}
 }
 
-// Hosts reads the whole list.
+// Hosts reads the whole list. Any error means that the list was not read.
 func (l *HostList) Hosts(ctx context.Context) ([]HostState, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, l.url, nil)
 	if err != nil {
--- a/internal/selector/store/memory.go
+++ b/internal/selector/store/memory.go
@@ -7,21 +7,21 @@
 	"sync"
 )
 
-// Memory holds the table, the objects and the host list in memory, for the
-// quick start, `cairndock standin` and tests. Its fault hook makes it fail as
-// the real services may.
+// Memory is an in-memory implementation of the table, the objects and the host
+// list, for the quick start, `cairndock standin` and tests. Its fault hook can
+// simulate failures of the real services. It is safe for concurrent use.
 type Memory struct {
 	mu      sync.Mutex
 	rows    map[Key]Row
 	objects map[string][]byte
 	hosts   map[string]State
 	calls   map[string]int // by operation
-	// fault is called before each operation and again, with after set, once
-	// it succeeded.
+	// fault is called before each operation, and with after set once the
+	// operation has succeeded.
 	fault func(op string, after bool) error
 }
 
-// NewMemory makes an empty one.
+// NewMemory returns an empty Memory.
 func NewMemory() *Memory {
 	return &Memory{
 		rows:    map[Key]Row{},
@@ -31,23 +31,24 @@
 	}
 }
 
-// SetFault installs a hook that is called before and after every operation;
-// nil removes it. An error returned with after set is a lost response: the
-// write took effect.
+// SetFault sets a hook that is called before every operation and after every
+// successful operation; nil removes the hook. An error that the hook returns with
+// after set simulates a lost response: the write took effect.
 func (m *Memory) SetFault(f func(op string, after bool) error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.fault = f
 }
 
-// Calls returns how often an operation was called.
+// Calls returns the number of calls of an operation: "get", "transact", "list",
+// "put-object", "get-object" or "hosts".
 func (m *Memory) Calls(op string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.calls[op]
 }
 
-// run executes an operation between the two calls of the fault hook.
+// run runs an operation between the two calls of the fault hook.
 func (m *Memory) run(ctx context.Context, op string, do func() error) error {
 	if err := ctx.Err(); err != nil {
 		return err
@@ -70,7 +71,7 @@
 	return err
 }
 
-// Get is Table.Get.
+// Get behaves like Table.Get.
 func (m *Memory) Get(ctx context.Context, key Key) (row Row, err error) {
 	err = m.run(ctx, "get", func() error {
 		r, ok := m.rows[key]
@@ -84,7 +85,7 @@
 	return row, err
 }
 
-// Transact is Table.Transact.
+// Transact behaves like Table.Transact.
 func (m *Memory) Transact(ctx context.Context, writes []Write) error {
 	return m.run(ctx, "transact", func() error {
 		for _, w := range writes {
@@ -99,7 +100,7 @@
 	})
 }
 
-// List is Table.List.
+// List behaves like Table.List.
 func (m *Memory) List(ctx context.Context, partition, after string, limit int) (rows []Row, err error) {
 	err = m.run(ctx, "list", func() error {
 		for key, row := range m.rows {
@@ -116,7 +117,7 @@
 	return rows, err
 }
 
-// PutObject is Objects.PutObject.
+// PutObject behaves like Objects.PutObject.
 func (m *Memory) PutObject(ctx context.Context, name string, body []byte) error {
 	return m.run(ctx, "put-object", func() error {
 		m.objects[name] = slices.Clone(body)
@@ -124,7 +125,7 @@
 	})
 }
 
-// GetObject is Objects.GetObject.
+// GetObject behaves like Objects.GetObject.
 func (m *Memory) GetObject(ctx context.Context, name string) (body []byte, err error) {
 	err = m.run(ctx, "get-object", func() error {
 		b, ok := m.objects[name]
@@ -137,21 +138,21 @@
 	return body, err
 }
 
-// SetHost adds or replaces a line of the host list.
+// SetHost adds or replaces an entry of the host list.
 func (m *Memory) SetHost(name string, state State) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.hosts[name] = state
 }
 
-// DropHost removes a line of the host list.
+// DropHost removes an entry from the host list.
 func (m *Memory) DropHost(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.hosts, name)
 }
 
-// Hosts is HostList.Hosts.
+// Hosts behaves like HostList.Hosts. The list is ordered by name.
 func (m *Memory) Hosts(ctx context.Context) (hosts []HostState, err error) {
 	err = m.run(ctx, "hosts", func() error {
 		for name, state := range m.hosts {
--- a/internal/selector/store/s3.go
+++ b/internal/selector/store/s3.go
@@ -14,13 +14,13 @@
 	"cairndock/internal/selector/servesettings"
 )
 
-// Objects is a client of one bucket, by the S3 protocol.
+// Objects is a client for one bucket of a service with the S3 protocol.
 type Objects struct {
 	client *s3.Client
 	bucket string
 }
 
-// NewObjects makes a client of the bucket in the settings.
+// NewObjects returns a client for the bucket in the settings.
 func NewObjects(s servesettings.Platform) *Objects {
 	return &Objects{bucket: s.Bucket, client: s3.New(s3.Options{
 		BaseEndpoint: aws.String(s.ObjectEndpoint), Region: s.Region, UsePathStyle: true,
@@ -30,13 +30,15 @@
 	})}
 }
 
-// PutObject creates or replaces an object.
+// PutObject creates or replaces an object. ErrThrottled means that nothing was
+// written; after any other error the outcome is unknown.
 func (o *Objects) PutObject(ctx context.Context, name string, body []byte) error {
 	_, err := o.client.PutObject(ctx, &s3.PutObjectInput{Bucket: &o.bucket, Key: &name, Body: bytes.NewReader(body)})
 	return objectError(err)
 }
 
-// GetObject reads a whole object, or returns ErrNotFound.
+// GetObject reads a whole object. It returns ErrNotFound, ErrThrottled or
+// another error of the call.
 func (o *Objects) GetObject(ctx context.Context, name string) ([]byte, error) {
 	out, err := o.client.GetObject(ctx, &s3.GetObjectInput{Bucket: &o.bucket, Key: &name})
 	if err != nil {
