--- a/internal/selector/tlsfiles/tlsfiles.go
+++ b/internal/selector/tlsfiles/tlsfiles.go
@@ -1,6 +1,7 @@
-// Package tlsfiles makes mutual TLS configurations from the files that the
-// settings name, and reads them again when they change. It serves the listeners
-// for peers and operators, and the commands as clients of the latter.
+// Package tlsfiles loads mutual TLS configurations from the files in the
+// settings, and reloads them when the files change. It is used by the listeners
+// for peers and operators, and by the commands that connect to the listener for
+// operators.
 package tlsfiles
 
 import (
@@ -18,10 +19,11 @@
 	"cairndock/internal/settings"
 )
 
-// recheckAfter is the least time between two checks of the files for changes.
-const recheckAfter = time.Second
+// recheckInterval is the minimum interval between two checks of the files for
+// changes.
+const recheckInterval = time.Second
 
-// Check adds the faults of a TLS section to f.
+// Check adds the faults of a TLS section to f. key is the key of the section.
 func Check(key string, s servesettings.TLS, f *settings.Faults) {
 	if !s.Enabled() {
 		return
@@ -37,7 +39,7 @@
 	}
 }
 
-// read returns the configuration of both ends of a connection.
+// read reads the files and returns a configuration for clients and servers.
 func read(s servesettings.TLS) (*tls.Config, error) {
 	cert, err := tls.LoadX509KeyPair(s.Certificate, s.Key)
 	if err != nil {
@@ -57,18 +59,18 @@
 	}, nil
 }
 
-// Files are the TLS files of one section of the settings. It is safe for
-// concurrent use.
+// Files provides the TLS configurations from the files of one section of the
+// settings. It is safe for concurrent use.
 type Files struct {
 	settings servesettings.TLS
 
 	mu        sync.Mutex
-	config    *tls.Config // never changed
+	config    *tls.Config // replaced, never modified
 	modified  [3]time.Time
 	checkedAt time.Time
 }
 
-// Open reads the files.
+// Open reads the files. It returns an error if any of them can't be read.
 func Open(s servesettings.TLS) (*Files, error) {
 	f := &Files{settings: s}
 	var err error
@@ -88,12 +90,12 @@
 	return out
 }
 
-// current returns the configuration of the newest files that could be read.
-// While they are half written the old one stays in use.
+// current returns the configuration from the newest valid files. While the files
+// are only partly written, the old configuration stays in use.
 func (f *Files) current() *tls.Config {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if time.Since(f.checkedAt) < recheckAfter {
+	if time.Since(f.checkedAt) < recheckInterval {
 		return f.config.Clone()
 	}
 	f.checkedAt = time.Now()
@@ -105,8 +107,8 @@
 	return f.config.Clone()
 }
 
-// Server returns the configuration of a listener that accepts only clients whose
-// certificate the CA has signed.
+// Server returns the configuration for a listener that accepts only clients with
+// a certificate signed by the CA.
 func (f *Files) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
@@ -114,19 +116,19 @@
 	}
 }
 
-// Client returns the configuration of connections to a server whose certificate
-// the CA has signed for serverName.
+// Client returns the configuration for connections to a server with a
+// certificate for serverName that is signed by the CA.
 func (f *Files) Client(serverName string) *tls.Config {
 	config := f.current()
 	config.ServerName = serverName
 	return config
 }
 
-// Transport carries peer connections over mutual TLS.
+// Transport is a transport for peer connections over mutual TLS.
 type Transport struct{ Files *Files }
 
-// Dial connects and completes the handshake, in which both ends prove their
-// certificates.
+// Dial connects to addr, "host:port", and completes the handshake, in which both
+// ends authenticate with their certificates.
 func (t Transport) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/internal/selector/tlsfiles/tlsfiles_test.go
+++ b/internal/selector/tlsfiles/tlsfiles_test.go
@@ -23,7 +23,7 @@
 	"cairndock/internal/settings"
 )
 
-// authority signs certificates for a test.
+// authority is a CA that signs certificates for a test.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -43,7 +43,7 @@
 	return authority{cert, key}
 }
 
-// write signs a certificate for loopback and writes all three files.
+// write signs a certificate for the loopback address and writes all three files.
 func (a authority) write(t *testing.T, dir string, serial int64) servesettings.TLS {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
@@ -65,7 +65,7 @@
 	return s
 }
 
-// countingHandler counts the streams that reach it.
+// countingHandler counts the streams that it serves.
 type countingHandler struct{ served *atomic.Int64 }
 
 func (h countingHandler) ServePeer(_ context.Context, _ peer.Hello, _ peer.Kind, _ []byte, w *peer.Responder) {
@@ -79,12 +79,12 @@
 	return f
 }
 
-// TestPeersProveThemselves: only who holds a certificate of the CA gets as
-// far as a frame.
-func TestPeersProveThemselves(t *testing.T) {
-	ours, theirs := newAuthority(t), newAuthority(t)
+// TestOnlyPeersOfTheCAAreServed checks that frames are accepted only from peers with
+// a certificate signed by the CA.
+func TestOnlyPeersOfTheCAAreServed(t *testing.T) {
+	ownCA, otherCA := newAuthority(t), newAuthority(t)
 	var served atomic.Int64
-	server := peer.NewMesh(peer.Hello{Host: "server"}, Transport{open(t, ours.write(t, t.TempDir(), 2))}, countingHandler{&served})
+	server := peer.NewMesh(peer.Hello{Host: "server"}, Transport{open(t, ownCA.write(t, t.TempDir(), 2))}, countingHandler{&served})
 	defer server.Close()
 	addr, err := server.Listen("127.0.0.1:0")
 	require.NoError(t, err)
@@ -99,8 +99,8 @@
 		files servesettings.TLS
 		ok    bool
 	}{
-		"of our CA":      {ours.write(t, t.TempDir(), 3), true},
-		"of another one": {theirs.write(t, t.TempDir(), 4), false},
+		"of the same CA": {ownCA.write(t, t.TempDir(), 3), true},
+		"of another CA":  {otherCA.write(t, t.TempDir(), 4), false},
 	} {
 		before := served.Load()
 		client := peer.NewMesh(peer.Hello{Host: "client"}, Transport{open(t, tc.files)}, countingHandler{&served})
@@ -116,12 +116,12 @@
 	}
 }
 
-func TestFilesAreReadAgain(t *testing.T) {
+func TestChangedFilesAreReloaded(t *testing.T) {
 	ca, dir := newAuthority(t), t.TempDir()
 	s := ca.write(t, dir, 5)
 	f := open(t, s)
 	serial := func() int64 {
-		f.checkedAt = time.Time{} // as if the last look were long ago
+		f.checkedAt = time.Time{} // makes the next check due
 		cert := f.current().Certificates[0]
 		leaf, err := x509.ParseCertificate(cert.Certificate[0])
 		require.NoError(t, err)
@@ -130,7 +130,7 @@
 	require.EqualValues(t, 5, serial())
 	require.NoError(t, os.WriteFile(s.Key, []byte("half written"), 0o600))
 	require.NoError(t, os.Chtimes(s.Key, time.Now(), time.Now().Add(time.Minute)))
-	require.EqualValues(t, 5, serial(), "files that can't be read leave the old in use")
+	require.EqualValues(t, 5, serial(), "invalid files must leave the old certificate in use")
 	ca.write(t, dir, 6)
 	require.NoError(t, os.Chtimes(s.Certificate, time.Now(), time.Now().Add(2*time.Minute)))
 	require.EqualValues(t, 6, serial())
@@ -138,16 +138,16 @@
 
 func TestCheck(t *testing.T) {
 	ca := newAuthority(t)
-	good := ca.write(t, t.TempDir(), 7)
+	valid := ca.write(t, t.TempDir(), 7)
 	for name, tc := range map[string]struct {
 		s    servesettings.TLS
 		want int
 	}{
 		"none":        {servesettings.TLS{}, 0},
-		"whole":       {good, 0},
-		"part":        {servesettings.TLS{Key: good.Key}, 2},
-		"not a CA":    {servesettings.TLS{Certificate: good.Certificate, Key: good.Key, CA: good.Key}, 1},
-		"no such key": {servesettings.TLS{Certificate: good.Certificate, Key: "none", CA: good.CA}, 1},
+		"complete":    {valid, 0},
+		"incomplete":  {servesettings.TLS{Key: valid.Key}, 2},
+		"not a CA":    {servesettings.TLS{Certificate: valid.Certificate, Key: valid.Key, CA: valid.Key}, 1},
+		"no such key": {servesettings.TLS{Certificate: valid.Certificate, Key: "none", CA: valid.CA}, 1},
 	} {
 		var f settings.Faults
 		Check("peers.tls", tc.s, &f)
