--- a/internal/selector/call/call.go
+++ b/internal/selector/call/call.go
@@ -1,5 +1,5 @@
-// Package call holds the request and response that pass between the parts of a
-// serve host, and the headers that its clients and upstreams use.
+// Package call defines the request and response types that the packages of a
+// serve host exchange, and the headers that its clients and upstreams use.
 package call
 
 import (
@@ -10,44 +10,46 @@
 	"cairndock/internal/verdict"
 )
 
-// The headers of serve's protocol, beside verdict.Header.
+// The headers of the protocol of serve, in addition to verdict.Header.
 const (
-	// HeaderTicket carries a ticket, from the client and to the upstream.
+	// HeaderTicket contains a ticket, in requests of clients and in requests to
+	// upstreams.
 	HeaderTicket = "Cairndock-Ticket"
-	// HeaderTimeout is how long the client waits, as a Go duration.
+	// HeaderTimeout is the time that the client waits, as a Go duration.
 	HeaderTimeout = "Cairndock-Timeout"
-	// HeaderUpstream is, for the client, the upstream that responded: "zone/name".
+	// HeaderUpstream is the upstream that responded, "zone/name", in responses to
+	// clients.
 	HeaderUpstream = "Cairndock-Upstream"
-	// HeaderShed is "not-run" on an upstream's 503 that proves that the request
-	// did not run.
+	// HeaderShed is "not-run" on a 503 response of an upstream that did not run
+	// the request.
 	HeaderShed = "Cairndock-Shed"
 	// HeaderState is StateLeaving on responses of an upstream that is leaving.
 	HeaderState = "Cairndock-State"
 	// HeaderInstance is the upstream's incarnation.
 	HeaderInstance = "Cairndock-Instance"
-	// HeaderLoad is the upstream's own view of its load, 0 to 1.
+	// HeaderLoad is the load that the upstream reports, 0 to 1.
 	HeaderLoad = "Cairndock-Load"
-	// HeaderDeadline is an absolute Unix time in milliseconds, after which
-	// an upstream must neither start nor go on with a request.
+	// HeaderDeadline is a Unix time in milliseconds, after which an upstream
+	// must neither start nor continue a request.
 	HeaderDeadline = "Cairndock-Deadline"
 )
 
 // StateLeaving is the value of HeaderState on an upstream that is leaving.
 const StateLeaving = "leaving"
 
-// Request is one client's request. It is not changed after it is made.
+// Request is a client's request. It is immutable after its creation.
 type Request struct {
-	// Service names the service asked for.
+	// Service is the name of the requested service.
 	Service string
 	// Method is the HTTP method.
 	Method string
 	// Target is the path and query for the upstream.
 	Target string
-	// Header holds the end-to-end headers.
+	// Header contains the end-to-end headers.
 	Header http.Header
-	// Body is the whole body, within the host's limit.
+	// Body is the complete body, within the host's limit.
 	Body []byte
-	// Deadline is when the client stops waiting.
+	// Deadline is the time at which the client stops waiting.
 	Deadline time.Time
 	// Ticket is the client's ticket, or empty.
 	Ticket string
@@ -57,15 +59,15 @@
 type Response struct {
 	// Status is the HTTP status.
 	Status int
-	// Header holds the end-to-end headers.
+	// Header contains the end-to-end headers.
 	Header http.Header
 	// Body is the response's body. A read error other than io.EOF means that
-	// the response is not whole.
+	// the response is incomplete.
 	Body io.ReadCloser
-	// Length is the body's length in bytes, or -1 when not known ahead.
+	// Length is the body's length in bytes, or -1 if it is unknown.
 	Length int64
 	// Upstream is "zone/name".
 	Upstream string
-	// Verdict is Ran, but for an upstream's own rejection.
+	// Verdict is Ran, unless the upstream refused the request.
 	Verdict verdict.Verdict
 }
--- a/internal/selector/servesettings/servesettings.go
+++ b/internal/selector/servesettings/servesettings.go
@@ -1,6 +1,6 @@
-// Package servesettings is the form of the settings of a host of serve, one type
-// a section. Each section's defaults and checks stand beside the duty that it
-// sets: in packages entry, caller, operator, store, tlsfiles and telemetry.
+// Package servesettings defines the settings of a host of `cairndock serve`, with
+// one type for each section. The defaults and checks of a section are in the
+// package that uses it: entry, caller, operator, store, tlsfiles or telemetry.
 package servesettings
 
 import (
@@ -12,7 +12,7 @@
 	"cairndock/internal/tomlfile"
 )
 
-// Settings are all settings of one host of serve, by the sections of the file.
+// Settings contains all settings of one host, by section of the settings file.
 type Settings struct {
 	Host      settings.Host      `toml:"host"`
 	Callers   Callers            `toml:"callers"`
@@ -23,8 +23,8 @@
 	Stop      Stop               `toml:"stop"`
 }
 
-// TLS names the files of a mutual TLS listener. They are read again when
-// they change. All are empty for plain TCP.
+// TLS configures the files of a mutual TLS listener by path. The files are
+// reloaded when they change. All paths are empty for plain TCP.
 type TLS struct {
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
@@ -34,46 +34,46 @@
 // Enabled reports whether any file is set.
 func (t TLS) Enabled() bool { return t.Certificate != "" || t.Key != "" || t.CA != "" }
 
-// Callers sets the listener for clients.
+// Callers configures the listener for clients.
 type Callers struct {
-	// Listen is the address to listen at, and Advertise the one that
-	// clients are given; it is Listen by default.
+	// Listen is the address to listen on. Advertise is the address that clients
+	// receive; it defaults to Listen.
 	Listen    string `toml:"listen"`
 	Advertise string `toml:"advertise"`
-	// MaxBody and MaxHeader bound a request, in bytes.
+	// MaxBody and MaxHeader limit the size of a request, in bytes.
 	MaxBody   int64 `toml:"max_body"`
 	MaxHeader int   `toml:"max_header"`
 	// TTL is how long clients may cache a response of the directory.
 	TTL settings.Duration `toml:"ttl"`
-	// TrustForwarded takes a client's address from X-Forwarded-For.
+	// TrustForwarded means that a client's address is read from X-Forwarded-For.
 	TrustForwarded bool `toml:"trust_forwarded"`
 }
 
-// Operators sets the listener for operators.
+// Operators configures the listener for operators.
 type Operators struct {
-	// Listen is the address to listen at.
+	// Listen is the address to listen on.
 	Listen string `toml:"listen"`
-	// Token is the bearer token that changes of the configuration need.
+	// Token is the bearer token that is required to change the configuration.
 	Token string `toml:"token"`
 	TLS   TLS    `toml:"tls"`
 }
 
-// Peers sets the listener for other hosts.
+// Peers configures the listener for other hosts.
 type Peers struct {
-	// Listen is the address to listen at, and Advertise the one that other hosts
-	// connect to; it is Listen by default.
+	// Listen is the address to listen on. Advertise is the address to which
+	// other hosts connect; it defaults to Listen.
 	Listen    string `toml:"listen"`
 	Advertise string `toml:"advertise"`
-	// Seeds are addresses of other hosts, used while the platform can't be
-	// reached.
+	// Seeds are addresses of other hosts, used while the platform is
+	// unreachable.
 	Seeds []string `toml:"seeds"`
 	TLS   TLS      `toml:"tls"`
 }
 
-// Platform says how to reach the table, the object store and the host list.
+// Platform configures access to the table, the object store and the host list.
 type Platform struct {
-	// TableEndpoint and ObjectEndpoint are URLs of services that speak the
-	// DynamoDB and S3 protocols; HostsURL serves the host list as JSON.
+	// TableEndpoint and ObjectEndpoint are URLs of services with the DynamoDB
+	// and S3 protocols. HostsURL is the URL of the host list in JSON.
 	TableEndpoint  string `toml:"table_endpoint"`
 	Table          string `toml:"table"`
 	ObjectEndpoint string `toml:"object_endpoint"`
@@ -82,20 +82,21 @@
 	Region         string `toml:"region"`
 	AccessKey      string `toml:"access_key"`
 	SecretKey      string `toml:"secret_key"`
-	// CallsPerSecond limits this host's calls to the platform.
+	// CallsPerSecond limits the rate of this host's calls to the platform.
 	CallsPerSecond float64 `toml:"calls_per_second"`
 }
 
-// Stop sets a planned stop.
+// Stop configures planned stops.
 type Stop struct {
-	// Window is the longest that a stop waits for requests in flight.
+	// Window is the maximum time that a stop waits for requests in flight.
 	Window settings.Duration `toml:"window"`
-	// Grace is how long clients may still send requests after the directory
-	// stopped naming the host.
+	// Grace is the time during which clients may still send requests after the
+	// directory has removed the host from its responses.
 	Grace settings.Duration `toml:"grace"`
 }
 
-// Load reads a settings file. Unknown keys are refused.
+// Load reads a settings file. It returns an error if the file can't be read or
+// decoded, or contains unknown keys.
 func Load(path string) (Settings, error) {
 	var s Settings
 	data, err := os.ReadFile(path)
