--- a/internal/selector/config/blocks.go
+++ b/internal/selector/config/blocks.go
@@ -8,8 +8,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// minEditsForClone is the minimum number of edits for which a change copies the whole
-// prefix table once instead of copying one path of the table for each block.
+// minEditsForClone is the minimum number of edits for which a change copies
+// the whole prefix table once instead of copying one path of the table for
+// each block.
 const minEditsForClone = 1000
 
 // blocks holds the blocks of client addresses in a prefix table, which finds
--- a/internal/selector/config/config_test.go
+++ b/internal/selector/config/config_test.go
@@ -132,8 +132,8 @@
 	require.Empty(t, v.ClientZone(netip.MustParseAddr("10.2.0.1")))
 }
 
-// TestViewIsUpdatedByChanges checks that a view updated with changes equals a view built
-// from the resulting state.
+// TestViewIsUpdatedByChanges checks that a view updated with changes equals a
+// view built from the resulting state.
 func TestViewIsUpdatedByChanges(t *testing.T) {
 	steps := []string{
 		"[[service]]\nname = \"documents\"",
--- a/internal/selector/config/document.go
+++ b/internal/selector/config/document.go
@@ -31,8 +31,8 @@
 	// defaultRetryShare limits retries as a share of requests, 0 to 1
 	// (docs/design/request.md).
 	defaultRetryShare = 0.1
-	// defaultReservedShare is the share of a link that is reserved for interactive
-	// traffic, 0 to 1.
+	// defaultReservedShare is the share of a link that is reserved for
+	// interactive traffic, 0 to 1.
 	defaultReservedShare = 0.3
 )
 
--- a/internal/selector/config/references.go
+++ b/internal/selector/config/references.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// shareTolerance is the tolerance by which a sum of shares may exceed 1. It is far
-// above the rounding errors of float64 sums and far below any share that
+// shareTolerance is the tolerance by which a sum of shares may exceed 1. It is
+// far above the rounding errors of float64 sums and far below any share that
 // operators write.
 const shareTolerance = 1e-9
 
--- a/internal/selector/link/bucket.go
+++ b/internal/selector/link/bucket.go
@@ -28,10 +28,11 @@
 const (
 	// burst is the capacity of the bucket, as time at its rate.
 	burst = 25 * time.Millisecond
-	// maxOverdraft is how far interactive traffic may overdraw the bucket, as time at
-	// its rate, to avoid waiting behind a chunk of bulk traffic. On a link of
-	// 1 MB/s, interactive traffic waited up to 16.8 ms without maxOverdraft and with
-	// chunks of MaxChunk, and up to 0.34 ms with maxOverdraft and chunks of chunkTime.
+	// maxOverdraft is how far interactive traffic may overdraw the bucket, as
+	// time at its rate, to avoid waiting behind a chunk of bulk traffic. On a
+	// link of 1 MB/s, interactive traffic waited up to 16.8 ms without
+	// maxOverdraft and with chunks of MaxChunk, and up to 0.34 ms with
+	// maxOverdraft and chunks of chunkTime.
 	maxOverdraft = 25 * time.Millisecond
 	// averagingPeriod is the time constant of the moving average of interactive
 	// traffic.
@@ -39,12 +40,12 @@
 	// headroomFraction is the rate reserved for the next burst of interactive
 	// traffic, as a fraction of the rate that interactive traffic uses. When
 	// interactive traffic used 0, 10, 30 and 60% of the link, bulk traffic used
-	// 95, 95, 92 and 86% of the rest with 0.05 and maxOverdraft, and 98, 96, 91 and 85%
-	// with 0.15 and no maxOverdraft.
+	// 95, 95, 92 and 86% of the rest with 0.05 and maxOverdraft, and 98, 96, 91
+	// and 85% with 0.15 and no maxOverdraft.
 	headroomFraction = 0.05
-	// minBulkRateDivisor is the divisor of the rate that gives the minimum rate for
-	// computing the wait of bulk traffic. It bounds the wait while interactive
-	// traffic uses the whole rate.
+	// minBulkRateDivisor is the divisor of the rate that gives the minimum rate
+	// for computing the wait of bulk traffic. It bounds the wait while
+	// interactive traffic uses the whole rate.
 	minBulkRateDivisor = 100
 	// minRate is the minimum rate in bytes per second. It replaces lower
 	// limits to keep waits finite.
@@ -73,8 +74,9 @@
 	return b
 }
 
-// configure sets the limit and the reserved fraction. The rate is lower than the
-// limit by burst and maxOverdraft, to keep the bytes sent in any second within the limit.
+// configure sets the limit and the reserved fraction. The rate is lower than
+// the limit by burst and maxOverdraft, to keep the bytes sent in any second
+// within the limit.
 func (b *bucket) configure(limit, reserved float64) {
 	b.rate = max(minRate, limit) / (1 + burst.Seconds() + maxOverdraft.Seconds())
 	b.reserved = reserved
--- a/internal/selector/link/loans.go
+++ b/internal/selector/link/loans.go
@@ -6,17 +6,18 @@
 	// Term is the duration of a loan. For the borrower it starts when the
 	// borrower sends the request.
 	Term = 2 * time.Second
-	// lenderMargin is added to Term by the lender, for which the loan starts when it
-	// is granted. It makes the borrower stop first, also if the borrower was
-	// paused. With 1 s in total at the lender, TestLoansNeverAddUp failed.
+	// lenderMargin is added to Term by the lender, for which the loan starts
+	// when it is granted. It makes the borrower stop first, also if the
+	// borrower was paused. With 1 s in total at the lender, TestLoansNeverAddUp
+	// failed.
 	lenderMargin = time.Second
 	// lendFraction is the fraction of the spare rate that one loan may use.
 	lendFraction = 0.8
-	// keepFraction is the fraction of its own share that a host never lends, because
-	// a loan can't be revoked and the host's next lookup needs some rate at
-	// once. With bundles on the same link, 232 of 800 lookups were refused
-	// without keepFraction and none with it. The link utilization was 97% without
-	// keepFraction and 86% with it.
+	// keepFraction is the fraction of its own share that a host never lends,
+	// because a loan can't be revoked and the host's next lookup needs some
+	// rate at once. With bundles on the same link, 232 of 800 lookups were
+	// refused without keepFraction and none with it. The link utilization was
+	// 97% without keepFraction and 86% with it.
 	keepFraction = 0.2
 	// minLoanRate is the minimum rate of a loan, in bytes per second.
 	minLoanRate = 1000
--- a/internal/selector/link/pacer.go
+++ b/internal/selector/link/pacer.go
@@ -14,8 +14,8 @@
 	// minChunk is the chunk size on the slowest links, in bytes.
 	minChunk = 1 << 10
 	// chunkTime is the maximum time that one chunk occupies the link. It limits
-	// how long interactive traffic waits behind bulk traffic; see maxOverdraft for the
-	// measurement.
+	// how long interactive traffic waits behind bulk traffic; see maxOverdraft
+	// for the measurement.
 	chunkTime = 4 * time.Millisecond
 )
 
--- a/internal/selector/server/abort/abort.go
+++ b/internal/selector/server/abort/abort.go
@@ -21,9 +21,10 @@
 	"cairndock/internal/httpserver"
 )
 
-// abortGrace is the time for the error responses to aborted requests. A handler needs
-// some milliseconds to notice the abort, and a connection between requests is
-// read for 50 ms after the start of the drain (package httpserver).
+// abortGrace is the time for the error responses to aborted requests. A
+// handler needs some milliseconds to notice the abort, and a connection
+// between requests is read for 50 ms after the start of the drain (package
+// httpserver).
 const abortGrace = 250 * time.Millisecond
 
 // errStopping is the cancellation cause of the contexts of aborted requests.
--- a/internal/selector/server/server_test.go
+++ b/internal/selector/server/server_test.go
@@ -10,8 +10,8 @@
 	"cairndock/internal/settings"
 )
 
-// TestPrepareReportsAllFaults checks that the error of Prepare contains the key of each
-// missing or invalid value.
+// TestPrepareReportsAllFaults checks that the error of Prepare contains the
+// key of each missing or invalid value.
 func TestPrepareReportsAllFaults(t *testing.T) {
 	s := servesettings.Settings{
 		Callers:   servesettings.Callers{MaxBody: 1 << 30},
--- a/internal/selector/server/stoprefusal_test.go
+++ b/internal/selector/server/stoprefusal_test.go
@@ -41,9 +41,9 @@
 
 const otherLookup = "GET /s/s/other HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// A host that has released its slots has no free slot. If a stopping host responds
-// that upstreams are full and to retry after one second, clients wait although
-// another host would serve them at once.
+// A host that has released its slots has no free slot. If a stopping host
+// responds that upstreams are full and to retry after one second, clients wait
+// although another host would serve them at once.
 func TestAStoppingHostWithoutSlotsRefusesNewRequests(t *testing.T) {
 	s := holdSlot(t, 2*time.Second, 3*time.Second)
 	late := s.connect(s.CallerAddr)
--- a/internal/selector/store/contract_test.go
+++ b/internal/selector/store/contract_test.go
@@ -18,8 +18,8 @@
 	Hosts(ctx context.Context) ([]store.HostState, error)
 }
 
-// runContract runs a contract test against a Memory, and against the clients with a
-// server that provides a Memory by the clients' wire protocols.
+// runContract runs a contract test against a Memory, and against the clients
+// with a server that provides a Memory by the clients' wire protocols.
 func runContract(t *testing.T, contract func(t *testing.T, m *store.Memory, tb config.Table, ob config.Objects, hs hostList)) {
 	t.Run("memory", func(t *testing.T) {
 		m := store.NewMemory()
--- a/internal/selector/tlsfiles/tlsfiles_test.go
+++ b/internal/selector/tlsfiles/tlsfiles_test.go
@@ -79,8 +79,8 @@
 	return f
 }
 
-// TestOnlyPeersOfTheCAAreServed checks that frames are accepted only from peers with
-// a certificate signed by the CA.
+// TestOnlyPeersOfTheCAAreServed checks that frames are accepted only from
+// peers with a certificate signed by the CA.
 func TestOnlyPeersOfTheCAAreServed(t *testing.T) {
 	ownCA, otherCA := newAuthority(t), newAuthority(t)
 	var served atomic.Int64
--- a/internal/selector/upstream/client.go
+++ b/internal/selector/upstream/client.go
@@ -40,8 +40,8 @@
 	dialTimeout = time.Second
 	// idleTimeout is the time after which an idle connection is closed.
 	idleTimeout = 30 * time.Second
-	// maxIdlePerUpstream limits the idle connections to one upstream. It equals the maximum
-	// number of slots that can be configured for an upstream.
+	// maxIdlePerUpstream limits the idle connections to one upstream. It equals
+	// the maximum number of slots that can be configured for an upstream.
 	maxIdlePerUpstream = 64
 	// maxHeaderBytes limits the header of a response, and the bytes read from
 	// the body of a refusal or of a response to a probe.
