--- a/internal/gateway/balance/balance.go
+++ b/internal/gateway/balance/balance.go
@@ -33,7 +33,7 @@
 	// Withheld returns why an upstream must get no request now, or the zero value if it
 	// may get one.
 	Withheld(u *upstream.Upstream, now time.Time) notice.Withheld
-	// BackoffElsewhere reports whether an upstream has asked another host to back off.
+	// BackoffElsewhere reports whether an upstream has requested a backoff from another host.
 	BackoffElsewhere(run upstream.Run, now time.Time) bool
 	// Take counts a request for which an upstream was chosen.
 	Take(u *upstream.Upstream, now time.Time)
--- a/internal/gateway/fleet/quota_test.go
+++ b/internal/gateway/fleet/quota_test.go
@@ -220,7 +220,7 @@
 }
 
 // Of 98 hosts in a region, nine were large and got all requests. A cold upstream's rate
-// was split evenly over all hosts: eight hosts had one request a second each, and on
+// was split evenly over all hosts: eight hosts had one request per second each, and on
 // average less than one of these hosts was large. The upstream stayed cold and idle
 // while other upstreams refused requests.
 func TestTheLargeHostsHaveMostOfAColdUpstreamsRate(t *testing.T) {
--- a/internal/gateway/outlier/consecutive.go
+++ b/internal/gateway/outlier/consecutive.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	// initialBackOff is the time for which this host first avoids an upstream.
+	// initialBackoff is the time for which this host first avoids an upstream.
 	// It doubles with each further consecutive failure.
-	initialBackOff = 500 * time.Millisecond
-	// maxBackOffDoublings limits the back-off to 4 s.
-	maxBackOffDoublings = 3
-	// minFailedToBackOff is the number of consecutive failures after which a
+	initialBackoff = 500 * time.Millisecond
+	// maxBackoffDoublings limits the backoff to 4 s.
+	maxBackoffDoublings = 3
+	// minFailedToBackoff is the number of consecutive failures after which a
 	// reachable upstream is avoided. A single failure suffices for an
 	// unreachable upstream.
-	minFailedToBackOff = 3
-	// terminatedBackOff is the time for which a terminated run of an upstream is
+	minFailedToBackoff = 3
+	// terminatedBackoff is the time for which a terminated run of an upstream is
 	// avoided. It is about the time until the run's row expires, which happens
 	// after three missed heartbeats of 1 to 1.5 s each. A run never resumes, but
 	// if the rows do not distinguish runs, the next run looks like the terminated
 	// one and must become usable again.
-	terminatedBackOff = 4 * time.Second
+	terminatedBackoff = 4 * time.Second
 )
 
 // Outcome is the result of a request at an upstream.
@@ -55,7 +55,7 @@
 		*c = consecutive{}
 	case Failed, Unreachable:
 		c.failures++
-		if until := now.Add(backOff(o, c.failures)); until.After(c.ejectedUntil) {
+		if until := now.Add(backoff(o, c.failures)); until.After(c.ejectedUntil) {
 			c.ejectedUntil = until
 		}
 	case Rejected, Canceled:
@@ -63,16 +63,16 @@
 	}
 }
 
-// backOff returns the time for which this host avoids an upstream after a number
+// backoff returns the time for which this host avoids an upstream after a number
 // of consecutive failures, including the latest one. Zero means that the
 // upstream is not avoided.
-func backOff(o Outcome, failures int) time.Duration {
+func backoff(o Outcome, failures int) time.Duration {
 	doublings := failures - 1
 	if o == Failed {
-		doublings = failures - minFailedToBackOff
+		doublings = failures - minFailedToBackoff
 	}
 	if doublings < 0 {
 		return 0
 	}
-	return initialBackOff << min(doublings, maxBackOffDoublings)
+	return initialBackoff << min(doublings, maxBackoffDoublings)
 }
--- a/internal/gateway/outlier/detector.go
+++ b/internal/gateway/outlier/detector.go
@@ -93,11 +93,11 @@
 
 // RecordTermination records that a run of an upstream has terminated, as observed
 // by this host or by another one. Otherwise each host would detect the termination
-// only by failures of its own requests, and again after each back-off.
+// only by failures of its own requests, and again after each backoff.
 func (d *Detector) RecordTermination(run upstream.Run, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.state(run).consecutive.ejectedUntil = now.Add(terminatedBackOff)
+	d.state(run).consecutive.ejectedUntil = now.Add(terminatedBackoff)
 }
 
 // Merge adds the observations of another host. Each replaces the host's earlier
--- a/internal/gateway/outlier/detector_test.go
+++ b/internal/gateway/outlier/detector_test.go
@@ -162,7 +162,7 @@
 }
 
 // Nine hosts continued to send requests to terminated upstreams. Each host stopped only
-// when one of its own connections was refused, and tried again after each back-off.
+// when one of its own connections was refused, and tried again after each backoff.
 func TestATerminatedRunIsAvoidedUntilItsRowExpires(t *testing.T) {
 	const rowTTL = 4 * time.Second
 	now := time.Now()
@@ -172,7 +172,7 @@
 	require.False(t, d.Ejected("a", now.Add(rowTTL)))
 	require.False(t, d.Ejected("b", now))
 	d.RecordOutcome("a", outlier.Unreachable, now)
-	require.True(t, d.Ejected("a", now.Add(rowTTL-time.Millisecond)), "a back-off does not end the avoidance earlier")
+	require.True(t, d.Ejected("a", now.Add(rowTTL-time.Millisecond)), "a backoff does not end the avoidance earlier")
 	d.RecordOutcome("a", outlier.Succeeded, now)
 	require.False(t, d.Ejected("a", now), "a success may come from the next run with the same identifier")
 }
--- a/internal/gateway/outlier/rules_test.go
+++ b/internal/gateway/outlier/rules_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestBackOffDoublesWithEachConsecutiveFailure(t *testing.T) {
+func TestBackoffDoublesWithEachConsecutiveFailure(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		outcome  Outcome
@@ -22,7 +22,7 @@
 		{"failed five times", Failed, 5, 2 * time.Second},
 		{"failed for long", Failed, 100, 4 * time.Second},
 	} {
-		t.Run(c.name, func(t *testing.T) { require.Equal(t, c.want, backOff(c.outcome, c.failures)) })
+		t.Run(c.name, func(t *testing.T) { require.Equal(t, c.want, backoff(c.outcome, c.failures)) })
 	}
 }
 
--- a/internal/gateway/quota/ask.go
+++ b/internal/gateway/quota/ask.go
@@ -27,11 +27,11 @@
 	// maxEmptyRounds is the number of consecutive rounds without any token, each with
 	// other holders, after which the host pauses.
 	maxEmptyRounds = 3
-	// emptyHolderBackOff is the time for which a holder is not queried after it granted
-	// fewer tokens than requested, and silentHolderBackOff the time after it did not
+	// emptyHolderBackoff is the time for which a holder is not queried after it granted
+	// fewer tokens than requested, and silentHolderBackoff the time after it did not
 	// respond.
-	emptyHolderBackOff  = 250 * time.Millisecond
-	silentHolderBackOff = 500 * time.Millisecond
+	emptyHolderBackoff  = 250 * time.Millisecond
+	silentHolderBackoff = 500 * time.Millisecond
 )
 
 // round is one round of token requests for an account. Holders in the host's own region
@@ -123,10 +123,10 @@
 	switch {
 	case err != nil:
 		// Not logged, because missing heartbeats already report a dead or partitioned holder.
-		r.ledger.skip(h.Host, requestedAt.Add(silentHolderBackOff))
+		r.ledger.skip(h.Host, requestedAt.Add(silentHolderBackoff))
 		return 0
 	case received < needed:
-		r.ledger.skip(h.Host, requestedAt.Add(emptyHolderBackOff))
+		r.ledger.skip(h.Host, requestedAt.Add(emptyHolderBackoff))
 	}
 	r.ledger.receive(received, requestedAt)
 	r.ledger.notify()
