--- a/internal/gateway/balance/query.go
+++ b/internal/gateway/balance/query.go
@@ -27,7 +27,7 @@
 	// Allows reports whether the request may be served in a region; nil allows all
 	// regions.
 	Allows func(region string) bool
-	// Reserved gives, by region, the fraction (0 to 1) of the requests to all services
+	// Reserved is, by region, the fraction (0 to 1) of the requests to all services
 	// that may be served only there. It applies to requests that may be served anywhere.
 	// The map must not change.
 	Reserved map[string]float64
--- a/internal/gateway/exchange/ended.go
+++ b/internal/gateway/exchange/ended.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// terminationCheckTimeout bounds the duration of a check by HasEnded. It allows for
+	// terminationCheckTimeout bounds the duration of a check by HasTerminated. It allows for
 	// several new connections between two regions.
 	terminationCheckTimeout = 500 * time.Millisecond
 	// settleDelay is how long a new connection must stay open after another one was
--- a/internal/gateway/fleet/directory.go
+++ b/internal/gateway/fleet/directory.go
@@ -57,7 +57,7 @@
 }
 
 const (
-	// minAdvertised is the minimum number of hosts that clients are given. With a single
+	// minAdvertised is the minimum number of hosts advertised to clients. With a single
 	// host, all clients of a zone would wait until its death is noticed.
 	minAdvertised = 2
 	// maxUsedFraction is the fraction of the advertised hosts' capacity that the
@@ -67,7 +67,7 @@
 	maxUsedFraction = 0.5
 )
 
-// advertised returns the addresses of the hosts that clients are given: only the large
+// advertised returns the addresses of the hosts to advertise to clients: only the large
 // hosts if there are at least minAdvertised of them and they can handle the requests of
 // all hosts; otherwise all hosts.
 //
--- a/internal/gateway/fleet/host.go
+++ b/internal/gateway/fleet/host.go
@@ -32,7 +32,7 @@
 	Ready bool `msgpack:"r,omitempty"`
 	// Leaving reports that the host is about to stop.
 	Leaving bool `msgpack:"l,omitempty"`
-	// Withdrawn reports that the host has given up its shares of all limits.
+	// Withdrawn reports that the host has released its shares of all limits.
 	Withdrawn bool `msgpack:"w,omitempty"`
 	// Rate is the recent rate of client requests to the host, in requests per second.
 	Rate int `msgpack:"q,omitempty"`
@@ -70,7 +70,7 @@
 	return versions
 }
 
-// acceptsClients reports whether the directory may give the host to clients.
+// acceptsClients reports whether the directory may advertise the host to clients.
 func (s Status) acceptsClients() bool { return s.Ready && !s.Leaving }
 
 const (
--- a/internal/gateway/fleet/limitshare_test.go
+++ b/internal/gateway/fleet/limitshare_test.go
@@ -100,7 +100,7 @@
 	for _, all := range [][]Host{nineHostsList(), many} {
 		for _, perSecond := range []float64{0, 0.3, 6, 60} {
 			for _, restarts := range []int{0, 2} {
-				t.Run(fmt.Sprintf("%d hosts, %g a second, %d restarts a second", len(all), perSecond, restarts), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%d hosts, %g requests per second, %d restarts per second", len(all), perSecond, restarts), func(t *testing.T) {
 					most, used := saturateLimit(all, perSecond, restarts)
 					t.Logf("%d in 4 s, %.2f requests per second", most, used)
 					require.LessOrEqual(t, float64(most), perSecond*1.5*4+5)
--- a/internal/gateway/fleet/place.go
+++ b/internal/gateway/fleet/place.go
@@ -15,10 +15,10 @@
 // host that is new to the zone, and a host that is cut off from the zone and does not
 // learn of the new one. The new host takes its shards once it has received heartbeats
 // from all known hosts of the zone, or newHostDelay after it has read their list. The
-// host that is cut off has given up its shards by then.
+// host that is cut off has released its shards by then.
 const (
 	// isolationTimeout is how long a host may receive no heartbeat from its zone, if
-	// other hosts of the zone are known, before it gives up its shards. It exceeds
+	// other hosts of the zone are known, before it releases its shards. It exceeds
 	// deadTimeout by more than a heartbeat interval.
 	isolationTimeout = 4 * time.Second
 	// newHostDelay is how long a host that no earlier process has announced holds no
@@ -39,8 +39,8 @@
 	return next
 }
 
-// heldSince returns the time since which this host has held the shards that a new
-// assignment gives to it.
+// heldSince returns the time since which this host has held the shards that next
+// assigns to it.
 func (m *members) heldSince(last, next *quota.Assignment, now time.Time) time.Time {
 	switch {
 	case last != nil && last.HoldsShards && slices.EqualFunc(last.Layout.Zones, next.Layout.Zones, func(a, b quota.Zone) bool {
@@ -88,7 +88,7 @@
 	}
 	highest := 0
 	for _, p := range m.peersByName(m.indexed().byZone[name]) {
-		// A stopping host gives up its shards before it reports that it has withdrawn.
+		// A stopping host releases its shards before it reports that it has withdrawn.
 		// The other hosts of its zone take them, so that no shard stays unused while
 		// hosts are restarted one after another.
 		if !p.status.Withdrawn {
@@ -129,7 +129,7 @@
 }
 
 // seenWholeZone reports whether this process has received heartbeats from all known
-// hosts of its zone. These hosts then know this one and have given up its shards. Hosts
+// hosts of its zone. These hosts then know this one and have released its shards. Hosts
 // that have withdrawn are not needed.
 func (m *members) seenWholeZone() bool {
 	return !slices.ContainsFunc(m.peersByName(m.indexed().byZone[m.self.Zone]), func(p *peerState) bool {
--- a/internal/gateway/fleet/quota.go
+++ b/internal/gateway/fleet/quota.go
@@ -50,8 +50,8 @@
 }
 
 // largeHostsFraction is the fraction of a cold upstream's rate that the large hosts
-// share if hosts differ in capacity. Clients are given only the large hosts while these
-// suffice (advertised), and the share of a host without requests is not used. When a
+// share if hosts differ in capacity. Only the large hosts are advertised to clients
+// while these suffice (advertised), and the share of a host without requests is not used. When a
 // rate of 8 was split evenly over 98 hosts, of which 9 got all requests, less than one
 // of the 8 was used. The remaining fraction is for the case that all large hosts fail.
 const largeHostsFraction = 0.8
--- a/internal/gateway/fleet/schedule.go
+++ b/internal/gateway/fleet/schedule.go
@@ -89,8 +89,8 @@
 type firstHosts map[string]bool
 
 // firstHosts returns the first hosts of the own region: the hosts in the order of rank
-// until firstHostCount of them are not known to be dead. Clients are given these hosts
-// first, and other hosts poll them.
+// until firstHostCount of them are not known to be dead. These hosts are advertised to
+// clients first, and other hosts poll them.
 func (m *members) firstHosts(now time.Time) firstHosts {
 	first, left := firstHosts{}, firstHostCount
 	for _, name := range m.indexed().byRank {
--- a/internal/gateway/fleet/suspicions.go
+++ b/internal/gateway/fleet/suspicions.go
@@ -14,13 +14,13 @@
 	if f.options.Suspicions == nil {
 		return b
 	}
-	var marks poison.Watermarks
+	var watermarks poison.Watermarks
 	f.mu.Lock()
 	if p := f.members.peers[to]; p != nil {
-		marks = p.suspicions
+		watermarks = p.suspicions
 	}
 	f.mu.Unlock()
-	b.Suspicions = f.options.Suspicions.UpdateFor(marks, time.Now())
+	b.Suspicions = f.options.Suspicions.UpdateFor(watermarks, time.Now())
 	return b
 }
 
@@ -29,11 +29,11 @@
 	if f.options.Suspicions == nil {
 		return
 	}
-	marks := f.options.Suspicions.MergeUpdate(b.Suspicions, now)
+	watermarks := f.options.Suspicions.MergeUpdate(b.Suspicions, now)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if p := f.members.peers[b.Host.Name]; p != nil && p.host.Incarnation == b.Host.Incarnation {
-		p.suspicions = marks
+		p.suspicions = watermarks
 	}
 }
 
--- a/internal/gateway/notice/notice.go
+++ b/internal/gateway/notice/notice.go
@@ -22,7 +22,7 @@
 	perSecond float64
 }
 
-// presence tells whether a response contains a limit.
+// presence states whether a response contains a limit.
 type presence uint8
 
 const (
--- a/internal/gateway/proxy/decisionlog.go
+++ b/internal/gateway/proxy/decisionlog.go
@@ -11,7 +11,7 @@
 
 // logAttempt logs why an attempt used its upstream and how it ended. e is nil when the
 // response is forwarded. status is zero when there was no response or classify rejected
-// it; the reason in e tells these cases apart.
+// it; the reason in e distinguishes these cases.
 func (f *inflight) logAttempt(a *attempt, status int, e *verdict.Error) {
 	c := a.choice
 	ev := eventlog.Attempt{
--- a/internal/gateway/proxy/stop_test.go
+++ b/internal/gateway/proxy/stop_test.go
@@ -82,7 +82,7 @@
 	require.EqualValues(t, 1, <-aborted)
 }
 
-// A refusal by a stopping host also tells the client not to reuse its connection.
+// A refusal by a stopping host also instructs the client not to reuse its connection.
 func TestARefusalOfAStoppingHostClosesTheConnection(t *testing.T) {
 	g := newTestGateway(t)
 	g.setRoutes(testRoute(route.Once)) // without an upstream
--- a/internal/gateway/quota/limiter.go
+++ b/internal/gateway/quota/limiter.go
@@ -36,7 +36,7 @@
 	maxRetryAfter = 3 * time.Second
 )
 
-// Hosts gives access to the hosts that share the limits.
+// Hosts is the interface to the hosts that share the limits.
 type Hosts interface {
 	// Assignment returns the current assignment of this host. The pointer stays the same
 	// until the assignment changes.
@@ -45,7 +45,7 @@
 	RequestTokens(ctx context.Context, host string, request TokenRequest) (TokenResponse, error)
 }
 
-// TokenRequest asks another host for tokens of an account. Each client request takes
+// TokenRequest requests tokens of an account from another host. Each client request takes
 // tokensPerRequest tokens. TokenRequest is sent as msgpack.
 type TokenRequest struct {
 	Account string `msgpack:"a"`
--- a/internal/gateway/soak/poison_test.go
+++ b/internal/gateway/soak/poison_test.go
@@ -54,7 +54,7 @@
 	return "/once/poison"
 }
 
-// poisonID returns the ID of a repetition. The prefix tells the ledger whether the
+// poisonID returns the ID of a repetition. The prefix shows the ledger whether the
 // request may run twice.
 func poisonID(method string, n int) string {
 	if method == http.MethodPost {
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -239,7 +239,7 @@
 	return s, nil
 }
 
-// cancel tells the peer that the stream is no longer read. It does not block,
+// cancel notifies the peer that the stream is no longer read. It does not block,
 // because the context of the request may have ended and another write may be
 // stuck.
 func (c *conn) cancel(id uint64) {
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -24,8 +24,8 @@
 // Mesh owns the connections. It makes them on demand and dials an unreachable
 // peer at most once per redialDelay. It pings peers while streams to them are
 // open, and each end closes a connection on which nothing was received for too
-// long (see silenceTimeout). A host that stops tells its peers to open no more
-// streams (Mesh.GoAway). The package neither retries requests nor encrypts
+// long (see silenceTimeout). A host that stops instructs its peers to open no
+// more streams (Mesh.GoAway). The package neither retries requests nor encrypts
 // connections; encryption is up to the Transport. Both `cairndock serve` and
 // `cairndock gateway` use the package.
 package peer
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -52,7 +52,7 @@
 type frame struct {
 	Type frameType
 	// ID is the ID of the stream. Each end numbers the streams that it opens in
-	// ascending order from 1. The type of a frame tells which end opened the
+	// ascending order from 1. The type of a frame shows which end opened the
 	// stream.
 	ID     uint64
 	Kind   Kind
--- a/internal/peer/goaway.go
+++ b/internal/peer/goaway.go
@@ -17,7 +17,7 @@
 	disconnectTimeout = time.Second
 )
 
-// GoAway tells peers that this host accepts no more streams, stops accepting
+// GoAway notifies peers that this host accepts no more streams, stops accepting
 // connections, and waits until the streams that peers opened before have ended
 // or ctx ends. The opener of a later stream gets ErrNotSent. Peers of an older
 // version are not notified and are served as before. Streams opened by this
@@ -63,7 +63,7 @@
 	}
 }
 
-// goAway refuses the streams that the peer opens from now on and tells the peer
+// goAway refuses the streams that the peer opens from now on and sends the peer
 // the ID of the last accepted stream. The lock also covers the reading of
 // frames, so the ID proves that later streams did not run.
 func (c *conn) goAway() {
--- a/internal/peer/keepalive.go
+++ b/internal/peer/keepalive.go
@@ -53,7 +53,7 @@
 // errSilent reports that nothing was received on a connection for too long.
 var errSilent = eris.New("no bytes received within the keep-alive timeout")
 
-// role tells which end of a connection this host is.
+// role states whether this host dialed or accepted a connection.
 type role uint8
 
 const (
--- a/internal/poison/fingerprint.go
+++ b/internal/poison/fingerprint.go
@@ -41,7 +41,7 @@
 }
 
 // Fingerprint returns the content's fingerprint. Each field is hashed with its length before
-// it, so that bytes moved from one field to the next give another fingerprint.
+// it, so that bytes moved from one field to the next result in another fingerprint.
 func (c Content) Fingerprint() Fingerprint {
 	h := sha256.New()
 	writeField := func(p []byte) {
--- a/internal/poison/suspect.go
+++ b/internal/poison/suspect.go
@@ -27,7 +27,7 @@
 	// quarantinePeriod is how long a request is refused after the last upstream that it
 	// terminated. Then the request is tried again, and one more termination suffices to
 	// refuse it again. The period is long enough for people to find the sender, and costs
-	// few upstreams an hour if they don't.
+	// few upstreams per hour if they don't.
 	quarantinePeriod = 10 * time.Minute
 	// terminationRetention is how long a termination is used: several times
 	// quarantinePeriod.
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -24,7 +24,7 @@
 	// them, and each host would receive each report from all hosts that send it
 	// heartbeats. A poison request that is left out is sent again by its client, and each
 	// report of it carries all terminations that the sender knows. The rate suffices for
-	// some ten upstreams a second that terminate under the requests that they run.
+	// some ten upstreams per second that terminate under the requests that they run.
 	newSuspectRate = 64
 	// newSuspectBurst is how many requests may become suspects at once: two seconds' worth
 	// of newSuspectRate.
