--- a/internal/gateway/balance/reserved.go
+++ b/internal/gateway/balance/reserved.go
@@ -28,8 +28,8 @@
 	if q.Allows != nil {
 		return nil
 	}
-	// A region has 1/regions of all requests, so its fraction of all requests changes by
-	// that much less.
+	// A region has 1/regions of all requests, so its fraction of all requests may change
+	// by maxReservedChangePerSecond divided by the number of regions.
 	step := maxReservedChangePerSecond / float64(max(1, regions)) * max(0, q.Now.Sub(r.updatedAt).Seconds())
 	if r.fractions == nil {
 		r.fractions, step = map[string]float64{}, 1 // the first query sets the fractions at once
--- a/internal/gateway/balance/summary.go
+++ b/internal/gateway/balance/summary.go
@@ -13,7 +13,7 @@
 	// regions and whether most upstreams fail, changes over seconds.
 	summaryTTL = 50 * time.Millisecond
 	// summaryTTLPerUpstream extends the TTL for each upstream, so that a host spends about
-	// 1 part in 400 of its processor time on summaries, however many upstreams there are.
+	// 1/400 of its CPU time on summaries, however many upstreams there are.
 	// A summary takes 0.05 us per upstream (BenchmarkSummary).
 	summaryTTLPerUpstream = 20 * time.Microsecond
 )
--- a/internal/gateway/eventlog/events.go
+++ b/internal/gateway/eventlog/events.go
@@ -295,7 +295,7 @@
 	l.versions("listing-refused", table, source, listed, known).Msg("table: listing is older than the known version, not applied")
 }
 
-// EraBegan logs that the store has a new era because it was restored from an older backup.
+// EraBegan logs that the store has a new era because it was restored from an older copy.
 // changed is the number of new rows in the listed table, and reverted the number of rows that
 // are missing or older than known.
 func (l *Log) EraBegan(table, source string, listed, known watch.Version, changed, reverted int) {
--- a/internal/gateway/exchange/exchange.go
+++ b/internal/gateway/exchange/exchange.go
@@ -1,5 +1,5 @@
 // Package exchange sends one request to one upstream and reads the response. It owns the
-// connections to upstreams and the proof of what was executed. Only a response that
+// connections to upstreams and the proof of what ran. Only a response that
 // provably belongs to the request is returned, a truncated body never looks complete,
 // and a failure is reported as "not run" only when no byte of the request can have
 // reached the upstream. A Protocol defines the headers that carry those proofs.
--- a/internal/gateway/exchange/proof.go
+++ b/internal/gateway/exchange/proof.go
@@ -10,7 +10,7 @@
 )
 
 // connectError returns the error of a request for which no connection was established.
-// Nothing was sent, so nothing was executed. A dial that timed out by itself means an
+// Nothing was sent, so nothing ran. A dial that timed out by itself means an
 // unreachable upstream; the deadline has lapsed only if the request's own context ended.
 // A refused connection shows that the machine is reachable and that no process listens.
 func connectError(ctx context.Context, upstream string, err error) error {
@@ -27,7 +27,7 @@
 }
 
 // responseError returns the error of a request that has a connection but no response.
-// The request may have been executed as soon as the kernel accepted one byte of it
+// The request may have run as soon as the kernel accepted one byte of it
 // (sent), because delivery of that byte is unknown.
 func responseError(ctx context.Context, upstream string, err error, sent bool) error {
 	v := verdict.NotRun
--- a/internal/gateway/fleet/capacity.go
+++ b/internal/gateway/fleet/capacity.go
@@ -6,7 +6,7 @@
 // ones idle.
 const (
 	// requestsPerCore is how many requests per second a core handles. A request takes 0.5
-	// to 1 ms of processor time, heartbeats included, averaged over all hosts on days
+	// to 1 ms of CPU time, heartbeats included, averaged over all hosts on days
 	// without faults.
 	requestsPerCore = 1000
 	// bytesPerRequest is what a request and its response take on a host's link, from the
@@ -24,7 +24,7 @@
 
 // Resources are the resources that a host may use. Zero means unknown.
 type Resources struct {
-	// Cores is the processor time, in cores.
+	// Cores is the CPU time, in cores.
 	Cores float64
 	// BandwidthMbps is the bandwidth of the link, in megabits per second in each
 	// direction.
--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -46,7 +46,7 @@
 type Reporter interface {
 	Lost(kind, name string, err error)
 	Regained(kind, name string, after time.Duration)
-	// Stalled reports for how long the process had no processor time.
+	// Stalled reports for how long the process had no CPU time.
 	Stalled(d time.Duration)
 }
 
@@ -173,8 +173,8 @@
 	f.updateAssignment(time.Now())
 	f.heartbeatAll(ctx)
 	// The error is dropped: the host is stopping and does not retry. If the entry
-	// remains, a starting host sends a few heartbeats in vain until it forgets this host
-	// after peerTTL.
+	// remains, a starting host sends a few heartbeats that get no response, until it
+	// forgets this host after peerTTL.
 	_ = f.options.Registry.Withdraw(ctx, f.options.Self)
 }
 
--- a/internal/gateway/fleet/heartbeat.go
+++ b/internal/gateway/fleet/heartbeat.go
@@ -50,7 +50,7 @@
 const minStall = 200 * time.Millisecond
 
 // reportStall reports a tick that came much later than expected. During the delay the
-// process had no processor time, so its requests were delayed as well.
+// process had no CPU time, so its requests were delayed as well.
 func (f *Fleet) reportStall(sinceLast time.Duration) {
 	if late := sinceLast - schedulerTick; late >= minStall {
 		f.options.Report.Stalled(late)
@@ -138,7 +138,7 @@
 }
 
 // serveHeartbeat records a peer's heartbeat and responds with this host's. A heartbeat
-// that cannot be decoded is not logged, because that would happen several times a
+// that cannot be decoded is not logged, because that would happen several times per
 // second. The peer gets no response and is reported as lost here once it counts as dead.
 func (f *Fleet) serveHeartbeat(payload []byte, w *peer.Responder) {
 	b, err := peer.Decode[heartbeat](payload)
--- a/internal/gateway/fleet/quota.go
+++ b/internal/gateway/fleet/quota.go
@@ -177,7 +177,7 @@
 
 // preceding returns how many of the hosts that share the rate with this one and are of
 // the same size class, large or small, precede it in the upstream's order of hosts. It
-// stops counting at enough: with 5,900 hosts, counting all hosts of the upstream's
+// stops counting at the number enough: with 5,900 hosts, counting all hosts of the upstream's
 // region took 233 us for each choice.
 func (m *members) preceding(upstream, region string, highest, enough int) int {
 	own, before := rendezvous.Rank(m.self.Name, upstream), 0
--- a/internal/gateway/fleet/registration.go
+++ b/internal/gateway/fleet/registration.go
@@ -128,7 +128,7 @@
 
 // withdrawStale removes hosts of the own region from the registry that have been silent
 // for peerTTL and did not announce themselves again in that time, in which a running
-// host announces itself four times. Otherwise a host that was removed for good would
+// host announces itself four times. Otherwise a host that was removed permanently would
 // keep a share of each limit forever. Only one host of the region does this. An error is
 // dropped because the next round tries again.
 func (f *Fleet) withdrawStale(ctx context.Context) {
--- a/internal/gateway/fleet/registration_test.go
+++ b/internal/gateway/fleet/registration_test.go
@@ -144,7 +144,7 @@
 	})
 }
 
-// Otherwise a host that was replaced for good would keep a share of each limit forever.
+// Otherwise a host that was replaced permanently would keep a share of each limit forever.
 func TestASilentHostIsWithdrawnByOneOfItsRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFakeRegistry()
--- a/internal/gateway/fleet/rewrite.go
+++ b/internal/gateway/fleet/rewrite.go
@@ -20,7 +20,7 @@
 	// notAnnounced is the value of announcedEra before the first announcement.
 	notAnnounced = -1
 	// maxRewriteDelay bounds the random delay after which a host writes its data again
-	// once it has found that the store was restored. 256 hosts of a region write 85 a
+	// once it has found that the store was restored. 256 hosts of a region write 85 rows per
 	// second, of the 300 that the store accepts for a partition.
 	maxRewriteDelay = 3 * time.Second
 	// rewriteRetryDelay is the pause before the next attempt.
--- a/internal/gateway/fleet/schedule_test.go
+++ b/internal/gateway/fleet/schedule_test.go
@@ -222,7 +222,7 @@
 
 func (r *stallRecorder) Stalled(d time.Duration) { r.stalls = append(r.stalls, d) }
 
-// Requests timed out at a host that had no processor time, and the host reported
+// Requests timed out at a host that had no CPU time, and the host reported
 // nothing.
 func TestAProcessWithoutProcessorTimeIsReported(t *testing.T) {
 	var r stallRecorder
--- a/internal/gateway/fleet/start.go
+++ b/internal/gateway/fleet/start.go
@@ -13,8 +13,8 @@
 // read from the store, and the others read from them.
 const (
 	// storeReaderCount is how many hosts of a region read all data from the store at
-	// their start, in the order of rank. These are the large hosts, which clients are
-	// given first.
+	// their start, in the order of rank. These are the large hosts, which are
+	// advertised to clients first.
 	storeReaderCount = firstHostCount
 	// peerStartTimeout is how long the other hosts wait for a peer that has the tables
 	// before they read them from the store. It is enough for a table to pass through
--- a/internal/gateway/notice/limit.go
+++ b/internal/gateway/notice/limit.go
@@ -30,7 +30,7 @@
 func totalRate(perSecond float64) float64 { return max(perSecond, minRate) }
 
 // totalTokens is the size of the buckets of all hosts together: the part of the bound
-// that the rate does not use. It is at least one, because a host whose bucket has no room
+// that the rate does not use. It is at least one, because a host whose bucket has no space
 // for a token could never send.
 func totalTokens(perSecond float64) int {
 	bound := usedFraction * (perSecond*boundFactor*boundWindow.Seconds() + boundSlack)
@@ -100,7 +100,7 @@
 }
 
 // set puts a value in force that the upstream reported at a given time. The tokens stay, as
-// far as the new bucket has room for them.
+// far as the new bucket has space for them.
 func (l *limit) set(perSecond float64, reportedAt, now time.Time) {
 	if perSecond != l.perSecond || l.ended {
 		l.sharedAt = time.Time{}
--- a/internal/gateway/notice/table.go
+++ b/internal/gateway/notice/table.go
@@ -189,7 +189,7 @@
 }
 
 // MaySend reports whether a request for which an upstream was chosen may still be sent. The
-// request may have waited since the choice, for a connection or for processor time.
+// request may have waited since the choice, for a connection or for CPU time.
 func (t *Table) MaySend(u *upstream.Upstream, now time.Time) bool {
 	if t.size.Load() == 0 {
 		return true
--- a/internal/gateway/proxy/cut_test.go
+++ b/internal/gateway/proxy/cut_test.go
@@ -17,7 +17,7 @@
 
 // These tests guard against a race between a read and the close of a connection. Clients
 // saw a keep-alive connection closed with no response, although an upstream had received
-// the request. The race occurs when the host is short of processor time:
+// the request. The race occurs when the host is short of CPU time:
 //
 //  1. The connection's goroutine reads the request's bytes from the kernel. It is
 //     preempted before it marks the connection as in use.
--- a/internal/gateway/proxy/decisionlog.go
+++ b/internal/gateway/proxy/decisionlog.go
@@ -40,8 +40,8 @@
 	})
 }
 
-// clientEnd returns whether the client of a request can still receive a response.
-func clientEnd(ctx context.Context) eventlog.ClientState {
+// clientState returns whether the client of a request can still receive a response.
+func clientState(ctx context.Context) eventlog.ClientState {
 	switch {
 	case httpserver.ClosedHere(ctx):
 		return eventlog.ClientCut
@@ -58,7 +58,7 @@
 	ev := eventlog.Final{
 		Request: f.info.ID, Service: f.service, Attempts: f.startedAttempts, Status: status, Verdict: verdict.Ran.String(),
 		ConfigAge: f.proxy.ConfigAge(), UpstreamsAge: f.proxy.UpstreamsAge(), Took: time.Since(f.began),
-		Client: clientEnd(f.clientCtx),
+		Client: clientState(f.clientCtx),
 	}
 	if f.config != nil {
 		ev.Config = f.config.Version
--- a/internal/gateway/proxy/harness_test.go
+++ b/internal/gateway/proxy/harness_test.go
@@ -201,7 +201,7 @@
 	return dial.New(200*time.Millisecond).DialContext(ctx, network, address)
 }
 
-// putOperatorRow applies a row of the operators' table, with the next version.
+// putOperatorRow applies a row of the operator's table, with the next version.
 func (g *testGateway) putOperatorRow(key string, r operatorRow) {
 	g.version++
 	value, err := json.Marshal(r)
--- a/internal/gateway/proxy/hedge_test.go
+++ b/internal/gateway/proxy/hedge_test.go
@@ -176,7 +176,7 @@
 
 // A hedge for which no upstream is left does not use up a retry of the budget.
 func TestAHedgeWithoutAnUpstreamCostsNoRetry(t *testing.T) {
-	// One retry is available, because a part of the limit is held back.
+	// One retry is available, because a fraction of the limit is held back.
 	g := newGateway(t, noop.NewTracerProvider(), retry.Limits{Window: time.Minute, Slack: 2})
 	var o delayableUpstream
 	g.addDelayable(&o, o.respond)
@@ -221,7 +221,7 @@
 	require.Positive(t, second.Load())
 }
 
-// An attempt runs in its own goroutine, in which an unrecovered panic would end the process.
+// An attempt runs in its own goroutine, in which an unrecovered panic would terminate the process.
 func TestAnAttemptThatPanicsHasFailed(t *testing.T) {
 	g := newTestGateway(t)
 	g.setRoutes(testRoute(route.Once))
--- a/internal/gateway/proxy/notice_test.go
+++ b/internal/gateway/proxy/notice_test.go
@@ -144,8 +144,8 @@
 	require.LessOrEqual(t, backedOff.Load(), int64(2), "it gets a request after its backoff")
 }
 
-// While all upstreams are in backoff, requests are refused immediately. The response tells
-// clients to retry when the first backoff ends.
+// While all upstreams are in backoff, requests are refused immediately. The response
+// requests a retry when the first backoff ends.
 func TestARequestIsRefusedAtOnceWhileAllUpstreamsRest(t *testing.T) {
 	g := newTestGateway(t)
 	g.setRoutes(testRoute(route.Repeatable))
--- a/internal/gateway/proxy/stop_test.go
+++ b/internal/gateway/proxy/stop_test.go
@@ -48,7 +48,7 @@
 		r := <-results
 		require.NoError(t, r.err)
 		require.Equal(t, "whole", r.body)
-		require.True(t, r.resp.Close, "the client is told to close its connection, also if it was opened before the stop")
+		require.True(t, r.resp.Close, "the response closes the client connection, also if it was opened before the stop")
 	}
 	require.Zero(t, <-aborted)
 	_, err := net.DialTimeout("tcp", address, 100*time.Millisecond)
--- a/internal/gateway/proxy/unsent_test.go
+++ b/internal/gateway/proxy/unsent_test.go
@@ -142,7 +142,7 @@
 }
 
 // Requests were refused with 503 long before their deadline, because the first dial to the only
-// upstream timed out on a host that was briefly short of processor time.
+// upstream timed out on a host that was briefly short of CPU time.
 func TestAnUnansweredDialIsRetriedWhileNoOtherUpstreamIsLeft(t *testing.T) {
 	g := newGatewayWithoutRetries(t, 20*time.Second)
 	serve := g.addUnresponsive()
--- a/internal/gateway/proxy/warmup_test.go
+++ b/internal/gateway/proxy/warmup_test.go
@@ -71,7 +71,7 @@
 
 // A cold upstream received twice a host's share within one second. Requests waited 0.6 s for
 // connections, and were sent together with requests that were chosen later. Such waits occur
-// when the round-trip time is long or the host is short of processor time. The requests were
+// when the round-trip time is long or the host is short of CPU time. The requests were
 // counted when their upstream was chosen, and had left the counting window when they were
 // sent. Measured waits were up to 111 ms; the window tolerates 150 ms.
 func TestRequestsThatWaitForAConnectionCountWhenTheyAreSent(t *testing.T) {
--- a/internal/gateway/quota/doc.go
+++ b/internal/gateway/quota/doc.go
@@ -12,7 +12,7 @@
 //
 //   - A token is removed from a bucket before it is used, and at most tokenTTL before.
 //   - A lost response loses its tokens.
-//   - A process that ends loses its buckets, and the next one starts with empty ones.
+//   - A process that terminates loses its buckets, and the next one starts with empty ones.
 //   - A partitioned host continues with its own shards, and the others with theirs.
 //
 // The limit depends neither on liveness, nor on synchronized clocks, nor on the order of
--- a/internal/gateway/quota/interleave_test.go
+++ b/internal/gateway/quota/interleave_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// arrive delivers all delayed tokens, even to a process that has ended.
+// arrive delivers all delayed tokens, even to a process that has terminated.
 func (p *protocol) arrive() {
 	for _, d := range p.delayed {
 		d.to.receive(d.tokens, d.requestedAt)
--- a/internal/gateway/routing/operator.go
+++ b/internal/gateway/routing/operator.go
@@ -9,7 +9,7 @@
 	"cairndock/internal/gateway/watch"
 )
 
-// OperatorSink returns a sink that applies changes of the operators' table.
+// OperatorSink returns a sink that applies changes of the operator's table.
 func (s *State) OperatorSink() watch.Sink {
 	return &sink{state: s, table: OperatorTable, apply: s.applyOperatorRows}
 }
--- a/internal/gateway/routing/state.go
+++ b/internal/gateway/routing/state.go
@@ -23,13 +23,13 @@
 
 // Names of the watched tables in logs and metrics.
 const (
-	// OperatorTable is the operators' table.
+	// OperatorTable is the operator's table.
 	OperatorTable = "intent"
 	// UpstreamTable is the upstreams' table.
 	UpstreamTable = "upstream"
 )
 
-// OperatorRow is one row of the operators' table: either a configuration or a zone to
+// OperatorRow is one row of the operator's table: either a configuration or a zone to
 // evacuate. Exactly one of the two is set.
 type OperatorRow struct {
 	// Table is a complete configuration.
@@ -40,7 +40,7 @@
 
 // Decoder decodes rows of the watched tables.
 type Decoder interface {
-	// OperatorRow decodes a row of the operators' table.
+	// OperatorRow decodes a row of the operator's table.
 	OperatorRow(key string, value []byte) (OperatorRow, error)
 	// Upstream decodes a row of the upstreams' table.
 	Upstream(key string, value []byte) (upstream.Registration, error)
--- a/internal/gateway/soak/doc.go
+++ b/internal/gateway/soak/doc.go
@@ -32,7 +32,8 @@
 //
 // To run one seed again and keep the hosts' logs and the report page:
 //
-//	SOAK_FIRST=SEED SOAK_LOGS=DIR SOAK_REPORT=DIR go test -count 1 -v -run 'TestSoak$' ./internal/gateway/soak
+//	SOAK_FIRST=SEED SOAK_LOGS=DIR SOAK_REPORT=DIR \
+//	    go test -count 1 -v -run 'TestSoak$' ./internal/gateway/soak
 //
 // A seed reproduces the faults only approximately: overlapping faults share one
 // random source, and the machine decides how they coincide with requests.
--- a/internal/gateway/upstream/registry_test.go
+++ b/internal/gateway/upstream/registry_test.go
@@ -244,7 +244,7 @@
 }
 
 // Another writer overwrites an upstream's entry with a valid one, and the upstream writes its
-// own again. This entry must not be ignored for ever as a delayed one of an earlier run.
+// own again. This entry must not be ignored permanently as a delayed entry of an earlier run.
 func TestAnEntryOfAnEarlierRunThatStaysIsUsed(t *testing.T) {
 	now := time.Now()
 	for _, otherStart := range []int64{0, 999} {
@@ -261,7 +261,7 @@
 		require.True(t, ok)
 		require.Equal(t, upstream.Run("a@10"), u.Run())
 		require.Empty(t, u.Address)
-		// It is the present run from now on, and the entry of the other one is deferred.
+		// It is the present run from now on, and the entry of the other run is deferred.
 		require.True(t, r.Put(startedAt("a", 10), now))
 		require.False(t, r.Put(other, now))
 		r.Remove("a", now, time.Time{})
--- a/internal/gateway/warmup/sends.go
+++ b/internal/gateway/warmup/sends.go
@@ -14,7 +14,7 @@
 // Sends are the requests for which a host recently selected one upstream. The zero
 // value is empty. A request counts from the selection of its upstream until Window
 // has passed since the request was sent, because it may wait for a new connection
-// or for processor time and then arrive together with later requests. Requests to
+// or for CPU time and then arrive together with later requests. Requests to
 // a warm upstream count too, because the upstream may become cold at any time.
 type Sends struct{ sends []*Send }
 
--- a/internal/gateway/wiring.go
+++ b/internal/gateway/wiring.go
@@ -98,9 +98,9 @@
 	})
 }
 
-// watchSuspension registers the corrections of all data that depends on its age, for
-// when the machine was suspended. Data that is not corrected errs on the safe side:
-// spent shares of limits count for longer, and ejections and warm-up end later.
+// watchSuspension registers the functions that correct data with an age after the machine
+// was suspended. All other data is left unchanged, which errs on the safe side: spent
+// shares of limits count for longer, and ejections and warm-up end later.
 func (g *Gateway) watchSuspension() {
 	for _, f := range []func(time.Duration){
 		g.tables[operatorTable].Replica.Suspended, g.tables[upstreamTable].Replica.Suspended, g.fleet.Suspended,
--- a/internal/httpserver/conn_test.go
+++ b/internal/httpserver/conn_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A host that is short of processor time may read a connection only after the
+// A host that is short of CPU time may read a connection only after the
 // limit of its phase. Bytes that arrived in time must be read once, and nothing
 // after them.
 func TestBytesThatArrivedInTimeAreReadLate(t *testing.T) {
--- a/internal/httpserver/httpservertest/late.go
+++ b/internal/httpserver/httpservertest/late.go
@@ -1,5 +1,5 @@
 // Package httpservertest provides test helpers for servers: a listener that
-// simulates a host which is short of processor time.
+// simulates a host which is short of CPU time.
 package httpservertest
 
 import (
--- a/internal/httpserver/timing.go
+++ b/internal/httpserver/timing.go
@@ -25,7 +25,7 @@
 	shortageEndDelay = time.Second
 	// finalReadTimeout is the deadline of a read of bytes that have already
 	// arrived. The deadline must not pass before the read begins, even on a
-	// host whose process gets no processor time in between.
+	// host whose process gets no CPU time in between.
 	finalReadTimeout = 20 * time.Millisecond
 	// drainHeaderTimeout is how long the rest of a header may take while the
 	// server drains, because a client that sends only part of a header must not
--- a/internal/poison/share.go
+++ b/internal/poison/share.go
@@ -19,8 +19,8 @@
 // Watermarks are the sequence numbers up to which two hosts have each other's changes; zero is
 // none.
 type Watermarks struct {
-	// Acked is up to which the other host has acknowledged this host's changes, and Merged
-	// up to which this host has the other's.
+	// Acked is the number up to which the other host has acknowledged this host's changes.
+	// Merged is the number up to which this host has merged the other host's changes.
 	Acked, Merged int64
 }
 
