--- a/internal/gateway/fleet/capacity.go
+++ b/internal/gateway/fleet/capacity.go
@@ -9,8 +9,8 @@
 	// to 1 ms of CPU time, heartbeats included, averaged over all hosts on days
 	// without faults.
 	requestsPerCore = 1000
-	// bytesPerRequest is what a request and its response take on a host's link, from the
-	// upstream and on to the client. The value suits services where one response in
+	// bytesPerRequest is the number of bytes that a request and its response use on a
+	// host's link, from the upstream and on to the client. The value suits services where one response in
 	// twelve has 90 KB, because large responses load a link more than a higher rate of
 	// small ones.
 	bytesPerRequest = 16 << 10
--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -20,14 +20,14 @@
 	// Withdraw removes the host.
 	Announce(ctx context.Context, h Host) (era int64, err error)
 	Withdraw(ctx context.Context, h Host) error
-	// Read returns what the registry has for a region.
+	// Read returns the content of the registry for a region.
 	Read(ctx context.Context, region string) (RegionList, error)
 	// Quarantine stores a quarantined request under a region, and Release removes it.
 	Quarantine(ctx context.Context, region string, q StoredQuarantine) error
 	Release(ctx context.Context, region string, f poison.Fingerprint) error
 }
 
-// RegionList is what the registry has for a region.
+// RegionList is the content of the registry for a region.
 type RegionList struct {
 	// Hosts are all hosts of the region. Some may not run any more.
 	Hosts []Listing
@@ -64,7 +64,8 @@
 // Suspicions are the requests that are suspected of terminating upstreams. All hosts
 // share them, because such a request may reach any host.
 type Suspicions interface {
-	// UpdateFor returns what another host does not have yet, and MergeUpdate merges what it sent.
+	// UpdateFor returns the changes that another host does not have yet, and MergeUpdate
+	// merges an update that it sent.
 	UpdateFor(m poison.Watermarks, now time.Time) poison.Update
 	MergeUpdate(n poison.Update, now time.Time) poison.Watermarks
 	// Merge adds reports that were read from the registry.
--- a/internal/gateway/fleet/suspicions.go
+++ b/internal/gateway/fleet/suspicions.go
@@ -7,7 +7,7 @@
 )
 
 // Suspicions are sent in heartbeats, which connect all hosts of all regions within a few
-// steps, because each host passes on what is new to it.
+// steps, because each host passes on the suspicions that are new to it.
 
 // withSuspicions adds to a heartbeat the suspicions that its receiver does not have yet.
 func (f *Fleet) withSuspicions(b heartbeat, to string) heartbeat {
