--- a/internal/gateway/fleet/capacity.go
+++ b/internal/gateway/fleet/capacity.go
@@ -10,9 +10,9 @@
 	// without faults.
 	requestsPerCore = 1000
 	// bytesPerRequest is the number of bytes that a request and its response use on a
-	// host's link, from the upstream and on to the client. The value suits services where one response in
-	// twelve has 90 KB, because large responses load a link more than a higher rate of
-	// small ones.
+	// host's link, from the upstream and on to the client. The value suits services where
+	// one response in twelve has 90 KB, because large responses load a link more than a
+	// higher rate of small ones.
 	bytesPerRequest = 16 << 10
 	// bytesPerMegabit converts the rate of a link from megabits to bytes.
 	bytesPerMegabit = 1_000_000 / 8
--- a/internal/gateway/fleet/rewrite.go
+++ b/internal/gateway/fleet/rewrite.go
@@ -10,9 +10,9 @@
 )
 
 // A store that is restored from an older copy has lost the data that hosts wrote after
-// the copy was made, and no other process writes this data again. Starting hosts would not find
-// this host, and would take larger shares of limits than they should. A restored store
-// may also contain rows of hosts that withdrew and of quarantines that were released.
+// the copy was made, and no other process writes this data again. Starting hosts would
+// not find this host, and would take larger shares of limits than they should. A restored
+// store may also contain rows of hosts that withdrew and of quarantines that were released.
 // These rows make shares smaller, and are valid no longer than rows that remain after a
 // failed withdrawal or release.
 
