--- a/internal/gateway/notice/report.go
+++ b/internal/gateway/notice/report.go
@@ -27,7 +27,8 @@
 )
 
 // Report is the message of a host to other hosts about one run: that the run is
-// leaving, that it requested a backoff from the sender, or its limit. It is part of the wire format.
+// leaving, that it requested a backoff from the sender, or its limit. It is part of the wire
+// format.
 type Report struct {
 	Run     upstream.Run `msgpack:"u"`
 	Leaving bool         `msgpack:"x,omitempty"`
--- a/internal/poison/doc.go
+++ b/internal/poison/doc.go
@@ -16,5 +16,5 @@
 //
 // The design follows the delivery limit of quorum queues, which count the deliveries of
 // each message across consumers (docs/design/poison.md). Here, terminations are counted
-// instead of deliveries, and each host counts for itself instead of a leader.
+// instead of deliveries, and each host counts them itself, without a leader.
 package poison
--- a/internal/poison/suspect.go
+++ b/internal/poison/suspect.go
@@ -22,7 +22,7 @@
 	// seem to have terminated them one after the other.
 	maxReportDelay = 100 * time.Millisecond
 	// maxTerminations bounds the terminations kept of one request, the latest ones. It
-	// includes ambiguousThreshold, some that overlap, and some that were cleared.
+	// allows for ambiguousThreshold of them, some that overlap, and some that were cleared.
 	maxTerminations = 12
 	// quarantinePeriod is how long a request is refused after the last upstream that it
 	// terminated. Then the request is tried again, and one more termination suffices to
