--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -20,14 +20,14 @@
 	// Withdraw removes the host.
 	Announce(ctx context.Context, h Host) (era int64, err error)
 	Withdraw(ctx context.Context, h Host) error
-	// Read returns what the registry has for a region.
+	// Read returns the content of the registry for a region.
 	Read(ctx context.Context, region string) (RegionList, error)
 	// Quarantine stores a quarantined request under a region, and Release removes it.
 	Quarantine(ctx context.Context, region string, q StoredQuarantine) error
 	Release(ctx context.Context, region string, f poison.Fingerprint) error
 }
 
-// RegionList is what the registry has for a region.
+// RegionList is the content of the registry for a region.
 type RegionList struct {
 	// Hosts are all hosts of the region. Some may not run any more.
 	Hosts []Listing
@@ -46,7 +46,7 @@
 type Reporter interface {
 	Lost(kind, name string, err error)
 	Regained(kind, name string, after time.Duration)
-	// Stalled reports for how long the process had no processor time.
+	// Stalled reports for how long the process had no CPU time.
 	Stalled(d time.Duration)
 }
 
@@ -64,7 +64,8 @@
 // Suspicions are the requests that are suspected of terminating upstreams. All hosts
 // share them, because such a request may reach any host.
 type Suspicions interface {
-	// UpdateFor returns what another host does not have yet, and MergeUpdate merges what it sent.
+	// UpdateFor returns the changes that another host does not have yet, and MergeUpdate
+	// merges an update that it sent.
 	UpdateFor(m poison.Watermarks, now time.Time) poison.Update
 	MergeUpdate(n poison.Update, now time.Time) poison.Watermarks
 	// Merge adds reports that were read from the registry.
@@ -173,8 +174,8 @@
 	f.updateAssignment(time.Now())
 	f.heartbeatAll(ctx)
 	// The error is dropped: the host is stopping and does not retry. If the entry
-	// remains, a starting host sends a few heartbeats in vain until it forgets this host
-	// after peerTTL.
+	// remains, a starting host sends a few heartbeats that get no response, until it
+	// forgets this host after peerTTL.
 	_ = f.options.Registry.Withdraw(ctx, f.options.Self)
 }
 
--- a/internal/gateway/fleet/quota.go
+++ b/internal/gateway/fleet/quota.go
@@ -50,8 +50,8 @@
 }
 
 // largeHostsFraction is the fraction of a cold upstream's rate that the large hosts
-// share if hosts differ in capacity. Clients are given only the large hosts while these
-// suffice (advertised), and the share of a host without requests is not used. When a
+// share if hosts differ in capacity. Only the large hosts are advertised to clients
+// while these suffice (advertised), and the share of a host without requests is not used. When a
 // rate of 8 was split evenly over 98 hosts, of which 9 got all requests, less than one
 // of the 8 was used. The remaining fraction is for the case that all large hosts fail.
 const largeHostsFraction = 0.8
@@ -177,7 +177,7 @@
 
 // preceding returns how many of the hosts that share the rate with this one and are of
 // the same size class, large or small, precede it in the upstream's order of hosts. It
-// stops counting at enough: with 5,900 hosts, counting all hosts of the upstream's
+// stops counting at the number enough: with 5,900 hosts, counting all hosts of the upstream's
 // region took 233 us for each choice.
 func (m *members) preceding(upstream, region string, highest, enough int) int {
 	own, before := rendezvous.Rank(m.self.Name, upstream), 0
--- a/internal/gateway/fleet/rewrite.go
+++ b/internal/gateway/fleet/rewrite.go
@@ -9,10 +9,10 @@
 	"cairndock/internal/pause"
 )
 
-// A store that is restored from an older copy has lost what hosts wrote after the copy
-// was made, and no other process writes this data again. Starting hosts would not find
-// this host, and would take larger shares of limits than they should. A restored store
-// may also contain rows of hosts that withdrew and of quarantines that were released.
+// A store that is restored from an older copy has lost the data that hosts wrote after
+// the copy was made, and no other process writes this data again. Starting hosts would
+// not find this host, and would take larger shares of limits than they should. A restored
+// store may also contain rows of hosts that withdrew and of quarantines that were released.
 // These rows make shares smaller, and are valid no longer than rows that remain after a
 // failed withdrawal or release.
 
@@ -20,7 +20,7 @@
 	// notAnnounced is the value of announcedEra before the first announcement.
 	notAnnounced = -1
 	// maxRewriteDelay bounds the random delay after which a host writes its data again
-	// once it has found that the store was restored. 256 hosts of a region write 85 a
+	// once it has found that the store was restored. 256 hosts of a region write 85 rows per
 	// second, of the 300 that the store accepts for a partition.
 	maxRewriteDelay = 3 * time.Second
 	// rewriteRetryDelay is the pause before the next attempt.
--- a/internal/gateway/proxy/stop_test.go
+++ b/internal/gateway/proxy/stop_test.go
@@ -48,7 +48,7 @@
 		r := <-results
 		require.NoError(t, r.err)
 		require.Equal(t, "whole", r.body)
-		require.True(t, r.resp.Close, "the client is told to close its connection, also if it was opened before the stop")
+		require.True(t, r.resp.Close, "the response closes the client connection, also if it was opened before the stop")
 	}
 	require.Zero(t, <-aborted)
 	_, err := net.DialTimeout("tcp", address, 100*time.Millisecond)
@@ -82,7 +82,7 @@
 	require.EqualValues(t, 1, <-aborted)
 }
 
-// A refusal by a stopping host also tells the client not to reuse its connection.
+// A refusal by a stopping host also instructs the client not to reuse its connection.
 func TestARefusalOfAStoppingHostClosesTheConnection(t *testing.T) {
 	g := newTestGateway(t)
 	g.setRoutes(testRoute(route.Once)) // without an upstream
--- a/internal/poison/suspect.go
+++ b/internal/poison/suspect.go
@@ -21,13 +21,13 @@
 	// Otherwise, a request that many upstreams ran when they were killed together would
 	// seem to have terminated them one after the other.
 	maxReportDelay = 100 * time.Millisecond
-	// maxTerminations bounds the terminations kept of one request, the latest ones. It has
-	// room for ambiguousThreshold, some that overlap, and some that were cleared.
+	// maxTerminations bounds the terminations kept of one request, the latest ones. It
+	// allows for ambiguousThreshold of them, some that overlap, and some that were cleared.
 	maxTerminations = 12
 	// quarantinePeriod is how long a request is refused after the last upstream that it
 	// terminated. Then the request is tried again, and one more termination suffices to
 	// refuse it again. The period is long enough for people to find the sender, and costs
-	// few upstreams an hour if they don't.
+	// few upstreams per hour if they don't.
 	quarantinePeriod = 10 * time.Minute
 	// terminationRetention is how long a termination is used: several times
 	// quarantinePeriod.
