--- a/internal/selector/caller/response.go
+++ b/internal/selector/caller/response.go
@@ -112,7 +112,7 @@
 // section 10.2.3 requires whole seconds. The delay is rounded up because a
 // client that retries too early would only be refused again.
 //
-// internal/gateway/proxy differs because its clients accept fractions of a
+// Package gateway/proxy differs because its clients accept fractions of a
 // second. It sets 150 to 750 ms depending on the cause, and adds random jitter
 // to refusals for load.
 func retryAfter(delay time.Duration) string {
--- a/internal/selector/config/object.go
+++ b/internal/selector/config/object.go
@@ -69,9 +69,9 @@
 
 // The values of Prefer.
 const (
-	// PreferLatency gives the most weight to the round-trip time.
+	// PreferLatency weights the round-trip time most.
 	PreferLatency Prefer = "latency"
-	// PreferHeadroom gives more weight to utilization than PreferLatency does.
+	// PreferHeadroom weights utilization more than PreferLatency does.
 	PreferHeadroom Prefer = "headroom"
 )
 
--- a/internal/selector/entry/clustertest/faults.go
+++ b/internal/selector/entry/clustertest/faults.go
@@ -11,7 +11,7 @@
 	"cairndock/internal/selector/store"
 )
 
-// Kill closes a host immediately. The platform's list marks it as gone 3 s later.
+// Kill closes a host immediately. The platform lists it as stopped 3 s later.
 func (c *Cluster) Kill(name string) {
 	h := c.Host(name)
 	c.hosts.Delete(name)
--- a/internal/selector/entry/configsync/poll.go
+++ b/internal/selector/entry/configsync/poll.go
@@ -13,7 +13,7 @@
 
 const (
 	// pollInterval is the mean time between two reads of the log's head by a
-	// host, with pollJitter applied. Two hosts of each zone poll every second
+	// host; pollJitterFraction varies it. Two hosts of each zone poll every second
 	// (docs/design/configuration.md).
 	pollInterval = time.Second
 	// pollJitterFraction is the fraction of pollInterval by which a poll may be
--- a/internal/selector/entry/doc.go
+++ b/internal/selector/entry/doc.go
@@ -37,7 +37,8 @@
 //	                               stored the view; in all zones, by
 //	                               Replica.progress
 //	when the host stops sending    fence.Fence.Tick: after a pause, or when no
-//	                               host responds; rosters.Membership.Prove ends it
+//	                               host responds; it sends again once
+//	                               rosters.Membership.Prove succeeds
 //	when it loses its slots        rosters.Membership.isDead, on other hosts
 //	the steps of a planned stop    Host.Stop
 //
--- a/internal/selector/entry/fence/fence.go
+++ b/internal/selector/entry/fence/fence.go
@@ -22,7 +22,7 @@
 	// maxIsolation is the maximum time without a response from any peer,
 	// platform or upstream before the host assumes that it is isolated. The
 	// value is below member.LostTimeout (5 s), the silence after which a host
-	// that the platform reports as gone loses its slots. In a test, an
+	// that the platform lists as stopped loses its slots. In a test, an
 	// isolated host stopped sending 4.15 s after it lost all connections.
 	maxIsolation = 4 * time.Second
 )
--- a/internal/selector/entry/links/links.go
+++ b/internal/selector/entry/links/links.go
@@ -168,7 +168,7 @@
 	}
 }
 
-// LoanRequest asks a host to lend its unused share of the link to the region To.
+// LoanRequest requests the loan of a host's unused share of the link to region To.
 type LoanRequest struct {
 	Host string `msgpack:"h"`
 	To   string `msgpack:"t"`
--- a/internal/selector/entry/peers/peers.go
+++ b/internal/selector/entry/peers/peers.go
@@ -42,8 +42,7 @@
 	return zero, false
 }
 
-// Table holds the other hosts that this host knows. It is safe for concurrent
-// use.
+// Table holds the known other hosts. It is safe for concurrent use.
 type Table struct {
 	host string
 	zone string
--- a/internal/selector/entry/rosters/changes.go
+++ b/internal/selector/entry/rosters/changes.go
@@ -169,7 +169,7 @@
 }
 
 // withoutDead returns the next roster and true if a member is newly dead, or if
-// it has been dead for so long that all its requests must have ended.
+// it has been dead long enough that all its requests must have ended.
 // Otherwise it returns r and false.
 func (m *Membership) withoutDead(r roster.Roster, other roster.Member, listed map[string]store.State) (roster.Roster, bool) {
 	if other.Host == m.Host {
@@ -192,10 +192,10 @@
 	return r.WithState(other.Host, roster.Dead), true
 }
 
-// isDead reports whether a member is dead: the platform's list marks it as gone
-// or no longer contains it, and it has been silent for member.LostTimeout. A
-// member that was never listed may just have started; for it the limit is
-// unlistedTimeout. Silence alone does not prove that a member is dead
+// isDead reports whether a member is dead: the platform lists it as stopped or
+// no longer lists it, and it has been silent for member.LostTimeout. For a
+// member that was never listed the limit is unlistedTimeout, because that
+// member may just have started. Silence alone does not prove that a member is dead
 // (docs/design/slots.md).
 func (m *Membership) isDead(host string, listed map[string]store.State) bool {
 	maxSilence := member.LostTimeout
--- a/internal/selector/entry/stop.go
+++ b/internal/selector/entry/stop.go
@@ -48,7 +48,7 @@
 	report.Cut = cut + h.uncounted()
 	if h.inFlight.Load() == 0 && h.services.Outstanding() == 0 {
 		// Otherwise a slot is still in use. The host then stays a member, and its
-		// slots stay unused, until the platform lists it as gone.
+		// slots stay unused, until the platform lists it as stopped.
 		h.rosters.Remove(context.WithoutCancel(ctx))
 	}
 	report.Waited = time.Since(start)
--- a/internal/selector/link/bucket.go
+++ b/internal/selector/link/bucket.go
@@ -43,9 +43,9 @@
 	// 95, 95, 92 and 86% of the rest with 0.05 and maxOverdraft, and 98, 96, 91
 	// and 85% with 0.15 and no maxOverdraft.
 	headroomFraction = 0.05
-	// minBulkRateDivisor is the divisor of the rate that gives the minimum rate
-	// for computing the wait of bulk traffic. It bounds the wait while
-	// interactive traffic uses the whole rate.
+	// minBulkRateDivisor sets the minimum rate that is used to compute the wait
+	// of bulk traffic: the bucket's rate divided by minBulkRateDivisor. The
+	// minimum bounds the wait while interactive traffic uses the whole rate.
 	minBulkRateDivisor = 100
 	// minRate is the minimum rate in bytes per second. It replaces lower
 	// limits to keep waits finite.
--- a/internal/selector/member/peers.go
+++ b/internal/selector/member/peers.go
@@ -43,7 +43,7 @@
 	nearInterval, farInterval time.Duration
 }
 
-// NewPeers returns the state of a host that knows no other hosts.
+// NewPeers returns the state of a host that has no peers yet.
 func NewPeers(self Contact) *Peers {
 	return &Peers{
 		self:          self,
--- a/internal/selector/server/abort/abort.go
+++ b/internal/selector/server/abort/abort.go
@@ -112,10 +112,10 @@
 	}
 }
 
-// response is a response that asks its client to close the connection if the
-// server is stopping when the header is sent, also if the request began before.
-// Otherwise the client could send its next request on a connection that is about
-// to be closed.
+// response is an http.ResponseWriter. If the server is stopping when the header
+// is sent, the header requests that the client close the connection, even if the
+// request began before the stop. Otherwise the client could send its next request
+// on a connection that is about to be closed.
 type response struct {
 	http.ResponseWriter
 	server *Server
@@ -134,8 +134,9 @@
 // Unwrap returns the wrapped ResponseWriter, for http.ResponseController.
 func (r *response) Unwrap() http.ResponseWriter { return r.ResponseWriter }
 
-// CloseAfterResponses makes every response, also to requests in flight, ask its
-// client to close the connection. New requests are still served.
+// CloseAfterResponses makes every response, including responses to requests in
+// flight, request that the client close the connection. New requests are still
+// served.
 func (s *Server) CloseAfterResponses() { s.closeAfterResponses.Store(true) }
 
 // Stop stops accepting connections and waits until all requests have their
--- a/internal/selector/slot/doc.go
+++ b/internal/selector/slot/doc.go
@@ -15,6 +15,6 @@
 // The package relies on the code that uses it for the specs and for releasing each
 // lease exactly once. Package entry/rosters derives the specs from the
 // configuration, the roster and the set of leaving upstreams. After each Acquire,
-// package entry/admission asks package entry/fence whether the host may use its
-// slots at all.
+// package entry/admission checks with package entry/fence whether the host may use
+// its slots at all.
 package slot
--- a/internal/selector/slot/gate.go
+++ b/internal/selector/slot/gate.go
@@ -23,7 +23,7 @@
 	pool    *Pool
 	waiting list.List // of *waiter, the longest waiting first
 	created time.Time
-	// leaving is set when the host gives up its slots permanently.
+	// leaving is set when the host releases its slots permanently.
 	leaving bool
 }
 
--- a/internal/selector/upstream/client.go
+++ b/internal/selector/upstream/client.go
@@ -3,8 +3,8 @@
 // busy with it, which frees the request's slot. The package owns the connections
 // to upstreams; package slot decides which requests may be sent.
 //
-// Package internal/gateway/exchange has the same task in the gateway. The two
-// packages need control over different aspects of a connection. This package
+// Package gateway/exchange has the same task in the gateway. The two packages need
+// control over different aspects of a connection. This package
 // half-closes a connection to detect when a cancelled request has ended, which
 // is possible with net/http's Transport and a custom net.Conn. Package exchange
 // checks that each response belongs to its request and that no data arrives on
