--- a/internal/selector/entry/directory/directory.go
+++ b/internal/selector/entry/directory/directory.go
@@ -190,8 +190,8 @@
 	return out
 }
 
-// distance returns 0 for the own zone, 1 for another zone of the own region, and 2
-// for other regions.
+// distance returns 0 for ownZone, 1 for another zone of ownRegion, and 2 for other
+// regions.
 func distance(zone, region, ownZone, ownRegion string) int {
 	switch {
 	case strings.EqualFold(zone, ownZone):
--- a/internal/selector/entry/heartbeats/heartbeats.go
+++ b/internal/selector/entry/heartbeats/heartbeats.go
@@ -193,7 +193,8 @@
 }
 
 // describe returns a heartbeat with the fields that are common to all heartbeats
-// to hosts of a zone. Upstream states are included only for the own zone.
+// to hosts of a zone. Upstream states are included only for the host's
+// own zone.
 func (e *Exchanger) describe(zone string) member.Heartbeat {
 	v := e.Config.View()
 	hb := member.Heartbeat{
--- a/internal/selector/entry/peers/peers.go
+++ b/internal/selector/entry/peers/peers.go
@@ -101,7 +101,8 @@
 }
 
 // Contacts returns the contacts of a zone that may be announced to other hosts
-// and clients. Those of the own zone include this host unless selfLeaving is set.
+// and clients. The contacts of the host's own zone include this host unless
+// selfLeaving is set.
 func (t *Table) Contacts(zone string, selfLeaving bool) []member.Contact {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -120,8 +121,8 @@
 	return out
 }
 
-// NearestContacts returns the contacts of all zones except this host, the own
-// zone first.
+// NearestContacts returns the contacts of all zones except this host, those
+// of the host's own zone first.
 func (t *Table) NearestContacts() []member.Contact {
 	now := time.Now()
 	t.mu.Lock()
--- a/internal/selector/entry/peers/slots.go
+++ b/internal/selector/entry/peers/slots.go
@@ -8,8 +8,8 @@
 )
 
 // WithMostFree returns the responsive host of a zone that reported the most free
-// slots for a service, and whether there is one. In the own zone only hosts with
-// free slots qualify, because a full one does not justify another hop. The
+// slots for a service, and whether there is one. In the host's own zone only hosts
+// with free slots qualify, because a full host does not justify another hop. The
 // function random returns values in [0, 1) that spread the requests of many hosts
 // over hosts with equally many free slots.
 func (t *Table) WithMostFree(zone, service string, random func() float64) (member.Contact, bool) {
--- a/internal/selector/entry/status.go
+++ b/internal/selector/entry/status.go
@@ -103,8 +103,8 @@
 	return out
 }
 
-// zoneStatus returns the status of a zone. For the own zone, it is derived from
-// this host and its peers; for another zone, from the newest heartbeat of a
+// zoneStatus returns the status of a zone. For the host's own zone, it is derived
+// from this host and its peers; for another zone, from the newest heartbeat of a
 // responsive host there.
 func (h *Host) zoneStatus(v *config.View, zone string, free []member.ServiceSlots) ZoneStatus {
 	z := ZoneStatus{Zone: zone, Region: v.Region(zone), Slots: v.ZoneSlots()[zone]}
--- a/internal/selector/entry/suspicions.go
+++ b/internal/selector/entry/suspicions.go
@@ -22,8 +22,8 @@
 	reportedAt atomic.Int64
 }
 
-// SuspicionsChanged sends heartbeats to the own zone and to one host of each other
-// zone. These hosts relay the changes that are new to them in the same way.
+// SuspicionsChanged sends heartbeats to the host's own zone and to one host of each
+// other zone. These hosts relay the changes that are new to them in the same way.
 func (o *suspicionObserver) SuspicionsChanged() {
 	h, now := o.host, o.host.now()
 	last := o.reportedAt.Load()
--- a/internal/selector/member/pace.go
+++ b/internal/selector/member/pace.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// minNearInterval is the minimum time between two heartbeats to a host of the own
+	// minNearInterval is the minimum time between two heartbeats to a host of the same
 	// zone.
 	minNearInterval = 500 * time.Millisecond
 	// minFarInterval is the minimum time between two heartbeats to a host of another
@@ -18,7 +18,7 @@
 	// traffic (docs/CAPACITY.md). With more hosts, each host receives heartbeats
 	// less often.
 	maxBytesPerSecond = 4000
-	// nearFraction is the fraction of the budget for the own zone.
+	// nearFraction is the fraction of the budget for the host's own zone.
 	nearFraction = 0.3
 	// initialExchangeBytes is the size assumed for an exchange until a size is known.
 	// An exchange had 208 bytes with 2 services and 332 bytes with 22 services
@@ -26,7 +26,7 @@
 	initialExchangeBytes = 300
 	// exchangeSamples is the number of exchanges over which their size is averaged.
 	exchangeSamples = 16
-	// nearFanout is the maximum number of hosts of the own zone to which a host sends
+	// nearFanout is the maximum number of hosts of the same zone to which a host sends
 	// heartbeats, so that the cost does not grow with the zone. A full mesh of 74
 	// hosts used more than 70 KB per second (docs/design/heartbeats.md).
 	nearFanout = 4
@@ -40,7 +40,7 @@
 	p.exchangeBytes += (float64(bytes) - p.exchangeBytes) / exchangeSamples
 }
 
-// intervals returns the heartbeat intervals for the given numbers of hosts in the own
+// intervals returns the heartbeat intervals for the given numbers of hosts in the same
 // zone (near) and in other zones (far), so that all heartbeats stay within the budget.
 // exchangeBytes is the size of an exchange. Half of the budget is for exchanges that
 // this host starts, the other half for exchanges that other hosts start.
@@ -64,7 +64,7 @@
 }
 
 // Due returns the hosts to which a heartbeat is due: a bounded number of hosts of the
-// own zone and of each other zone, within the budget.
+// host's own zone and of each other zone, within the budget.
 func (p *Peers) Due(now time.Time) []Contact {
 	near := p.targets(p.self.Zone, nearFanout)
 	var far []Peer
--- a/internal/selector/member/peer.go
+++ b/internal/selector/member/peer.go
@@ -12,7 +12,7 @@
 	// receives no responses stops sending requests. An isolated host stopped 4.15 s
 	// after it was cut off.
 	LostTimeout = 5 * time.Second
-	// rttSamples is the number of samples in the average of the round trip time. Each
+	// rttSamples is the number of samples in the average of the round-trip time. Each
 	// new sample has a weight of one eighth, as in TCP (RFC 6298).
 	rttSamples = 8
 )
@@ -32,7 +32,7 @@
 	// interval between two heartbeats to it.
 	LastSentAt time.Time
 	Interval   time.Duration
-	// RTT is the moving average of the round trip time; zero before the first sample.
+	// RTT is the moving average of the round-trip time; zero before the first sample.
 	RTT time.Duration
 	// ContactsHash is the hash of the contacts in the peer's last response.
 	ContactsHash uint64
@@ -52,7 +52,7 @@
 }
 
 // downTimeout returns the time without a heartbeat after which a peer is treated as
-// down, given its heartbeat interval and round trip time. It allows for the loss of one
+// down, given its heartbeat interval and round-trip time. It allows for the loss of one
 // heartbeat.
 func downTimeout(interval, rtt time.Duration) time.Duration {
 	return max(minDownTimeout, 2*interval) + 2*rtt
--- a/internal/selector/member/peers.go
+++ b/internal/selector/member/peers.go
@@ -39,7 +39,7 @@
 	// exchangeBytes is the moving average of the size of an exchange.
 	exchangeBytes float64
 	// nearInterval and farInterval are the current heartbeat intervals for hosts of
-	// the own zone and of other zones; zero before the first call of Due.
+	// the host's own zone and of other zones; zero before the first call of Due.
 	nearInterval, farInterval time.Duration
 }
 
@@ -107,7 +107,7 @@
 }
 
 // RecordHeartbeat records a heartbeat. For a response, at is the time of its request and
-// rtt the round trip time. For a request, at is the time of its arrival and rtt is zero.
+// rtt the round-trip time. For a request, at is the time of its arrival and rtt is zero.
 // A heartbeat that is older than the last recorded heartbeat is ignored.
 func (p *Peers) RecordHeartbeat(b Heartbeat, at time.Time, rtt time.Duration) {
 	p.AddKnown(b.Contact)
@@ -170,7 +170,8 @@
 func (p *Peers) Zones() []string { return p.zones }
 
 // Contacts returns at most maxContacts hosts of a zone that are up, to be sent to other
-// hosts. For the own zone the first contact is this host, unless it is leaving.
+// hosts. For the host's own zone the first contact is the host itself, unless
+// selfLeaving is set.
 func (p *Peers) Contacts(zone string, now time.Time, selfLeaving bool) []Contact {
 	var out []Contact
 	if zone == p.self.Zone && !selfLeaving {
--- a/internal/selector/steer/score.go
+++ b/internal/selector/steer/score.go
@@ -19,7 +19,7 @@
 	// queueLatencyFactor estimates the time in the queue of a full zone as a
 	// multiple of the service's latency.
 	queueLatencyFactor = 4
-	// headroomRTTDivisor reduces the round trip time for services that prefer
+	// headroomRTTDivisor reduces the round-trip time for services that prefer
 	// headroom to latency.
 	headroomRTTDivisor = 4
 	// headroomLoadFactor increases the cost of utilization for services that
@@ -32,7 +32,7 @@
 )
 
 // expectedTime returns the score of a zone for a request, in seconds; lower is
-// better. rtt is the round trip time to the zone and latency is the service's
+// better. rtt is the round-trip time to the zone and latency is the service's
 // latency at an upstream, both in seconds. utilization is the fraction of the
 // zone's slots that is in use, 1 or more if the zone is full. The load term grows
 // slowly at first, so that requests move to another zone only when the zone is
--- a/internal/selector/steer/steer.go
+++ b/internal/selector/steer/steer.go
@@ -1,5 +1,5 @@
 // Package steer decides which zone each request of a service goes to. Decider
-// holds the state of each zone for one service on one host: the round trip time
+// holds the state of each zone for one service on one host: the round-trip time
 // to the zone, its last report of its slots, and the number of the host's own
 // requests outstanding there. Package shift orders the rules by their shares and
 // enforces their caps. Within a rule, the zone with the lowest expected time is
@@ -23,10 +23,10 @@
 	// defaultLatency is assumed for a service until its latency is known. It is
 	// the latency of quickstart's upstreams.
 	defaultLatency = 5 * time.Millisecond
-	// sameRegionRTT is the round trip time assumed for zones of the same region
+	// sameRegionRTT is the round-trip time assumed for zones of the same region
 	// until it is measured.
 	sameRegionRTT = 2 * time.Millisecond
-	// otherRegionRTT is the round trip time assumed for zones of other regions
+	// otherRegionRTT is the round-trip time assumed for zones of other regions
 	// until it is measured.
 	otherRegionRTT = 50 * time.Millisecond
 )
@@ -67,7 +67,7 @@
 	slots int
 }
 
-// ruleState holds a rule's sites, sorted by round trip time.
+// ruleState holds a rule's sites, sorted by round-trip time.
 type ruleState struct {
 	name  string
 	sites []siteState
@@ -130,7 +130,7 @@
 }
 
 // zone returns the state of a site's zone. A new zone starts with an assumed
-// round trip time.
+// round-trip time.
 func (d *Decider) zone(s config.Site, zone, region string) *zoneState {
 	if z := d.zones[s.Zone]; z != nil {
 		return z
@@ -162,7 +162,7 @@
 func (d *Decider) SetFrozen(frozen bool) { d.frozen = frozen }
 
 // SetZone updates the state of a zone: its report, unless a newer report is known;
-// its round trip time, unless rtt is zero; and whether any of its hosts is
+// its round-trip time, unless rtt is zero; and whether any of its hosts is
 // reachable.
 func (d *Decider) SetZone(zone string, r Report, rtt time.Duration, reachable bool) {
 	z := d.zones[zone]
@@ -179,7 +179,7 @@
 	}
 }
 
-// Rank sorts each rule's sites by round trip time, so that a decision compares
+// Rank sorts each rule's sites by round-trip time, so that a decision compares
 // only the nearest sites.
 func (d *Decider) Rank() {
 	for _, r := range d.rules {
--- a/internal/selector/upstream/client.go
+++ b/internal/selector/upstream/client.go
@@ -33,7 +33,7 @@
 )
 
 const (
-	// dialTimeout limits connection set-up. It is far above a round trip within
+	// dialTimeout limits connection setup. It is far above a round trip within
 	// a zone and half of a service's default timeout of 2 s. Unlike
 	// gateway/dial, this package does not probe for broken network links,
 	// because all upstreams are in the host's own zone.
