--- a/internal/selector/entry/fence/fence.go
+++ b/internal/selector/entry/fence/fence.go
@@ -34,12 +34,12 @@
 	// maxPause, because provedAt is 0 while the fence is closed.
 	now func() int64
 
-	// provedAt is the last time when the host was sure to own its slots, and
-	// answeredAt the last time when a peer, the platform or an upstream
-	// responded. Both are readings of now.
-	provedAt   atomic.Int64
-	answeredAt atomic.Int64
-	proving    atomic.Bool
+	// provedAt is when the host was last sure to own its slots, and respondedAt
+	// is when a peer, the platform or an upstream last responded. Both are
+	// readings of now.
+	provedAt    atomic.Int64
+	respondedAt atomic.Int64
+	proving     atomic.Bool
 }
 
 // New returns a closed Fence. The function now reads a monotonic clock in
@@ -49,14 +49,14 @@
 // Start opens the fence of a starting host. Such a host holds no slots yet.
 func (f *Fence) Start() {
 	f.provedAt.Store(f.now())
-	f.answeredAt.Store(f.now())
+	f.respondedAt.Store(f.now())
 }
 
 // Open reports whether the host may send new requests to upstreams.
 func (f *Fence) Open() bool { return f.now()-f.provedAt.Load() < int64(maxPause) }
 
 // Answered records that a peer, the platform or an upstream responded.
-func (f *Fence) Answered() { f.answeredAt.Store(f.now()) }
+func (f *Fence) Answered() { f.respondedAt.Store(f.now()) }
 
 // Close stops the host from sending requests until its slots are confirmed again.
 func (f *Fence) Close() { f.provedAt.Store(0) }
@@ -66,7 +66,7 @@
 // fence opens again when prove reports that the host has seen the roster of its
 // zone. Only one call of prove runs at a time.
 func (f *Fence) Tick(ctx context.Context, prove func(context.Context) bool) {
-	isolated := f.now()-f.answeredAt.Load() > int64(maxIsolation)
+	isolated := f.now()-f.respondedAt.Load() > int64(maxIsolation)
 	if f.Open() && !isolated {
 		f.provedAt.Store(f.now())
 		return
--- a/internal/selector/entry/platformcalls/platformcalls.go
+++ b/internal/selector/entry/platformcalls/platformcalls.go
@@ -31,15 +31,15 @@
 
 // Caller makes a host's calls to the platform. It is safe for concurrent use.
 type Caller struct {
-	limiter  *rate.Limiter
-	metrics  *telemetry.Metrics
-	answered func()
+	limiter   *rate.Limiter
+	metrics   *telemetry.Metrics
+	responded func()
 }
 
 // New returns a Caller that makes at most callsPerSecond calls per second after a
-// burst. It calls answered after each call to which the platform responded.
-func New(callsPerSecond float64, metrics *telemetry.Metrics, answered func()) *Caller {
-	return &Caller{limiter: rate.NewLimiter(rate.Limit(callsPerSecond), burst), metrics: metrics, answered: answered}
+// burst. It calls responded after each call that the platform responded to.
+func New(callsPerSecond float64, metrics *telemetry.Metrics, responded func()) *Caller {
+	return &Caller{limiter: rate.NewLimiter(rate.Limit(callsPerSecond), burst), metrics: metrics, responded: responded}
 }
 
 // Do makes one call within the host's rate and the timeout. The errors
@@ -57,7 +57,7 @@
 		c.metrics.Count("cairndock_platform_failures_total")
 		return err
 	}
-	c.answered()
+	c.responded()
 	return err
 }
 
