--- a/internal/selector/entry/rosters/capacity.go
+++ b/internal/selector/entry/rosters/capacity.go
@@ -29,7 +29,7 @@
 }
 
 // specs returns the slots that the host holds of each of a service's upstreams.
-// The caller holds m.mu.
+// m.mu must be held.
 func (m *Membership) specs(svc *config.ServiceView, now time.Time) []slot.Spec {
 	specs := make([]slot.Spec, 0, len(svc.Local))
 	for _, u := range svc.Local {
@@ -39,8 +39,8 @@
 	return specs
 }
 
-// ruleSpecs returns the host's share of each rule's limits. The caller holds
-// m.mu.
+// ruleSpecs returns the host's share of each rule's limits. m.mu must be
+// held.
 func (m *Membership) ruleSpecs(svc *config.ServiceView, now time.Time) []slot.RuleSpec {
 	longest := time.Duration(svc.MaxTimeout)
 	specs := make([]slot.RuleSpec, 0, len(svc.Rules))
--- a/internal/selector/entry/rosters/changes.go
+++ b/internal/selector/entry/rosters/changes.go
@@ -15,8 +15,8 @@
 )
 
 // rejoin drops all slots and makes the host join again as a new incarnation. It
-// is called when the roster no longer has the current incarnation as an active
-// member, so that its slots belong to other hosts.
+// is called when the current incarnation is no longer an active member of the
+// roster and its slots therefore belong to other hosts.
 func (m *Membership) rejoin() {
 	m.Log.Warn().Msg("roster: host is no longer an active member; rejoining")
 	m.mu.Lock()
@@ -195,7 +195,8 @@
 // isDead reports whether a member is dead: the platform lists it as stopped or
 // no longer lists it, and it has been silent for member.LostTimeout. For a
 // member that was never listed the limit is unlistedTimeout, because that
-// member may just have started. Silence alone does not prove that a member is dead
+// member may just have started. A member that is not in the table of peers counts
+// as silent. Silence alone does not prove that a member is dead
 // (docs/design/slots.md).
 func (m *Membership) isDead(host string, listed map[string]store.State) bool {
 	maxSilence := member.LostTimeout
--- a/internal/selector/entry/rosters/loop.go
+++ b/internal/selector/entry/rosters/loop.go
@@ -25,9 +25,8 @@
 	// by a poller.
 	rosterInterval = time.Second
 	// HostsInterval is the time between two reads of the platform's host list
-	// by a poller. It bounds the time for which hosts do not see that the list
-	// marks an upstream as leaving (0.8 s measured,
-	// docs/design/heartbeats.md).
+	// by a poller. It bounds the delay until hosts see that the list marks an
+	// upstream as leaving (0.8 s measured, docs/design/heartbeats.md).
 	HostsInterval = 2 * time.Second
 	// pollersPerZone is the number of hosts per zone that poll the platform on behalf
 	// of the zone. With two, one may fail (docs/design/configuration.md).
--- a/internal/selector/entry/rosters/membership.go
+++ b/internal/selector/entry/rosters/membership.go
@@ -125,8 +125,8 @@
 	return hb.Epoch > m.holder.Current().Epoch
 }
 
-// Settle acknowledges the newest roster once this host has no more requests
-// outstanding than the roster assigns slots to it. The host starts to use added
+// Settle acknowledges the newest roster once this host has at most as many
+// requests outstanding as the roster assigns slots to it. The host starts to use added
 // slots once all other members have acknowledged the roster.
 func (m *Membership) Settle() {
 	acked, changed := m.advance()
--- a/internal/selector/entry/upstreams/upstreams.go
+++ b/internal/selector/entry/upstreams/upstreams.go
@@ -165,7 +165,7 @@
 }
 
 // record merges one reported state of an incarnation and reports whether anything
-// changed. The caller must hold t.mu.
+// changed. t.mu must be held.
 func (t *Tracker) record(s member.UpstreamStatus) bool {
 	changed := false
 	if s.Seen && s.Instance != "" && t.incarnations[s.Upstream] != s.Instance {
@@ -182,7 +182,7 @@
 
 // recordIncarnation stores the latest incarnation of an upstream. A report of leaving
 // that was received before any incarnation was seen applies to the first incarnation
-// seen. The caller must hold t.mu.
+// seen. t.mu must be held.
 func (t *Tracker) recordIncarnation(s member.UpstreamStatus) {
 	unidentified := incarnationKey{s.Upstream, ""}
 	if _, leaving := t.leavingIncarnations[unidentified]; leaving && t.incarnations[s.Upstream] == "" {
--- a/internal/selector/member/peer.go
+++ b/internal/selector/member/peer.go
@@ -22,10 +22,10 @@
 	Contact Contact
 	// Heartbeat is the peer's last heartbeat; zero before the first heartbeat.
 	Heartbeat Heartbeat
-	// LastSeen is when the last heartbeat was requested or, if it is a request, when
-	// it was received. SlotsAt is when its slots were requested. They can differ,
-	// because a heartbeat request contains no slots and keeps those of the previous
-	// response.
+	// LastSeen is the time of the last heartbeat: for a response when its request was
+	// sent, for a request when the request arrived. SlotsAt is LastSeen as of the last
+	// response that contained slots. The two can differ, because a heartbeat request
+	// contains no slots, so that the slots of the previous response are kept.
 	LastSeen time.Time
 	SlotsAt  time.Time
 	// LastSentAt is when a heartbeat was last sent to the peer, and Interval is the current
--- a/internal/selector/member/peers.go
+++ b/internal/selector/member/peers.go
@@ -1,4 +1,4 @@
-// Package member holds a host's state of the other hosts: how to reach them, their
+// Package member holds the state that a host keeps about other hosts: how to reach them, their
 // last heartbeats, and whether they respond. It decides to which hosts requests may
 // be sent (Peer.Up), and to which hosts a heartbeat is due so that all heartbeats
 // stay within a budget of bytes (Peers.Due).
@@ -26,8 +26,8 @@
 	maxFarHosts = 8
 )
 
-// Peers is one host's state of the other hosts. It is not safe for concurrent use. The
-// current time is passed to its methods.
+// Peers is the state that one host keeps about other hosts. It is not safe for
+// concurrent use. The current time is passed to its methods.
 type Peers struct {
 	self  Contact
 	peers map[string]Peer
--- a/internal/selector/slot/pool.go
+++ b/internal/selector/slot/pool.go
@@ -29,8 +29,8 @@
 // Upstream returns the name of the slot's upstream.
 func (l Lease) Upstream() string { return l.upstream.name }
 
-// Pool holds the slots of one service that one host holds. It is not safe for
-// concurrent use. All now parameters are nanoseconds of one monotonic clock, above
+// Pool tracks the slots that one host holds at the upstreams of one service. It is
+// not safe for concurrent use. All now parameters are nanoseconds of one monotonic clock, above
 // zero.
 type Pool struct {
 	// upstreams contains the upstreams of the specs and removed upstreams that
