--- a/internal/selector/entry/configsync/configsync.go
+++ b/internal/selector/entry/configsync/configsync.go
@@ -30,8 +30,8 @@
 
 // FreezeAfter is the age of the latest proof that the configuration is the
 // newest above which the host freezes: ramps stop and the host's own zone is
-// preferred. Two hosts of each zone poll every second, so no host freezes while its zone
-// can reach the platform (docs/design/configuration.md).
+// preferred. Two hosts of each zone poll every second, so no host freezes while
+// its zone can reach the platform (docs/design/configuration.md).
 const FreezeAfter = 4 * time.Second
 
 // Options configures a Replica.
--- a/internal/selector/entry/configsync/relay.go
+++ b/internal/selector/entry/configsync/relay.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// tryFetch puts the changes in force that a peer has after this host's revision,
-// and starts the ramps at the peer's shares.
+// tryFetch fetches a peer's changes above this host's revision or its whole
+// state, puts them in force and starts the ramps at the peer's shares.
 func (r *Replica) tryFetch(ctx context.Context, from member.Contact) error {
 	payload, err := peer.Encode(r.View().Revision())
 	if err != nil {
--- a/internal/selector/entry/dispatch/rules.go
+++ b/internal/selector/entry/dispatch/rules.go
@@ -21,8 +21,8 @@
 	// time left until the deadline, divided by queueTimeDivisor.
 	queueTimeDivisor = 4
 	// maxQueues limits the full zones of a rule whose queues a request may try.
-	// When the queue of the first zone is also full, the queue of the next may
-	// have free places.
+	// When the queue of the first zone is also full, the queue of the next zone
+	// may have free capacity.
 	maxQueues = 2
 	// hedgeLatencyFactor multiplies the usual latency of the upstreams: a
 	// lookup that takes longer is hedged with a second one.
@@ -58,8 +58,8 @@
 	}
 }
 
-// slowsRamp reports whether a failed try slows the ramp of its rule. A full zone
-// and an upstream that sheds requests do (docs/design/shares.md).
+// slowsRamp reports whether a failed try slows the ramp of its rule: if the zone
+// was full or the upstream shed the request (docs/design/shares.md).
 func slowsRamp(reason verdict.Reason) bool {
 	return reason == verdict.UpstreamShed || reason == verdict.Full
 }
@@ -71,8 +71,8 @@
 }
 
 // mayQueueElsewhere reports whether a request that was refused by the queue of
-// one zone may try another zone. It may when its rule reached the cap in the
-// meantime, the queue was also full, or the host of that zone is stopping.
+// one zone may try another zone: if its rule reached the cap in the meantime, the
+// queue was also full, or the host of that zone is stopping.
 func mayQueueElsewhere(reason verdict.Reason) bool {
 	switch reason {
 	case verdict.Capped, verdict.Full, verdict.PeerStopping:
--- a/internal/selector/entry/heartbeats/heartbeats.go
+++ b/internal/selector/entry/heartbeats/heartbeats.go
@@ -154,7 +154,7 @@
 }
 
 // Serve records a peer's heartbeat, responds with this host's own and merges
-// what the peer reports.
+// the contents of the peer's heartbeat.
 func (e *Exchanger) Serve(ctx context.Context, hb member.Heartbeat, w *peer.Responder) {
 	// The transit time of a request is unknown, so the heartbeat only proves
 	// that the peer is alive.
@@ -193,8 +193,8 @@
 }
 
 // describe returns a heartbeat with the fields that are common to all heartbeats
-// to hosts of a zone. Upstream states are included only for the host's
-// own zone.
+// to hosts of a zone. Upstream states are included only for the host's own
+// zone.
 func (e *Exchanger) describe(zone string) member.Heartbeat {
 	v := e.Config.View()
 	hb := member.Heartbeat{
--- a/internal/selector/entry/links/links.go
+++ b/internal/selector/entry/links/links.go
@@ -38,7 +38,7 @@
 type Links struct {
 	Options
 	// started is the start time of the process. Loans that an earlier process of
-	// this host granted may still be in use until some time after it.
+	// this host granted may still be in use for a while after started.
 	started time.Time
 
 	mu     sync.Mutex
--- a/internal/selector/entry/peers/peers.go
+++ b/internal/selector/entry/peers/peers.go
@@ -205,7 +205,7 @@
 
 // ForTicket returns the host to query for a ticket: the host to which a stopped
 // issuer handed its tickets over, otherwise the issuer, otherwise, if anyOfZone
-// is set, a host of the issuer's zone, which may know the issuer.
+// is set, a host of the issuer's zone, which may have the issuer in its table.
 func (t *Table) ForTicket(host, incarnation, zone string, anyOfZone bool) (member.Contact, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/selector/entry/tickets/tickets.go
+++ b/internal/selector/entry/tickets/tickets.go
@@ -120,7 +120,8 @@
 }
 
 // forwardToIssuer forwards the request of a ticket to the issuer, or to a host of the
-// issuer's zone, which may know the issuer and forward the request once more.
+// issuer's zone, which may have the issuer in its table and can forward the request
+// once more.
 func (i *Issuer) forwardToIssuer(ctx context.Context, t ticket.Ticket, req *call.Request, passed bool) (*call.Response, error) {
 	to, ok := i.Peers.ForTicket(t.Host, t.Incarnation, t.Zone, !passed)
 	if !ok {
--- a/internal/selector/entry/upstreams/upstreams.go
+++ b/internal/selector/entry/upstreams/upstreams.go
@@ -199,8 +199,8 @@
 	probeInterval = 2 * time.Second
 	// probeTimeout is the time limit of one probe.
 	probeTimeout = time.Second
-	// maxProbes is the maximum number of probes in one interval, however many
-	// upstreams are assigned to this host.
+	// maxProbes is the maximum number of probes in one interval, regardless of the
+	// number of upstreams that are assigned to this host.
 	maxProbes = 20
 )
 
--- a/internal/selector/link/bucket.go
+++ b/internal/selector/link/bucket.go
@@ -66,8 +66,8 @@
 	bulkLevel float64
 }
 
-// newBucket returns a bucket for a limit in bytes per second, of which the
-// fraction reserved, 0 to 1, is reserved for interactive traffic.
+// newBucket returns a bucket for a limit in bytes per second. reserved is the
+// fraction of the limit, 0 to 1, that is reserved for interactive traffic.
 func newBucket(limit, reserved float64, now int64) *bucket {
 	b := &bucket{filledAt: now}
 	b.configure(limit, reserved)
--- a/internal/selector/link/loans.go
+++ b/internal/selector/link/loans.go
@@ -15,7 +15,7 @@
 	lendFraction = 0.8
 	// keepFraction is the fraction of its own share that a host never lends,
 	// because a loan can't be revoked and the host's next lookup needs some
-	// rate at once. With bundles on the same link, 232 of 800 lookups were
+	// rate immediately. With bundles on the same link, 232 of 800 lookups were
 	// refused without keepFraction and none with it. The link utilization was
 	// 97% without keepFraction and 86% with it.
 	keepFraction = 0.2
--- a/internal/selector/link/pacer.go
+++ b/internal/selector/link/pacer.go
@@ -34,8 +34,8 @@
 	demandSent int64
 }
 
-// NewPacer returns a pacer for a limit in bytes per second, of which the
-// fraction reserved, 0 to 1, is reserved for interactive traffic.
+// NewPacer returns a pacer for a limit in bytes per second. reserved is the
+// fraction of the limit, 0 to 1, that is reserved for interactive traffic.
 func NewPacer(limit, reserved float64) *Pacer {
 	return &Pacer{bucket: newBucket(limit, reserved, 0), start: time.Now()}
 }
