--- a/internal/selector/entry/services/services.go
+++ b/internal/selector/entry/services/services.go
@@ -39,13 +39,13 @@
 }
 
 // Usage returns the number of the service's slots that this host holds, the number of
-// those in use, and the usual latency of the service's upstreams.
-func (s *Service) Usage() (held, taken int, latency time.Duration) {
+// outstanding requests, and the usual latency of the service's upstreams.
+func (s *Service) Usage() (held, outstanding int, latency time.Duration) {
 	s.Gate.Do(func(p *slot.Pool) {
-		held, taken = p.Usage()
+		held, outstanding = p.Usage()
 		latency = p.Latency()
 	})
-	return held, taken, latency
+	return held, outstanding, latency
 }
 
 // Free returns the service's slots as they are reported to other hosts.
@@ -176,9 +176,9 @@
 func (s *Set) Refresh(zones []peers.ZoneReport, frozen bool, now time.Time, clock int64) {
 	for _, svc := range s.view().Services() {
 		state := s.Get(svc.Name)
-		held, taken, latency := state.Usage()
+		held, outstanding, latency := state.Usage()
 		state.Decide(func(d *steer.Decider) {
-			d.SetLocal(held, taken, latency)
+			d.SetLocal(held, outstanding, latency)
 			d.SetFrozen(frozen)
 			d.Meter().Advance(now, frozen)
 			for _, z := range zones {
--- a/internal/selector/steer/score.go
+++ b/internal/selector/steer/score.go
@@ -65,9 +65,9 @@
 
 // ratio returns the fraction of the held slots that is in use. Without held slots
 // it returns 1 (full).
-func ratio(taken, held int) float64 {
+func ratio(inUse, held int) float64 {
 	if held <= 0 {
 		return 1
 	}
-	return float64(taken) / float64(held)
+	return float64(inUse) / float64(held)
 }
