--- a/internal/selector/entry/links/links.go
+++ b/internal/selector/entry/links/links.go
@@ -38,7 +38,7 @@
 type Links struct {
 	Options
 	// started is the start time of the process. Loans that an earlier process of
-	// this host granted may still be in use until some time after it.
+	// this host granted may still be in use for a while after started.
 	started time.Time
 
 	mu     sync.Mutex
@@ -168,7 +168,7 @@
 	}
 }
 
-// LoanRequest asks a host to lend its unused share of the link to the region To.
+// LoanRequest requests the loan of a host's unused share of the link to region To.
 type LoanRequest struct {
 	Host string `msgpack:"h"`
 	To   string `msgpack:"t"`
--- a/internal/selector/entry/peers/peers.go
+++ b/internal/selector/entry/peers/peers.go
@@ -42,8 +42,7 @@
 	return zero, false
 }
 
-// Table holds the other hosts that this host knows. It is safe for concurrent
-// use.
+// Table holds the known other hosts. It is safe for concurrent use.
 type Table struct {
 	host string
 	zone string
@@ -102,7 +101,8 @@
 }
 
 // Contacts returns the contacts of a zone that may be announced to other hosts
-// and clients. Those of the own zone include this host unless selfLeaving is set.
+// and clients. The contacts of the host's own zone include this host unless
+// selfLeaving is set.
 func (t *Table) Contacts(zone string, selfLeaving bool) []member.Contact {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -121,8 +121,8 @@
 	return out
 }
 
-// NearestContacts returns the contacts of all zones except this host, the own
-// zone first.
+// NearestContacts returns the contacts of all zones except this host, those
+// of the host's own zone first.
 func (t *Table) NearestContacts() []member.Contact {
 	now := time.Now()
 	t.mu.Lock()
@@ -205,7 +205,7 @@
 
 // ForTicket returns the host to query for a ticket: the host to which a stopped
 // issuer handed its tickets over, otherwise the issuer, otherwise, if anyOfZone
-// is set, a host of the issuer's zone, which may know the issuer.
+// is set, a host of the issuer's zone, which may have the issuer in its table.
 func (t *Table) ForTicket(host, incarnation, zone string, anyOfZone bool) (member.Contact, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/selector/upstream/client.go
+++ b/internal/selector/upstream/client.go
@@ -3,8 +3,8 @@
 // busy with it, which frees the request's slot. The package owns the connections
 // to upstreams; package slot decides which requests may be sent.
 //
-// Package internal/gateway/exchange has the same task in the gateway. The two
-// packages need control over different aspects of a connection. This package
+// Package gateway/exchange has the same task in the gateway. The two packages need
+// control over different aspects of a connection. This package
 // half-closes a connection to detect when a cancelled request has ended, which
 // is possible with net/http's Transport and a custom net.Conn. Package exchange
 // checks that each response belongs to its request and that no data arrives on
@@ -33,7 +33,7 @@
 )
 
 const (
-	// dialTimeout limits connection set-up. It is far above a round trip within
+	// dialTimeout limits connection setup. It is far above a round trip within
 	// a zone and half of a service's default timeout of 2 s. Unlike
 	// gateway/dial, this package does not probe for broken network links,
 	// because all upstreams are in the host's own zone.
